--- /dev/null
+++ b/internal/cloud/encoded_form_test.go
@@ -0,0 +1,16 @@
+package cloud
+
+import (
+	"testing"
+
+	"cherrywall/internal/fake/encodedform"
+)
+
+// Encoded forms are part of the protocol or of stored data: names and order of fields stay.
+func TestEncodedForms(t *testing.T) {
+	encodedform.Check(t, "testdata/encoded_forms.json",
+		encodedform.Form{Name: "machine type", Value: Flavor{}},
+		encodedform.Form{Name: "machine", Value: Machine{}},
+		encodedform.Form{Name: "rental request", Value: Order{}},
+	)
+}
--- /dev/null
+++ b/internal/membership/encoded_form_test.go
@@ -0,0 +1,15 @@
+package membership
+
+import (
+	"testing"
+
+	"cherrywall/internal/fake/encodedform"
+)
+
+// Encoded forms are part of the protocol or of stored data: names and order of fields stay.
+func TestEncodedForms(t *testing.T) {
+	encodedform.Check(t, "testdata/encoded_forms.json",
+		encodedform.Form{Name: "liveness record", Value: lifeRecord{}},
+		encodedform.Form{Name: "shard record", Value: shareRecord{}},
+	)
+}
--- /dev/null
+++ b/internal/pipeline/encoded_form_test.go
@@ -0,0 +1,16 @@
+package pipeline
+
+import (
+	"testing"
+
+	"cherrywall/internal/fake/encodedform"
+)
+
+// Encoded forms are part of the protocol or of stored data: names and order of fields stay.
+func TestEncodedForms(t *testing.T) {
+	encodedform.Check(t, "testdata/encoded_forms.json",
+		encodedform.Form{Name: "plan", Value: Plan{}},
+		encodedform.Form{Name: "planned job", Value: Job{}},
+		encodedform.Form{Name: "problem", Value: Problem{}, WriteOnly: true},
+	)
+}
--- /dev/null
+++ b/internal/placement/encoded_form_test.go
@@ -0,0 +1,23 @@
+package placement
+
+import (
+	"testing"
+
+	"cherrywall/internal/fake/encodedform"
+)
+
+// Encoded forms are part of the protocol or of stored data: names and order of fields stay.
+func TestEncodedForms(t *testing.T) {
+	encodedform.Check(t, "testdata/encoded_forms.json",
+		encodedform.Form{Name: "finding", Value: Finding{}},
+		encodedform.Form{Name: "trouble", Value: Trouble{}, WriteOnly: true},
+		encodedform.Form{Name: "shard view", Value: shareView{}, WriteOnly: true},
+		encodedform.Form{Name: "worker view", Value: workerView{}, WriteOnly: true},
+		encodedform.Form{Name: "task view", Value: taskView{}, WriteOnly: true},
+		encodedform.Form{Name: "job view", Value: JobView{}, WriteOnly: true},
+		encodedform.Form{Name: "upgrade view", Value: upgradeView{}, WriteOnly: true},
+		encodedform.Form{Name: "version view", Value: versionView{}, WriteOnly: true},
+		encodedform.Form{Name: "fleet view", Value: fleetView{}, WriteOnly: true},
+		encodedform.Form{Name: "member view", Value: memberView{}, WriteOnly: true},
+	)
+}
--- /dev/null
+++ b/internal/runs/encoded_form_test.go
@@ -0,0 +1,19 @@
+package runs
+
+import (
+	"testing"
+
+	"cherrywall/internal/fake/encodedform"
+)
+
+// Encoded forms are part of the protocol or of stored data: names and order of fields stay.
+func TestEncodedForms(t *testing.T) {
+	encodedform.Check(t, "testdata/encoded_forms.json",
+		encodedform.Form{Name: "run record", Value: run{}},
+		encodedform.Form{Name: "resource group record", Value: group{}},
+		encodedform.Form{Name: "schedule record", Value: sched{}},
+		encodedform.Form{Name: "schedule view", Value: ScheduleView{}},
+		encodedform.Form{Name: "run view", Value: View{}},
+		encodedform.Form{Name: "run job view", Value: JobView{}},
+	)
+}
