--- a/internal/placement/spells_test.go
+++ b/internal/controller/spells_test.go
@@ -1,4 +1,4 @@
-package placement_test
+package controller_test
 
 import (
 	"context"
@@ -25,50 +25,50 @@
 		full            bool // the zone is full of others instead of empty
 	}{{jobs.Array, true, false, false}, {jobs.Array, true, false, true}, {jobs.Gang, true, false, false}, {jobs.Array, false, true, false}, {jobs.Array, false, false, true}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
-			talking(t, func(t *testing.T, w *fake.World) {
+			talking(t, func(t *testing.T, cluster *fake.Cluster) {
 				for range 3 {
-					w.Add("a", false)
+					cluster.AddMachine("a", false)
 				}
 				time.Sleep(5 * time.Second)
-				s := fake.Job("wk-1", c.kind, 9, 1)
+				s := fake.JobSpec("wk-1", c.kind, 9, 1)
 				s.OneZone, s.Spread = c.oneZone, c.spread
 				// The first tasks end at once, later ones in the middle never on these machines.
 				for i := range 8 {
-					w.Lasts(jobs.TaskName("wk-1", i), []time.Duration{2 * time.Second, 25 * time.Second}[i%2])
+					cluster.SetTaskRunTime(jobs.TaskName("wk-1", i), []time.Duration{2 * time.Second, 25 * time.Second}[i%2])
 				}
-				w.Lasts(jobs.TaskName("wk-1", 8), 70*time.Second) // and the last goes on where it is
+				cluster.SetTaskRunTime(jobs.TaskName("wk-1", 8), 70*time.Second) // and the last goes on where it is
 				if c.spread {
-					w.Add("b", false)
+					cluster.AddMachine("b", false)
 					time.Sleep(3 * time.Second)
 				}
-				accept(t, w, "n0", s, 25*time.Second)
+				accept(t, cluster, "n0", s, 25*time.Second)
 				time.Sleep(6 * time.Second)
-				lost := w.Hosts()
+				lost := cluster.Hosts()
 				if c.spread {
 					lost = lost[:3]
 				}
 				if c.full { // others take the places of those that are lost, for long
-					accept(t, w, "n1", fake.Job("wk-2", jobs.Array, 12, 1), 10*time.Minute)
+					accept(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Array, 12, 1), 10*time.Minute)
 				}
 				for range 4 {
-					w.Add("b", false)
+					cluster.AddMachine("b", false)
 				}
 				for i, h := range lost {
 					if !c.full || i < 2 {
-						_ = w.Release(t.Context(), []string{h})
+						_ = cluster.Release(t.Context(), []string{h})
 					}
 				}
 				if c.spread { // half of it may be in one zone, whatever is done by then
 					time.Sleep(40 * time.Second)
-					w.Add("a", false)
+					cluster.AddMachine("a", false)
 				}
 				if c.full {
 					time.Sleep(5 * time.Second)
-					w.Add("b", false)
-					w.Add("b", false)
+					cluster.AddMachine("b", false)
+					cluster.AddMachine("b", false)
 				}
 				// One after the other in one place, if what goes on there has left room for no more.
-				done(t, w, "n1", "wk-1", 220*time.Second)
+				done(t, cluster, "n1", "wk-1", 220*time.Second)
 			})
 		})
 	}
@@ -79,18 +79,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		w := fake.NewWorld(ctx, map[string]string{"n0": "a", "n1": "a", "n2": "a"}) // so each holds machines of both zones
+		cluster := fake.NewCluster(ctx, map[string]string{"n0": "a", "n1": "a", "n2": "a"}) // so each holds machines of both zones
 		time.Sleep(3 * time.Second)
-		machines(w, 6)
+		machines(cluster, 6)
 		zone := "a"
-		s := fake.Job("wk-1", jobs.Array, 12, 1)
+		s := fake.JobSpec("wk-1", jobs.Array, 12, 1)
 		s.Zone = &zone
-		accept(t, w, "n0", s, 10*time.Minute)
+		accept(t, cluster, "n0", s, 10*time.Minute)
 		time.Sleep(5 * time.Second)
-		s = fake.Job("wk-2", jobs.Array, 4, 1)
+		s = fake.JobSpec("wk-2", jobs.Array, 4, 1)
 		s.OneZone = true
-		accept(t, w, "n0", s, 2*time.Second)
-		done(t, w, "n0", "wk-2", 15*time.Second)
+		accept(t, cluster, "n0", s, 2*time.Second)
+		done(t, cluster, "n0", "wk-2", 15*time.Second)
 		stop()
 		synctest.Wait()
 	})
@@ -102,61 +102,63 @@
 func TestATeamAtItsLimitWhileItsLeaderChanges(t *testing.T) {
 	for seed := range uint64(6) {
 		rnd := rand.New(rand.NewPCG(seed, 11))
-		lease := func(w *fake.World) { w.Cfg.Cluster.Workers.LeaseS, w.Cfg.Cluster.Workers.CancelS = 25, 45 }
-		talkingOf(t, lease, func(t *testing.T, w *fake.World) {
-			machines(w, 12)
+		lease := func(cluster *fake.Cluster) {
+			cluster.Cfg.Cluster.Workers.LeaseS, cluster.Cfg.Cluster.Workers.CancelS = 25, 45
+		}
+		talkingOf(t, lease, func(t *testing.T, cluster *fake.Cluster) {
+			machines(cluster, 12)
 			capped := func(ref, kind string, tasks int) jobs.Spec {
-				s := fake.Job(ref, kind, tasks, 1)
+				s := fake.JobSpec(ref, kind, tasks, 1)
 				s.Team = "capped" // 4 CPUs
 				return s
 			}
-			accept(t, w, "n0", capped("wk-1", []string{jobs.Array, jobs.Gang}[seed%2], 3), 10*time.Minute)
-			accept(t, w, "n1", capped("wk-2", jobs.Array, 6), 10*time.Minute)
+			accept(t, cluster, "n0", capped("wk-1", []string{jobs.Array, jobs.Gang}[seed%2], 3), 10*time.Minute)
+			accept(t, cluster, "n1", capped("wk-2", jobs.Array, 6), 10*time.Minute)
 			time.Sleep(5 * time.Second)
 			leader := "" // of the share in which most of the team's work is
 			for i := range 3 {
-				for _, h := range w.On(jobs.TaskName("wk-1", i)) { // its machines can't be asked
-					leader = w.Holder(w.ShareOf(h))
+				for _, h := range cluster.RunningOn(jobs.TaskName("wk-1", i)) { // its machines can't be asked
+					leader = cluster.OwnerOf(cluster.ShardOf(h))
 					switch rnd.IntN(3) {
 					case 0:
-						w.CutOff(h, true)
+						cluster.IsolateWorker(h, true)
 					case 1:
-						w.Deafen(h, true)
+						cluster.BlockInbound(h, true)
 					case 2:
 						for _, n := range []string{"n0", "n1", "n2"} {
-							w.Cut(n, h, true)
+							cluster.CutLink(n, h, true)
 						}
 					}
 				}
 			}
-			w.Crash(leader)
+			cluster.CrashController(leader)
 			time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 			next := []string{"n1", "n2", "n0"}[leader[1]-'0']
 			for _, ref := range []string{"wk-1", "wk-2"} {
-				for k := 0; w.Withdraw(next, ref).Status != jobs.Cancelled; k++ {
+				for k := 0; cluster.Cancel(next, ref).Status != jobs.Cancelled; k++ {
 					if k > 3 {
 						t.Fatal("not cancelled")
 					}
 				}
 			}
-			accept(t, w, next, capped("wk-4", jobs.Array, 4), 2*time.Second) // one by one
-			accept(t, w, next, capped("wk-3", jobs.Gang, 4), 20*time.Second) // the whole limit
+			accept(t, cluster, next, capped("wk-4", jobs.Array, 4), 2*time.Second) // one by one
+			accept(t, cluster, next, capped("wk-3", jobs.Gang, 4), 20*time.Second) // the whole limit
 			time.Sleep(time.Duration(rnd.IntN(5000)) * time.Millisecond)
-			w.Boot(leader)
-			machines(w, 3)
+			cluster.StartController(leader)
+			machines(cluster, 3)
 			// By the time for a cancellation, 45 s, nothing of before can be there.
-			w.Wait(next, "wk-3", jobs.Running, 55*time.Second)
-			if r := w.Poll(next, "wk-3"); r.Active == 0 && r.Status != jobs.Done {
-				t.Errorf("seed %d: the limit is not used again: %+v", seed, r)
+			cluster.WaitForStatus(next, "wk-3", jobs.Running, 55*time.Second)
+			if response := cluster.Poll(next, "wk-3"); response.ActiveTasks == 0 && response.Status != jobs.Done {
+				t.Errorf("seed %d: the limit is not used again: %+v", seed, response)
 			}
-			for _, h := range w.Hosts() {
-				w.CutOff(h, false)
-				w.Deafen(h, false)
+			for _, h := range cluster.Hosts() {
+				cluster.IsolateWorker(h, false)
+				cluster.BlockInbound(h, false)
 				for _, n := range []string{"n0", "n1", "n2"} {
-					w.Cut(n, h, false)
+					cluster.CutLink(n, h, false)
 				}
 			}
-			done(t, w, next, "wk-3", 60*time.Second)
+			done(t, cluster, next, "wk-3", 60*time.Second)
 		})
 	}
 }
@@ -166,52 +168,52 @@
 func TestAllControllersAwayForLongerThanALease(t *testing.T) {
 	for seed := range uint64(6) {
 		rnd := rand.New(rand.NewPCG(seed, 12))
-		talking(t, func(t *testing.T, w *fake.World) {
-			machines(w, 9)
-			lease := time.Duration(w.Cfg.Cluster.Workers.LeaseS * float64(time.Second))
+		talking(t, func(t *testing.T, cluster *fake.Cluster) {
+			machines(cluster, 9)
+			lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseS * float64(time.Second))
 			for k := range 9 {
 				ref := fmt.Sprintf("wk-%d", k+1)
-				w.Lasts(jobs.TaskName(ref, 0), time.Duration(2000+rnd.IntN(4000))*time.Millisecond)
-				accept(t, w, fmt.Sprintf("n%d", k%3), fake.Job(ref, []string{jobs.Array, jobs.Gang}[k%2], 3, 1), 40*time.Second)
+				cluster.SetTaskRunTime(jobs.TaskName(ref, 0), time.Duration(2000+rnd.IntN(4000))*time.Millisecond)
+				accept(t, cluster, fmt.Sprintf("n%d", k%3), fake.JobSpec(ref, []string{jobs.Array, jobs.Gang}[k%2], 3, 1), 40*time.Second)
 			}
 			time.Sleep(time.Duration(2000+rnd.IntN(4000)) * time.Millisecond)
 			told := map[string]bool{}
 			for _, ref := range []string{"wk-1", "wk-2"} {
-				told[ref] = w.Withdraw("n1", ref).Status == jobs.Cancelled
+				told[ref] = cluster.Cancel("n1", ref).Status == jobs.Cancelled
 			}
 			outage := seed%2 == 0
 			if outage {
-				w.Store.Outage(true)
+				cluster.Store.SetOutage(true)
 				time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 			}
 			for _, n := range []string{"n0", "n1", "n2"} {
-				w.Crash(n)
+				cluster.CrashController(n)
 			}
 			time.Sleep(lease + time.Duration(rnd.IntN(8000))*time.Millisecond)
 			for _, n := range []string{"n2", "n0", "n1"} {
-				w.Boot(n)
+				cluster.StartController(n)
 				time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 			}
 			if outage {
 				time.Sleep(time.Duration(rnd.IntN(5000)) * time.Millisecond)
-				w.Store.Outage(false)
+				cluster.Store.SetOutage(false)
 			}
-			machines(w, 2)
+			machines(cluster, 2)
 			for k := range 9 {
 				ref := fmt.Sprintf("wk-%d", k+1)
 				if !told[ref] {
-					if !w.Wait("n0", ref, jobs.Done, 150*time.Second) && w.Poll("n0", ref).Status != jobs.Cancelled {
-						t.Errorf("seed %d: %s: %+v", seed, ref, w.Poll("n0", ref))
+					if !cluster.WaitForStatus("n0", ref, jobs.Done, 150*time.Second) && cluster.Poll("n0", ref).Status != jobs.Cancelled {
+						t.Errorf("seed %d: %s: %+v", seed, ref, cluster.Poll("n0", ref))
 					}
 					continue
 				}
 				for _, n := range []string{"n0", "n1", "n2"} {
-					if r := w.Poll(n, ref); r.Status != jobs.Cancelled {
-						t.Errorf("seed %d: %s is called %+v by %s", seed, ref, r, n)
+					if response := cluster.Poll(n, ref); response.Status != jobs.Cancelled {
+						t.Errorf("seed %d: %s is called %+v by %s", seed, ref, response, n)
 					}
 				}
 				for i := range 3 {
-					if on := w.On(jobs.TaskName(ref, i)); len(on) > 0 {
+					if on := cluster.RunningOn(jobs.TaskName(ref, i)); len(on) > 0 {
 						t.Errorf("seed %d: %s/%d is on %v", seed, ref, i, on)
 					}
 				}
@@ -226,51 +228,51 @@
 func TestAZoneWithAControllerIsCutOff(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		t.Run(fmt.Sprint("held ", held), func(t *testing.T) {
-			talking(t, func(t *testing.T, w *fake.World) {
-				machines(w, 10)
+			talking(t, func(t *testing.T, cluster *fake.Cluster) {
+				machines(cluster, 10)
 				for k := range 6 {
-					accept(t, w, fmt.Sprintf("n%d", k%3), fake.Job(fmt.Sprintf("wk-%d", k+1), []string{jobs.Array, jobs.Gang}[k%2], []int{12, 3}[k%2], 1), 50*time.Second)
+					accept(t, cluster, fmt.Sprintf("n%d", k%3), fake.JobSpec(fmt.Sprintf("wk-%d", k+1), []string{jobs.Array, jobs.Gang}[k%2], []int{12, 3}[k%2], 1), 50*time.Second)
 				}
 				time.Sleep(4 * time.Second)
-				inside := w.InZone("a")
+				inside := cluster.HostsInZone("a")
 				cut := func(on bool) {
 					for _, h := range inside {
-						w.Cut("n1", h, on)
-						w.Cut("n2", h, on)
+						cluster.CutLink("n1", h, on)
+						cluster.CutLink("n2", h, on)
 						if held {
-							w.Keep(h, on)
+							cluster.HoldHeartbeats(h, on)
 						}
 					}
-					w.Store.Refuse("n0", on)
-					link := fake.Link{}
+					cluster.Store.RefuseNode("n0", on)
+					link := fake.PeerLink{}
 					if on {
-						link.Off = "n0"
+						link.Isolated = "n0"
 					}
-					w.SetLink(link)
+					cluster.SetPeerLink(link)
 				}
 				cut(true)
 				for range 8 { // room for what runs in the zone, should it count as gone
-					w.Add("b", false)
+					cluster.AddMachine("b", false)
 				}
 				time.Sleep(2 * time.Second)
-				if r := w.Withdraw("n1", "wk-1"); r.Status != jobs.Cancelled {
-					t.Fatalf("%+v", r)
+				if response := cluster.Cancel("n1", "wk-1"); response.Status != jobs.Cancelled {
+					t.Fatalf("%+v", response)
 				}
 				told := time.Now()
-				accept(t, w, "n2", fake.Job("wk-7", jobs.Array, 4, 1), 5*time.Second)
-				done(t, w, "n1", "wk-7", 60*time.Second)
-				time.Sleep(time.Until(told.Add(time.Duration(w.Cfg.Cluster.Workers.CancelS * float64(time.Second)))))
+				accept(t, cluster, "n2", fake.JobSpec("wk-7", jobs.Array, 4, 1), 5*time.Second)
+				done(t, cluster, "n1", "wk-7", 60*time.Second)
+				time.Sleep(time.Until(told.Add(time.Duration(cluster.Cfg.Cluster.Workers.CancelS * float64(time.Second)))))
 				for i := range 12 {
-					if on := w.On(jobs.TaskName("wk-1", i)); len(on) > 0 {
+					if on := cluster.RunningOn(jobs.TaskName("wk-1", i)); len(on) > 0 {
 						t.Errorf("wk-1/%d is on %v after its time", i, on)
 					}
 				}
 				cut(false)
-				machines(w, 3)
+				machines(cluster, 3)
 				for k := 1; k < 6; k++ {
-					done(t, w, "n0", fmt.Sprintf("wk-%d", k+1), 200*time.Second)
+					done(t, cluster, "n0", fmt.Sprintf("wk-%d", k+1), 200*time.Second)
 				}
-				if h := w.Holder("n0"); h != "n0" {
+				if h := cluster.OwnerOf("n0"); h != "n0" {
 					t.Errorf("the share of the zone's controller is held by %q", h)
 				}
 			})
@@ -283,33 +285,33 @@
 func TestAReportHeldBackUntilANewLeaderHasActed(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
-		talking(t, func(t *testing.T, w *fake.World) {
-			machines(w, 8)
-			held := w.Reports() // from before anything was there
-			accept(t, w, "n0", fake.Job("wk-1", jobs.Array, 7, 1), time.Duration(8+rnd.IntN(20))*time.Second)
-			accept(t, w, "n0", fake.Job("wk-2", jobs.Gang, 3, 1), time.Duration(8+rnd.IntN(20))*time.Second)
+		talking(t, func(t *testing.T, cluster *fake.Cluster) {
+			machines(cluster, 8)
+			held := cluster.Heartbeats() // from before anything was there
+			accept(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 7, 1), time.Duration(8+rnd.IntN(20))*time.Second)
+			accept(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 3, 1), time.Duration(8+rnd.IntN(20))*time.Second)
 			time.Sleep(time.Duration(500+rnd.IntN(4000)) * time.Millisecond)
-			held = append(held, w.Reports()...)
-			w.Crash("n0")
-			for _, h := range w.Hosts()[:2] { // tasks have to go elsewhere
-				w.CutOff(h, true)
+			held = append(held, cluster.Heartbeats()...)
+			cluster.CrashController("n0")
+			for _, h := range cluster.Hosts()[:2] { // tasks have to go elsewhere
+				cluster.IsolateWorker(h, true)
 			}
 			for range 8 {
 				time.Sleep(time.Duration(500+rnd.IntN(6000)) * time.Millisecond)
 				for _, rep := range held {
 					for _, n := range []string{"n1", "n2"} {
-						w.Arrives(n, rep)
+						cluster.DeliverHeartbeat(n, rep)
 					}
 				}
-				held = append(held, w.Reports()...)
+				held = append(held, cluster.Heartbeats()...)
 			}
-			w.Boot("n0")
-			for _, h := range w.Hosts() {
-				w.CutOff(h, false)
+			cluster.StartController("n0")
+			for _, h := range cluster.Hosts() {
+				cluster.IsolateWorker(h, false)
 			}
-			machines(w, 2)
-			done(t, w, "n1", "wk-1", 120*time.Second)
-			done(t, w, "n2", "wk-2", 120*time.Second)
+			machines(cluster, 2)
+			done(t, cluster, "n1", "wk-1", 120*time.Second)
+			done(t, cluster, "n2", "wk-2", 120*time.Second)
 		})
 	}
 }
@@ -317,25 +319,25 @@
 // There is more work than room, urgent and not, over slow links: urgent work goes first, the other
 // begins in bounded time, nothing is stopped again and again, and all ends.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
-	talking(t, func(t *testing.T, w *fake.World) {
-		machines(w, 4) // 16 places
+	talking(t, func(t *testing.T, cluster *fake.Cluster) {
+		machines(cluster, 4) // 16 places
 		for _, n := range []string{"n0", "n1", "n2"} {
-			w.Store.LagWatch(n, 700*time.Millisecond)
+			cluster.Store.DelayWatch(n, 700*time.Millisecond)
 		}
-		for _, h := range w.Hosts() {
-			w.Hold(h, 800*time.Millisecond)
+		for _, h := range cluster.Hosts() {
+			cluster.DelayInbound(h, 800*time.Millisecond)
 		}
-		w.SetLink(fake.Link{Late: 500 * time.Millisecond})
-		accept(t, w, "n0", fake.Job("wk-900", jobs.Array, 30, 1), 15*time.Second)
+		cluster.SetPeerLink(fake.PeerLink{Delay: 500 * time.Millisecond})
+		accept(t, cluster, "n0", fake.JobSpec("wk-900", jobs.Array, 30, 1), 15*time.Second)
 		begun := time.Now()
 		var first time.Time
 		for k := range 40 { // urgent gangs take half to all of the room for four minutes
-			s := fake.Job(fmt.Sprintf("wk-%d", k+1), jobs.Gang, 4, 1)
+			s := fake.JobSpec(fmt.Sprintf("wk-%d", k+1), jobs.Gang, 4, 1)
 			s.Urgency = "high"
-			s.CheckpointS, s.SaveS = 5, 1
-			accept(t, w, fmt.Sprintf("n%d", k%3), s, 12*time.Second)
+			s.CheckpointIntervalSeconds, s.CheckpointSaveSeconds = 5, 1
+			accept(t, cluster, fmt.Sprintf("n%d", k%3), s, 12*time.Second)
 			time.Sleep(6 * time.Second)
-			if first.IsZero() && w.Poll("n1", "wk-900").Active > 0 {
+			if first.IsZero() && cluster.Poll("n1", "wk-900").ActiveTasks > 0 {
 				first = time.Now()
 			}
 		}
@@ -343,12 +345,12 @@
 			t.Errorf("the other work begins after %v", first.Sub(begun))
 		}
 		for k := range 40 {
-			done(t, w, "n2", fmt.Sprintf("wk-%d", k+1), 60*time.Second)
+			done(t, cluster, "n2", fmt.Sprintf("wk-%d", k+1), 60*time.Second)
 		}
-		done(t, w, "n0", "wk-900", 120*time.Second)
+		done(t, cluster, "n0", "wk-900", 120*time.Second)
 		// Each gang starts once and stops four tasks at the most: nothing else is started again.
 		urgent, other := 0, 0
-		for task, n := range w.Starts() {
+		for task, n := range cluster.StartCounts() {
 			if ref, _, _ := jobs.ParseTask(task); ref == "wk-900" {
 				other += n
 			} else {
@@ -367,37 +369,37 @@
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprint("outage ", outage), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(5, 14))
-			talking(t, func(t *testing.T, w *fake.World) {
-				machines(w, 9)
+			talking(t, func(t *testing.T, cluster *fake.Cluster) {
+				machines(cluster, 9)
 				for k := range 6 {
-					accept(t, w, fmt.Sprintf("n%d", k%3), fake.Job(fmt.Sprintf("wk-%d", k+1), []string{jobs.Array, jobs.Gang}[k%2], 6, 1), 70*time.Second)
+					accept(t, cluster, fmt.Sprintf("n%d", k%3), fake.JobSpec(fmt.Sprintf("wk-%d", k+1), []string{jobs.Array, jobs.Gang}[k%2], 6, 1), 70*time.Second)
 				}
 				time.Sleep(5 * time.Second)
-				before, greets := w.Store.Writes(), w.Greets()
+				before, greets := cluster.Store.WriteCount(), cluster.ProbeCount()
 				for k := range 10 {
 					n := fmt.Sprintf("n%d", rnd.IntN(3))
-					w.Store.Outage(outage && k >= 4 && k < 6)
-					w.Crash(n)
+					cluster.Store.SetOutage(outage && k >= 4 && k < 6)
+					cluster.CrashController(n)
 					time.Sleep(time.Duration(rnd.IntN(7000)) * time.Millisecond)
-					w.Boot(n)
+					cluster.StartController(n)
 					time.Sleep(time.Duration(4000+rnd.IntN(3000)) * time.Millisecond)
 				}
-				w.Store.Outage(false)
-				if n := w.Store.Writes() - before; n > 120 {
+				cluster.Store.SetOutage(false)
+				if n := cluster.Store.WriteCount() - before; n > 120 {
 					t.Errorf("%d changes in ten changes of leaders", n)
 				}
-				if n := w.Greets() - greets; n > 55 {
+				if n := cluster.ProbeCount() - greets; n > 55 {
 					t.Errorf("%d greetings of 9 machines in ten changes of leaders", n)
 				}
 				time.Sleep(12 * time.Second)
 				for _, n := range []string{"n0", "n1", "n2"} {
-					if h := w.Holder(n); w.Nodes[h] == nil {
+					if h := cluster.OwnerOf(n); cluster.Nodes[h] == nil {
 						t.Errorf("share %s is held by %q", n, h)
 					}
 				}
-				machines(w, 2)
+				machines(cluster, 2)
 				for k := range 6 {
-					done(t, w, "n1", fmt.Sprintf("wk-%d", k+1), 200*time.Second)
+					done(t, cluster, "n1", fmt.Sprintf("wk-%d", k+1), 200*time.Second)
 				}
 			})
 		})
@@ -414,10 +416,10 @@
 	}{{jobs.Array, 1}, {jobs.Array, 3}, {jobs.Array, 40}, {jobs.Gang, 3}}
 	for seed := range uint64(5) {
 		rnd := rand.New(rand.NewPCG(seed, 15))
-		talking(t, func(t *testing.T, w *fake.World) {
-			machines(w, 12)
+		talking(t, func(t *testing.T, cluster *fake.Cluster) {
+			machines(cluster, 12)
 			for n := range 3 {
-				w.Store.LagWatch(fmt.Sprintf("n%d", n), time.Duration(rnd.IntN(2)*rnd.IntN(600))*time.Millisecond)
+				cluster.Store.DelayWatch(fmt.Sprintf("n%d", n), time.Duration(rnd.IntN(2)*rnd.IntN(600))*time.Millisecond)
 			}
 			type word struct {
 				status    string
@@ -429,12 +431,12 @@
 			var all sync.WaitGroup
 			for k := range 12 {
 				ref, c := fmt.Sprintf("wk-%d", k+1), kinds[k%len(kinds)]
-				s := fake.Job(ref, c.kind, c.tasks, 1)
-				accept(t, w, fmt.Sprintf("n%d", k%3), s, time.Duration(2000+rnd.IntN(1000))*time.Millisecond)
+				s := fake.JobSpec(ref, c.kind, c.tasks, 1)
+				accept(t, cluster, fmt.Sprintf("n%d", k%3), s, time.Duration(2000+rnd.IntN(1000))*time.Millisecond)
 				if k%4 == 3 { // and one behind it
-					x := fake.Job(fmt.Sprintf("wk-%d", 100+k), jobs.Array, 1, 1)
-					x.Awaits = []string{ref}
-					accept(t, w, "n1", x, time.Second)
+					x := fake.JobSpec(fmt.Sprintf("wk-%d", 100+k), jobs.Array, 1, 1)
+					x.DependsOn = []string{ref}
+					accept(t, cluster, "n1", x, time.Second)
 				}
 				tell := func(r string, whole bool, asked time.Time) {
 					mu.Lock()
@@ -450,7 +452,7 @@
 						if wait < 0 {
 							time.Sleep(2 * time.Second) // before the end, or about it
 						}
-						for i := 0; wait >= 0 && i < 1500 && !w.Whole(ref); i++ {
+						for i := 0; wait >= 0 && i < 1500 && !cluster.IsComplete(ref); i++ {
 							time.Sleep(10 * time.Millisecond)
 						}
 						time.Sleep(max(0, wait) + time.Millisecond)
@@ -458,20 +460,20 @@
 						asked := time.Now()
 						switch {
 						case ask == 0:
-							r := w.Withdraw(node, ref)
-							if r.Status != jobs.Done && r.Status != jobs.Cancelled {
-								t.Errorf("%s: a cancellation was answered %+v", ref, r)
+							response := cluster.Cancel(node, ref)
+							if response.Status != jobs.Done && response.Status != jobs.Cancelled {
+								t.Errorf("%s: a cancellation was answered %+v", ref, response)
 							}
-							tell(r.Status, w.Whole(ref), asked)
+							tell(response.Status, cluster.IsComplete(ref), asked)
 						case ask == 1:
-							r := w.Poll(node, ref)
-							tell(r.Status, w.Whole(ref), asked)
+							response := cluster.Poll(node, ref)
+							tell(response.Status, cluster.IsComplete(ref), asked)
 						default:
-							r := w.Repeat(node, s)
-							if r.Code != 200 {
-								t.Errorf("%s: a repeat was answered %+v", ref, r)
+							response := cluster.Resubmit(node, s)
+							if response.Code != 200 {
+								t.Errorf("%s: a repeat was answered %+v", ref, response)
 							}
-							tell(r.Status, w.Whole(ref), asked)
+							tell(response.Status, cluster.IsComplete(ref), asked)
 						}
 					}()
 				}
@@ -484,7 +486,7 @@
 			last := map[string]string{}
 			for k := range 12 {
 				ref := fmt.Sprintf("wk-%d", k+1)
-				last[ref] = w.Poll("n0", ref).Status
+				last[ref] = cluster.Poll("n0", ref).Status
 				if last[ref] != jobs.Done && last[ref] != jobs.Cancelled {
 					t.Errorf("seed %d: %s is called %s 3 s after its end", seed, ref, last[ref])
 				}
@@ -502,12 +504,12 @@
 					}
 				}
 			}
-			restart(w, 2*time.Second)
+			restart(cluster, 2*time.Second)
 			time.Sleep(6 * time.Second)
 			for ref, want := range last {
 				for _, n := range []string{"n0", "n1", "n2"} {
-					if r := w.Poll(n, ref); r.Status != want {
-						t.Errorf("seed %d: %s was called %s, and after a restart %+v by %s", seed, ref, want, r, n)
+					if response := cluster.Poll(n, ref); response.Status != want {
+						t.Errorf("seed %d: %s was called %s, and after a restart %+v by %s", seed, ref, want, response, n)
 					}
 				}
 			}
--- a/internal/placement/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -1,4 +1,4 @@
-package placement_test
+package controller_test
 
 import (
 	"slices"
@@ -7,37 +7,37 @@
 	"time"
 
 	"cherrywall/internal/admin"
+	"cherrywall/internal/controller"
 	"cherrywall/internal/fake"
 	"cherrywall/internal/jobs"
-	"cherrywall/internal/placement"
 )
 
 // Operators are told by name which machine does not hear, which controller is cut off and from
 // what, and which jobs wait longest and why; once it is over nothing of it is left.
 func TestTroublesAreNamed(t *testing.T) {
-	talking(t, func(t *testing.T, w *fake.World) {
-		machines(w, 6)
-		if err := w.Change("n1", func(s *admin.Settings) { s.SpareMachines = 9 }); err != nil {
+	talking(t, func(t *testing.T, cluster *fake.Cluster) {
+		machines(cluster, 6)
+		if err := cluster.ChangeSettings("n1", func(s *admin.Settings) { s.SpareMachines = 9 }); err != nil {
 			t.Fatal(err)
 		}
 		named := func(node, kind, name string) (why string) {
-			v, ok := w.Nodes[node].Brain.View("troubles")
-			all, is := v.([]placement.Trouble)
+			v, ok := cluster.Nodes[node].Controller.View("troubles")
+			all, is := v.([]controller.Problem)
 			if !ok || !is {
 				t.Fatalf("%s tells %v", node, v)
 			}
-			if i := slices.IndexFunc(all, func(x placement.Trouble) bool { return x.Kind == kind && x.Name == name }); i >= 0 {
-				return all[i].Why
+			if i := slices.IndexFunc(all, func(x controller.Problem) bool { return x.Kind == kind && x.Name == name }); i >= 0 {
+				return all[i].Reason
 			}
 			return ""
 		}
 		if why := named("n0", "controller", "n1"); why != "" {
 			t.Errorf("a controller that is well: %s", why)
 		}
-		accept(t, w, "n0", fake.Job("wk-1", jobs.Gang, 30, 4), time.Second)
-		accept(t, w, "n0", fake.Job("wk-2", jobs.Array, 60, 1), 15*time.Second)
-		deaf := w.Hosts()[0]
-		w.Deafen(deaf, true)
+		accept(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Gang, 30, 4), time.Second)
+		accept(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Array, 60, 1), 15*time.Second)
+		deaf := cluster.Hosts()[0]
+		cluster.BlockInbound(deaf, true)
 		found := false
 		for range 60 {
 			time.Sleep(time.Second)
@@ -46,13 +46,13 @@
 		if !found {
 			t.Error("the deaf machine is not named")
 		}
-		w.Store.Refuse("n0", true)
-		w.SetLink(fake.Link{Off: "n0"})
+		cluster.Store.RefuseNode("n0", true)
+		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
 		time.Sleep(8 * time.Second)
 		if why := named("n0", "controller", "n0"); why != "neither the state service nor another controller answers it" {
 			t.Errorf("n0 says of itself: %q", why)
 		}
-		w.SetLink(fake.Link{})
+		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(2 * time.Second)
 		if why := named("n1", "controller", "n0"); why != "the state service does not answer it" {
 			t.Errorf("n1 says of n0: %q", why)
@@ -60,9 +60,9 @@
 		if why := named("n1", "job", "wk-1"); why == "" {
 			t.Error("a gang that no machines hold is not named")
 		}
-		w.Store.Refuse("n0", false)
-		if w.Up(deaf) {
-			w.Deafen(deaf, false)
+		cluster.Store.RefuseNode("n0", false)
+		if cluster.IsUp(deaf) {
+			cluster.BlockInbound(deaf, false)
 		}
 		time.Sleep(time.Minute)
 		for _, n := range []string{"n0", "n1", "n2"} {
@@ -76,26 +76,26 @@
 // What a job waits for can be told apart: no room, its team's limit, another job, machines that
 // can't be asked.
 func TestWhatAJobWaitsForIsToldApart(t *testing.T) {
-	talking(t, func(t *testing.T, w *fake.World) {
-		machines(w, 6)
-		capped := fake.Job("wk-2", jobs.Gang, 3, 1)
+	talking(t, func(t *testing.T, cluster *fake.Cluster) {
+		machines(cluster, 6)
+		capped := fake.JobSpec("wk-2", jobs.Gang, 3, 1)
 		capped.Team = "capped"
-		accept(t, w, "n0", capped, 10*time.Minute)
+		accept(t, cluster, "n0", capped, 10*time.Minute)
 		time.Sleep(2 * time.Second)
 		capped.Ref = "wk-3"
-		accept(t, w, "n0", capped, time.Second)
-		accept(t, w, "n1", fake.Job("wk-4", jobs.Gang, 30, 4), time.Second)
-		behind := fake.Job("wk-5", jobs.Array, 1, 1)
-		behind.Awaits = []string{"wk-4"}
-		accept(t, w, "n2", behind, time.Second)
-		accept(t, w, "n0", fake.Job("wk-6", jobs.Array, 6, 1), 10*time.Minute)
+		accept(t, cluster, "n0", capped, time.Second)
+		accept(t, cluster, "n1", fake.JobSpec("wk-4", jobs.Gang, 30, 4), time.Second)
+		behind := fake.JobSpec("wk-5", jobs.Array, 1, 1)
+		behind.DependsOn = []string{"wk-4"}
+		accept(t, cluster, "n2", behind, time.Second)
+		accept(t, cluster, "n0", fake.JobSpec("wk-6", jobs.Array, 6, 1), 10*time.Minute)
 		told := func(want map[string]string, nodes ...string) {
 			t.Helper()
 			found := map[string]string{}
 			for _, n := range nodes {
-				v, _ := w.Nodes[n].Brain.View("jobs")
-				for _, j := range v.([]placement.JobView) {
-					found[j.Job] += j.Why + "; "
+				v, _ := cluster.Nodes[n].Controller.View("jobs")
+				for _, j := range v.([]controller.JobView) {
+					found[j.Job] += j.WaitReason + "; "
 				}
 			}
 			for ref, words := range want {
@@ -106,10 +106,10 @@
 		}
 		time.Sleep(6 * time.Second)
 		told(map[string]string{"wk-3": "limit", "wk-4": "30 needed", "wk-5": "wk-4"}, "n0", "n1", "n2")
-		for _, h := range w.Hosts() {
-			w.CutOff(h, true)
+		for _, h := range cluster.Hosts() {
+			cluster.IsolateWorker(h, true)
 		}
-		w.Crash("n0")
+		cluster.CrashController("n0")
 		time.Sleep(4 * time.Second)
 		told(map[string]string{"wk-6": "machines that can't be asked"}, "n1", "n2")
 	})
--- a/internal/calendar/calendar.go
+++ b/internal/cronschedule/cronschedule.go
@@ -1,5 +1,5 @@
 // Package calendar tells the times of schedules: cron expressions in named time zones.
-package calendar
+package cronschedule
 
 import (
 	"errors"
@@ -11,20 +11,20 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Calendar tells the times of a schedule: a cron expression of five fields in a named
+// Schedule tells the times of a schedule: a cron expression of five fields in a named
 // zone. A time of day that a change of the clocks leaves out is due when they have
 // changed, one that comes twice is due the first time. Where any hour will do, real time
 // counts, as people expect of "every ten minutes".
-type Calendar struct {
-	zone    *time.Location
-	wall    cron.Schedule // without a zone
-	anyHour bool
+type Schedule struct {
+	zone      *time.Location
+	wallClock cron.Schedule // without a zone
+	everyHour bool
 }
 
-var cronForm = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
+var cronParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
-// New reads an expression of five fields, or one such as @daily; an error names what is wrong.
-func New(expr, zone string) (*Calendar, error) {
+// Parse reads an expression of five fields, or one such as @daily; an error names what is wrong.
+func Parse(expr, zone string) (*Schedule, error) {
 	if zone == "" {
 		return nil, errors.New("zone: missing, such as Europe/Zurich")
 	}
@@ -35,12 +35,12 @@
 	if strings.Contains(expr, "TZ=") || strings.HasPrefix(expr, "@every") {
 		return nil, errors.New("cron: five fields, or @hourly, @daily, @weekly, @monthly, @yearly; the zone is said apart")
 	}
-	s, err := cronForm.Parse(expr)
+	s, err := cronParser.Parse(expr)
 	if err != nil {
 		return nil, fmt.Errorf("cron: %w", err)
 	}
 	f := strings.Fields(expr)
-	c := &Calendar{zone: loc, wall: s, anyHour: expr == "@hourly" || len(f) == 5 && strings.HasPrefix(f[1], "*")}
+	c := &Schedule{zone: loc, wallClock: s, everyHour: expr == "@hourly" || len(f) == 5 && strings.HasPrefix(f[1], "*")}
 	if c.Next(time.Now()).IsZero() {
 		return nil, errors.New("cron: there is no such time within five years")
 	}
@@ -48,9 +48,9 @@
 }
 
 // Next is the first time after a moment; zero if there is none within five years.
-func (c *Calendar) Next(after time.Time) time.Time {
-	if c.anyHour {
-		if s, ok := c.wall.(*cron.SpecSchedule); ok {
+func (c *Schedule) Next(after time.Time) time.Time {
+	if c.everyHour {
+		if s, ok := c.wallClock.(*cron.SpecSchedule); ok {
 			in := *s
 			in.Location = c.zone
 			return in.Next(after.In(c.zone))
@@ -59,7 +59,7 @@
 	// By the wall clock, as if its zone knew no changes.
 	w := after.In(c.zone)
 	from := time.Date(w.Year(), w.Month(), w.Day(), w.Hour(), w.Minute(), w.Second(), w.Nanosecond(), time.UTC)
-	if s, ok := c.wall.(*cron.SpecSchedule); ok {
+	if s, ok := c.wallClock.(*cron.SpecSchedule); ok {
 		in := *s
 		in.Location = time.UTC
 		for {
@@ -67,7 +67,7 @@
 			if n.IsZero() {
 				return n
 			}
-			if at := c.first(n); at.After(after) {
+			if at := c.firstInstant(n); at.After(after) {
 				return at
 			}
 			from = n // the first of two such times is over
@@ -76,9 +76,9 @@
 	return time.Time{}
 }
 
-// first is the first moment at which the clocks of the zone show a time of day, or have
+// firstInstant is the first moment at which the clocks of the zone show a time of day, or have
 // passed it.
-func (c *Calendar) first(wall time.Time) time.Time {
+func (c *Schedule) firstInstant(wall time.Time) time.Time {
 	at := time.Date(wall.Year(), wall.Month(), wall.Day(), wall.Hour(), wall.Minute(), wall.Second(), 0, c.zone)
 	shows := func(t time.Time) bool { return t.Hour() == wall.Hour() && t.Minute() == wall.Minute() }
 	if !shows(at) { // left out: the change is near
@@ -100,7 +100,7 @@
 
 // Due is the last time that has come since the next one was reckoned, and the one after
 // now: after an outage it is done once, not as often as it was missed.
-func (c *Calendar) Due(next, now time.Time) (last, then time.Time) {
+func (c *Schedule) Due(next, now time.Time) (last, then time.Time) {
 	last = next
 	for range 10_000 {
 		n := c.Next(last)
--- a/internal/calendar/calendar_test.go
+++ b/internal/cronschedule/cronschedule_test.go
@@ -1,4 +1,4 @@
-package calendar
+package cronschedule
 
 import (
 	"testing"
@@ -27,7 +27,7 @@
 		{"*/30 * * * *", "2026-10-25T02:15:00+02:00", []string{"2026-10-25T02:30:00+02:00", "2026-10-25T02:00:00+01:00", "2026-10-25T02:30:00+01:00"}},
 		{"0 6 29 2 *", "2026-03-01T00:00:00+01:00", []string{"2028-02-29T06:00:00+01:00"}},
 	} {
-		c, err := New(x.expr, "Europe/Zurich")
+		c, err := Parse(x.expr, "Europe/Zurich")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,7 +45,7 @@
 	}
 	for expr, zone := range map[string]string{"* * * *": "UTC", "0 0 30 2 *": "UTC", "0 25 * * *": "UTC", "@every 1s": "UTC", "0 1 * * *": "Mars/Base",
 		"0 2 * * *": ""} {
-		if _, err := New(expr, zone); err == nil {
+		if _, err := Parse(expr, zone); err == nil {
 			t.Errorf("%q in %q is taken", expr, zone)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // A schedule that was missed for hours is due once, at its last time.
 func TestAMissedScheduleIsDueOnce(t *testing.T) {
-	c, err := New("*/10 * * * *", "UTC")
+	c, err := Parse("*/10 * * * *", "UTC")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -15,66 +15,66 @@
 	"sync"
 	"time"
 
-	"cherrywall/internal/state"
+	"cherrywall/internal/kvstore"
 	"cherrywall/internal/tuning"
 )
 
-type kept struct {
-	value  json.RawMessage
-	stamp  uint64
-	permit uint64
+type storedRecord struct {
+	value    json.RawMessage
+	revision uint64
+	leaseID  uint64
 }
 
-type grant struct {
-	ttl time.Duration
-	end time.Time
+type storeLease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Store is a state service as one controller sees it through Port.
 type Store struct {
-	mu       sync.Mutex
-	rows     map[string]kept
-	epoch    uint64
-	events   []state.Event
-	grants   map[uint64]*grant
-	nextID   uint64
-	down     bool
-	refused  map[string]bool
-	moved    chan struct{} // closed and renewed with every change
-	latency  time.Duration
-	txnOps   int
-	valueMax int
-	rate     float64 // changes a second, 0 for no limit
-	tokens   float64 // of them, left of a second's worth
-	filled   time.Time
-	bare     []string       // keys of writes without any condition
-	beyond   []string       // keys of writes that were beyond a limit that asks no patience
-	writes   int            // changes asked for in transactions
-	writesOf map[string]int // the same by kind of key, as "cw/job"
-	// watchLag delays the watch of a node, as a busy processor does.
-	watchLag map[string]time.Duration
-	slow     map[string]time.Duration // see SlowAnswers
-	tooOld   map[string]bool          // see Outrun
-	rnd      *rand.Rand               // of LateWrites, nil for none
-	careless bool                     // see Careless
-	late     float64                  // share of transactions that go without an answer, and are carried out late
+	mu                sync.Mutex
+	records           map[string]storedRecord
+	revision          uint64
+	events            []kvstore.Event
+	leases            map[uint64]*storeLease
+	nextLeaseID       uint64
+	isDown            bool
+	refusedNodes      map[string]bool
+	changed           chan struct{} // closed and renewed with every change
+	latency           time.Duration
+	maxTxnOps         int
+	maxValueBytes     int
+	maxWriteRate      float64 // changes a second, 0 for no limit
+	availableWrites   float64 // of them, left of a second's worth
+	refilledAt        time.Time
+	unconditionalKeys []string       // keys of writes without any condition
+	oversizedKeys     []string       // keys of writes that were beyond a limit that asks no patience
+	writeCount        int            // changes asked for in transactions
+	writeCountByKind  map[string]int // the same by kind of key, as "cw/job"
+	// watchDelays delays the watch of a node, as a busy processor does.
+	watchDelays      map[string]time.Duration
+	readDelays       map[string]time.Duration // see SlowAnswers
+	compactedWatches map[string]bool          // see Outrun
+	lateRand         *rand.Rand               // of LateWrites, nil for none
+	skipsConditions  bool                     // see Careless
+	lateFraction     float64                  // share of transactions that go without an answer, and are carried out late
 }
 
 // NewStore makes an empty store.
 func NewStore(ctx context.Context) *Store {
-	s := &Store{rows: map[string]kept{}, grants: map[uint64]*grant{}, refused: map[string]bool{},
-		moved: make(chan struct{}), latency: 5 * time.Millisecond, txnOps: 40, valueMax: 8 << 10, watchLag: map[string]time.Duration{}, slow: map[string]time.Duration{}, tooOld: map[string]bool{}, writesOf: map[string]int{}}
-	go s.expire(ctx)
+	s := &Store{records: map[string]storedRecord{}, leases: map[uint64]*storeLease{}, refusedNodes: map[string]bool{},
+		changed: make(chan struct{}), latency: 5 * time.Millisecond, maxTxnOps: 40, maxValueBytes: 8 << 10, watchDelays: map[string]time.Duration{}, readDelays: map[string]time.Duration{}, compactedWatches: map[string]bool{}, writeCountByKind: map[string]int{}}
+	go s.expireLeases(ctx)
 	return s
 }
 
-func (s *Store) expire(ctx context.Context) {
-	for state.Pause(ctx, 20*time.Millisecond) == nil {
+func (s *Store) expireLeases(ctx context.Context) {
+	for kvstore.Pause(ctx, 20*time.Millisecond) == nil {
 		s.mu.Lock()
-		if !s.down {
-			for id, g := range s.grants {
-				if time.Now().After(g.end) {
-					s.endGrant(id)
+		if !s.isDown {
+			for id, g := range s.leases {
+				if time.Now().After(g.expiresAt) {
+					s.endLease(id)
 				}
 			}
 		}
@@ -82,172 +82,172 @@
 	}
 }
 
-func (s *Store) endGrant(id uint64) {
-	delete(s.grants, id)
-	for k, r := range s.rows {
-		if r.permit == id {
-			s.epoch++
-			delete(s.rows, k)
-			s.note(state.Event{Drop: k, Stamp: s.epoch})
+func (s *Store) endLease(id uint64) {
+	delete(s.leases, id)
+	for k, r := range s.records {
+		if r.leaseID == id {
+			s.revision++
+			delete(s.records, k)
+			s.appendEvent(kvstore.Event{DeletedKey: k, Revision: s.revision})
 		}
 	}
 }
 
-func (s *Store) note(e state.Event) {
+func (s *Store) appendEvent(e kvstore.Event) {
 	s.events = append(s.events, e)
-	s.wake()
+	s.notifyWatches()
 }
 
-// wake has the watches look again.
-func (s *Store) wake() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+// notifyWatches has the watches look again.
+func (s *Store) notifyWatches() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Outage starts or ends an outage for all; leases get their full time back.
-func (s *Store) Outage(on bool) {
+// SetOutage starts or ends an outage for all; leases get their full time back.
+func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = on
+	s.isDown = on
 	if !on {
-		for _, g := range s.grants {
-			g.end = time.Now().Add(g.ttl)
+		for _, g := range s.leases {
+			g.expiresAt = time.Now().Add(g.ttl)
 		}
-		s.wake()
+		s.notifyWatches()
 	}
 }
 
-// Refuse answers 503 to one node only.
-func (s *Store) Refuse(node string, on bool) {
+// RefuseNode answers 503 to one node only.
+func (s *Store) RefuseNode(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused[node] = on
+	s.refusedNodes[node] = on
 }
 
-// LagWatch delays what a node's watch delivers.
-func (s *Store) LagWatch(node string, d time.Duration) {
+// DelayWatch delays what a node's watch delivers.
+func (s *Store) DelayWatch(node string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchLag[node] = d
+	s.watchDelays[node] = d
 }
 
-// SlowAnswers has what a node asks for singly be read at once and answered only later.
-func (s *Store) SlowAnswers(node string, d time.Duration) {
+// DelayReads has what a node asks for singly be read at once and answered only later.
+func (s *Store) DelayReads(node string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow[node] = d
+	s.readDelays[node] = d
 }
 
-// Outrun has a node's next watch be told that it is too far behind: it has to read all anew.
-func (s *Store) Outrun(node string) {
+// CompactWatch has a node's next watch be told that it is too far behind: it has to read all anew.
+func (s *Store) CompactWatch(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tooOld[node] = true
-	s.wake()
+	s.compactedWatches[node] = true
+	s.notifyWatches()
 }
 
-// LateWrites has a share of all transactions go without an answer and be carried out 2 to
+// ApplyLate has a share of all transactions go without an answer and be carried out 2 to
 // 12 s later, after newer ones; 0 for none.
-func (s *Store) LateWrites(rnd *rand.Rand, share float64) {
+func (s *Store) ApplyLate(rnd *rand.Rand, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rnd, s.late = rnd, share
+	s.lateRand, s.lateFraction = rnd, share
 }
 
-// Careless has late transactions be carried out whatever their conditions say: a breach that
+// SkipConditions has late transactions be carried out whatever their conditions say: a breach that
 // shows what they are for.
-func (s *Store) Careless() {
+func (s *Store) SkipConditions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.careless = true
+	s.skipsConditions = true
 }
 
-// lateBy is how late a transaction is to be carried out, 0 for at once.
-func (s *Store) lateBy() time.Duration {
+// lateDelay is how late a transaction is to be carried out, 0 for at once.
+func (s *Store) lateDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.late <= 0 || s.rnd.Float64() >= s.late {
+	if s.lateFraction <= 0 || s.lateRand.Float64() >= s.lateFraction {
 		return 0
 	}
-	return 2*time.Second + time.Duration(s.rnd.Int64N(int64(10*time.Second)))
+	return 2*time.Second + time.Duration(s.lateRand.Int64N(int64(10*time.Second)))
 }
 
-// LimitOps sets how many changes a transaction may make.
-func (s *Store) LimitOps(n int) {
+// SetMaxTxnOps sets how many changes a transaction may make.
+func (s *Store) SetMaxTxnOps(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.txnOps = n
+	s.maxTxnOps = n
 }
 
-// LimitValue sets how large a value may be (bytes).
-func (s *Store) LimitValue(n int) {
+// SetMaxValueBytes sets how large a value may be (bytes).
+func (s *Store) SetMaxValueBytes(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.valueMax = n
+	s.maxValueBytes = n
 }
 
-// LimitRate sets how many changes a second are taken: beyond, all is refused for the moment.
-func (s *Store) LimitRate(n float64) {
+// SetMaxWriteRate sets how many changes a second are taken: beyond, all is refused for the moment.
+func (s *Store) SetMaxWriteRate(n float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rate, s.tokens, s.filled = n, n, time.Now()
+	s.maxWriteRate, s.availableWrites, s.refilledAt = n, n, time.Now()
 }
 
-// Bare are the keys of writes that were asked for without any condition.
-func (s *Store) Bare() []string {
+// UnconditionalWrites are the keys of writes that were asked for without any condition.
+func (s *Store) UnconditionalWrites() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.bare)
+	return slices.Clone(s.unconditionalKeys)
 }
 
-// Beyond are the keys of writes that were refused for their size or their number.
-func (s *Store) Beyond() []string {
+// OversizedWrites are the keys of writes that were refused for their size or their number.
+func (s *Store) OversizedWrites() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.beyond)
+	return slices.Clone(s.oversizedKeys)
 }
 
-// fits tells whether a transaction is within the limits, with the lock held.
-func (s *Store) fits(t state.Txn) error {
-	if len(t.Writes) > s.txnOps || len(t.If) > 4*s.txnOps {
+// checkLimits tells whether a transaction is within the limits, with the lock held.
+func (s *Store) checkLimits(t kvstore.Txn) error {
+	if len(t.Writes) > s.maxTxnOps || len(t.Conditions) > 4*s.maxTxnOps {
 		for _, w := range t.Writes {
-			s.beyond = append(s.beyond, w.Key+w.Drop)
+			s.oversizedKeys = append(s.oversizedKeys, w.Key+w.DeleteKey)
 		}
-		return fmt.Errorf("%w: too many operations", state.ErrRefused)
+		return fmt.Errorf("%w: too many operations", kvstore.ErrRejected)
 	}
 	size := 0
 	for _, w := range t.Writes {
 		size += len(w.Value)
-		if len(w.Value) > s.valueMax || size > 64<<10 {
-			s.beyond = append(s.beyond, w.Key)
-			return fmt.Errorf("%w: value too large: %s", state.ErrRefused, w.Key)
+		if len(w.Value) > s.maxValueBytes || size > 64<<10 {
+			s.oversizedKeys = append(s.oversizedKeys, w.Key)
+			return fmt.Errorf("%w: value too large: %s", kvstore.ErrRejected, w.Key)
 		}
 	}
-	if s.rate > 0 {
+	if s.maxWriteRate > 0 {
 		now := time.Now()
-		s.tokens, s.filled = min(s.rate, s.tokens+s.rate*now.Sub(s.filled).Seconds()), now
-		if s.tokens < float64(len(t.Writes)) {
-			return fmt.Errorf("%w: over its limits", state.ErrUnavailable)
+		s.availableWrites, s.refilledAt = min(s.maxWriteRate, s.availableWrites+s.maxWriteRate*now.Sub(s.refilledAt).Seconds()), now
+		if s.availableWrites < float64(len(t.Writes)) {
+			return fmt.Errorf("%w: over its limits", kvstore.ErrUnavailable)
 		}
-		s.tokens -= float64(len(t.Writes))
+		s.availableWrites -= float64(len(t.Writes))
 	}
 	return nil
 }
 
-// Writes is how many changes were asked for so far.
-func (s *Store) Writes() int {
+// WriteCount is how many changes were asked for so far.
+func (s *Store) WriteCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.writes
+	return s.writeCount
 }
 
-// WritesOf is the same for the keys with one of the prefixes, as "cw/job/".
-func (s *Store) WritesOf(prefixes ...string) int {
+// WriteCountOf is the same for the keys with one of the prefixes, as "cw/job/".
+func (s *Store) WriteCountOf(prefixes ...string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for _, p := range prefixes {
-		n += s.writesOf[strings.TrimSuffix(p, "/")]
+		n += s.writeCountByKind[strings.TrimSuffix(p, "/")]
 	}
 	return n
 }
@@ -256,7 +256,7 @@
 func (s *Store) Value(key string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, ok := s.rows[key]
+	r, ok := s.records[key]
 	return string(r.value), ok
 }
 
@@ -264,14 +264,14 @@
 func (s *Store) Put(key string, value json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(state.Txn{Writes: []state.Write{{Key: key, Value: value}}})
+	s.apply(kvstore.Txn{Writes: []kvstore.Write{{Key: key, Value: value}}})
 }
 
-// Drop has a record be gone.
-func (s *Store) Drop(key string) {
+// Delete has a record be gone.
+func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(state.Txn{Writes: []state.Write{{Drop: key}}})
+	s.apply(kvstore.Txn{Writes: []kvstore.Write{{DeleteKey: key}}})
 }
 
 // Keys lists the keys with a prefix, for checks.
@@ -279,7 +279,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for k := range s.rows {
+	for k := range s.records {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, k)
 		}
@@ -288,215 +288,215 @@
 	return out
 }
 
-// Port is a node's connection to the store. Lose makes the next transaction
+// Conn is a node's connection to the store. Lose makes the next transaction
 // be applied without an answer.
-type Port struct {
-	s    *Store
-	node string
-	mu   sync.Mutex
-	lose int
-	late time.Duration
+type Conn struct {
+	store       *Store
+	node        string
+	mu          sync.Mutex
+	dropAnswers int
+	txnDelay    time.Duration
 }
 
-// Port connects a node.
-func (s *Store) Port(node string) *Port { return &Port{s: s, node: node} }
+// Connect connects a node.
+func (s *Store) Connect(node string) *Conn { return &Conn{store: s, node: node} }
 
-// Lose drops the answers of the next n transactions.
-func (p *Port) Lose(n int) {
+// DropAnswers drops the answers of the next n transactions.
+func (p *Conn) DropAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lose = n
+	p.dropAnswers = n
 }
 
-// Late has the next transaction go without an answer and be applied only after a while.
-func (p *Port) Late(d time.Duration) {
+// DelayNextTxn has the next transaction go without an answer and be applied only after a while.
+func (p *Conn) DelayNextTxn(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.late = d
+	p.txnDelay = d
 }
 
-func (p *Port) enter(ctx context.Context) error {
-	p.s.mu.Lock()
-	latency, bad := p.s.latency, p.s.down || p.s.refused[p.node]
-	p.s.mu.Unlock()
-	if err := state.Pause(ctx, latency); err != nil {
-		return state.ErrUnknown
+func (p *Conn) begin(ctx context.Context) error {
+	p.store.mu.Lock()
+	latency, bad := p.store.latency, p.store.isDown || p.store.refusedNodes[p.node]
+	p.store.mu.Unlock()
+	if err := kvstore.Pause(ctx, latency); err != nil {
+		return kvstore.ErrOutcomeUnknown
 	}
 	if bad {
-		return state.ErrUnavailable
+		return kvstore.ErrUnavailable
 	}
 	return nil
 }
 
-// Do runs a transaction.
-func (p *Port) Do(ctx context.Context, _ state.Priority, t state.Txn) (state.Result, error) {
-	if err := p.enter(ctx); err != nil {
-		return state.Result{}, err
+// Commit runs a transaction.
+func (p *Conn) Commit(ctx context.Context, _ kvstore.Priority, t kvstore.Txn) (kvstore.TxnResult, error) {
+	if err := p.begin(ctx); err != nil {
+		return kvstore.TxnResult{}, err
 	}
-	s := p.s
+	s := p.store
 	p.mu.Lock()
-	late := p.late
-	p.late = 0
+	late := p.txnDelay
+	p.txnDelay = 0
 	p.mu.Unlock()
-	s.noteBare(t)
+	s.recordUnconditional(t)
 	if late == 0 {
-		late = s.lateBy()
+		late = s.lateDelay()
 	}
 	if late > 0 {
 		time.AfterFunc(late, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.careless {
-				t.If = nil
+			if s.skipsConditions {
+				t.Conditions = nil
 			}
-			if s.grantsLive(t) {
+			if s.leasesLive(t) {
 				s.apply(t)
 			}
 		})
-		_ = state.Pause(ctx, min(late, tuning.StateTimeout)) // as long as the client waits
-		return state.Result{}, state.ErrUnknown
+		_ = kvstore.Pause(ctx, min(late, tuning.StoreRequestTimeout)) // as long as the client waits
+		return kvstore.TxnResult{}, kvstore.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
-	for end := time.Now().Add(tuning.StateTimeout); ; {
-		err := s.fits(t)
+	for end := time.Now().Add(tuning.StoreRequestTimeout); ; {
+		err := s.checkLimits(t)
 		if err == nil {
 			break
 		}
 		s.mu.Unlock()
 		// As the client does, which asks again when the service is over its limits.
-		if errors.Is(err, state.ErrRefused) || time.Now().After(end) || state.Pause(ctx, tuning.BusyPause) != nil {
-			return state.Result{}, err
+		if errors.Is(err, kvstore.ErrRejected) || time.Now().After(end) || kvstore.Pause(ctx, tuning.RateLimitedRetryDelay) != nil {
+			return kvstore.TxnResult{}, err
 		}
 		s.mu.Lock()
 	}
-	if !s.grantsLive(t) {
+	if !s.leasesLive(t) {
 		s.mu.Unlock()
-		return state.Result{}, fmt.Errorf("%w: no such lease", state.ErrRefused)
+		return kvstore.TxnResult{}, fmt.Errorf("%w: no such lease", kvstore.ErrRejected)
 	}
 	res := s.apply(t)
 	s.mu.Unlock()
 	p.mu.Lock()
-	lost := p.lose > 0
+	lost := p.dropAnswers > 0
 	if lost {
-		p.lose--
+		p.dropAnswers--
 	}
 	p.mu.Unlock()
 	if lost {
-		return state.Result{}, state.ErrUnknown
+		return kvstore.TxnResult{}, kvstore.ErrOutcomeUnknown
 	}
-	return res, state.Pause(ctx, time.Millisecond)
+	return res, kvstore.Pause(ctx, time.Millisecond)
 }
 
-func (s *Store) noteBare(t state.Txn) {
+func (s *Store) recordUnconditional(t kvstore.Txn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(t.If) > 0 {
+	if len(t.Conditions) > 0 {
 		return
 	}
 	for _, w := range t.Writes {
-		s.bare = append(s.bare, w.Key+w.Drop)
+		s.unconditionalKeys = append(s.unconditionalKeys, w.Key+w.DeleteKey)
 	}
 }
 
-// grantsLive tells whether all leases that a transaction names still run, with the lock held.
-func (s *Store) grantsLive(t state.Txn) bool {
-	return !slices.ContainsFunc(t.Writes, func(w state.Write) bool { return w.Permit != 0 && s.grants[w.Permit] == nil })
+// leasesLive tells whether all leases that a transaction names still run, with the lock held.
+func (s *Store) leasesLive(t kvstore.Txn) bool {
+	return !slices.ContainsFunc(t.Writes, func(w kvstore.Write) bool { return w.LeaseID != 0 && s.leases[w.LeaseID] == nil })
 }
 
-func (s *Store) apply(t state.Txn) state.Result { // with the lock held
-	s.writes += len(t.Writes)
+func (s *Store) apply(t kvstore.Txn) kvstore.TxnResult { // with the lock held
+	s.writeCount += len(t.Writes)
 	for _, w := range t.Writes {
-		parts := strings.SplitN(w.Key+w.Drop, "/", 3)
-		s.writesOf[strings.Join(parts[:min(2, len(parts))], "/")]++
+		parts := strings.SplitN(w.Key+w.DeleteKey, "/", 3)
+		s.writeCountByKind[strings.Join(parts[:min(2, len(parts))], "/")]++
 	}
 	var failed []string
-	for _, c := range t.If {
-		if s.rows[c.Key].stamp != c.Stamp {
+	for _, c := range t.Conditions {
+		if s.records[c.Key].revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return state.Result{Epoch: s.epoch, Failed: failed}
+		return kvstore.TxnResult{Revision: s.revision, FailedKeys: failed}
 	}
 	if len(t.Writes) > 0 {
-		s.epoch++
+		s.revision++
 	}
 	for _, w := range t.Writes {
-		if w.Drop != "" {
-			if _, ok := s.rows[w.Drop]; ok {
-				delete(s.rows, w.Drop)
-				s.note(state.Event{Drop: w.Drop, Stamp: s.epoch})
+		if w.DeleteKey != "" {
+			if _, ok := s.records[w.DeleteKey]; ok {
+				delete(s.records, w.DeleteKey)
+				s.appendEvent(kvstore.Event{DeletedKey: w.DeleteKey, Revision: s.revision})
 			}
 			continue
 		}
-		s.rows[w.Key] = kept{w.Value, s.epoch, w.Permit}
-		s.note(state.Event{Key: w.Key, Value: w.Value, Stamp: s.epoch})
+		s.records[w.Key] = storedRecord{w.Value, s.revision, w.LeaseID}
+		s.appendEvent(kvstore.Event{Key: w.Key, Value: w.Value, Revision: s.revision})
 	}
-	return state.Result{OK: true, Epoch: s.epoch}
+	return kvstore.TxnResult{Succeeded: true, Revision: s.revision}
 }
 
 // Get reads a key.
-func (p *Port) Get(ctx context.Context, _ state.Priority, key string) (state.Row, bool, uint64, error) {
-	if err := p.enter(ctx); err != nil {
-		return state.Row{}, false, 0, err
-	}
-	p.s.mu.Lock()
-	r, ok := p.s.rows[key]
-	epoch, slow := p.s.epoch, p.s.slow[p.node]
-	p.s.mu.Unlock()
+func (p *Conn) Get(ctx context.Context, _ kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error) {
+	if err := p.begin(ctx); err != nil {
+		return kvstore.KeyValue{}, false, 0, err
+	}
+	p.store.mu.Lock()
+	r, ok := p.store.records[key]
+	epoch, slow := p.store.revision, p.store.readDelays[p.node]
+	p.store.mu.Unlock()
 	// No timer of no time: one in a test bubble now and then ends a race run with a fault in
 	// the Go runtime.
-	if slow > 0 && state.Pause(ctx, slow) != nil {
-		return state.Row{}, false, 0, state.ErrUnknown
+	if slow > 0 && kvstore.Pause(ctx, slow) != nil {
+		return kvstore.KeyValue{}, false, 0, kvstore.ErrOutcomeUnknown
 	}
 	if !ok {
-		return state.Row{}, false, epoch, nil
+		return kvstore.KeyValue{}, false, epoch, nil
 	}
-	return state.Row{Key: key, Value: r.value, Stamp: r.stamp}, true, 0, nil
+	return kvstore.KeyValue{Key: key, Value: r.value, Revision: r.revision}, true, 0, nil
 }
 
 // List reads a prefix.
-func (p *Port) List(ctx context.Context, prefix string) ([]state.Row, uint64, error) {
-	if err := p.enter(ctx); err != nil {
+func (p *Conn) List(ctx context.Context, prefix string) ([]kvstore.KeyValue, uint64, error) {
+	if err := p.begin(ctx); err != nil {
 		return nil, 0, err
 	}
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	var rows []state.Row
-	for k, r := range p.s.rows {
+	p.store.mu.Lock()
+	defer p.store.mu.Unlock()
+	var rows []kvstore.KeyValue
+	for k, r := range p.store.records {
 		if strings.HasPrefix(k, prefix) {
-			rows = append(rows, state.Row{Key: k, Value: r.value, Stamp: r.stamp})
+			rows = append(rows, kvstore.KeyValue{Key: k, Value: r.value, Revision: r.revision})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
-	return rows, p.s.epoch, nil
+	return rows, p.store.revision, nil
 }
 
 // Watch waits for changes.
-func (p *Port) Watch(ctx context.Context, prefix string, from uint64) ([]state.Event, uint64, error) {
-	s := p.s
+func (p *Conn) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
+	s := p.store
 	end := time.Now().Add(10 * time.Second)
 	for {
 		s.mu.Lock()
-		bad, lag, moved := s.down || s.refused[p.node], s.watchLag[p.node], s.moved
-		var news []state.Event
-		first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Stamp > from })
+		bad, lag, moved := s.isDown || s.refusedNodes[p.node], s.watchDelays[p.node], s.changed
+		var news []kvstore.Event
+		first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > from })
 		for _, e := range s.events[first:] {
-			if strings.HasPrefix(e.Key+e.Drop, prefix) {
+			if strings.HasPrefix(e.Key+e.DeletedKey, prefix) {
 				news = append(news, e)
 			}
 		}
-		epoch, gone := s.epoch, !bad && s.tooOld[p.node]
+		epoch, gone := s.revision, !bad && s.compactedWatches[p.node]
 		if gone {
-			delete(s.tooOld, p.node)
+			delete(s.compactedWatches, p.node)
 		}
 		s.mu.Unlock()
 		if gone {
-			return nil, 0, state.ErrGone
+			return nil, 0, kvstore.ErrExpired
 		}
 		if !bad && (len(news) > 0 || time.Now().After(end)) {
-			if err := state.Pause(ctx, lag+time.Millisecond); err != nil {
-				return nil, 0, state.ErrUnknown
+			if err := kvstore.Pause(ctx, lag+time.Millisecond); err != nil {
+				return nil, 0, kvstore.ErrOutcomeUnknown
 			}
 			return news, epoch, nil
 		}
@@ -504,7 +504,7 @@
 		select {
 		case <-ctx.Done():
 			wait.Stop()
-			return nil, 0, state.ErrUnknown
+			return nil, 0, kvstore.ErrOutcomeUnknown
 		case <-moved:
 		case <-wait.C:
 		}
@@ -512,29 +512,29 @@
 	}
 }
 
-// Grant gives a lease.
-func (p *Port) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	if err := p.enter(ctx); err != nil {
+// GrantLease gives a lease.
+func (p *Conn) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	if err := p.begin(ctx); err != nil {
 		return 0, err
 	}
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	p.s.nextID++
-	p.s.grants[p.s.nextID] = &grant{ttl, time.Now().Add(ttl)}
-	return p.s.nextID, nil
+	p.store.mu.Lock()
+	defer p.store.mu.Unlock()
+	p.store.nextLeaseID++
+	p.store.leases[p.store.nextLeaseID] = &storeLease{ttl, time.Now().Add(ttl)}
+	return p.store.nextLeaseID, nil
 }
 
-// Touch renews a lease.
-func (p *Port) Touch(ctx context.Context, permit uint64) error {
-	if err := p.enter(ctx); err != nil {
+// KeepAlive renews a lease.
+func (p *Conn) KeepAlive(ctx context.Context, permit uint64) error {
+	if err := p.begin(ctx); err != nil {
 		return err
 	}
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	g := p.s.grants[permit]
+	p.store.mu.Lock()
+	defer p.store.mu.Unlock()
+	g := p.store.leases[permit]
 	if g == nil {
-		return state.ErrGone
+		return kvstore.ErrExpired
 	}
-	g.end = time.Now().Add(g.ttl)
+	g.expiresAt = time.Now().Add(g.ttl)
 	return nil
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -8,75 +8,77 @@
 
 	"cherrywall/internal/cloud"
 	"cherrywall/internal/jobs"
-	"cherrywall/internal/sessions"
-	"cherrywall/internal/state"
-	"cherrywall/internal/worker"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/workerapi"
+	"cherrywall/internal/workersession"
 )
 
-type running struct {
-	task   string
-	try    uint64
-	status string
-	cause  string
-	ends   time.Time
-	spec   jobs.Spec
-	given  time.Time     // when a controller ordered its start
-	image  *time.Timer   // fires when its image is there, nil if it is
-	ready  time.Time     // when that is
-	left   time.Duration // until then, while the machine stands still
+type runningTask struct {
+	name           string
+	attempt        uint64
+	status         string
+	cause          string
+	endsAt         time.Time
+	spec           jobs.Spec
+	commandedAt    time.Time     // when a controller ordered its start
+	fetchTimer     *time.Timer   // fires when its image is there, nil if it is
+	imageReadyAt   time.Time     // when that is
+	fetchRemaining time.Duration // until then, while the machine stands still
 }
 
-// there tells whether a task is on its machine: it has its image, and has not ended.
-func (t *running) there() bool { return t.status != worker.Ended && t.status != worker.Pulling }
+// isOnMachine tells whether a task is on its machine: it has its image, and has not ended.
+func (t *runningTask) isOnMachine() bool {
+	return t.status != workerapi.StatusEnded && t.status != workerapi.StatusPulling
+}
 
 // Worker is a machine that reports, obeys and runs tasks as the protocol says.
 type Worker struct {
-	w           *World
-	Host, addr  string
-	build, zone string
-	spot        bool
-	watch, tick uint64
-	token       uint64
-	tasks       map[string]*running
-	lease       time.Time
-	stop        context.CancelFunc
-	wake        chan struct{}
-	deaf        bool      // answers and commands do not reach it
-	mute        bool      // it reaches no controller
-	heard       time.Time // when a controller gave the answer that is being obeyed
-	// Fails makes every task end with an error.
-	Fails  bool
-	Recall *float64
+	cluster              *Cluster
+	Host, addr           string
+	machineType, zone    string
+	spot                 bool
+	agentEpoch, sequence uint64
+	fencingToken         uint64
+	tasks                map[string]*runningTask
+	leaseRenewedAt       time.Time
+	stop                 context.CancelFunc
+	wake                 chan struct{}
+	inboundBlocked       bool      // answers and commands do not reach it
+	outboundBlocked      bool      // it reaches no controller
+	answeredAt           time.Time // when a controller gave the answer that is being obeyed
+	// FailTasks makes every task end with an error.
+	FailTasks        bool
+	PreemptionNotice *float64
 }
 
-func (m *Worker) live(ctx context.Context) {
+func (m *Worker) run(ctx context.Context) {
 	at := 0
 	for ctx.Err() == nil {
-		m.w.goesOn(ctx, m.Host)
-		m.w.mu.Lock()
-		m.age()
-		names := m.w.names
+		m.cluster.waitWhileFrozen(ctx, m.Host)
+		m.cluster.mu.Lock()
+		m.expire()
+		names := m.cluster.controllers
 		node := names[at%len(names)]
-		n, cut := m.w.Nodes[node], m.w.cut[[2]string{node, m.Host}] || m.w.cutNode[m.Host]
-		rep := m.report()
-		watch := m.watch
-		m.w.mu.Unlock()
-		mute := m.isMute()
+		n, cut := m.cluster.Nodes[node], m.cluster.cutLinks[[2]string{node, m.Host}] || m.cluster.isolated[m.Host]
+		rep := m.heartbeat()
+		watch := m.agentEpoch
+		m.cluster.mu.Unlock()
+		mute := m.isOutboundBlocked()
 		sent := time.Now()
-		var v sessions.Verdict
+		var v workersession.HeartbeatReply
 		switch {
 		case mute: // no connection: it tries the next one a second later
 		case cut:
-			m.w.hold(node, rep)
-			_ = state.Pause(ctx, 4*time.Second)
-		case m.w.send != nil:
-			v = m.w.send(node, rep)
+			m.cluster.holdHeartbeat(node, rep)
+			_ = kvstore.Pause(ctx, 4*time.Second)
+		case m.cluster.sendHeartbeat != nil:
+			v = m.cluster.sendHeartbeat(node, rep)
 		case n != nil:
-			m.w.copies(rep)
-			reply := make(chan sessions.Verdict, 1)
-			n.Brain.Report(rep, reply)
-			if m.isDeaf() {
-				_ = state.Pause(ctx, 4*time.Second)
+			m.cluster.maybeDuplicate(rep)
+			reply := make(chan workersession.HeartbeatReply, 1)
+			n.Controller.HandleHeartbeat(rep, reply)
+			if m.isInboundBlocked() {
+				_ = kvstore.Pause(ctx, 4*time.Second)
 				break
 			}
 			select {
@@ -87,27 +89,27 @@
 			}
 		}
 		heard := time.Now()
-		if late := m.w.delay(m.Host); late > 0 {
-			_ = state.Pause(ctx, max(time.Millisecond, min(late, sent.Add(4*time.Second).Sub(time.Now()))))
+		if late := m.cluster.inboundDelay(m.Host); late > 0 {
+			_ = kvstore.Pause(ctx, max(time.Millisecond, min(late, sent.Add(4*time.Second).Sub(time.Now()))))
 		}
-		if m.w.goesOn(ctx, m.Host); time.Since(sent) >= 4*time.Second {
-			v = sessions.Verdict{} // it has given up waiting
+		if m.cluster.waitWhileFrozen(ctx, m.Host); time.Since(sent) >= 4*time.Second {
+			v = workersession.HeartbeatReply{} // it has given up waiting
 		}
-		wait := m.w.reportEvery(m.Host)
+		wait := m.cluster.heartbeatInterval(m.Host)
 		switch {
-		case v.Status == 200:
-			m.w.mu.Lock()
-			if watch == m.watch && v.Answer.Token >= m.token {
-				anew := v.Answer.Token > m.token // a change that is reported
-				m.token, m.lease, m.heard = v.Answer.Token, sent, heard
-				if m.obey(v.Answer.Orders) || anew {
+		case v.StatusCode == 200:
+			m.cluster.mu.Lock()
+			if watch == m.agentEpoch && v.Response.FencingToken >= m.fencingToken {
+				anew := v.Response.FencingToken > m.fencingToken // a change that is reported
+				m.fencingToken, m.leaseRenewedAt, m.answeredAt = v.Response.FencingToken, sent, heard
+				if m.execute(v.Response.Commands) || anew {
 					wait = 500 * time.Millisecond
 				}
 			}
-			m.w.mu.Unlock()
-		case v.Herald != "":
+			m.cluster.mu.Unlock()
+		case v.OwnerNode != "":
 			for i, x := range names {
-				if x == v.Herald {
+				if x == v.OwnerNode {
 					at = i
 				}
 			}
@@ -125,54 +127,54 @@
 	}
 }
 
-// hold has a report wait on its way, if those of its machine do.
-func (w *World) hold(node string, rep *worker.Report) {
+// holdHeartbeat has a report wait on its way, if those of its machine do.
+func (w *Cluster) holdHeartbeat(node string, rep *workerapi.Heartbeat) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if all, on := w.kept[rep.Host]; on {
-		w.kept[rep.Host] = append(all, late{node, rep})
+	if all, on := w.heldHeartbeats[rep.Host]; on {
+		w.heldHeartbeats[rep.Host] = append(all, heldHeartbeat{node, rep})
 	}
 }
 
-func (m *Worker) isMute() bool {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	return m.mute
+func (m *Worker) isOutboundBlocked() bool {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	return m.outboundBlocked
 }
 
-func (m *Worker) isDeaf() bool {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	return m.deaf
+func (m *Worker) isInboundBlocked() bool {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	return m.inboundBlocked
 }
 
-// age ends tasks whose time has come, and the session if its lease is over.
-func (m *Worker) age() {
+// expire ends tasks whose time has come, and the session if its lease is over.
+func (m *Worker) expire() {
 	now := time.Now()
-	if now.Sub(m.lease) > time.Duration(m.w.Cfg.Cluster.Workers.LeaseS*float64(time.Second)) && !m.w.Stubborn {
+	if now.Sub(m.leaseRenewedAt) > time.Duration(m.cluster.Cfg.Cluster.Workers.LeaseS*float64(time.Second)) && !m.cluster.IgnoreStops {
 		for _, t := range m.tasks {
 			t.stopFetch()
 		}
-		m.tasks = map[string]*running{}
-		m.watch++
-		m.lease = now
+		m.tasks = map[string]*runningTask{}
+		m.agentEpoch++
+		m.leaseRenewedAt = now
 	}
 	for _, t := range m.tasks {
-		if t.status == worker.Running && !t.ends.IsZero() && now.After(t.ends) {
-			t.status, t.cause = worker.Ended, worker.CauseDone
-			if m.Fails || m.w.Faulty[t.spec.Ref] {
-				t.cause = worker.CauseError
+		if t.status == workerapi.StatusRunning && !t.endsAt.IsZero() && now.After(t.endsAt) {
+			t.status, t.cause = workerapi.StatusEnded, workerapi.CauseDone
+			if m.FailTasks || m.cluster.FaultyJobs[t.spec.Ref] {
+				t.cause = workerapi.CauseError
 			} else {
-				m.w.ended(t)
+				m.cluster.markDone(t)
 			}
 		}
 	}
 }
 
-func (m *Worker) report() *worker.Report {
-	m.tick++
-	r := &worker.Report{Host: m.Host, Addr: m.addr, Build: m.build, Zone: m.zone, Spot: m.spot, Watch: m.watch, Tick: m.tick,
-		Token: m.token, Recall: m.Recall}
+func (m *Worker) heartbeat() *workerapi.Heartbeat {
+	m.sequence++
+	r := &workerapi.Heartbeat{Host: m.Host, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: m.agentEpoch, Sequence: m.sequence,
+		FencingToken: m.fencingToken, PreemptionInS: m.PreemptionNotice}
 	var names []string
 	for n := range m.tasks {
 		names = append(names, n)
@@ -180,27 +182,27 @@
 	sort.Strings(names)
 	for _, n := range names {
 		t := m.tasks[n]
-		r.Tasks = append(r.Tasks, worker.Entry{Task: n, Try: t.try, Status: t.status, Cause: t.cause})
+		r.Tasks = append(r.Tasks, workerapi.TaskStatus{Task: n, Attempt: t.attempt, Status: t.status, Cause: t.cause})
 	}
 	return r
 }
 
-func (m *Worker) obey(orders []worker.Order) bool {
+func (m *Worker) execute(orders []workerapi.Command) bool {
 	for _, o := range orders {
 		t := m.tasks[o.Task]
 		switch o.Verb {
-		case worker.Launch:
-			if t != nil && t.try == o.Try {
+		case workerapi.VerbStart:
+			if t != nil && t.attempt == o.Attempt {
 				continue
 			}
-			m.launch(o)
-		case worker.Halt:
-			if t != nil && t.try == o.Try && t.status != worker.Ended && !m.w.Stubborn {
+			m.startTask(o)
+		case workerapi.VerbStop:
+			if t != nil && t.attempt == o.Attempt && t.status != workerapi.StatusEnded && !m.cluster.IgnoreStops {
 				t.stopFetch()
-				t.status, t.cause = worker.Ended, worker.CauseStopped
+				t.status, t.cause = workerapi.StatusEnded, workerapi.CauseStopped
 			}
-		case worker.Forget:
-			if t != nil && t.try == o.Try && t.status == worker.Ended {
+		case workerapi.VerbAcknowledge:
+			if t != nil && t.attempt == o.Attempt && t.status == workerapi.StatusEnded {
 				delete(m.tasks, o.Task)
 			}
 		}
@@ -208,61 +210,61 @@
 	return len(orders) > 0
 }
 
-func (m *Worker) flavor() cloud.Flavor {
-	for _, f := range m.w.Flavor {
-		if f.SKU == m.build {
+func (m *Worker) machineSpec() cloud.MachineType {
+	for _, f := range m.cluster.OfferedTypes {
+		if f.Name == m.machineType {
 			return f
 		}
 	}
-	return cloud.Flavor{}
+	return cloud.MachineType{}
 }
 
-func (m *Worker) launch(o worker.Order) {
-	w := m.w
+func (m *Worker) startTask(o workerapi.Command) {
+	w := m.cluster
 	ref, _, _ := jobs.ParseTask(o.Task)
 	spec, ok := w.specs[ref]
-	run := w.runs[ref]
+	run := w.runTimes[ref]
 	if !ok {
-		spec, run, ok = w.recorded(ref)
+		spec, run, ok = w.recordedSpec(ref)
 	}
 	used, cards := 0.0, 0.0
 	for _, t := range m.tasks {
-		if t.status != worker.Ended {
+		if t.status != workerapi.StatusEnded {
 			used += t.spec.CPU
 			cards += t.spec.GPU
 		}
 	}
-	t := &running{task: o.Task, try: o.Try, status: worker.Running, spec: spec, given: m.heard}
+	t := &runningTask{name: o.Task, attempt: o.Attempt, status: workerapi.StatusRunning, spec: spec, commandedAt: m.answeredAt}
 	switch {
 	case !ok:
-		t.status, t.cause = worker.Ended, worker.CauseNoSuch
-	case w.Refusing || used+spec.CPU > m.flavor().CPU+1e-6 || cards+spec.GPU > m.flavor().GPU+1e-6:
-		t.status, t.cause = worker.Ended, worker.CauseFull
+		t.status, t.cause = workerapi.StatusEnded, workerapi.CauseNoSuch
+	case w.RefuseStarts || used+spec.CPU > m.machineSpec().CPU+1e-6 || cards+spec.GPU > m.machineSpec().GPU+1e-6:
+		t.status, t.cause = workerapi.StatusEnded, workerapi.CauseFull
 	default:
-		if w.fetch == 0 {
-			m.begin(t, run)
+		if w.imageFetchTime == 0 {
+			m.beginTask(t, run)
 			break
 		}
-		t.status = worker.Pulling
-		t.ready = time.Now().Add(w.fetch)
-		t.image = time.AfterFunc(w.fetch, func() { m.fetched(t, run) })
+		t.status = workerapi.StatusPulling
+		t.imageReadyAt = time.Now().Add(w.imageFetchTime)
+		t.fetchTimer = time.AfterFunc(w.imageFetchTime, func() { m.imageFetched(t, run) })
 	}
 	m.tasks[o.Task] = t
-	w.at[o.Task] = append(w.at[o.Task], m)
+	w.startedOn[o.Task] = append(w.startedOn[o.Task], m)
 }
 
-// fetched starts a task whose image has come, if it is still wanted.
-func (m *Worker) fetched(t *running, run time.Duration) {
-	w := m.w
+// imageFetched starts a task whose image has come, if it is still wanted.
+func (m *Worker) imageFetched(t *runningTask, run time.Duration) {
+	w := m.cluster
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.hung[m.Host] != nil || w.workers[m.Host] != m || w.ctx.Err() != nil {
+	if w.frozen[m.Host] != nil || w.workers[m.Host] != m || w.ctx.Err() != nil {
 		return
 	}
-	m.age()
-	if m.tasks[t.task] == t && t.status == worker.Pulling {
-		t.image, t.status = nil, worker.Running
-		m.begin(t, run)
+	m.expire()
+	if m.tasks[t.name] == t && t.status == workerapi.StatusPulling {
+		t.fetchTimer, t.status = nil, workerapi.StatusRunning
+		m.beginTask(t, run)
 		select {
 		case m.wake <- struct{}{}: // a change is reported
 		default:
@@ -270,81 +272,81 @@
 	}
 }
 
-func (t *running) stopFetch() {
-	if t.image != nil {
-		t.image.Stop()
-		t.image = nil
+func (t *runningTask) stopFetch() {
+	if t.fetchTimer != nil {
+		t.fetchTimer.Stop()
+		t.fetchTimer = nil
 	}
 }
 
-// still has images come no further, or go on to come, with the world's lock held.
-func (m *Worker) still(on bool) {
-	m.age()
+// freeze has images come no further, or go on to come, with the world's lock held.
+func (m *Worker) freeze(on bool) {
+	m.expire()
 	for _, t := range m.tasks {
 		switch {
-		case t.image == nil:
+		case t.fetchTimer == nil:
 		case on:
-			t.image.Stop()
-			t.left = max(time.Millisecond, time.Until(t.ready))
+			t.fetchTimer.Stop()
+			t.fetchRemaining = max(time.Millisecond, time.Until(t.imageReadyAt))
 		default:
-			t.ready = time.Now().Add(t.left)
-			t.image.Reset(t.left)
+			t.imageReadyAt = time.Now().Add(t.fetchRemaining)
+			t.fetchTimer.Reset(t.fetchRemaining)
 		}
 	}
 }
 
-// do executes a command, if it is for this session and not below the highest token.
-func (m *Worker) do(c worker.Command) (rep *worker.Report, done bool) {
-	m.age()
-	if done = c.Token >= m.token && c.Watch == m.watch; done {
-		m.token = c.Token
-		if m.obey(c.Orders) {
+// executeCommand executes a command, if it is for this session and not below the highest token.
+func (m *Worker) executeCommand(c workerapi.CommandRequest) (rep *workerapi.Heartbeat, done bool) {
+	m.expire()
+	if done = c.FencingToken >= m.fencingToken && c.AgentEpoch == m.agentEpoch; done {
+		m.fencingToken = c.FencingToken
+		if m.execute(c.Commands) {
 			select {
 			case m.wake <- struct{}{}:
 			default:
 			}
 		}
 	}
-	return m.report(), done
+	return m.heartbeat(), done
 }
 
-// begin is the start of a task: the moment at which it is on its machine.
-func (m *Worker) begin(t *running, run time.Duration) {
-	w, spec, ref := m.w, t.spec, t.spec.Ref
-	if on := w.on(t.task); len(on) > 0 && !(len(on) == 1 && on[0] == m.Host && m.tasks[t.task] == t) {
-		w.broken = append(w.broken, fmt.Sprintf("ran_twice: %s on %v and %s", t.task, on, m.Host))
+// beginTask is the start of a task: the moment at which it is on its machine.
+func (m *Worker) beginTask(t *runningTask, run time.Duration) {
+	w, spec, ref := m.cluster, t.spec, t.spec.Ref
+	if on := w.runningOn(t.name); len(on) > 0 && !(len(on) == 1 && on[0] == m.Host && m.tasks[t.name] == t) {
+		w.violations = append(w.violations, fmt.Sprintf("ran_twice: %s on %v and %s", t.name, on, m.Host))
 	}
 	more := spec.CPU
-	if m.tasks[t.task] == t {
+	if m.tasks[t.name] == t {
 		more = 0 // it is counted already
 	}
 	for _, c := range w.Cfg.Cluster.Teams {
-		if c.Name != spec.Team || c.CPUsMax <= 0 {
+		if c.Name != spec.Team || c.MaxCPUs <= 0 {
 			continue
 		}
-		if team := w.teamUses(spec.Team) + more; team > c.CPUsMax+1e-6 {
-			w.broken = append(w.broken, fmt.Sprintf("quota: %s takes %v", spec.Team, team))
+		if team := w.teamUsage(spec.Team) + more; team > c.MaxCPUs+1e-6 {
+			w.violations = append(w.violations, fmt.Sprintf("quota: %s takes %v", spec.Team, team))
 		}
 	}
 	if spec.Zone != nil && *spec.Zone != m.zone || m.spot && !spec.Spot {
-		w.broken = append(w.broken, "wrong_place: "+t.task)
+		w.violations = append(w.violations, "wrong_place: "+t.name)
 	}
-	for _, before := range spec.Awaits {
-		if !w.whole(before) {
-			w.broken = append(w.broken, fmt.Sprintf("too_early: %s before %s", t.task, before))
+	for _, before := range spec.DependsOn {
+		if !w.isComplete(before) {
+			w.violations = append(w.violations, fmt.Sprintf("too_early: %s before %s", t.name, before))
 		}
 	}
-	w.starts[t.task]++
-	if w.started != nil {
-		w.started(t.task, m.Host, t.given)
+	w.startCounts[t.name]++
+	if w.onTaskStart != nil {
+		w.onTaskStart(t.name, m.Host, t.commandedAt)
 	}
 	if spec.Kind != jobs.Service {
-		if own, ok := w.lasts[t.task]; ok {
+		if own, ok := w.taskRunTimes[t.name]; ok {
 			run = own
 		}
-		if w.over[ref][t.task] {
+		if w.doneTasks[ref][t.name] {
 			run = 0 // its result is kept
 		}
-		t.ends = time.Now().Add(run)
+		t.endsAt = time.Now().Add(run)
 	}
 }
--- a/internal/blame/blame_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -1,4 +1,4 @@
-package blame
+package faultattribution
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 )
 
-var lim = Limits{HostErrors: 3, JobHosts: 3}
+var thresholds = Thresholds{MachineFailures: 3, JobMachines: 3}
 
 // Two broken arrays that met on a machine put it out of use, and a broken job
 // paused only after it had done so with several.
@@ -16,13 +16,13 @@
 	for round := range 12 {
 		host := fmt.Sprintf("i-%d", round%6)
 		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
-			pause, sick := j.Failed(ref, host, time.Second, now, lim)
+			pause, sick := j.RecordFailure(ref, host, time.Second, now, thresholds)
 			if sick {
 				t.Errorf("%s put out of use by broken jobs", host)
 			}
 			blamed[ref] = blamed[ref] || pause > 0
 		}
-		if j.Works("wk-9", host, lim) != nil {
+		if j.RecordSuccess("wk-9", host, thresholds) != nil {
 			t.Error("a machine that works was put out of use")
 		}
 	}
@@ -36,12 +36,12 @@
 	sick := false
 	for n := range 4 {
 		ref := fmt.Sprintf("wk-%d", n)
-		pause, s := j.Failed(ref, "i-1", time.Second, now, lim)
+		pause, s := j.RecordFailure(ref, "i-1", time.Second, now, thresholds)
 		if pause > 0 {
 			t.Errorf("%s blamed for a sick machine", ref)
 		}
 		sick = sick || s
-		for _, h := range j.Works(ref, "i-2", lim) { // the next try, elsewhere
+		for _, h := range j.RecordSuccess(ref, "i-2", thresholds) { // the next try, elsewhere
 			sick = sick || h == "i-1"
 		}
 	}
@@ -56,11 +56,11 @@
 	j, now := New(), time.Now()
 	for h := range 4 {
 		for n := range 3 {
-			j.Failed(fmt.Sprintf("wk-%d%d", h, n), fmt.Sprintf("i-%d", h), time.Second, now, lim)
+			j.RecordFailure(fmt.Sprintf("wk-%d%d", h, n), fmt.Sprintf("i-%d", h), time.Second, now, thresholds)
 		}
 	}
 	for h := range 3 {
-		if pause, _ := j.Failed("wk-9", fmt.Sprintf("i-%d", h), time.Second, now, lim); pause > 0 {
+		if pause, _ := j.RecordFailure("wk-9", fmt.Sprintf("i-%d", h), time.Second, now, thresholds); pause > 0 {
 			t.Fatal("blamed although its machines fail everything")
 		}
 	}
@@ -70,22 +70,22 @@
 	j, now := New(), time.Now()
 	fail := func() (longest time.Duration) {
 		for h := range 9 {
-			if p, _ := j.Failed("wk-1", fmt.Sprintf("i-%d", h), time.Second, now, lim); p > 0 {
+			if p, _ := j.RecordFailure("wk-1", fmt.Sprintf("i-%d", h), time.Second, now, thresholds); p > 0 {
 				longest = p
 			}
 		}
 		return longest
 	}
 	first := fail()
-	if first == 0 || !j.Paused("wk-1", now) || !j.Blamed("wk-1") {
+	if first == 0 || !j.IsPaused("wk-1", now) || !j.IsJobFaulty("wk-1") {
 		t.Fatalf("first pause %v", first)
 	}
 	now = now.Add(first)
 	if second := fail(); second <= first {
 		t.Errorf("second pause %v after %v", second, first)
 	}
-	j.Works("wk-1", "i-1", lim)
-	if j.Paused("wk-1", now) || j.Blamed("wk-1") {
+	j.RecordSuccess("wk-1", "i-1", thresholds)
+	if j.IsPaused("wk-1", now) || j.IsJobFaulty("wk-1") {
 		t.Error("still blamed after a task was done")
 	}
 }
--- a/internal/decide/encoded_form_test.go
+++ b/internal/featuregate/encoded_form_test.go
@@ -1,4 +1,4 @@
-package decide
+package featuregate
 
 import (
 	"testing"
@@ -9,6 +9,6 @@
 // Encoded forms are part of the protocol or of stored data: names and order of fields stay.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
-		encodedform.Form{Name: "count", Value: Count{}, WriteOnly: true},
+		encodedform.Form{Name: "version mark", Value: versionRecord{}},
 	)
 }
--- a/internal/gate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package featuregate_test
 
 import (
 	"bytes"
@@ -21,18 +21,18 @@
 // The records and frames under testdata/production were written by the program of the
 // commit that deploy/service.toml names.
 
-func world(t *testing.T, set func(w *fake.World), tale func(w *fake.World)) {
+func runScenario(t *testing.T, set func(cluster *fake.Cluster), tale func(cluster *fake.Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		w := fake.NewWorldOf(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(w *fake.World) {
-			w.Flavor[0].CPU, w.Flavor[0].MemGB = 8, 32
-			set(w)
+		cluster := fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(cluster *fake.Cluster) {
+			cluster.OfferedTypes[0].CPU, cluster.OfferedTypes[0].MemGB = 8, 32
+			set(cluster)
 		})
 		time.Sleep(5 * time.Second)
-		tale(w)
-		for _, b := range w.Broken() {
+		tale(cluster)
+		for _, b := range cluster.Violations() {
 			t.Error("broken rule:", b)
 		}
 		stop()
@@ -40,7 +40,7 @@
 	})
 }
 
-func production(t *testing.T) map[string]json.RawMessage {
+func productionRecords(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production/records.json")
 	if err != nil {
@@ -56,16 +56,16 @@
 // Controllers that have never seen them take production's records over, answer for all of
 // their jobs, and bring those to their end that can have one.
 func TestProductionsRecordsAreTakenOver(t *testing.T) {
-	rows := production(t)
-	world(t, func(w *fake.World) {
+	rows := productionRecords(t)
+	runScenario(t, func(cluster *fake.Cluster) {
 		for key, value := range rows {
-			if !strings.HasPrefix(key, jobs.LivePrefix) { // their grants have ended
-				w.Store.Put(key, value)
+			if !strings.HasPrefix(key, jobs.LivenessPrefix) { // their grants have ended
+				cluster.Store.Put(key, value)
 			}
 		}
-	}, func(w *fake.World) {
+	}, func(cluster *fake.Cluster) {
 		for i := range 5 {
-			w.Add([]string{"a", "b"}[i%2], false)
+			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
 		// The old machines never come back; the last is silent for as long as anybody may
 		// have kept it alive.
@@ -90,8 +90,8 @@
 			default:
 				want = jobs.Done
 			}
-			if want != "" && !w.Wait("n1", ref, want, 200*time.Second) || w.Poll("n2", ref).Code != 200 {
-				t.Errorf("%s: %+v, want %s", ref, w.Poll("n1", ref), want)
+			if want != "" && !cluster.WaitForStatus("n1", ref, want, 200*time.Second) || cluster.Poll("n2", ref).Code != 200 {
+				t.Errorf("%s: %+v, want %s", ref, cluster.Poll("n1", ref), want)
 			}
 		}
 		if jobsKnown < 15 {
@@ -116,10 +116,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b.Piece != nil {
-			pieces += len(b.Piece.Machines)
+		if b.TransferChunk != nil {
+			pieces += len(b.TransferChunk.Machines)
 		}
-		counts += len(b.Counts)
+		counts += len(b.Capacities)
 		if !bytes.Equal(peer.Encode(b), f) {
 			t.Errorf("the frame of %s is written otherwise", b.Node)
 		}
@@ -204,9 +204,9 @@
 	{jobs.JobPrefix, func() any { return new(oldJob) }},
 	{jobs.RangePrefix, func() any { return new(oldRange) }},
 	{jobs.FinalPrefix, func() any { return new(oldFinal) }},
-	{jobs.SharePrefix, func() any { return new(oldShare) }},
+	{jobs.ShardPrefix, func() any { return new(oldShare) }},
 	{jobs.WorkerPrefix, func() any { return new(oldWorker) }},
-	{jobs.PackPrefix, func() any { return new([]string) }},
+	{jobs.CompletionBatchPrefix, func() any { return new([]string) }},
 }
 
 // carries tells whether production's program would write a record again as it is.
@@ -233,7 +233,7 @@
 
 func TestTheFrozenShapesAreProductions(t *testing.T) {
 	known := 0
-	for key, value := range production(t) {
+	for key, value := range productionRecords(t) {
 		k, err := carries(key, value)
 		if err != nil {
 			t.Error(err)
@@ -245,8 +245,8 @@
 	if known < 40 {
 		t.Errorf("%d records are of known shapes", known)
 	}
-	rec := jobs.Record{Spec: fake.Job("wk-1", jobs.Array, 1, 1)}
-	rec.Awaits = []string{"wk-2"}
+	rec := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 1, 1)}
+	rec.DependsOn = []string{"wk-2"}
 	if raw, _ := json.Marshal(rec); raw != nil {
 		if _, err := carries(jobs.JobKey("wk-1"), raw); err == nil {
 			t.Error("production would carry awaits: the shapes tell nothing")
@@ -258,17 +258,17 @@
 // be carried by the version before, nothing is in parts, and awaits is answered with when to
 // come back. After that it is taken.
 func TestNothingNewIsWrittenBeforeAllAreNew(t *testing.T) {
-	world(t, func(w *fake.World) {
-		w.Cfg.Others = append(w.Cfg.Others, config.Peer{Node: "n3", Zone: "a"}) // down since long ago
-	}, func(w *fake.World) {
+	runScenario(t, func(cluster *fake.Cluster) {
+		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down since long ago
+	}, func(cluster *fake.Cluster) {
 		for i := range 8 {
-			w.Add([]string{"a", "b"}[i%2], false)
+			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
 		time.Sleep(5 * time.Second)
 		looked := 0
 		look := func() {
-			for _, key := range w.Store.Keys(jobs.Prefix) {
-				value, _ := w.Store.Value(key)
+			for _, key := range cluster.Store.Keys(jobs.Prefix) {
+				value, _ := cluster.Store.Value(key)
 				known, err := carries(key, json.RawMessage(value))
 				if err != nil {
 					t.Fatal(err)
@@ -279,45 +279,45 @@
 			}
 		}
 		for i := range 40 {
-			s := fake.Job(fmt.Sprintf("wk-%d", 100+i), []string{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
+			s := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []string{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
 			s.Spread = i%5 == 0
-			if r := w.Submit(fmt.Sprintf("n%d", i%3), s, 3*time.Second); r.Code != 201 {
+			if r := cluster.Submit(fmt.Sprintf("n%d", i%3), s, 3*time.Second); r.Code != 201 {
 				t.Fatalf("%+v", r)
 			}
 			if i%9 == 4 {
-				w.Withdraw("n1", s.Ref)
+				cluster.Cancel("n1", s.Ref)
 			}
 			if i == 20 {
-				w.Crash("n0")
-				w.Boot("n0")
+				cluster.CrashController("n0")
+				cluster.StartController("n0")
 				time.Sleep(2 * time.Second)
 			}
 			look()
 			time.Sleep(300 * time.Millisecond)
 		}
-		next := fake.Job("wk-900", jobs.Array, 2, 1)
-		next.Awaits = []string{"wk-101"}
-		if r := w.Submit("n1", next, time.Second); r.Code != 503 || !strings.Contains(r.Error, "n3") {
+		next := fake.JobSpec("wk-900", jobs.Array, 2, 1)
+		next.DependsOn = []string{"wk-101"}
+		if r := cluster.Submit("n1", next, time.Second); r.Code != 503 || !strings.Contains(r.Error, "n3") {
 			t.Errorf("with one controller old: %+v", r)
 		}
-		big := fake.Job("wk-901", jobs.Array, 2, 1)
+		big := fake.JobSpec("wk-901", jobs.Array, 2, 1)
 		big.Class = strings.Repeat("c", 20<<10)
-		if r := w.Submit("n1", big, time.Second); r.Code != 503 {
+		if r := cluster.Submit("n1", big, time.Second); r.Code != 503 {
 			t.Errorf("larger than a value: %+v", r)
 		}
 		look()
-		if looked < 500 || len(w.Store.Keys(jobs.PartPrefix)) > 0 {
-			t.Errorf("%d records were looked at; parts: %v", looked, w.Store.Keys(jobs.PartPrefix))
+		if looked < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
+			t.Errorf("%d records were looked at; parts: %v", looked, cluster.Store.Keys(jobs.ChunkPrefix))
 		}
-		w.Boot("n3")
+		cluster.StartController("n3")
 		time.Sleep(3 * time.Second)
-		w.Crash("n3") // it has said so, that is enough
+		cluster.CrashController("n3") // it has said so, that is enough
 		for _, s := range []jobs.Spec{next, big} {
-			if r := w.Submit("n2", s, time.Second); r.Code != 201 {
+			if r := cluster.Submit("n2", s, time.Second); r.Code != 201 {
 				t.Errorf("%s with all new: %+v", s.Ref, r)
 			}
-			if !w.Wait("n0", s.Ref, jobs.Done, 60*time.Second) {
-				t.Errorf("%s: %+v", s.Ref, w.Poll("n0", s.Ref))
+			if !cluster.WaitForStatus("n0", s.Ref, jobs.Done, 60*time.Second) {
+				t.Errorf("%s: %+v", s.Ref, cluster.Poll("n0", s.Ref))
 			}
 		}
 	})
--- a/internal/forecast/load.go
+++ b/internal/forecast/load.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Work is one job of a class: when it came and how much it was.
-type Work struct {
-	At  time.Time
-	CPU float64 // CPU seconds, as expected
+// Arrival is one job of a class: when it came and how much it was.
+type Arrival struct {
+	ArrivedAt  time.Time
+	CPUSeconds float64 // CPU seconds, as expected
 }
 
-// Load is how many CPUs a class is likely to use at once: the mean of what came
+// ExpectedLoad is how many CPUs a class is likely to use at once: the mean of what came
 // within the window, and one deviation of it. Each job counts as spread over
 // horizon, the time (seconds) it may take, so a class of few large urgent jobs
 // deviates more than one of many small patient ones.
-func Load(seen []Work, now time.Time, window time.Duration, horizon float64) float64 {
+func ExpectedLoad(seen []Arrival, now time.Time, window time.Duration, horizon float64) float64 {
 	var first time.Time
 	sum, squares := 0.0, 0.0
-	for _, w := range seen {
-		if now.Sub(w.At) > window {
+	for _, arrival := range seen {
+		if now.Sub(arrival.ArrivedAt) > window {
 			continue
 		}
-		if first.IsZero() || w.At.Before(first) {
-			first = w.At
+		if first.IsZero() || arrival.ArrivedAt.Before(first) {
+			first = arrival.ArrivedAt
 		}
-		sum += w.CPU
-		squares += w.CPU * w.CPU
+		sum += arrival.CPUSeconds
+		squares += arrival.CPUSeconds * arrival.CPUSeconds
 	}
 	if first.IsZero() || horizon <= 0 {
 		return 0
--- a/internal/handover/encoded_form_test.go
+++ b/internal/handover/encoded_form_test.go
@@ -9,6 +9,6 @@
 // Encoded forms are part of the protocol or of stored data: names and order of fields stay.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
-		encodedform.Form{Name: "past transfer", Value: Past{}, WriteOnly: true},
+		encodedform.Form{Name: "past transfer", Value: Transfer{}, WriteOnly: true},
 	)
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -10,149 +10,151 @@
 	"strings"
 	"time"
 
-	"cherrywall/internal/books"
+	"cherrywall/internal/clusterstate"
 	"cherrywall/internal/config"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/membership"
-	"cherrywall/internal/mirror"
-	"cherrywall/internal/others"
 	"cherrywall/internal/peer"
-	"cherrywall/internal/recovery"
-	"cherrywall/internal/sessions"
+	"cherrywall/internal/peerstatus"
+	"cherrywall/internal/reconciliation"
+	"cherrywall/internal/statecache"
 	"cherrywall/internal/tuning"
-	"cherrywall/internal/worker"
+	"cherrywall/internal/workerapi"
+	"cherrywall/internal/workersession"
 )
 
-// Slices are what shares are handed over with.
-type Slices struct {
-	Books    *books.Books
-	Holders  *membership.Table
-	Mirror   *mirror.Mirror
-	Sessions *sessions.Keeper
-	Recovery *recovery.Keeper
-	Others   *others.Heard
+// Dependencies are what shares are handed over with.
+type Dependencies struct {
+	State      *clusterstate.State
+	Membership *membership.Table
+	Cache      *statecache.Cache
+	Sessions   *workersession.Manager
+	Reconciler *reconciliation.Reconciler
+	Peers      *peerstatus.Tracker
 }
 
-// Keeper has no locks: one actor owns it.
-type Keeper struct {
-	Slices
+// Coordinator has no locks: one actor owns it.
+type Coordinator struct {
+	Dependencies
 	cfg  *config.Config
 	log  *slog.Logger
-	send func(to string, pieces []*peer.Piece) bool
-
-	wanted  map[string]time.Time // shares that others hold and we should have: asked for since
-	giving  map[string]*gift     // shares held here that are asked for
-	parcels map[string]*parcel   // what is known of shares under a record
-	vain    map[string]time.Time // when a share was last given in vain
-	leaving bool                 // this controller is about to end
-	past    []Past               // the latest last
+	send func(to string, pieces []*peer.TransferChunk) bool
+
+	requestedAt map[string]time.Time         // shares that others hold and we should have: asked for since
+	outgoing    map[string]*outgoingTransfer // shares held here that are asked for
+	payloads    map[string]*payload          // what is known of shares under a record
+	failedAt    map[string]time.Time         // when a share was last given in vain
+	isLeaving   bool                         // this controller is about to end
+	history     []Transfer                   // the latest last
 }
 
-// Past is a hand-over that has ended, or is under way, as operators see it.
-type Past struct {
-	Share   string    `json:"share"`
-	To      string    `json:"to"`
-	Outcome string    `json:"outcome"`
-	TookS   float64   `json:"took_s"` // from the giver's last answer, or the taker's question, on
-	At      time.Time `json:"-"`
-	AgoS    float64   `json:"ago_s"`
+// Transfer is a hand-over that has ended, or is under way, as operators see it.
+type Transfer struct {
+	Shard           string    `json:"share"`
+	To              string    `json:"to"`
+	Outcome         string    `json:"outcome"`
+	DurationSeconds float64   `json:"took_s"` // from the giver's last answer, or the taker's question, on
+	EndedAt         time.Time `json:"-"`
+	AgeSeconds      float64   `json:"ago_s"`
 }
 
-// note remembers how a hand-over ended.
-func (k *Keeper) note(share, to, outcome string, since, now time.Time) {
-	k.past = append(k.past, Past{Share: share, To: to, Outcome: outcome, TookS: now.Sub(since).Seconds(), At: now})
-	k.past = k.past[max(0, len(k.past)-tuning.NamesShown):]
+// record remembers how a hand-over ended.
+func (c *Coordinator) record(share, to, outcome string, since, now time.Time) {
+	c.history = append(c.history, Transfer{Shard: share, To: to, Outcome: outcome, DurationSeconds: now.Sub(since).Seconds(), EndedAt: now})
+	c.history = c.history[max(0, len(c.history)-tuning.MaxListedNames):]
 }
 
-// Views are the hand-overs under way here, and the last ones.
-func (k *Keeper) Views(now time.Time) []Past {
-	out := []Past{}
-	for id, g := range k.giving {
-		x := Past{Share: id, To: g.to, Outcome: "being prepared", TookS: now.Sub(g.asked).Seconds()}
-		if !g.given.IsZero() {
-			x.Outcome, x.TookS = "given, not taken yet", now.Sub(g.given).Seconds()
+// Transfers are the hand-overs under way here, and the last ones.
+func (c *Coordinator) Transfers(now time.Time) []Transfer {
+	out := []Transfer{}
+	for id, transfer := range c.outgoing {
+		view := Transfer{Shard: id, To: transfer.recipient, Outcome: "being prepared", DurationSeconds: now.Sub(transfer.requestedAt).Seconds()}
+		if !transfer.sentAt.IsZero() {
+			view.Outcome, view.DurationSeconds = "given, not taken yet", now.Sub(transfer.sentAt).Seconds()
 		}
-		out = append(out, x)
+		out = append(out, view)
 	}
-	for _, id := range k.Wants(now) {
-		out = append(out, Past{Share: id, To: k.cfg.Node, Outcome: "asked for", TookS: now.Sub(k.wanted[id]).Seconds()})
+	for _, id := range c.RequestedShards(now) {
+		out = append(out, Transfer{Shard: id, To: c.cfg.Node, Outcome: "asked for", DurationSeconds: now.Sub(c.requestedAt[id]).Seconds()})
 	}
-	slices.SortFunc(out, func(x, y Past) int { return strings.Compare(x.Share, y.Share) })
-	for _, x := range slices.Backward(k.past) {
-		x.AgoS = now.Sub(x.At).Seconds()
-		out = append(out, x)
+	slices.SortFunc(out, func(view, y Transfer) int { return strings.Compare(view.Shard, y.Shard) })
+	for _, view := range slices.Backward(c.history) {
+		view.AgeSeconds = now.Sub(view.EndedAt).Seconds()
+		out = append(out, view)
 	}
 	return out
 }
 
-// gift is a share that another controller has asked for.
-type gift struct {
-	stamp uint64
-	to    string
-	asked time.Time
-	given time.Time // zero: returns and moves of its machines are still under way
+// outgoingTransfer is a share that another controller has asked for.
+type outgoingTransfer struct {
+	epoch       uint64
+	recipient   string
+	requestedAt time.Time
+	sentAt      time.Time // zero: returns and moves of its machines are still under way
 }
 
-// parcel is what a giver knew of a share, under the record of a stamp, when it stopped
+// payload is what a giver knew of a share, under the record of a stamp, when it stopped
 // answering its workers. Whoever replaces that record next may go on from it.
-type parcel struct {
-	stamp    uint64
-	of, have int
-	pieces   [][]peer.Standing
-	at       time.Time
+type payload struct {
+	epoch           uint64
+	total, received int
+	chunks          [][]peer.MachineSnapshot
+	updatedAt       time.Time
 }
 
-func (p *parcel) whole() bool { return p != nil && p.have == p.of }
+func (p *payload) isComplete() bool { return p != nil && p.received == p.total }
 
 // New makes a keeper; send has pieces sent to another controller and tells whether they
 // found room.
-func New(cfg *config.Config, s Slices, send func(to string, pieces []*peer.Piece) bool, log *slog.Logger) *Keeper {
-	k := &Keeper{Slices: s, cfg: cfg, log: log, send: send}
-	k.Reset()
-	return k
+func New(cfg *config.Config, s Dependencies, send func(to string, chunks []*peer.TransferChunk) bool, log *slog.Logger) *Coordinator {
+	c := &Coordinator{Dependencies: s, cfg: cfg, log: log, send: send}
+	c.Reset()
+	return c
 }
 
 // Reset forgets all: the records are read anew. A share that was given stays so, since its
 // record does.
-func (k *Keeper) Reset() {
-	k.wanted, k.giving, k.parcels = map[string]time.Time{}, map[string]*gift{}, map[string]*parcel{}
-	k.vain = map[string]time.Time{}
+func (c *Coordinator) Reset() {
+	c.requestedAt, c.outgoing, c.payloads = map[string]time.Time{}, map[string]*outgoingTransfer{}, map[string]*payload{}
+	c.failedAt = map[string]time.Time{}
 }
 
-// Wait tells whether a share that this controller is to take from one that lives should be
+// ShouldAwaitTransfer tells whether a share that this controller is to take from one that lives should be
 // waited for a moment longer: it was asked for and has not arrived.
-func (k *Keeper) Wait(id string, now time.Time) bool {
-	s := k.Holders.Share(id)
-	if s == nil {
+func (c *Coordinator) ShouldAwaitTransfer(id string, now time.Time) bool {
+	shard := c.Membership.Shard(id)
+	if shard == nil {
 		return false
 	}
-	if p := k.parcels[id]; p.whole() && p.stamp == s.Stamp() {
+	if p := c.payloads[id]; p.isComplete() && p.epoch == shard.Epoch() {
 		return false
 	}
 	// A holder that its workers can't reach has nothing to wait for: they come here.
-	since, before := k.want(id, now)
-	return !before || now.Sub(since) < tuning.WantFor && float64(k.Sessions.Strays(id, now)) <= max(2, tuning.StrayPart*float64(k.Books.InShare(id)))
+	since, before := c.request(id, now)
+	return !before || now.Sub(since) < tuning.TransferRequestTimeout && float64(c.Sessions.MisdirectedHeartbeats(id, now)) <= max(2, tuning.StrayWorkerFraction*float64(c.State.MachineCountIn(id)))
 }
 
-// want has a share asked for, if it is not yet; it tells since when it is, and whether it
+// request has a share asked for, if it is not yet; it tells since when it is, and whether it
 // was before.
-func (k *Keeper) want(id string, now time.Time) (since time.Time, before bool) {
-	if since, before = k.wanted[id]; !before {
+func (c *Coordinator) request(id string, now time.Time) (since time.Time, before bool) {
+	if since, before = c.requestedAt[id]; !before {
 		since = now
-		k.wanted[id] = now
+		c.requestedAt[id] = now
 	}
 	return since, before
 }
 
-// othersHold tells whether another controller, which lives, holds a share.
-func (k *Keeper) othersHold(s *membership.Share) bool { return k.Holders.HolderLives(s) && !s.Mine() }
+// ownedByLivePeer tells whether another controller, which lives, holds a share.
+func (c *Coordinator) ownedByLivePeer(shard *membership.Shard) bool {
+	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
+}
 
-// Wants are the shares that others are asked to hand over, for the beat: as long as they
+// RequestedShards are the shares that others are asked to hand over, for the beat: as long as they
 // are waited for, since a giver answers nobody meanwhile.
-func (k *Keeper) Wants(now time.Time) []string {
+func (c *Coordinator) RequestedShards(now time.Time) []string {
 	var out []string
-	for id, since := range k.wanted {
-		if s := k.Holders.Share(id); now.Sub(since) < tuning.WantFor && k.othersHold(s) {
+	for id, since := range c.requestedAt {
+		if shard := c.Membership.Shard(id); now.Sub(since) < tuning.TransferRequestTimeout && c.ownedByLivePeer(shard) {
 			out = append(out, id)
 		}
 	}
@@ -161,290 +163,290 @@
 }
 
 // Leave has this controller give all its shares to whoever asks for them.
-func (k *Keeper) Leave() {
-	k.leaving = true
-	k.Mirror.TakeNoMore()
+func (c *Coordinator) Leave() {
+	c.isLeaving = true
+	c.Cache.StopAcquiringShards()
 }
 
-// Asked takes in which shares another controller wants. Only its home is given a share,
+// HandleRequests takes in which shares another controller wants. Only its home is given a share,
 // unless this controller is about to end.
-func (k *Keeper) Asked(by string, wants []string, now time.Time) {
+func (c *Coordinator) HandleRequests(by string, wants []string, now time.Time) {
 	for _, id := range wants {
-		s := k.Holders.Share(id)
-		if id != by && !k.leaving || s == nil || !s.Mine() || !s.Settled() || s.Given() || k.giving[id] != nil || k.Mirror.Stale(now) ||
-			!k.Holders.IsLive(by, 0) || now.Sub(k.vain[id]) < tuning.HandOverAgain {
+		shard := c.Membership.Shard(id)
+		if id != by && !c.isLeaving || shard == nil || !shard.IsLocal() || !shard.IsReconciled() || shard.IsTransferred() || c.outgoing[id] != nil || c.Cache.IsStale(now) ||
+			!c.Membership.IsLive(by, 0) || now.Sub(c.failedAt[id]) < tuning.TransferRetryDelay {
 			continue
 		}
-		k.giving[id] = &gift{stamp: s.Stamp(), to: by, asked: now}
-		s.Prepare() // no machine of it is returned or moved any more
-		k.give(s, now)
+		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: by, requestedAt: now}
+		shard.PrepareTransfer() // no machine of it is returned or moved any more
+		c.sendShard(shard, now)
 	}
 }
 
 // Tick does what is due.
-func (k *Keeper) Tick(now time.Time) {
-	for id, g := range k.giving {
-		s := k.Holders.Share(id)
+func (c *Coordinator) Tick(now time.Time) {
+	for id, transfer := range c.outgoing {
+		shard := c.Membership.Shard(id)
 		switch {
-		case s == nil || !s.Mine() || s.Stamp() != g.stamp:
+		case shard == nil || !shard.IsLocal() || shard.Epoch() != transfer.epoch:
 			switch {
-			case g.given.IsZero() || s == nil:
-			case s.Holder() == g.to:
-				k.note(id, g.to, "handed over", g.given, now)
-				k.log.Info("share handed over", "share", id, "to", g.to, "after_s", now.Sub(g.given).Seconds())
-			case s.Mine():
-				k.vain[id] = now
-				k.note(id, g.to, "given in vain, taken again", g.given, now)
-				k.log.Info("share given in vain, taken again", "share", id, "to", g.to)
+			case transfer.sentAt.IsZero() || shard == nil:
+			case shard.Owner() == transfer.recipient:
+				c.record(id, transfer.recipient, "handed over", transfer.sentAt, now)
+				c.log.Info("share handed over", "share", id, "to", transfer.recipient, "after_s", now.Sub(transfer.sentAt).Seconds())
+			case shard.IsLocal():
+				c.failedAt[id] = now
+				c.record(id, transfer.recipient, "given in vain, taken again", transfer.sentAt, now)
+				c.log.Info("share given in vain, taken again", "share", id, "to", transfer.recipient)
 			}
-			delete(k.giving, id)
-		case g.given.IsZero() && now.Sub(g.asked) < tuning.HandOver:
-			k.give(s, now)
-		case g.given.IsZero():
-			s.Unprepare()
-			delete(k.giving, id)
-		case now.Sub(g.given) > tuning.HandOver:
+			delete(c.outgoing, id)
+		case transfer.sentAt.IsZero() && now.Sub(transfer.requestedAt) < tuning.TransferTimeout:
+			c.sendShard(shard, now)
+		case transfer.sentAt.IsZero():
+			shard.AbortTransfer()
+			delete(c.outgoing, id)
+		case now.Sub(transfer.sentAt) > tuning.TransferTimeout:
 			// Nobody took it. Answered without a new record, its workers could be
 			// commanded by both, should the taker's write come late.
-			k.Mirror.TakeAgain(s, now)
+			c.Cache.ReacquireShard(shard, now)
 		}
 	}
-	for _, s := range k.Holders.Mine() {
-		if s.Given() && k.giving[s.ID()] == nil {
-			k.Mirror.TakeAgain(s, now) // the records were read anew meanwhile
+	for _, shard := range c.Membership.LocalShards() {
+		if shard.IsTransferred() && c.outgoing[shard.ID()] == nil {
+			c.Cache.ReacquireShard(shard, now) // the records were read anew meanwhile
 		}
 	}
-	for _, s := range k.Holders.Shares() {
-		if k.othersHold(s) && k.Others.Leaving(s.Holder(), now) &&
-			k.Holders.HeirBut(s.ID(), func(n string) bool { return k.Others.Leaving(n, now) }) == k.cfg.Node {
-			k.want(s.ID(), now)
+	for _, shard := range c.Membership.Shards() {
+		if c.ownedByLivePeer(shard) && c.Peers.IsLeaving(shard.Owner(), now) &&
+			c.Membership.SuccessorExcluding(shard.ID(), func(n string) bool { return c.Peers.IsLeaving(n, now) }) == c.cfg.Node {
+			c.request(shard.ID(), now)
 		}
 	}
-	for id := range k.wanted {
-		k.take(id, now)
-		if !k.othersHold(k.Holders.Share(id)) {
-			delete(k.wanted, id)
+	for id := range c.requestedAt {
+		c.acquireIfComplete(id, now)
+		if !c.ownedByLivePeer(c.Membership.Shard(id)) {
+			delete(c.requestedAt, id)
 		}
 	}
-	for id, p := range k.parcels {
-		if now.Sub(p.at) > 2*tuning.HandOver && (k.Holders.Share(id) == nil || !k.Holders.Share(id).Given()) {
-			delete(k.parcels, id)
+	for id, p := range c.payloads {
+		if now.Sub(p.updatedAt) > 2*tuning.TransferTimeout && (c.Membership.Shard(id) == nil || !c.Membership.Shard(id).IsTransferred()) {
+			delete(c.payloads, id)
 		}
 	}
-	k.Apply(now)
+	c.ApplyPayloads(now)
 }
 
-// give hands a share over, unless a machine of it is just being returned or moved: what
+// sendShard hands a share over, unless a machine of it is just being returned or moved: what
 // comes of that is not known yet.
-func (k *Keeper) give(s *membership.Share, now time.Time) {
-	g := k.giving[s.ID()]
-	var ms []*books.Machine
-	for m := range k.Books.HeldIn(s.ID()) {
-		if is := m.Is(); (is.Releasing || is.Moving) && !is.Released {
+func (c *Coordinator) sendShard(shard *membership.Shard, now time.Time) {
+	transfer := c.outgoing[shard.ID()]
+	var machines []*clusterstate.Machine
+	for machine := range c.State.OwnedMachinesIn(shard.ID()) {
+		if (machine.IsReleasing() || machine.IsMoving()) && !machine.IsReleased() {
 			return
 		}
-		ms = append(ms, m)
-	}
-	k.Sessions.Flush(s)
-	pieces := k.pack(s, ms, now)
-	if pieces == nil {
-		s.Unprepare()
-		delete(k.giving, s.ID())
-		k.vain[s.ID()] = now
+		machines = append(machines, machine)
+	}
+	c.Sessions.FlushResponses(shard)
+	chunks := c.buildChunks(shard, machines, now)
+	if chunks == nil {
+		shard.AbortTransfer()
+		delete(c.outgoing, shard.ID())
+		c.failedAt[shard.ID()] = now
 		return
 	}
-	k.Holders.Give(s)
-	g.given = now
-	p := &parcel{stamp: s.Stamp(), of: len(pieces), have: len(pieces), at: now}
-	for _, piece := range pieces {
-		p.pieces = append(p.pieces, piece.Machines)
+	c.Membership.MarkTransferred(shard)
+	transfer.sentAt = now
+	p := &payload{epoch: shard.Epoch(), total: len(chunks), received: len(chunks), updatedAt: now}
+	for _, chunk := range chunks {
+		p.chunks = append(p.chunks, chunk.Machines)
 	}
-	k.parcels[s.ID()] = p // for ourselves, should nobody take it
-	ok := k.send(g.to, pieces)
-	k.log.Info("share given", "share", s.ID(), "to", g.to, "machines", len(ms), "pieces", len(pieces), "sent", ok)
+	c.payloads[shard.ID()] = p // for ourselves, should nobody take it
+	ok := c.send(transfer.recipient, chunks)
+	c.log.Info("share given", "share", shard.ID(), "to", transfer.recipient, "machines", len(machines), "pieces", len(chunks), "sent", ok)
 }
 
-// pack puts what is known of a share's machines into pieces, each of which fits a frame;
+// buildChunks puts what is known of a share's machines into pieces, each of which fits a frame;
 // nil if it is too much to be sent while nobody is answered.
-func (k *Keeper) pack(s *membership.Share, ms []*books.Machine, now time.Time) []*peer.Piece {
-	pieces := []*peer.Piece{{}}
+func (c *Coordinator) buildChunks(shard *membership.Shard, machines []*clusterstate.Machine, now time.Time) []*peer.TransferChunk {
+	chunks := []*peer.TransferChunk{{}}
 	n := 0
-	all := k.ended(s)
-	for _, m := range ms {
-		all = append(all, k.standing(m, now))
-	}
-	for _, x := range all {
-		size := 1 + len(x.Tasks)
-		if n > 0 && n+size > tuning.PieceTasks {
-			pieces, n = append(pieces, &peer.Piece{}), 0
+	all := c.completedTasks(shard)
+	for _, machine := range machines {
+		all = append(all, c.machineSnapshot(machine, now))
+	}
+	for _, snapshot := range all {
+		size := 1 + len(snapshot.Tasks)
+		if n > 0 && n+size > tuning.MaxTransferChunkTasks {
+			chunks, n = append(chunks, &peer.TransferChunk{}), 0
 		}
-		if size > tuning.PieceTasks || len(pieces) >= tuning.PiecesWaiting {
+		if size > tuning.MaxTransferChunkTasks || len(chunks) >= tuning.MaxPendingTransferChunks {
 			return nil
 		}
-		last := pieces[len(pieces)-1]
-		last.Machines, n = append(last.Machines, x), n+size
+		last := chunks[len(chunks)-1]
+		last.Machines, n = append(last.Machines, snapshot), n+size
 	}
-	for i, piece := range pieces {
-		piece.Share, piece.Stamp, piece.Index, piece.Of = s.ID(), s.Stamp(), i, len(pieces)
+	for i, chunk := range chunks {
+		chunk.Shard, chunk.Epoch, chunk.Index, chunk.Total = shard.ID(), shard.Epoch(), i, len(chunks)
 	}
-	return pieces
+	return chunks
 }
 
-// ended are the tasks that are done and not recorded so, in the place of machines without a
+// completedTasks are the tasks that are done and not recorded so, in the place of machines without a
 // name: on none of them, they were taken for nowhere and started again.
-func (k *Keeper) ended(s *membership.Share) []peer.Standing {
-	var out []peer.Standing
-	var tasks []peer.Task
-	for r := range k.Books.RangesIn(s.ID()) {
-		for _, name := range r.UntoldTasks() {
-			if tasks = append(tasks, peer.Task{Name: name}); len(tasks) == tuning.PieceTasks-1 {
-				out, tasks = append(out, peer.Standing{Tasks: tasks}), nil
+func (c *Coordinator) completedTasks(shard *membership.Shard) []peer.MachineSnapshot {
+	var out []peer.MachineSnapshot
+	var tasks []peer.TaskSnapshot
+	for taskRange := range c.State.TaskRangesIn(shard.ID()) {
+		for _, name := range taskRange.UnrecordedDoneTasks() {
+			if tasks = append(tasks, peer.TaskSnapshot{Name: name}); len(tasks) == tuning.MaxTransferChunkTasks-1 {
+				out, tasks = append(out, peer.MachineSnapshot{Tasks: tasks}), nil
 			}
 		}
 	}
 	if len(tasks) > 0 {
-		out = append(out, peer.Standing{Tasks: tasks})
+		out = append(out, peer.MachineSnapshot{Tasks: tasks})
 	}
 	return out
 }
 
-// standing is what is known of a machine here. Plans that nobody was told are left out, but
+// machineSnapshot is what is known of a machine here. Plans that nobody was told are left out, but
 // for those of a gang of which some tasks were ordered.
-func (k *Keeper) standing(m *books.Machine, now time.Time) peer.Standing {
-	is := m.Is()
-	x := peer.Standing{Host: m.Host(), Gone: is.Gone, Recalled: is.Recalled, Drained: is.Drained, Empty: is.Empty,
-		Unheard: !is.Heard && !is.Gone}
-	x.Session, x.Report, x.Over = k.Sessions.Last(m)
-	for s := range m.Slots() {
-		c := s.Is()
-		if c.Planned() && !begun(s.Job()) {
+func (k *Coordinator) machineSnapshot(machine *clusterstate.Machine, now time.Time) peer.MachineSnapshot {
+
+	snapshot := peer.MachineSnapshot{Host: machine.Host(), Lost: machine.IsLost(), Preempted: machine.IsPreempted(), Drained: machine.IsCordoned(), Empty: machine.ReportedEmpty(),
+		AwaitingHeartbeat: !machine.HasReported() && !machine.IsLost()}
+	snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch = k.Sessions.LastHeartbeat(machine)
+	for assignment := range machine.Assignments() {
+		c := assignment.Status()
+		if c.IsPlanned() && !gangStarted(assignment.Job()) {
 			continue
 		}
-		t := peer.Task{Name: s.Name(), Attempt: s.Try(), Status: c.Status, Sent: c.Sent, Seen: c.Seen, Stop: c.Stop, Halted: c.Halted,
-			Leeway: c.Leeway, Alien: s.Job() == nil}
-		if !c.Since.IsZero() {
-			t.Ran = now.Sub(c.Since)
+		task := peer.TaskSnapshot{Name: assignment.Name(), Attempt: assignment.Attempt(), Status: c.WorkerStatus, StartSent: c.StartSent, Reported: c.Reported, StopRequested: c.Stopping, StopSent: c.StopSent,
+			GraceSeconds: c.GraceS, Foreign: assignment.Job() == nil}
+		if !c.RunningSince.IsZero() {
+			task.RunningFor = now.Sub(c.RunningSince)
 		}
-		x.Tasks = append(x.Tasks, t)
+		snapshot.Tasks = append(snapshot.Tasks, task)
 	}
-	return x
+	return snapshot
 }
 
-// begun tells whether some task of a gang was ordered.
-func begun(j *books.Job) bool {
-	if j == nil || j.Rec().Kind != jobs.Gang {
+// gangStarted tells whether some task of a gang was ordered.
+func gangStarted(job *clusterstate.Job) bool {
+	if job == nil || job.Record().Kind != jobs.Gang {
 		return false
 	}
-	_, started := j.Attempt()
+	_, started := job.GangAttempt()
 	return started
 }
 
-// Hear takes in a piece of a share that another controller gives. Only what the holder
+// HandleChunk takes in a piece of a share that another controller gives. Only what the holder
 // says under its own record counts.
-func (k *Keeper) Hear(from string, p *peer.Piece, now time.Time) {
-	s := k.Holders.Share(p.Share)
-	if _, wanted := k.wanted[p.Share]; !wanted || p.Of > tuning.PiecesWaiting || s == nil || s.Mine() || s.Holder() != from || s.Stamp() != p.Stamp {
+func (c *Coordinator) HandleChunk(from string, chunk *peer.TransferChunk, now time.Time) {
+	shard := c.Membership.Shard(chunk.Shard)
+	if _, wanted := c.requestedAt[chunk.Shard]; !wanted || chunk.Total > tuning.MaxPendingTransferChunks || shard == nil || shard.IsLocal() || shard.Owner() != from || shard.Epoch() != chunk.Epoch {
 		return
 	}
-	have := k.parcels[p.Share]
-	if have == nil || have.stamp != p.Stamp || have.of != p.Of {
-		have = &parcel{stamp: p.Stamp, of: p.Of, pieces: make([][]peer.Standing, p.Of)}
-		k.parcels[p.Share] = have
+	have := c.payloads[chunk.Shard]
+	if have == nil || have.epoch != chunk.Epoch || have.total != chunk.Total {
+		have = &payload{epoch: chunk.Epoch, total: chunk.Total, chunks: make([][]peer.MachineSnapshot, chunk.Total)}
+		c.payloads[chunk.Shard] = have
 	}
-	if have.pieces[p.Index] != nil {
+	if have.chunks[chunk.Index] != nil {
 		return
 	}
-	have.pieces[p.Index] = append([]peer.Standing{}, p.Machines...) // not nil: it is there
-	have.have++
-	have.at = now
-	k.take(p.Share, now)
+	have.chunks[chunk.Index] = append([]peer.MachineSnapshot{}, chunk.Machines...) // not nil: it is there
+	have.received++
+	have.updatedAt = now
+	c.acquireIfComplete(chunk.Shard, now)
 }
 
-// take takes a share of which all pieces have arrived.
-func (k *Keeper) take(id string, now time.Time) {
-	if s, p := k.Holders.Share(id), k.parcels[id]; s != nil && !s.Mine() && p.whole() && p.stamp == s.Stamp() {
-		k.Mirror.TakeGiven(s, now)
+// acquireIfComplete takes a share of which all pieces have arrived.
+func (c *Coordinator) acquireIfComplete(id string, now time.Time) {
+	if shard, p := c.Membership.Shard(id), c.payloads[id]; shard != nil && !shard.IsLocal() && p.isComplete() && p.epoch == shard.Epoch() {
+		c.Cache.AcquireTransferredShard(shard, now)
 	}
 }
 
-// Caught does what had to wait until the mirror knew more: taking a share that has arrived,
+// CacheAdvanced does what had to wait until the mirror knew more: taking a share that has arrived,
 // going on from one that was taken. Every 250 ms was half of the time in which nobody
 // answered the share's workers.
-func (k *Keeper) Caught(now time.Time) {
-	for id := range k.wanted {
-		k.take(id, now)
+func (c *Coordinator) CacheAdvanced(now time.Time) {
+	for id := range c.requestedAt {
+		c.acquireIfComplete(id, now)
 	}
-	k.Apply(now)
+	c.ApplyPayloads(now)
 }
 
-// Apply goes on from what was handed over, once the share is ours and all that was recorded
+// ApplyPayloads goes on from what was handed over, once the share is ours and all that was recorded
 // before is known.
-func (k *Keeper) Apply(now time.Time) {
-	for id, p := range k.parcels {
-		s := k.Holders.Share(id)
+func (c *Coordinator) ApplyPayloads(now time.Time) {
+	for id, p := range c.payloads {
+		shard := c.Membership.Shard(id)
 		// The record that ours replaced is the one under which the giver stopped to
 		// answer: nothing was ordered since, by nobody.
-		if !p.whole() || s == nil || !s.Mine() || s.Before() != p.stamp || !k.Mirror.Knows(s) {
+		if !p.isComplete() || shard == nil || !shard.IsLocal() || shard.PreviousEpoch() != p.epoch || !c.Cache.HasReachedEpoch(shard) {
 			continue
 		}
-		delete(k.parcels, id)
+		delete(c.payloads, id)
 		n := 0
-		for _, piece := range p.pieces {
-			for _, x := range piece {
-				if x.Host == "" {
-					k.done(s, x.Tasks)
-				} else if m := k.Books.Machine(x.Host); m != nil && m.Rec().Share == id && m.Stamp() < s.Stamp() && !m.Is().Heard && !m.Is().Gone {
-					k.inherit(m, x, now)
+		for _, chunk := range p.chunks {
+			for _, snapshot := range chunk {
+				if snapshot.Host == "" {
+					c.markCompleted(shard, snapshot.Tasks)
+				} else if machine := c.State.Machine(snapshot.Host); machine != nil && machine.Record().Shard == id && machine.Revision() < shard.Epoch() && !machine.HasReported() && !machine.IsLost() {
+					c.applySnapshot(machine, snapshot, now)
 					n++
 				}
 			}
 		}
-		k.Recovery.Check(now)
-		since, asked := k.wanted[id]
+		c.Reconciler.Check(now)
+		since, asked := c.requestedAt[id]
 		if !asked {
-			since = p.at // ours, taken again
+			since = p.updatedAt // ours, taken again
 		}
-		k.note(id, k.cfg.Node, "went on here", since, now)
-		k.log.Info("share goes on", "share", id, "machines", n, "settled", s.Settled())
+		c.record(id, c.cfg.Node, "went on here", since, now)
+		c.log.Info("share goes on", "share", id, "machines", n, "settled", shard.IsReconciled())
 	}
 }
 
-// done takes over which tasks are done and not recorded so.
-func (k *Keeper) done(s *membership.Share, tasks []peer.Task) {
-	for _, t := range tasks {
-		if ref, i, ok := jobs.ParseTask(t.Name); ok {
-			if r, at := k.Books.Task(ref, i); r != nil && r.Rec().Share == s.ID() {
-				k.Books.MarkDone(r, at, nil)
+// markCompleted takes over which tasks are done and not recorded so.
+func (c *Coordinator) markCompleted(shard *membership.Shard, tasks []peer.TaskSnapshot) {
+	for _, task := range tasks {
+		if ref, i, ok := jobs.ParseTask(task.Name); ok {
+			if taskRange, at := c.State.FindTask(ref, i); taskRange != nil && taskRange.Record().Shard == shard.ID() {
+				c.State.MarkDone(taskRange, at, nil)
 			}
 		}
 	}
 }
 
-func (k *Keeper) inherit(m *books.Machine, x peer.Standing, now time.Time) {
-	k.Sessions.Inherit(m, x.Session, x.Report, x.Over)
+func (c *Coordinator) applySnapshot(machine *clusterstate.Machine, snapshot peer.MachineSnapshot, now time.Time) {
+	c.Sessions.RestoreSession(machine, snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch)
 	switch {
-	case x.Unheard:
-		k.Recovery.Spare(m)
+	case snapshot.AwaitingHeartbeat:
+		c.Reconciler.ExemptWorker(machine)
 		return
-	case x.Gone:
-		k.Books.Assume(m, now)
+	case snapshot.Lost:
+		c.State.AssumeLost(machine, now)
 		return
 	}
-	for _, t := range x.Tasks {
-		e := worker.Entry{Task: t.Name, Try: t.Attempt, Status: t.Status}
-		k.Books.Inherit(m, books.Known{Entry: e, Ran: t.Ran, Is: books.Course{Sent: t.Sent, Seen: t.Seen, Status: t.Status, Stop: t.Stop,
-			Leeway: t.Leeway, Halted: t.Halted}}, !t.Alien && recovery.Stays(k.Books.Find(m, e)), now)
+	for _, task := range snapshot.Tasks {
+		entry := workerapi.TaskStatus{Task: task.Name, Attempt: task.Attempt, Status: task.Status}
+		c.State.RestoreAssignment(machine, clusterstate.PreviousAssignment{TaskStatus: entry, RanFor: task.RunningFor, Progress: clusterstate.AssignmentStatus{StartSent: task.StartSent, Reported: task.Reported, WorkerStatus: task.Status, Stopping: task.StopRequested,
+			GraceS: task.GraceSeconds, StopSent: task.StopSent}}, !task.Foreign && reconciliation.KeepsRunning(c.State.LookupTask(machine, entry)), now)
 	}
-	if x.Recalled {
-		k.Books.Recall(m)
+	if snapshot.Preempted {
+		c.State.MarkPreempted(machine)
 	}
-	if x.Drained {
-		k.Books.Drain(m)
+	if snapshot.Drained {
+		c.State.Drain(machine)
 	}
 	// The giver answered nobody since it gave the share, which was before we took it: no
 	// lease that it renewed lasts longer than one that begins now.
-	k.Books.Reports(m, now)
-	if k.Books.Heard(m, x.Empty, false) {
-		k.Recovery.Inherited(m)
+	c.State.BeginHeartbeat(machine, now)
+	if c.State.EndHeartbeat(machine, snapshot.Empty, false) {
+		c.Reconciler.WorkerTransferred(machine)
 	}
 }
--- a/internal/intake/encoded_form_test.go
+++ b/internal/httpapi/encoded_form_test.go
@@ -1,4 +1,4 @@
-package intake
+package httpapi
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 // Encoded forms are part of the protocol or of stored data: names and order of fields stay.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
-		encodedform.Form{Name: "job", Value: jobAnswer{}, WriteOnly: true},
-		encodedform.Form{Name: "checked pipeline", Value: checked{}, WriteOnly: true},
+		encodedform.Form{Name: "job", Value: jobStatus{}, WriteOnly: true},
+		encodedform.Form{Name: "checked pipeline", Value: checkResult{}, WriteOnly: true},
 	)
 }
--- a/internal/intake/intake_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -1,4 +1,4 @@
-package intake
+package httpapi
 
 import (
 	"context"
@@ -10,32 +10,32 @@
 	"testing/synctest"
 
 	"cherrywall/internal/admin"
+	"cherrywall/internal/controller"
 	"cherrywall/internal/jobs"
-	"cherrywall/internal/placement"
-	"cherrywall/internal/sessions"
 	"cherrywall/internal/tuning"
-	"cherrywall/internal/worker"
+	"cherrywall/internal/workerapi"
+	"cherrywall/internal/workersession"
 )
 
-// brain answers as an actor without the state service would.
-type brain struct{}
+// unavailableController answers as an actor without the state service would.
+type unavailableController struct{}
 
-func (brain) Submit(_ string, _ *jobs.Spec, _ error, c chan placement.Reply) {
-	c <- placement.Reply{Code: 503, Error: "state service"}
+func (unavailableController) Submit(_ string, _ *jobs.Spec, _ error, c chan controller.Response) {
+	c <- controller.Response{Code: 503, Error: "state service"}
 }
-func (brain) Poll(ref string, c chan placement.Reply) {
-	c <- placement.Reply{Code: 200, Ref: ref, Status: jobs.Running, Done: 3, Active: 13}
+func (unavailableController) Poll(ref string, c chan controller.Response) {
+	c <- controller.Response{Code: 200, Ref: ref, Status: jobs.Running, DoneTasks: 3, ActiveTasks: 13}
 }
-func (brain) Withdraw(ref string, c chan placement.Reply) {
-	c <- placement.Reply{Code: 404, Error: "no such job"}
+func (unavailableController) Cancel(ref string, c chan controller.Response) {
+	c <- controller.Response{Code: 404, Error: "no such job"}
 }
-func (brain) Report(_ *worker.Report, c chan sessions.Verdict) {
-	c <- sessions.Verdict{Status: 421, Herald: "n1"}
+func (unavailableController) HandleHeartbeat(_ *workerapi.Heartbeat, c chan workersession.HeartbeatReply) {
+	c <- workersession.HeartbeatReply{StatusCode: 421, OwnerNode: "n1"}
 }
-func (brain) Healthy() bool { return false }
+func (unavailableController) Healthy() bool { return false }
 
 func TestAnswersOverHTTP(t *testing.T) {
-	h := Handler(brain{}, admin.NewMetrics())
+	h := NewHandler(unavailableController{}, admin.NewMetrics())
 	report := `{"host":"i-1","build":"m","valley":"a","watch":1,"tick":1,"baton":0,"shifts":[]}`
 	for _, c := range []struct {
 		method, path, body string
@@ -66,19 +66,19 @@
 	}
 }
 
-// slow never answers a poll.
-type slow struct{ brain }
+// unansweredPolls never answers a poll.
+type unansweredPolls struct{ unavailableController }
 
-func (slow) Poll(string, chan placement.Reply) {}
+func (unansweredPolls) Poll(string, chan controller.Response) {}
 
 // Eight times the polls took the time of everything else: health checks failed on
 // all controllers at once, and submissions were late.
 func TestAStormOfPollsIsRefusedAndHarmsNothingElse(t *testing.T) {
-	synctest.Test(t, stormOfPolls)
+	synctest.Test(t, testPollOverload)
 }
 
-func stormOfPolls(t *testing.T) {
-	h := Handler(slow{}, admin.NewMetrics())
+func testPollOverload(t *testing.T) {
+	h := NewHandler(unansweredPolls{}, admin.NewMetrics())
 	ask := func(ctx context.Context, method, path, body string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body)))
@@ -86,7 +86,7 @@
 	}
 	ctx, giveUp := context.WithCancel(t.Context())
 	var waiting sync.WaitGroup
-	for range tuning.PollsAtOnce {
+	for range tuning.MaxWaitingPolls {
 		waiting.Go(func() { ask(ctx, "GET", "/submissions/wk-1", "") })
 	}
 	synctest.Wait() // all of them wait
--- a/internal/jobs/encoded_form_test.go
+++ b/internal/jobs/encoded_form_test.go
@@ -10,11 +10,11 @@
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
 		encodedform.Form{Name: "submission", Value: Spec{}},
-		encodedform.Form{Name: "class limit", Value: Limit{}},
-		encodedform.Form{Name: "tasks", Value: Span{}},
-		encodedform.Form{Name: "job record", Value: Record{}},
-		encodedform.Form{Name: "claim in the job record", Value: Own{}},
-		encodedform.Form{Name: "task range record", Value: Range{}},
-		encodedform.Form{Name: "final state", Value: Final{}},
+		encodedform.Form{Name: "class limit", Value: ClassLimits{}},
+		encodedform.Form{Name: "tasks", Value: TaskInterval{}},
+		encodedform.Form{Name: "job record", Value: JobRecord{}},
+		encodedform.Form{Name: "claim in the job record", Value: WholeJobClaim{}},
+		encodedform.Form{Name: "task range record", Value: RangeRecord{}},
+		encodedform.Form{Name: "final state", Value: FinalState{}},
 	)
 }
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -31,38 +31,38 @@
 	Cancelled = "aborted"
 )
 
-// Final is how a job ended: done or cancelled, and how many of its tasks are done.
-type Final struct {
+// FinalState is how a job ended: done or cancelled, and how many of its tasks are done.
+type FinalState struct {
 	Status string
 	Tasks  int // 0 in records that were written before they told it
 }
 
-type finalFields struct {
+type finalStateJSON struct {
 	Status string `json:"s"`
 	Tasks  int    `json:"n"`
 }
 
 // MarshalJSON writes the record.
-func (f Final) MarshalJSON() ([]byte, error) { return json.Marshal(finalFields(f)) }
+func (f FinalState) MarshalJSON() ([]byte, error) { return json.Marshal(finalStateJSON(f)) }
 
 // UnmarshalJSON reads it, also in its earlier form: the status alone.
-func (f *Final) UnmarshalJSON(raw []byte) error {
+func (f *FinalState) UnmarshalJSON(raw []byte) error {
 	if json.Unmarshal(raw, &f.Status) == nil {
 		return nil
 	}
-	var x finalFields
+	var x finalStateJSON
 	if err := json.Unmarshal(raw, &x); err != nil {
 		return fmt.Errorf("final state: %w", err)
 	}
-	*f = Final(x)
+	*f = FinalState(x)
 	return nil
 }
 
-// Packed names a job that is done in a pack of them, with its number of tasks.
-func Packed(ref string, tasks int) string { return TaskName(ref, tasks) }
+// BatchEntry names a job that is done in a pack of them, with its number of tasks.
+func BatchEntry(ref string, tasks int) string { return TaskName(ref, tasks) }
 
-// Unpack reads it, also in its earlier form: the id alone.
-func Unpack(name string) (ref string, tasks int) {
+// ParseBatchEntry reads it, also in its earlier form: the id alone.
+func ParseBatchEntry(name string) (ref string, tasks int) {
 	if ref, n, ok := ParseTask(name); ok {
 		return ref, n
 	}
@@ -70,94 +70,96 @@
 }
 
 // Priorities from the least to the most urgent.
-var priorities = [Priorities]string{"idle", "normal", "high", "prod"}
+var priorityNames = [PriorityCount]string{"idle", "normal", "high", "prod"}
 
-// Priorities is how many there are.
-const Priorities = 4
+// PriorityCount is how many there are.
+const PriorityCount = 4
 
 // Priority is a job's rank; a larger one goes first.
 type Priority int
 
 // Spec is what a user submits.
 type Spec struct {
-	Ref         string   `json:"ref"`
-	Class       string   `json:"lot"`
-	Team        string   `json:"crew"`
-	Kind        string   `json:"shape"`
-	Urgency     string   `json:"urgency"`
-	Tasks       int      `json:"shifts"`
-	CPU         float64  `json:"vcpus"`
-	GPU         float64  `json:"cards"`
-	MemGB       float64  `json:"ramGb"`
-	Builds      []string `json:"builds"`
-	Zone        *string  `json:"valley"`
-	OneZone     bool     `json:"oneZone"`
-	Spread      bool     `json:"spread"`
-	Spot        bool     `json:"loaners"`
-	Image       string   `json:"kit"`
-	ImageGB     float64  `json:"imageGb"`
-	EstimateS   float64  `json:"guessS"`
-	CheckpointS float64  `json:"waypointS"`
-	SaveS       float64  `json:"stashS"`
-	DueS        *float64 `json:"dueS"`
-	// Awaits are jobs that have to be done before any task of this one starts, each once.
-	Awaits []string `json:"awaits,omitempty"`
+	Ref                       string   `json:"ref"`
+	Class                     string   `json:"lot"`
+	Team                      string   `json:"crew"`
+	Kind                      string   `json:"shape"`
+	Urgency                   string   `json:"urgency"`
+	Tasks                     int      `json:"shifts"`
+	CPU                       float64  `json:"vcpus"`
+	GPU                       float64  `json:"cards"`
+	MemGB                     float64  `json:"ramGb"`
+	MachineTypes              []string `json:"builds"`
+	Zone                      *string  `json:"valley"`
+	OneZone                   bool     `json:"oneZone"`
+	Spread                    bool     `json:"spread"`
+	Spot                      bool     `json:"loaners"`
+	Image                     string   `json:"kit"`
+	ImageGB                   float64  `json:"imageGb"`
+	EstimatedRunSeconds       float64  `json:"guessS"`
+	CheckpointIntervalSeconds float64  `json:"waypointS"`
+	CheckpointSaveSeconds     float64  `json:"stashS"`
+	DeadlineSeconds           *float64 `json:"dueS"`
+	// DependsOn are jobs that have to be done before any task of this one starts, each once.
+	DependsOn []string `json:"awaits,omitempty"`
 }
 
 // Priority ranks the job.
-func (s *Spec) Priority() Priority { return Priority(slices.Index(priorities[:], s.Urgency)) }
+func (s *Spec) Priority() Priority { return Priority(slices.Index(priorityNames[:], s.Urgency)) }
 
 // PriorityName is a rank as the protocol names it.
-func PriorityName(p Priority) string { return priorities[p] }
+func PriorityName(p Priority) string { return priorityNames[p] }
 
 // Need is what each task takes of its machine.
-func (s *Spec) Need() capacity.Vec { return capacity.Vec{CPU: s.CPU, GPU: s.GPU, Mem: s.MemGB} }
+func (s *Spec) Need() capacity.Resources {
+	return capacity.Resources{CPU: s.CPU, GPU: s.GPU, MemGB: s.MemGB}
+}
 
 // Allows tells whether it may run on a group of machines at all.
 func (s *Spec) Allows(g capacity.Group) bool {
 	return (s.Spot || !g.Spot) && (s.Zone == nil || *s.Zone == g.Zone) &&
-		(s.Builds == nil || slices.Contains(s.Builds, g.Build))
+		(s.MachineTypes == nil || slices.Contains(s.MachineTypes, g.MachineType))
 }
 
-// Limit is what a job of a class may ask for at most: retries in a pipeline file, tasks,
+// ClassLimits is what a job of a class may ask for at most: retries in a pipeline file, tasks,
 // and an expected run time of a task in seconds. No tasks or seconds is no limit of them.
-type Limit struct {
-	Retries int     `json:"retries"`
-	Tasks   int     `json:"tasks"`
-	RunS    float64 `json:"run_s"`
+type ClassLimits struct {
+	MaxRetries    int     `json:"retries"`
+	MaxTasks      int     `json:"tasks"`
+	MaxRunSeconds float64 `json:"run_s"`
 }
 
-// Beyond tells in what a job asks for more.
-func (l Limit) Beyond(s *Spec) (tasks, runs bool) {
-	return l.Tasks > 0 && s.Tasks > l.Tasks, l.RunS > 0 && s.EstimateS > l.RunS
+// Exceeded tells in what a job asks for more.
+func (l ClassLimits) Exceeded(s *Spec) (tasks, runs bool) {
+	return l.MaxTasks > 0 && s.Tasks > l.MaxTasks, l.MaxRunSeconds > 0 && s.EstimatedRunSeconds > l.MaxRunSeconds
 }
 
-// Highest is the rank of the most urgent jobs.
-func Highest() Priority { return Priorities - 1 }
+// HighestPriority is the rank of the most urgent jobs.
+func HighestPriority() Priority { return PriorityCount - 1 }
 
 // MaxTasks is the protocol's bound on the tasks of a job.
 const MaxTasks = 100_000
 
-var refForm = regexp.MustCompile(`^[a-z]{1,16}-[0-9]{1,18}$`)
+var refPattern = regexp.MustCompile(`^[a-z]{1,16}-[0-9]{1,18}$`)
 
 // ValidRef tells whether a job id has the protocol's form.
-func ValidRef(ref string) bool { return refForm.MatchString(ref) }
+func ValidRef(ref string) bool { return refPattern.MatchString(ref) }
 
-// Numbered is an id of a prefix and a large number, in the protocol's form.
-func Numbered(prefix string, n uint64) string {
+// NumberedRef is an id of a prefix and a large number, in the protocol's form.
+func NumberedRef(prefix string, n uint64) string {
 	return fmt.Sprintf("%s-%018d", prefix, n%1_000_000_000_000_000_000)
 }
 
-// required and optional are the fields of a submission by their names, to the letter: any other is
+// requiredFields and optional are the fields of a submission by their names, to the letter: any other is
 // ignored, "Shifts" too.
-var required = []string{"ref", "lot", "crew", "shape", "urgency", "shifts", "vcpus", "cards", "ramGb",
+var requiredFields = []string{"ref", "lot", "crew", "shape", "urgency", "shifts", "vcpus", "cards", "ramGb",
 	"kit", "imageGb", "oneZone", "spread", "loaners", "guessS", "waypointS", "stashS"}
 
-var optional = []string{"builds", "valley", "dueS", "awaits"}
+var optionalFields = []string{"builds", "valley", "dueS", "awaits"}
 
-// RefOf finds the id in a body that may be wrong otherwise: a repeated
+// ParseRef finds the id in a body that may be wrong otherwise: a repeated
 // submission of an accepted job is answered 200 whatever its body says now.
-func RefOf(body []byte) (string, bool) {
+func ParseRef(body []byte) (string, bool) {
 	var fields map[string]json.RawMessage
 	var ref string
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["ref"], &ref) != nil {
@@ -166,20 +168,20 @@
 	return ref, ValidRef(ref)
 }
 
-// Parse reads and checks a submission; an error names the field.
-func Parse(body []byte) (*Spec, error) {
+// ParseSpec reads and checks a submission; an error names the field.
+func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, fmt.Errorf("body: not a JSON object")
 	}
 	known := map[string]json.RawMessage{}
-	for _, name := range required {
+	for _, name := range requiredFields {
 		if raw, ok := fields[name]; !ok || string(raw) == "null" {
 			return nil, fmt.Errorf("%s: missing", name)
 		}
 		known[name] = fields[name]
 	}
-	for _, name := range optional {
+	for _, name := range optionalFields {
 		if raw, ok := fields[name]; ok {
 			known[name] = raw
 		}
@@ -190,20 +192,20 @@
 	}
 	var s Spec
 	if err := json.Unmarshal(raw, &s); err != nil {
-		if te, ok := err.(*json.UnmarshalTypeError); ok && te.Field != "" {
-			return nil, fmt.Errorf("%s: wrong type %s", te.Field, te.Value)
+		if typeError, ok := err.(*json.UnmarshalTypeError); ok && typeError.Field != "" {
+			return nil, fmt.Errorf("%s: wrong type %s", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("body: %w", err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return &s, err
 	}
-	s.Awaits = once(s.Awaits)
+	s.DependsOn = withoutDuplicates(s.DependsOn)
 	return &s, nil
 }
 
-// once leaves out names that were given before.
-func once(names []string) []string {
+// withoutDuplicates leaves out names that were given before.
+func withoutDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(names, func(n string) bool {
 		twice := seen[n]
@@ -212,7 +214,7 @@
 	})
 }
 
-func (s *Spec) check() error {
+func (s *Spec) validate() error {
 	switch {
 	case !ValidRef(s.Ref):
 		return fmt.Errorf("ref: bad form")
@@ -228,23 +230,23 @@
 		return fmt.Errorf("shifts: must be 1 to %d", MaxTasks)
 	case s.Image == "":
 		return fmt.Errorf("kit: empty")
-	case s.Builds != nil && (len(s.Builds) == 0 || slices.Contains(s.Builds, "")):
+	case s.MachineTypes != nil && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, "")):
 		return fmt.Errorf("builds: empty, or an empty name")
 	case s.Zone != nil && *s.Zone == "":
 		return fmt.Errorf("valley: empty")
-	case s.DueS != nil && !(*s.DueS > 0 && !math.IsInf(*s.DueS, 0)):
+	case s.DeadlineSeconds != nil && !(*s.DeadlineSeconds > 0 && !math.IsInf(*s.DeadlineSeconds, 0)):
 		return fmt.Errorf("dueS: must be above 0")
 	}
 	for _, a := range []struct {
 		field string
 		v     float64
 	}{{"vcpus", s.CPU}, {"cards", s.GPU}, {"ramGb", s.MemGB}, {"imageGb", s.ImageGB},
-		{"guessS", s.EstimateS}, {"waypointS", s.CheckpointS}, {"stashS", s.SaveS}} {
+		{"guessS", s.EstimatedRunSeconds}, {"waypointS", s.CheckpointIntervalSeconds}, {"stashS", s.CheckpointSaveSeconds}} {
 		if !(a.v >= 0) || math.IsInf(a.v, 0) {
 			return fmt.Errorf("%s: must be a number not below 0", a.field)
 		}
 	}
-	for i, ref := range s.Awaits {
+	for i, ref := range s.DependsOn {
 		switch {
 		case !ValidRef(ref):
 			return fmt.Errorf("awaits[%d]: not a job id", i)
@@ -271,42 +273,42 @@
 	return ref, i, err == nil && i >= 0
 }
 
-// Span is a run of tasks: First and how many.
-type Span struct {
+// TaskInterval is a run of tasks: First and how many.
+type TaskInterval struct {
 	First int `json:"f"`
-	N     int `json:"n"`
+	Count int `json:"n"`
 }
 
-// Record is the durable state of an unfinished job.
-type Record struct {
+// JobRecord is the durable state of an unfinished job.
+type JobRecord struct {
 	Spec
-	// AcceptedMS is the time of day (Unix ms) of the acceptance: the order of
+	// AcceptedAtMS is the time of day (Unix ms) of the acceptance: the order of
 	// arrival.
-	AcceptedMS int64 `json:"at"`
-	// By is the controller that accepted the job.
-	By string `json:"by"`
-	// Free are the tasks that no share has claimed.
-	Free []Span `json:"free"`
+	AcceptedAtMS int64 `json:"at"`
+	// AcceptedBy is the controller that accepted the job.
+	AcceptedBy string `json:"by"`
+	// Unclaimed are the tasks that no share has claimed.
+	Unclaimed []TaskInterval `json:"free"`
 	// Completed counts the tasks of ranges that were completed and dropped: a
 	// job may be claimed in more ranges than one transaction can name.
 	Completed int `json:"d,omitempty"`
-	// Own is the claim of the whole job by one share; Free is empty then. Small
+	// WholeClaim is the claim of the whole job by one share; Free is empty then. Small
 	// jobs are claimed so, which costs no record of a range.
-	Own *Own `json:"own,omitempty"`
-	// Sole says that the end of the job is written to its own record only, never
+	WholeClaim *WholeJobClaim `json:"own,omitempty"`
+	// ExcludedFromBatches says that the end of the job is written to its own record only, never
 	// to a pack: somebody is cancelling it.
-	Sole bool `json:"sole,omitempty"`
-	// ReadyMS is the time of day (Unix ms) at which the last job was done that this one
+	ExcludedFromBatches bool `json:"sole,omitempty"`
+	// DependenciesDoneAtMS is the time of day (Unix ms) at which the last job was done that this one
 	// had waited for; it is written when Awaits goes, with the first claim.
-	ReadyMS int64 `json:"rd,omitempty"`
-	// PerZone counts claimed tasks by zone for jobs with spread, whose ranges
+	DependenciesDoneAtMS int64 `json:"rd,omitempty"`
+	// ClaimedPerZone counts claimed tasks by zone for jobs with spread, whose ranges
 	// are bound to a zone so that shares need not know each other's tasks.
-	PerZone map[string]int `json:"pz,omitempty"`
+	ClaimedPerZone map[string]int `json:"pz,omitempty"`
 }
 
-// Valid tells what is impossible in a record: it was damaged, or is of a program that this
+// Validate tells what is impossible in a record: it was damaged, or is of a program that this
 // one can't follow. Of what it says nothing may be done then.
-func (r *Record) Valid() error {
+func (r *JobRecord) Validate() error {
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
 		return fmt.Errorf("shifts: %d", r.Tasks)
 	}
@@ -314,81 +316,81 @@
 		return fmt.Errorf("shape: unknown %q", r.Kind)
 	}
 	end := 0
-	for i, s := range r.Free {
-		if s.First < end || s.N < 1 || s.N > r.Tasks-s.First {
-			return fmt.Errorf("free[%d]: %d tasks from %d on, of %d", i, s.N, s.First, r.Tasks)
+	for i, s := range r.Unclaimed {
+		if s.First < end || s.Count < 1 || s.Count > r.Tasks-s.First {
+			return fmt.Errorf("free[%d]: %d tasks from %d on, of %d", i, s.Count, s.First, r.Tasks)
 		}
-		end = s.First + s.N
+		end = s.First + s.Count
 	}
 	switch {
 	case r.Completed < 0 || r.Completed > r.Tasks:
 		return fmt.Errorf("d: %d of %d tasks", r.Completed, r.Tasks)
-	case r.Own != nil && (r.Own.Share == "" || r.Own.N < 1 || r.Own.N > r.Tasks):
-		return fmt.Errorf("own: %d of %d tasks, for %q", r.Own.N, r.Tasks, r.Own.Share)
+	case r.WholeClaim != nil && (r.WholeClaim.Shard == "" || r.WholeClaim.Count < 1 || r.WholeClaim.Count > r.Tasks):
+		return fmt.Errorf("own: %d of %d tasks, for %q", r.WholeClaim.Count, r.Tasks, r.WholeClaim.Shard)
 	}
 	return nil
 }
 
-// Valid tells what is impossible in the record of a range that begins with a task.
-func (r *Range) Valid(first int) error {
+// Validate tells what is impossible in the record of a range that begins with a task.
+func (r *RangeRecord) Validate(first int) error {
 	switch {
-	case r.Share == "":
+	case r.Shard == "":
 		return fmt.Errorf("share: missing")
-	case first < 0 || r.N < 1 || r.N > MaxTasks-first:
-		return fmt.Errorf("n: %d tasks from %d on", r.N, first)
+	case first < 0 || r.Count < 1 || r.Count > MaxTasks-first:
+		return fmt.Errorf("n: %d tasks from %d on", r.Count, first)
 	}
 	return nil
 }
 
-// Own is a share's claim of a whole job.
-type Own struct {
-	Share string `json:"share"`
-	// Tenure is the stamp of the share's record under which it was claimed.
-	Tenure uint64 `json:"tenure"`
-	N      int    `json:"n"`
+// WholeJobClaim is a share's claim of a whole job.
+type WholeJobClaim struct {
+	Shard string `json:"share"`
+	// Epoch is the stamp of the share's record under which it was claimed.
+	Epoch uint64 `json:"tenure"`
+	Count int    `json:"n"`
 }
 
-// Freed is the record of a job that waits for no other any more, since a time.
-func (r Record) Freed(since time.Time) Record {
-	if len(r.Awaits) > 0 {
-		r.Awaits, r.ReadyMS = nil, since.UnixMilli()
+// WithDependenciesDone is the record of a job that waits for no other any more, since a time.
+func (r JobRecord) WithDependenciesDone(since time.Time) JobRecord {
+	if len(r.DependsOn) > 0 {
+		r.DependsOn, r.DependenciesDoneAtMS = nil, since.UnixMilli()
 	}
 	return r
 }
 
-// SinceMS is the time of day (Unix ms) from which on the job could have run, as far as its
+// RunnableSinceMS is the time of day (Unix ms) from which on the job could have run, as far as its
 // record tells: that of its acceptance, or when the last job was done that it waited for.
-func (r *Record) SinceMS() int64 { return max(r.AcceptedMS, r.ReadyMS) }
+func (r *JobRecord) RunnableSinceMS() int64 { return max(r.AcceptedAtMS, r.DependenciesDoneAtMS) }
 
-// FreeCount is how many tasks are unclaimed.
-func (r *Record) FreeCount() int {
+// UnclaimedCount is how many tasks are unclaimed.
+func (r *JobRecord) UnclaimedCount() int {
 	n := 0
-	for _, s := range r.Free {
-		n += s.N
+	for _, s := range r.Unclaimed {
+		n += s.Count
 	}
 	return n
 }
 
-// Take removes up to k tasks from the first free span.
-func Take(free []Span, k int) (Span, []Span) {
+// TakeUnclaimed removes up to k tasks from the first free span.
+func TakeUnclaimed(free []TaskInterval, k int) (TaskInterval, []TaskInterval) {
 	s := free[0]
-	if k >= s.N {
+	if k >= s.Count {
 		return s, slices.Clone(free[1:])
 	}
 	rest := slices.Clone(free)
-	rest[0] = Span{First: s.First + k, N: s.N - k}
-	return Span{First: s.First, N: k}, rest
+	rest[0] = TaskInterval{First: s.First + k, Count: s.Count - k}
+	return TaskInterval{First: s.First, Count: k}, rest
 }
 
-// Give returns a span to the free ones, in order and joined.
-func Give(free []Span, s Span) []Span {
+// ReturnUnclaimed returns a span to the free ones, in order and joined.
+func ReturnUnclaimed(free []TaskInterval, s TaskInterval) []TaskInterval {
 	all := append(slices.Clone(free), s)
-	slices.SortFunc(all, func(a, b Span) int { return a.First - b.First })
+	slices.SortFunc(all, func(a, b TaskInterval) int { return a.First - b.First })
 	out := all[:1]
 	for _, x := range all[1:] {
 		last := &out[len(out)-1]
-		if last.First+last.N == x.First {
-			last.N += x.N
+		if last.First+last.Count == x.First {
+			last.Count += x.Count
 		} else {
 			out = append(out, x)
 		}
@@ -396,17 +398,17 @@
 	return out
 }
 
-// Range is the durable state of a claimed run of tasks. It starts at the
+// RangeRecord is the durable state of a claimed run of tasks. It starts at the
 // number in its key.
-type Range struct {
-	Share string `json:"share"`
-	N     int    `json:"n"`
+type RangeRecord struct {
+	Shard string `json:"share"`
+	Count int    `json:"n"`
 	Done  Bitmap `json:"done,omitempty"`
 	// Zone binds the tasks of a job with spread.
 	Zone string `json:"zone,omitempty"`
-	// On is the mark of a gang: the only workers to which its tasks may have been ordered
+	// GangWorkers is the mark of a gang: the only workers to which its tasks may have been ordered
 	// (docs/recovery.md, "Marks"). None: any worker of the share.
-	On []string `json:"on,omitempty"`
+	GangWorkers []string `json:"on,omitempty"`
 }
 
 // Bitmap marks tasks by their place in the range.
@@ -441,30 +443,30 @@
 
 // Keys in the state service.
 const (
-	Prefix       = "cw/"
-	JobPrefix    = "cw/job/"
-	RangePrefix  = "cw/work/"
-	FinalPrefix  = "cw/final/"
-	WorkerPrefix = "cw/worker/"
-	SharePrefix  = "cw/share/"
-	LivePrefix   = "cw/live/"
-	SettingsKey  = "cw/settings"
-	TypesKey     = "cw/types"
+	Prefix          = "cw/"
+	JobPrefix       = "cw/job/"
+	RangePrefix     = "cw/work/"
+	FinalPrefix     = "cw/final/"
+	WorkerPrefix    = "cw/worker/"
+	ShardPrefix     = "cw/share/"
+	LivenessPrefix  = "cw/live/"
+	SettingsKey     = "cw/settings"
+	MachineTypesKey = "cw/types"
 	// BootsKey: the boot times that were learned, by machine type.
-	BootsKey = "cw/boots"
+	BootTimesKey = "cw/boots"
 	// PackPrefix: cw/pack/<share>/<n> lists small jobs that are done, whose own
 	// records may not say so yet.
-	PackPrefix = "cw/pack/"
+	CompletionBatchPrefix = "cw/pack/"
 	// QuotaPrefix: cw/portion/<team in hex> is how a team's limit is split among shares.
 	QuotaPrefix = "cw/portion/"
 	// VersionPrefix: cw/version/<node> says what program a controller runs, see gate.
 	VersionPrefix = "cw/version/"
-	// PartPrefix is for the parts of records that are too large for one value, see parts.
-	PartPrefix = "cw/part/"
-	// ApartPrefix is for records that the core only passes on. They are under Prefix all
+	// ChunkPrefix is for the parts of records that are too large for one value, see parts.
+	ChunkPrefix = "cw/part/"
+	// OpaquePrefix is for records that the core only passes on. They are under Prefix all
 	// the same: a watch of one prefix hears nothing of revisions that others made, and
 	// whoever waited for the copy to be current waited for ten seconds.
-	ApartPrefix = "cw/x/"
+	OpaquePrefix = "cw/x/"
 )
 
 // JobKey, RangeKey and FinalKey name the records of a job.
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -13,7 +13,7 @@
 "spread":false,"loaners":true,"guessS":240.0,"waypointS":30.0,"stashS":4.0,"dueS":900.0}`
 
 func TestBadSubmissionsNameTheField(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := ParseSpec([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, field string }{
@@ -25,7 +25,7 @@
 		{`"oneZone":true`, `"oneZone":1`, "oneZone"}, {`"dueS":900.0`, `"dueS":0`, "dueS"},
 		{`["g8"]`, `[]`, "builds"}, {`{"ref"`, `[{"ref"`, "body"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := ParseSpec([]byte(strings.Replace(good, c.from, c.to, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.field) {
 			t.Errorf("%s -> %s: %v", c.from, c.to, err)
 		}
@@ -34,27 +34,27 @@
 
 // Property: taking and giving back in any order loses and doubles no task.
 func TestSpansKeepEveryTask(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(3, 4))
-	free := []Span{{0, 500}}
-	var held []Span
+	random := rand.New(rand.NewPCG(3, 4))
+	free := []TaskInterval{{0, 500}}
+	var held []TaskInterval
 	for range 3000 {
-		if len(free) > 0 && rnd.IntN(2) == 0 {
-			var s Span
-			s, free = Take(free, 1+rnd.IntN(60))
+		if len(free) > 0 && random.IntN(2) == 0 {
+			var s TaskInterval
+			s, free = TakeUnclaimed(free, 1+random.IntN(60))
 			held = append(held, s)
 		} else if len(held) > 0 {
-			i := rnd.IntN(len(held))
+			i := random.IntN(len(held))
 			s := held[i]
 			held = append(held[:i], held[i+1:]...)
-			if k := rnd.IntN(s.N); k > 0 { // only the tail goes back
-				held = append(held, Span{s.First, k})
-				s = Span{s.First + k, s.N - k}
+			if k := random.IntN(s.Count); k > 0 { // only the tail goes back
+				held = append(held, TaskInterval{s.First, k})
+				s = TaskInterval{s.First + k, s.Count - k}
 			}
-			free = Give(free, s)
+			free = ReturnUnclaimed(free, s)
 		}
 		seen := make([]int, 500)
-		for _, s := range append(append([]Span{}, free...), held...) {
-			for i := s.First; i < s.First+s.N; i++ {
+		for _, s := range append(append([]TaskInterval{}, free...), held...) {
+			for i := s.First; i < s.First+s.Count; i++ {
 				seen[i]++
 			}
 		}
@@ -72,19 +72,19 @@
 	for awaits, want := range map[string]string{`null`: "[]", `[]`: "[]", `["wk-1"]`: "[wk-1]", `["wk-1","wk-2","wk-1"]`: "[wk-1 wk-2]",
 		`[null]`: "", `["wk-1/2"]`: "", `{"a":1}`: "", `"wk-1"`: "", `[1]`: "", `["OWN"]`: ""} {
 		awaits = strings.Replace(awaits, "OWN", refIn(good), 1)
-		s, err := Parse([]byte(strings.Replace(good, "{", `{"awaits":`+awaits+`,`, 1)))
+		s, err := ParseSpec([]byte(strings.Replace(good, "{", `{"awaits":`+awaits+`,`, 1)))
 		switch {
 		case want == "" && (err == nil || !strings.Contains(err.Error(), "awaits")):
 			t.Errorf("%s: %v", awaits, err)
-		case want != "" && (err != nil || fmt.Sprint(s.Awaits) != want):
-			t.Errorf("%s: %v, %v", awaits, s.Awaits, err)
+		case want != "" && (err != nil || fmt.Sprint(s.DependsOn) != want):
+			t.Errorf("%s: %v, %v", awaits, s.DependsOn, err)
 		}
 	}
 }
 
 // refIn is the id of a submission.
 func refIn(body string) string {
-	ref, _ := RefOf([]byte(body))
+	ref, _ := ParseRef([]byte(body))
 	return ref
 }
 
@@ -95,39 +95,39 @@
 		f.Add([]byte(strings.Replace(good, "{", `{"awaits":`+awaits+`,`, 1)))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := Parse(body)
+		s, err := ParseSpec(body)
 		if err == nil && (s.Tasks < 1 || s.Priority() < 0 || !ValidRef(s.Ref)) {
 			t.Errorf("accepted %+v", s)
 		}
 		seen := map[string]bool{}
-		for i := 0; err == nil && i < len(s.Awaits); i++ {
-			if ref := s.Awaits[i]; !ValidRef(ref) || ref == s.Ref || seen[ref] {
-				t.Errorf("accepted awaits %q of %s", s.Awaits, s.Ref)
+		for i := 0; err == nil && i < len(s.DependsOn); i++ {
+			if ref := s.DependsOn[i]; !ValidRef(ref) || ref == s.Ref || seen[ref] {
+				t.Errorf("accepted awaits %q of %s", s.DependsOn, s.Ref)
 			}
-			seen[s.Awaits[i]] = true
+			seen[s.DependsOn[i]] = true
 		}
-		RefOf(body)
+		ParseRef(body)
 	})
 }
 
 // Records of an earlier program tell only the state, and packs only the ids.
 func TestFinalStatesOfBothForms(t *testing.T) {
-	for raw, want := range map[string]Final{`"done"`: {Done, 0}, `{"s":"aborted","n":7}`: {Cancelled, 7}} {
-		var f Final
+	for raw, want := range map[string]FinalState{`"done"`: {Done, 0}, `{"s":"aborted","n":7}`: {Cancelled, 7}} {
+		var f FinalState
 		if err := json.Unmarshal([]byte(raw), &f); err != nil || f != want {
 			t.Errorf("%s: %+v, %v", raw, f, err)
 		}
 		again, err := json.Marshal(f)
-		var g Final
+		var g FinalState
 		if err != nil || json.Unmarshal(again, &g) != nil || g != f {
 			t.Errorf("%s written again: %s, %v", raw, again, err)
 		}
 	}
-	if err := new(Final).UnmarshalJSON([]byte(`[]`)); err == nil {
+	if err := new(FinalState).UnmarshalJSON([]byte(`[]`)); err == nil {
 		t.Error("a list was taken for a final state")
 	}
-	for name, want := range map[string]int{"wk-1": 0, Packed("wk-1", 3): 3} {
-		if ref, n := Unpack(name); ref != "wk-1" || n != want {
+	for name, want := range map[string]int{"wk-1": 0, BatchEntry("wk-1", 3): 3} {
+		if ref, n := ParseBatchEntry(name); ref != "wk-1" || n != want {
 			t.Errorf("%s: %s with %d tasks", name, ref, n)
 		}
 	}
--- a/internal/jobs/odd_test.go
+++ b/internal/jobs/odd_test.go
@@ -56,11 +56,11 @@
 		"dueS":      {`0`, `-5`, `"900"`, `true`, `[]`, `1e999`},
 		"awaits":    {`["x"]`, `["wk-000412"]`, `[1]`, `"wk-1"`, `{}`},
 	}
-	for _, name := range slices.Concat(required, optional) {
+	for _, name := range slices.Concat(requiredFields, optionalFields) {
 		if len(wrong[name]) == 0 {
 			t.Errorf("%s: nothing is tried", name)
 		}
-		if slices.Contains(required, name) {
+		if slices.Contains(requiredFields, name) {
 			wrong[name] = append(wrong[name], `null`, ``)
 		}
 		for _, value := range wrong[name] {
@@ -69,11 +69,11 @@
 				delete(fields, name)
 			}
 			raw := whole(t, fields)
-			_, err := Parse(raw)
+			_, err := ParseSpec(raw)
 			if err == nil || !strings.HasPrefix(err.Error(), name) {
 				t.Errorf("%s: %s is answered %v", name, value, err)
 			}
-			if ref, ok := RefOf(raw); ok != (name != "ref") || ok && ref != "wk-000412" {
+			if ref, ok := ParseRef(raw); ok != (name != "ref") || ok && ref != "wk-000412" {
 				t.Errorf("%s: %s: known as %q", name, value, ref)
 			}
 		}
@@ -81,11 +81,11 @@
 	for _, name := range []string{"builds", "valley", "dueS", "awaits"} { // may be null, or missing
 		fields := parts(t)
 		fields[name] = json.RawMessage("null")
-		if _, err := Parse(whole(t, fields)); err != nil {
+		if _, err := ParseSpec(whole(t, fields)); err != nil {
 			t.Errorf("%s is null: %v", name, err)
 		}
 		delete(fields, name)
-		if _, err := Parse(whole(t, fields)); err != nil {
+		if _, err := ParseSpec(whole(t, fields)); err != nil {
 			t.Errorf("%s is missing: %v", name, err)
 		}
 	}
@@ -93,7 +93,7 @@
 
 // What a receiver does not know it ignores, whatever it looks like.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
-	want, err := Parse([]byte(good))
+	want, err := ParseSpec([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,10 +101,10 @@
 		raw := strings.Replace(good, "{", "{"+more+",", 1)
 		tail := strings.TrimSuffix(good, "}") + "," + more + "}"
 		for _, body := range []string{raw, tail} {
-			if got, err := Parse([]byte(body)); err != nil || !reflect.DeepEqual(got, want) {
+			if got, err := ParseSpec([]byte(body)); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%s: %+v, %v", more, got, err)
 			}
-			if ref, ok := RefOf([]byte(body)); !ok || ref != want.Ref {
+			if ref, ok := ParseRef([]byte(body)); !ok || ref != want.Ref {
 				t.Errorf("%s: known as %q", more, ref)
 			}
 		}
@@ -121,9 +121,9 @@
 		f.Add(whole(f, fields))
 	}
 	f.Add([]byte(`{"ref":"wk-1","ref":2}`))
-	names := append(slices.Concat(required, optional), "body")
+	names := append(slices.Concat(requiredFields, optionalFields), "body")
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := Parse(body)
+		s, err := ParseSpec(body)
 		if err != nil {
 			field, _, _ := strings.Cut(err.Error(), ":")
 			field, _, _ = strings.Cut(field, "[")
@@ -136,11 +136,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse(raw)
+		again, err := ParseSpec(raw)
 		if err != nil || fmt.Sprintf("%+v", derefs(again)) != fmt.Sprintf("%+v", derefs(s)) {
 			t.Fatalf("%s: %+v, then %+v, %v", body, s, again, err)
 		}
-		if ref, ok := RefOf(body); !ok || ref != s.Ref {
+		if ref, ok := ParseRef(body); !ok || ref != s.Ref {
 			t.Fatalf("known as %q", ref)
 		}
 	})
@@ -157,9 +157,9 @@
 	if c.Zone != nil {
 		zone = *c.Zone
 	}
-	if c.DueS != nil {
-		due = *c.DueS
+	if c.DeadlineSeconds != nil {
+		due = *c.DeadlineSeconds
 	}
-	c.Zone, c.DueS = nil, nil
+	c.Zone, c.DeadlineSeconds = nil, nil
 	return []any{c, zone, due}
 }
--- a/internal/membership/encoded_form_test.go
+++ b/internal/membership/encoded_form_test.go
@@ -9,7 +9,7 @@
 // Encoded forms are part of the protocol or of stored data: names and order of fields stay.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
-		encodedform.Form{Name: "liveness record", Value: lifeRecord{}},
-		encodedform.Form{Name: "shard record", Value: shareRecord{}},
+		encodedform.Form{Name: "liveness record", Value: livenessRecord{}},
+		encodedform.Form{Name: "shard record", Value: shardRecord{}},
 	)
 }
--- a/internal/peer/budget_test.go
+++ b/internal/peer/budget_test.go
@@ -6,25 +6,27 @@
 	"testing"
 )
 
-type noted struct{ beats, told []string }
+type recorder struct{ heartbeats, usages []string }
 
-func (n *noted) Beat() (Beat, bool)             { return Beat{Node: "n0"}, true }
-func (n *noted) PeerSays(b Beat)                { n.beats = append(n.beats, b.Node) }
-func (n *noted) Use() (reqs, writes float64)    { return 12, 3 }
-func (n *noted) Told(node string, _, _ float64) { n.told = append(n.told, node) }
+func (n *recorder) PeerHeartbeat() (Heartbeat, bool) { return Heartbeat{Node: "n0"}, true }
+func (n *recorder) HandlePeerHeartbeat(heartbeat Heartbeat) {
+	n.heartbeats = append(n.heartbeats, heartbeat.Node)
+}
+func (n *recorder) Usage() (reqs, writes float64)             { return 12, 3 }
+func (n *recorder) RecordPeerUsage(node string, _, _ float64) { n.usages = append(n.usages, node) }
 
 // A rate that is not a number would have let no request to the state service pass.
 func TestOnlyAmountsOfKnownControllersAreBelieved(t *testing.T) {
-	n := &noted{}
-	s := Sharing{Brain: n, Meter: n, Others: map[string]bool{"n1": true, "n2": true}}
-	for _, b := range []Beat{{Node: "n1", Requests: 5}, {Node: "stranger", Requests: 5}, {Node: "n2", Changes: math.NaN()},
-		{Node: "n2", Requests: math.Inf(1)}, {Node: "n2", Changes: -1}, {Node: "n2"}} {
-		s.PeerSays(b)
+	n := &recorder{}
+	s := RateSharing{Controller: n, Meter: n, Peers: map[string]bool{"n1": true, "n2": true}}
+	for _, heartbeat := range []Heartbeat{{Node: "n1", RequestsPerSecond: 5}, {Node: "stranger", RequestsPerSecond: 5}, {Node: "n2", WritesPerSecond: math.NaN()},
+		{Node: "n2", RequestsPerSecond: math.Inf(1)}, {Node: "n2", WritesPerSecond: -1}, {Node: "n2"}} {
+		s.HandlePeerHeartbeat(heartbeat)
 	}
-	if !slices.Equal(n.told, []string{"n1", "n2"}) || len(n.beats) != 6 {
-		t.Errorf("told of %v, beats of %v", n.told, n.beats)
+	if !slices.Equal(n.usages, []string{"n1", "n2"}) || len(n.heartbeats) != 6 {
+		t.Errorf("told of %v, beats of %v", n.usages, n.heartbeats)
 	}
-	if b, ok := s.Beat(); !ok || b.Requests != 12 || b.Changes != 3 {
-		t.Errorf("%+v", b)
+	if heartbeat, ok := s.PeerHeartbeat(); !ok || heartbeat.RequestsPerSecond != 12 || heartbeat.WritesPerSecond != 3 {
+		t.Errorf("%+v", heartbeat)
 	}
 }
--- a/internal/peer/encoded_form_test.go
+++ b/internal/peer/encoded_form_test.go
@@ -15,7 +15,7 @@
 // and written in the same bytes.
 func TestEncodedFrame(t *testing.T) {
 	const goldenFile = "testdata/encoded_frame.hex"
-	beat := encodedform.Fill(Beat{}).(Beat)
+	beat := encodedform.Fill(Heartbeat{}).(Heartbeat)
 	frame := Encode(beat)
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,13 +10,13 @@
 	"cherrywall/internal/tuning"
 )
 
-var sample = Beat{Node: "n1", Boot: 7, Silent: 1500 * time.Millisecond, Synced: true,
-	Shares: []Share{{"n0", "n1", 42}}, Counts: []Count{{7, 0, 26, "a", 3, 5}}, Requests: 12.5, Changes: 0.25,
-	Leaving: true, Wants: []string{"n1"}, Piece: &Piece{Share: "n0", Stamp: 42, Index: 1, Of: 3, Machines: []Standing{
-		{Host: "i-1", Session: 2, Report: 9, Over: 1, Gone: true, Empty: true},
-		{Host: "i-2", Session: 1, Report: 4, Recalled: true, Drained: true, Unheard: true, Tasks: []Task{
-			{Name: "wk-1/0", Attempt: 7 << 40, Status: "running", Sent: true, Seen: true, Ran: 1500 * time.Millisecond},
-			{Name: "wk-1/1", Attempt: 8, Sent: true, Stop: true, Halted: true, Leeway: 2.5, Alien: true}}}}}}
+var sample = Heartbeat{Node: "n1", Incarnation: 7, StoreSilentFor: 1500 * time.Millisecond, Synced: true,
+	Shards: []Shard{{"n0", "n1", 42}}, Capacities: []ShapeCapacity{{7, 0, 26, "a", 3, 5}}, RequestsPerSecond: 12.5, WritesPerSecond: 0.25,
+	Leaving: true, RequestedShards: []string{"n1"}, TransferChunk: &TransferChunk{Shard: "n0", Epoch: 42, Index: 1, Total: 3, Machines: []MachineSnapshot{
+		{Host: "i-1", AgentEpoch: 2, HeartbeatSeq: 9, EndedAgentEpoch: 1, Lost: true, Empty: true},
+		{Host: "i-2", AgentEpoch: 1, HeartbeatSeq: 4, Preempted: true, Drained: true, AwaitingHeartbeat: true, Tasks: []TaskSnapshot{
+			{Name: "wk-1/0", Attempt: 7 << 40, Status: "running", StartSent: true, Reported: true, RunningFor: 1500 * time.Millisecond},
+			{Name: "wk-1/1", Attempt: 8, StartSent: true, StopRequested: true, StopSent: true, GraceSeconds: 2.5, Foreign: true}}}}}}
 
 func TestABeatSurvivesTheWire(t *testing.T) {
 	got, err := ReadFrame(bytes.NewReader(Encode(sample)))
@@ -27,27 +27,27 @@
 
 // A piece of the largest size, with the longest names, fits a frame beside a full beat.
 func TestAFullPieceFitsAFrame(t *testing.T) {
-	b := sample
-	b.Piece = &Piece{Share: "a-controller-of-a-long-name", Of: 1, Machines: []Standing{{Host: "i-000000001"}}}
-	m := &b.Piece.Machines[0]
-	for i := range tuning.PieceTasks - 1 {
-		m.Tasks = append(m.Tasks, Task{Name: fmt.Sprintf("abcdefghijklmnop-%018d/%d", i, 99_999), Attempt: 1 << 60, Status: "running",
-			Sent: true, Seen: true, Leeway: 3, Ran: time.Minute})
+	heartbeat := sample
+	heartbeat.TransferChunk = &TransferChunk{Shard: "a-controller-of-a-long-name", Total: 1, Machines: []MachineSnapshot{{Host: "i-000000001"}}}
+	machine := &heartbeat.TransferChunk.Machines[0]
+	for i := range tuning.MaxTransferChunkTasks - 1 {
+		machine.Tasks = append(machine.Tasks, TaskSnapshot{Name: fmt.Sprintf("abcdefghijklmnop-%018d/%d", i, 99_999), Attempt: 1 << 60, Status: "running",
+			StartSent: true, Reported: true, GraceSeconds: 3, RunningFor: time.Minute})
 	}
-	for range tuning.MaxBeatShapes * 8 { // in eight zones
-		b.Counts = append(b.Counts, Count{7, 0, 26, "a-zone-of-a-long-name", 3, 5})
+	for range tuning.MaxPeerHeartbeatShapes * 8 { // in eight zones
+		heartbeat.Capacities = append(heartbeat.Capacities, ShapeCapacity{7, 0, 26, "a-zone-of-a-long-name", 3, 5})
 	}
-	for i := range tuning.MaxBeatBlamed {
-		b.Blamed = append(b.Blamed, fmt.Sprintf("abcdefghijklmnop-%018d", i))
+	for i := range tuning.MaxPeerHeartbeatFaultyJobs {
+		heartbeat.FaultyJobs = append(heartbeat.FaultyJobs, fmt.Sprintf("abcdefghijklmnop-%018d", i))
 	}
-	if n := len(Encode(b)); n > tuning.MaxFrame {
+	if n := len(Encode(heartbeat)); n > tuning.MaxPeerFrameBytes {
 		t.Errorf("%d bytes", n)
 	}
 	for range 400 {
-		b.Piece.Machines = append(b.Piece.Machines, Standing{Host: "i-000000001"})
+		heartbeat.TransferChunk.Machines = append(heartbeat.TransferChunk.Machines, MachineSnapshot{Host: "i-000000001"})
 	}
-	m.Tasks = nil
-	if n := len(Encode(b)); n > tuning.MaxFrame {
+	machine.Tasks = nil
+	if n := len(Encode(heartbeat)); n > tuning.MaxPeerFrameBytes {
 		t.Errorf("%d bytes with machines alone", n)
 	}
 }
@@ -68,7 +68,7 @@
 	f.Add(Encode(sample)[4:])
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if b, err := Decode(body); err == nil && b.Node == "" {
+		if heartbeat, err := Decode(body); err == nil && heartbeat.Node == "" {
 			t.Error("a beat from nobody was read")
 		}
 	})
--- a/internal/peer/piece.go
+++ b/internal/peer/piece.go
@@ -8,60 +8,60 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-// Task is a task as the holder of its share knows it.
-type Task struct {
-	Name    string
-	Attempt uint64
-	Status  string
-	Sent    bool // a start was ordered
-	Seen    bool // the worker has reported it
-	Stop    bool // to be stopped, with so many seconds to save
-	Halted  bool // that was ordered
-	Leeway  float64
-	Alien   bool          // no task of the share, only to be stopped
-	Ran     time.Duration // 0: not known to run
+// TaskSnapshot is a task as the holder of its share knows it.
+type TaskSnapshot struct {
+	Name          string
+	Attempt       uint64
+	Status        string
+	StartSent     bool // a start was ordered
+	Reported      bool // the worker has reported it
+	StopRequested bool // to be stopped, with so many seconds to save
+	StopSent      bool // that was ordered
+	GraceSeconds  float64
+	Foreign       bool          // no task of the share, only to be stopped
+	RunningFor    time.Duration // 0: not known to run
 }
 
-// Standing is a machine as the holder of its share knows it.
-type Standing struct {
-	Host            string
-	Session, Report uint64 // of its last report
-	Over            uint64 // sessions up to this one are over
-	Gone            bool
-	Recalled        bool
-	Drained         bool
-	Empty           bool // its last report listed nothing
-	Unheard         bool // enrolled, and nothing was ordered to it
-	Tasks           []Task
+// MachineSnapshot is a machine as the holder of its share knows it.
+type MachineSnapshot struct {
+	Host                     string
+	AgentEpoch, HeartbeatSeq uint64 // of its last report
+	EndedAgentEpoch          uint64 // sessions up to this one are over
+	Lost                     bool
+	Preempted                bool
+	Drained                  bool
+	Empty                    bool // its last report listed nothing
+	AwaitingHeartbeat        bool // enrolled, and nothing was ordered to it
+	Tasks                    []TaskSnapshot
 }
 
-// Piece is a part of what a holder knows of a share, under the record of a stamp, that it
+// TransferChunk is a part of what a holder knows of a share, under the record of a stamp, that it
 // hands over.
-type Piece struct {
-	Share     string
-	Stamp     uint64
-	Index, Of int
-	Machines  []Standing
+type TransferChunk struct {
+	Shard        string
+	Epoch        uint64
+	Index, Total int
+	Machines     []MachineSnapshot
 }
 
 // The bits of Task.flags and Standing.flags, see beat.fbs.
 const (
-	taskSent = 1 << iota
-	taskSeen
-	taskStop
-	taskHalted
-	taskAlien
+	taskStartSent = 1 << iota
+	taskReported
+	taskStopRequested
+	taskStopSent
+	taskForeign
 )
 
 const (
-	machineGone = 1 << iota
-	machineRecalled
+	machineLost = 1 << iota
+	machinePreempted
 	machineDrained
 	machineEmpty
-	machineUnheard
+	machineAwaitingHeartbeat
 )
 
-func bits(flags ...bool) (b byte) {
+func packFlags(flags ...bool) (b byte) {
 	for i, on := range flags {
 		if on {
 			b |= 1 << i
@@ -70,67 +70,67 @@
 	return b
 }
 
-func encodePiece(fb *flatbuffers.Builder, p *Piece) flatbuffers.UOffsetT {
-	machines := make([]flatbuffers.UOffsetT, len(p.Machines))
-	for i, m := range p.Machines {
-		tasks := make([]flatbuffers.UOffsetT, len(m.Tasks))
-		for k, t := range m.Tasks {
-			name, status := fb.CreateString(t.Name), fb.CreateSharedString(t.Status)
-			wire.TaskStart(fb)
-			wire.TaskAddName(fb, name)
-			wire.TaskAddAttempt(fb, t.Attempt)
-			wire.TaskAddStatus(fb, status)
-			wire.TaskAddFlags(fb, bits(t.Sent, t.Seen, t.Stop, t.Halted, t.Alien))
-			wire.TaskAddLeeway(fb, float32(t.Leeway))
-			wire.TaskAddRan(fb, float32(t.Ran.Seconds()))
-			tasks[k] = wire.TaskEnd(fb)
+func encodeChunk(builder *flatbuffers.Builder, chunk *TransferChunk) flatbuffers.UOffsetT {
+	machines := make([]flatbuffers.UOffsetT, len(chunk.Machines))
+	for i, machine := range chunk.Machines {
+		tasks := make([]flatbuffers.UOffsetT, len(machine.Tasks))
+		for k, task := range machine.Tasks {
+			name, status := builder.CreateString(task.Name), builder.CreateSharedString(task.Status)
+			wire.TaskStart(builder)
+			wire.TaskAddName(builder, name)
+			wire.TaskAddAttempt(builder, task.Attempt)
+			wire.TaskAddStatus(builder, status)
+			wire.TaskAddFlags(builder, packFlags(task.StartSent, task.Reported, task.StopRequested, task.StopSent, task.Foreign))
+			wire.TaskAddLeeway(builder, float32(task.GraceSeconds))
+			wire.TaskAddRan(builder, float32(task.RunningFor.Seconds()))
+			tasks[k] = wire.TaskEnd(builder)
 		}
-		tv := vector(fb, wire.StandingStartTasksVector, tasks)
-		host := fb.CreateString(m.Host)
-		wire.StandingStart(fb)
-		wire.StandingAddHost(fb, host)
-		wire.StandingAddSession(fb, m.Session)
-		wire.StandingAddReport(fb, m.Report)
-		wire.StandingAddOver(fb, m.Over)
-		wire.StandingAddFlags(fb, bits(m.Gone, m.Recalled, m.Drained, m.Empty, m.Unheard))
-		wire.StandingAddTasks(fb, tv)
-		machines[i] = wire.StandingEnd(fb)
+		tv := buildVector(builder, wire.StandingStartTasksVector, tasks)
+		host := builder.CreateString(machine.Host)
+		wire.StandingStart(builder)
+		wire.StandingAddHost(builder, host)
+		wire.StandingAddSession(builder, machine.AgentEpoch)
+		wire.StandingAddReport(builder, machine.HeartbeatSeq)
+		wire.StandingAddOver(builder, machine.EndedAgentEpoch)
+		wire.StandingAddFlags(builder, packFlags(machine.Lost, machine.Preempted, machine.Drained, machine.Empty, machine.AwaitingHeartbeat))
+		wire.StandingAddTasks(builder, tv)
+		machines[i] = wire.StandingEnd(builder)
 	}
-	mv := vector(fb, wire.PieceStartMachinesVector, machines)
-	share := fb.CreateString(p.Share)
-	wire.PieceStart(fb)
-	wire.PieceAddShare(fb, share)
-	wire.PieceAddStamp(fb, p.Stamp)
-	wire.PieceAddIndex(fb, uint16(p.Index))
-	wire.PieceAddOf(fb, uint16(p.Of))
-	wire.PieceAddMachines(fb, mv)
-	return wire.PieceEnd(fb)
+	mv := buildVector(builder, wire.PieceStartMachinesVector, machines)
+	share := builder.CreateString(chunk.Shard)
+	wire.PieceStart(builder)
+	wire.PieceAddShare(builder, share)
+	wire.PieceAddStamp(builder, chunk.Epoch)
+	wire.PieceAddIndex(builder, uint16(chunk.Index))
+	wire.PieceAddOf(builder, uint16(chunk.Total))
+	wire.PieceAddMachines(builder, mv)
+	return wire.PieceEnd(builder)
 }
 
-// decodePiece reads a piece; size is that of the frame, which bounds what it can list.
-func decodePiece(w *wire.Piece, size int) (*Piece, error) {
-	p := &Piece{Share: string(w.Share()), Stamp: w.Stamp(), Index: int(w.Index()), Of: int(w.Of())}
-	if w.MachinesLength() > size || p.Index >= p.Of {
-		return nil, errBroken
+// decodeChunk reads a piece; size is that of the frame, which bounds what it can list.
+func decodeChunk(message *wire.Piece, size int) (*TransferChunk, error) {
+	chunk := &TransferChunk{Shard: string(message.Share()), Epoch: message.Stamp(), Index: int(message.Index()), Total: int(message.Of())}
+	if message.MachinesLength() > size || chunk.Index >= chunk.Total {
+		return nil, errMalformedFrame
 	}
-	for i := range w.MachinesLength() {
+	for i := range message.MachinesLength() {
 		var m wire.Standing
-		w.Machines(&m, i)
+		message.Machines(&m, i)
 		if m.TasksLength() > size {
-			return nil, errBroken
+			return nil, errMalformedFrame
 		}
 		f := m.Flags()
-		x := Standing{Host: string(m.Host()), Session: m.Session(), Report: m.Report(), Over: m.Over(), Gone: f&machineGone != 0,
-			Recalled: f&machineRecalled != 0, Drained: f&machineDrained != 0, Empty: f&machineEmpty != 0, Unheard: f&machineUnheard != 0}
+		snapshot := MachineSnapshot{Host: string(m.Host()), AgentEpoch: m.Session(), HeartbeatSeq: m.Report(), EndedAgentEpoch: m.Over(), Lost: f&machineLost != 0,
+			Preempted: f&machinePreempted != 0, Drained: f&machineDrained != 0, Empty: f&machineEmpty != 0, AwaitingHeartbeat: f&machineAwaitingHeartbeat != 0}
 		for k := range m.TasksLength() {
 			var t wire.Task
 			m.Tasks(&t, k)
 			f := t.Flags()
-			x.Tasks = append(x.Tasks, Task{Name: string(t.Name()), Attempt: t.Attempt(), Status: string(t.Status()), Sent: f&taskSent != 0,
-				Seen: f&taskSeen != 0, Stop: f&taskStop != 0, Halted: f&taskHalted != 0, Alien: f&taskAlien != 0, Leeway: float64(t.Leeway()),
-				Ran: time.Duration(float64(t.Ran()) * float64(time.Second))})
+			snapshot.Tasks = append(snapshot.Tasks, TaskSnapshot{Name: string(t.Name()), Attempt: t.Attempt(), Status: string(t.Status()), StartSent: f&taskStartSent != 0,
+				Reported: f&taskReported != 0, StopRequested: f&taskStopRequested != 0, StopSent: f&taskStopSent != 0, Foreign: f&taskForeign != 0, GraceSeconds: float64(t.Leeway()),
+				RunningFor: time.Duration(float64(t.Ran()) * float64(time.Second))})
 		}
-		p.Machines = append(p.Machines, x)
+		chunk.Machines = append(chunk.Machines, snapshot)
 	}
-	return p, nil
+	return chunk, nil
 }
--- a/internal/pipeline/pack.go
+++ b/internal/pipeline/pack.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Pack makes a plan small, to be kept.
-func (p *Plan) Pack() ([]byte, error) {
+// Compress makes a plan small, to be kept.
+func (p *Plan) Compress() ([]byte, error) {
 	raw, err := json.Marshal(p)
 	if err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
@@ -30,13 +30,13 @@
 	return out.Bytes(), nil
 }
 
-// Unpack reads a packed plan.
-func Unpack(packed []byte) (*Plan, error) {
+// DecompressPlan reads a packed plan.
+func DecompressPlan(packed []byte) (*Plan, error) {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
-	raw, err := io.ReadAll(io.LimitReader(z, tuning.PlanBytes))
+	raw, err := io.ReadAll(io.LimitReader(z, tuning.MaxPlanBytes))
 	if err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -63,7 +63,7 @@
 
 func read(t *testing.T, text string) (*Plan, Problems) {
 	t.Helper()
-	p, notices, err := Read([]byte(text), nil, nil)
+	p, notices, err := Parse([]byte(text), nil, nil)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -85,11 +85,11 @@
 		t.Fatalf("jobs %q", got)
 	}
 	plan, push, undo, report := p.Jobs[0], p.Jobs[3], p.Jobs[5], p.Jobs[6]
-	if plan.Retries != 1 || plan.TimeoutS != 600 || plan.Spec.Tasks != 1 || plan.Spec.CPU != 2 || plan.Spec.EstimateS != 30 ||
+	if plan.Retries != 1 || plan.TimeoutS != 600 || plan.Spec.Tasks != 1 || plan.Spec.CPU != 2 || plan.Spec.EstimatedRunSeconds != 30 ||
 		plan.Spec.Kind != jobs.Array || plan.Spec.Urgency != "normal" || !plan.Staged {
 		t.Errorf("plan: %+v", plan)
 	}
-	if push.Retries != 2 || !slices.Equal(push.RetryOn, []Cause{Blamed, Timeout}) || push.Spec.Tasks != 40 || !push.Spec.Spot ||
+	if push.Retries != 2 || !slices.Equal(push.RetryOn, []FailureCause{CauseScriptFailure, CauseTimeout}) || push.Spec.Tasks != 40 || !push.Spec.Spot ||
 		push.Spec.Class != "dusk" || push.Group != "controllers-west" {
 		t.Errorf("push: %+v", push)
 	}
@@ -140,7 +140,7 @@
   stage: two
   resource_group: g-$NOBODY
 `
-	_, _, err := Read([]byte(text), nil, nil)
+	_, _, err := Parse([]byte(text), nil, nil)
 	var ps Problems
 	if !errors.As(err, &ps) {
 		t.Fatal(err)
@@ -173,16 +173,16 @@
 }
 
 func TestAClassLimitsWhatAFileMayAskFor(t *testing.T) {
-	limits := func(class string) (jobs.Limit, bool) {
-		return jobs.Limit{Retries: 1, Tasks: 30, RunS: 60}, class == "dusk"
+	limits := func(class string) (jobs.ClassLimits, bool) {
+		return jobs.ClassLimits{MaxRetries: 1, MaxTasks: 30, MaxRunSeconds: 60}, class == "dusk"
 	}
 	never := func(s *jobs.Spec) error {
-		if s.EstimateS == 30 {
+		if s.EstimatedRunSeconds == 30 {
 			return errors.New("a task fits no allowed machine type")
 		}
 		return nil
 	}
-	_, _, err := Read([]byte(dusk), limits, never)
+	_, _, err := Parse([]byte(dusk), limits, never)
 	var ps Problems
 	if !errors.As(err, &ps) || len(ps) != 3 {
 		t.Fatalf("%v", err)
@@ -203,13 +203,13 @@
 		fmt.Fprintf(&bomb, "v%d: &v%d {script: [*v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d]}\n", i+1, i+1, i, i, i, i, i, i, i, i)
 	}
 	start := time.Now()
-	if _, _, err := Read([]byte(bomb.String()), nil, nil); err == nil || !strings.Contains(err.Error(), "unfolds to too much") {
+	if _, _, err := Parse([]byte(bomb.String()), nil, nil); err == nil || !strings.Contains(err.Error(), "unfolds to too much") {
 		t.Errorf("%v", err)
 	}
 	if took := time.Since(start); took > 5*time.Second {
 		t.Errorf("it took %v", took)
 	}
-	_, _, err := Read([]byte("a: {extends: b}\nb: {extends: a}\n"), nil, nil)
+	_, _, err := Parse([]byte("a: {extends: b}\nb: {extends: a}\n"), nil, nil)
 	if err == nil || !strings.Contains(err.Error(), "goes in a circle") {
 		t.Errorf("%v", err)
 	}
@@ -248,14 +248,14 @@
 		t.Fatal(err)
 	}
 	job := s.AdditionalProperties.Properties
-	for key := range fields(reflect.TypeFor[jobKeys]()) {
+	for key := range fieldsByKey(reflect.TypeFor[jobKeys]()) {
 		if job[key] == nil {
 			t.Errorf("the schema lacks %s", key)
 		}
 		delete(job, key)
 	}
 	for key := range job {
-		if !slices.Contains(elsewhere, key) {
+		if !slices.Contains(ignoredKeys, key) {
 			t.Errorf("%s is in the schema and is not read", key)
 		}
 	}
@@ -271,7 +271,7 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		p, _, err := Read(raw, nil, nil)
+		p, _, err := Parse(raw, nil, nil)
 		if err != nil {
 			var ps Problems
 			if !errors.As(err, &ps) || len(ps) == 0 {
@@ -294,20 +294,20 @@
 
 // FuzzUnpack: no bytes make the reader of packed plans fail, and a plan survives it.
 func FuzzUnpack(f *testing.F) {
-	p, _, err := Read([]byte(dusk), nil, nil)
+	p, _, err := Parse([]byte(dusk), nil, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
-	packed, err := p.Pack()
+	packed, err := p.Compress()
 	if err != nil {
 		f.Fatal(err)
 	}
-	if back, err := Unpack(packed); err != nil || !reflect.DeepEqual(p, back) {
+	if back, err := DecompressPlan(packed); err != nil || !reflect.DeepEqual(p, back) {
 		f.Fatalf("%v: %+v", err, back)
 	}
 	f.Add(packed)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if p, err := Unpack(raw); (p == nil) == (err == nil) {
+		if p, err := DecompressPlan(raw); (p == nil) == (err == nil) {
 			t.Fatalf("%v %v", p, err)
 		}
 	})
