--- /dev/null
+++ b/internal/membership/record.go
@@ -0,0 +1,48 @@
+package membership
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// livenessRecord is the stored form of a controller's liveness.
+type livenessRecord struct {
+	Incarnation uint64 `json:"boot"`
+}
+
+// shardRecord is the stored form of a shard's ownership.
+type shardRecord struct {
+	Owner       string `json:"holder"`
+	Incarnation uint64 `json:"boot"`
+	// Acquisitions are the times at which the shard was acquired, in milliseconds of Unix time by
+	// the clocks of the owners of then, the latest last.
+	Acquisitions []int64 `json:"takings,omitempty"`
+	// MarksTrustedAfter is the revision above which all owners have kept to the marks of gangs
+	// (docs/recovery.md, "Marks"); 0 stands for the revision of this record. Controllers of
+	// versions without marks do not write it.
+	MarksTrustedAfter *uint64 `json:"marks,omitempty"`
+}
+
+// EncodeLiveness returns the liveness record of an incarnation of a controller.
+func EncodeLiveness(incarnation uint64) json.RawMessage {
+	return kvstore.Encode(livenessRecord{Incarnation: incarnation})
+}
+
+// EncodeShard returns the ownership record with which a controller acquires a shard at now.
+// previous is the shard as the record replaces it, nil if it had no record.
+func EncodeShard(owner string, incarnation uint64, previous *Shard, now time.Time) json.RawMessage {
+	record := shardRecord{Owner: owner, Incarnation: incarnation, MarksTrustedAfter: new(uint64)}
+	if previous != nil {
+		if previous.marksTrustedAfter != nil {
+			record.MarksTrustedAfter = previous.marksTrustedAfter
+		}
+		oldest := max(0, len(previous.acquisitions)-tuning.MaxRecordedAcquisitions+1)
+		record.Acquisitions = previous.acquisitions[oldest:]
+	}
+	record.Acquisitions = append(slices.Clip(record.Acquisitions), now.UnixMilli())
+	return kvstore.Encode(record)
+}
--- /dev/null
+++ b/internal/membership/shard.go
@@ -0,0 +1,67 @@
+package membership
+
+import "time"
+
+// Shard is the ownership of one shard of the machines under one epoch. When the shard is acquired
+// again, even by the same controller, the Table replaces it by another Shard.
+type Shard struct {
+	id, owner          string
+	incarnation, epoch uint64
+	isLocal            bool
+	knownSince         time.Time
+	isReconciled       bool
+	acquisitions       []int64 // see shardRecord
+	marksTrustedAfter  *uint64 // nil: no mark is trusted
+	previousEpoch      uint64  // 0: not known
+	transferPrepared   bool
+	transferred        bool
+}
+
+// ID returns the shard's name, which is that of its home controller.
+func (s *Shard) ID() string { return s.id }
+
+// Owner returns the name of the controller that owns the shard.
+func (s *Shard) Owner() string { return s.owner }
+
+// Incarnation identifies the run of the owner's process that acquired the shard.
+func (s *Shard) Incarnation() uint64 { return s.incarnation }
+
+// Epoch returns the revision of the shard's record, which rises with each acquisition. It is the
+// fencing token of the owner's commands to workers.
+func (s *Shard) Epoch() uint64 { return s.epoch }
+
+// PreviousEpoch returns the epoch that this one replaced, 0 if it is not known.
+func (s *Shard) PreviousEpoch() uint64 { return s.previousEpoch }
+
+// IsLocal reports whether this incarnation of this controller owns the shard.
+func (s *Shard) IsLocal() bool { return s.isLocal }
+
+// KnownSince returns when this controller learned of the record.
+func (s *Shard) KnownSince() time.Time { return s.knownSince }
+
+// IsReconciled reports whether every worker of the shard has sent a heartbeat under the present
+// epoch or is known to be gone. From then on, a task that no heartbeat lists is running nowhere.
+func (s *Shard) IsReconciled() bool { return s.isReconciled }
+
+// MarkReconciled records that the shard is reconciled; see IsReconciled.
+func (s *Shard) MarkReconciled() { s.isReconciled = true }
+
+// TrustsMark reports whether a mark that was written at a revision can be relied on. It cannot if
+// an owner since then may have been of a version that does not keep to marks.
+func (s *Shard) TrustsMark(revision uint64) bool {
+	return s.marksTrustedAfter != nil && revision > *s.marksTrustedAfter
+}
+
+// PrepareTransfer records that the shard is about to be transferred to another controller: until
+// AbortTransfer none of its machines is released or moved.
+func (s *Shard) PrepareTransfer() { s.transferPrepared = true }
+
+// AbortTransfer takes PrepareTransfer back.
+func (s *Shard) AbortTransfer() { s.transferPrepared = false }
+
+// IsTransferring reports whether a transfer of the shard is prepared or done.
+func (s *Shard) IsTransferring() bool { return s.transferPrepared || s.transferred }
+
+// IsTransferred reports whether the shard was transferred to another controller, which may not
+// have acquired it yet.
+func (s *Shard) IsTransferred() bool { return s.transferred }
