--- /dev/null
+++ b/internal/failuredetector/detector.go
@@ -0,0 +1,153 @@
+// Package failuredetector decides which of the other controllers have failed, from their
+// heartbeats, from their writes to the key-value store and from whom the other controllers
+// suspect.
+//
+// A verdict only makes a failover start before the failed controller's lease expires. Safety does
+// not rest on it: a shard is acquired by one conditional write under a new epoch, whoever is
+// wrong about whom (docs/membership.md).
+package failuredetector
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// State is what the detector makes of a controller.
+type State string
+
+// The states of a controller. A suspicion is this controller's own and has no consequences; for a
+// failure all other live controllers have to suspect the same one.
+const (
+	Unknown   State = "unknown" // no heartbeat received yet
+	Alive     State = "alive"
+	Suspected State = "suspected"
+	Failed    State = "failed"
+	Left      State = "left" // it announced its shutdown
+)
+
+// Detector is one controller's view of the others. It is not safe for concurrent use: a single
+// actor owns it. All times are of this process's clock.
+type Detector struct {
+	peers       map[string]*peerState
+	lastCheckAt time.Time
+	// suppressedUntil is the time until which this controller suspects nobody, because it was
+	// stalled or has lost the key-value store, and has to receive heartbeats again first.
+	suppressedUntil time.Time
+}
+
+// New returns a detector of the controller self for all other controllers.
+func New(self string, controllers []string) *Detector {
+	d := &Detector{peers: map[string]*peerState{}}
+	for _, controller := range controllers {
+		if controller != self {
+			d.peers[controller] = &peerState{}
+		}
+	}
+	return d
+}
+
+// ObserveHeartbeat records a heartbeat of a controller, with whom it suspects and whether
+// it is shutting down. Heartbeats of unknown controllers are ignored.
+func (d *Detector) ObserveHeartbeat(controller string, suspects []string, leaving bool, now time.Time) {
+	peer := d.peers[controller]
+	if peer == nil {
+		return
+	}
+	peer.learnGap(now)
+	peer.lastHeartbeatAt = now
+	peer.suspects = suspects
+	peer.isLeaving = leaving
+	peer.suspectedSince = time.Time{}
+	peer.isProvenAlive = false
+}
+
+// ObserveActivity records that the controller has written to the key-value store: it is alive,
+// even if its heartbeats do not arrive here.
+func (d *Detector) ObserveActivity(controller string, now time.Time) {
+	if peer := d.peers[controller]; peer != nil {
+		peer.lastActivityAt = now
+	}
+}
+
+// ObserveAcquisition records that the controller has acquired a shard: it is alive, and is not
+// suspected any more until its next heartbeat. Without this, a shard would move back and forth
+// between its successor and a home that is cut off from the other controllers only.
+func (d *Detector) ObserveAcquisition(controller string) {
+	if peer := d.peers[controller]; peer != nil {
+		peer.isProvenAlive = true
+	}
+}
+
+// Check brings the suspicions up to date and reports whether there is a new one, of which the
+// other controllers should be notified. It has to be called several times a second. upToDate
+// says whether this controller's cache of the key-value store is up to date.
+func (d *Detector) Check(now time.Time, upToDate bool) (newSuspicion bool) {
+	// A process that was stalled has missed heartbeats that were sent, so their absence proves
+	// nothing.
+	isStalled := !d.lastCheckAt.IsZero() && now.Sub(d.lastCheckAt) > tuning.ProcessStallThreshold
+	if !upToDate || isStalled {
+		d.suppressedUntil = now.Add(tuning.SuspicionSuppressionPeriod)
+	}
+	d.lastCheckAt = now
+	isSuppressed := now.Before(d.suppressedUntil)
+	for _, peer := range d.peers {
+		switch {
+		case isSuppressed || !peer.isOverdue(now):
+			peer.suspectedSince = time.Time{}
+		case !peer.isSuspected():
+			peer.suspectedSince = now
+			newSuspicion = true
+		}
+	}
+	return newSuspicion
+}
+
+// Suspects returns the names of the controllers that this one suspects, in ascending order.
+func (d *Detector) Suspects() []string {
+	var suspects []string
+	for controller, peer := range d.peers {
+		if peer.isSuspected() {
+			suspects = append(suspects, controller)
+		}
+	}
+	slices.Sort(suspects)
+	return suspects
+}
+
+// HasFailed reports whether a controller is considered failed: this controller suspects it, and so
+// does every other one that has sent a heartbeat lately, of which there is at least one.
+func (d *Detector) HasFailed(controller string, now time.Time) bool {
+	suspect := d.peers[controller]
+	if suspect == nil || !suspect.isSuspected() {
+		return false
+	}
+	agreeing := 0
+	for other, peer := range d.peers {
+		if other == controller || now.Sub(peer.lastHeartbeatAt) > tuning.MinSuspicionTimeout {
+			continue
+		}
+		if !slices.Contains(peer.suspects, controller) {
+			return false
+		}
+		agreeing++
+	}
+	return agreeing > 0
+}
+
+// State returns a controller's state, for display.
+func (d *Detector) State(controller string, now time.Time) State {
+	peer := d.peers[controller]
+	switch {
+	case peer == nil || peer.lastHeartbeatAt.IsZero():
+		return Unknown
+	case peer.isLeaving:
+		return Left
+	case d.HasFailed(controller, now):
+		return Failed
+	case peer.isSuspected():
+		return Suspected
+	}
+	return Alive
+}
--- /dev/null
+++ b/internal/failuredetector/peer_state.go
@@ -0,0 +1,58 @@
+package failuredetector
+
+import (
+	"math"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// peerState is what is known of one other controller.
+type peerState struct {
+	lastHeartbeatAt time.Time // zero: none received
+	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time between
+	// two heartbeats and of its absolute deviation from the mean, over gapSamples gaps.
+	meanGapSeconds, gapDeviationSeconds float64
+	gapSamples                          int
+	lastActivityAt                      time.Time // see Detector.ObserveActivity
+	isProvenAlive                       bool      // see Detector.ObserveAcquisition
+	isLeaving                           bool
+	suspects                            []string  // by its last heartbeat
+	suspectedSince                      time.Time // zero: not suspected
+}
+
+// learnGap adds the time between the last heartbeat and one that arrives now to the history.
+func (p *peerState) learnGap(now time.Time) {
+	if p.lastHeartbeatAt.IsZero() {
+		return
+	}
+	gap := now.Sub(p.lastHeartbeatAt).Seconds()
+	if gap >= tuning.PeerIdleTimeout.Seconds() {
+		// The peer had failed and has begun anew: the history is of another process.
+		p.gapSamples = 0
+		return
+	}
+	weight := max(1/float64(p.gapSamples+1), tuning.HeartbeatGapWeight)
+	p.gapDeviationSeconds += weight * (math.Abs(gap-p.meanGapSeconds) - p.gapDeviationSeconds)
+	p.meanGapSeconds += weight * (gap - p.meanGapSeconds)
+	p.gapSamples++
+}
+
+// heartbeatTimeout returns for how long a heartbeat may be missing: as long as the history of gaps
+// explains, within fixed bounds.
+func (p *peerState) heartbeatTimeout() time.Duration {
+	seconds := p.meanGapSeconds + tuning.HeartbeatGapDeviations*p.gapDeviationSeconds
+	timeout := time.Duration(seconds * float64(time.Second))
+	return min(max(timeout, tuning.MinSuspicionTimeout), tuning.ControllerLeaseTTL)
+}
+
+func (p *peerState) isSuspected() bool { return !p.suspectedSince.IsZero() }
+
+// isOverdue reports whether the peer's silence is a reason for suspicion.
+func (p *peerState) isOverdue(now time.Time) bool {
+	if p.gapSamples < tuning.MinHeartbeatGapSamples || p.isLeaving || p.isProvenAlive {
+		return false
+	}
+	return now.Sub(p.lastHeartbeatAt) > p.heartbeatTimeout() &&
+		now.Sub(p.lastActivityAt) > tuning.OwnerActivityValidity
+}
