--- /dev/null
+++ b/internal/handover/coordinator.go
@@ -0,0 +1,122 @@
+// Package handover transfers the ownership of a shard between two live controllers without the
+// new owner having to probe the shard's workers.
+//
+// The old owner sends what it knows of the shard's machines and tasks to the recipient, and from
+// then on responds to none of the shard's workers. The recipient acquires the shard by the usual
+// conditional write and continues from what it received (docs/membership.md). If the transfer
+// fails at any point, the shard ends with one of the two, and what is not known of its workers is
+// established by reconciliation as after a crash.
+package handover
+
+import (
+	"log/slog"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/peer"
+	"cherrywall/internal/peerstatus"
+	"cherrywall/internal/reconciliation"
+	"cherrywall/internal/statecache"
+	"cherrywall/internal/tuning"
+	"cherrywall/internal/workersession"
+)
+
+// Dependencies are the parts of the controller that transfers read and change. They belong to the
+// same actor as the Coordinator.
+type Dependencies struct {
+	State      *clusterstate.State
+	Membership *membership.Table
+	Cache      *statecache.Cache
+	Sessions   *workersession.Manager
+	Reconciler *reconciliation.Reconciler
+	Peers      *peerstatus.Tracker
+}
+
+// SendFunc queues chunks for another controller and reports whether there was room for all.
+type SendFunc func(to string, chunks []*peer.TransferChunk) bool
+
+// Coordinator runs the transfers of one controller, as old owner and as recipient. It is not safe
+// for concurrent use: a single actor owns it.
+type Coordinator struct {
+	Dependencies
+	cfg  *config.Config
+	log  *slog.Logger
+	send SendFunc
+
+	// As recipient, by shard.
+	requestedAt map[string]time.Time // shards of other owners that are requested from them
+	payloads    map[string]*payload  // what old owners sent, and what this one sent itself
+
+	// As old owner, by shard.
+	outgoing map[string]*outgoingTransfer
+	failedAt map[string]time.Time // when a transfer last came to nothing
+
+	isLeaving bool       // this controller is shutting down
+	history   []Transfer // transfers that have ended, the latest last
+}
+
+// New returns a coordinator without transfers.
+func New(cfg *config.Config, dependencies Dependencies, send SendFunc, log *slog.Logger) *Coordinator {
+	c := &Coordinator{Dependencies: dependencies, cfg: cfg, log: log, send: send}
+	c.Reset()
+	return c
+}
+
+// Reset drops all transfers under way, because the records are about to be read again. A shard
+// that was transferred stays so, see membership.Table.
+func (c *Coordinator) Reset() {
+	c.requestedAt = map[string]time.Time{}
+	c.payloads = map[string]*payload{}
+	c.outgoing = map[string]*outgoingTransfer{}
+	c.failedAt = map[string]time.Time{}
+}
+
+// Leave prepares the shutdown of this controller: it acquires no more shards, and transfers its
+// own to any controller that requests them.
+func (c *Coordinator) Leave() {
+	c.isLeaving = true
+	c.Cache.StopAcquiringShards()
+}
+
+// Tick advances all transfers. It has to be called several times a second.
+func (c *Coordinator) Tick(now time.Time) {
+	c.advanceOutgoing(now)
+	c.reacquireForgotten(now)
+	c.requestFromLeaving(now)
+	c.advanceRequests(now)
+	c.dropExpiredPayloads(now)
+	c.ApplyPayloads(now)
+}
+
+// CacheAdvanced continues transfers that waited for the cache to apply later revisions. Waiting for
+// the next Tick would double the time for which nobody responds to the shard's workers.
+func (c *Coordinator) CacheAdvanced(now time.Time) {
+	for id := range c.requestedAt {
+		c.acquireIfComplete(id, now)
+	}
+	c.ApplyPayloads(now)
+}
+
+// ownedByLivePeer reports whether another, live controller owns a shard.
+func (c *Coordinator) ownedByLivePeer(shard *membership.Shard) bool {
+	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
+}
+
+// isLeavingPeer returns a predicate for controllers that have announced their shutdown.
+func (c *Coordinator) isLeavingPeer(now time.Time) func(controller string) bool {
+	return func(controller string) bool { return c.Peers.IsLeaving(controller, now) }
+}
+
+// dropExpiredPayloads drops payloads that nobody will use any more. One that this controller sent
+// is kept until the shard has another owner, in case that nobody acquires it.
+func (c *Coordinator) dropExpiredPayloads(now time.Time) {
+	for id, payload := range c.payloads {
+		shard := c.Membership.Shard(id)
+		isExpired := now.Sub(payload.updatedAt) > 2*tuning.TransferTimeout
+		if isExpired && (shard == nil || !shard.IsTransferred()) {
+			delete(c.payloads, id)
+		}
+	}
+}
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -1,192 +1,247 @@
 package handover_test
 
-import (
-	"fmt"
-	"testing"
-)
+import "testing"
 
-// The model of a share that goes from hand to hand: three controllers, two workers, one
-// task. A state is a value, so that all that can follow can be explored in every order:
-// orders that arrive or do not, reports, gifts that arrive at any time or never, takings
-// that are applied late, what the watch tells late, ends of controllers.
+// A model of a shard that is transferred between three controllers, with two workers and one
+// task. A model state is a value, so that everything that can follow it can be explored in every
+// order: commands that arrive or do not, heartbeats, transfers that arrive at any time or never,
+// acquisitions that are applied late, watch events that arrive late, crashes of controllers.
 
+// Where a controller believes the task to run, if not on a worker (0 or 1).
 const (
-	unknown = -2
-	nowhere = -1
+	locationUnknown = -2
+	notRunning      = -1
 )
 
-type mind struct {
-	holds uint8 // the stamp under which it believes to hold the share, 0: it does not
-	seen  uint8 // the newest stamp that it knows of
-	given bool
-	loc   int8 // where it believes the task to be
-	heard [2]bool
-}
+// lastEpoch bounds the model: there are no acquisitions after it.
+const lastEpoch = 4
 
-type model struct {
-	stamp  uint8 // of the share's record
-	holder int8
-	minds  [3]mind
-	token  [2]uint8
-	runs   [2]bool
-	// What was given under each stamp, whoever may have received it by now.
-	gift   [5]int8
-	isGift [5]bool
-	// A taking that was sent and may be applied at any time, under a stamp.
-	late [3]uint8
+// belief is what a controller knows.
+type belief struct {
+	ownedEpoch  uint8 // the epoch under which it believes to own the shard, 0: it does not
+	knownEpoch  uint8 // the latest epoch that it knows of
+	transferred bool
+	location    int8    // of the task
+	heartbeats  [2]bool // the workers that sent one under ownedEpoch
 }
 
-// variant breaks the model on purpose.
-type variant struct{ answersOn, anyRecord bool }
-
-const stamps = 4 // the last record
+type modelState struct {
+	epoch    uint8 // of the shard's record
+	owner    int8
+	beliefs  [3]belief
+	tokens   [2]uint8 // the fencing tokens that the workers know
+	runs     [2]bool  // whether the worker runs the task
+	payloads [5]int8  // by epoch, the location that was sent in a transfer, whoever received it
+	isSent   [5]bool
+	// pendingAcquisition is, by controller, the epoch on which an acquisition is conditional that
+	// was sent and may be applied at any time.
+	pendingAcquisition [3]uint8
+}
 
-func (m model) settled(c int) bool { return m.minds[c].loc != unknown }
+// mutation breaks the model on purpose.
+type mutation struct {
+	respondsAfterTransfer bool // the old owner still commands workers
+	usesAnyPayload        bool // the recipient continues from a payload of any older epoch
+}
 
-// taken is the model after a controller's taking was applied.
-func (m model) taken(c int, v variant) model {
-	before := m.stamp
-	m.stamp++
-	m.holder = int8(c)
-	x := mind{holds: m.stamp, seen: m.stamp, loc: unknown}
-	for s := before; s > 0; s-- {
-		if m.isGift[s] && (s == before || v.anyRecord) {
-			x.loc, x.heard = m.gift[s], [2]bool{true, true}
+// acquired returns the state after a controller's acquisition was applied.
+func (m modelState) acquired(controller int, mutation mutation) modelState {
+	previousEpoch := m.epoch
+	m.epoch++
+	m.owner = int8(controller)
+	acquirer := belief{ownedEpoch: m.epoch, knownEpoch: m.epoch, location: locationUnknown}
+	for epoch := previousEpoch; epoch > 0; epoch-- {
+		if m.isSent[epoch] && (epoch == previousEpoch || mutation.usesAnyPayload) {
+			acquirer.location, acquirer.heartbeats = m.payloads[epoch], [2]bool{true, true}
 			break
 		}
 	}
-	m.minds[c] = x
+	m.beliefs[controller] = acquirer
 	return m
 }
 
-func (m model) next(v variant) []model {
-	var out []model
-	add := func(n model) { out = append(out, n) }
-	for c := range m.minds {
-		x := m.minds[c]
-		n := m // ends, and starts with nothing remembered
-		n.minds[c] = mind{loc: unknown}
-		add(n)
-		if x.seen < m.stamp { // the watch tells
-			n = m
-			n.minds[c].seen = m.stamp
-			if m.holder != int8(c) || x.holds != m.stamp {
-				n.minds[c] = mind{seen: m.stamp, loc: unknown}
-			}
-			add(n)
-		}
-		if x.seen == m.stamp && m.stamp < stamps && x.holds == 0 {
-			add(m.taken(c, v))
-			if m.late[c] == 0 {
-				n = m
-				n.late[c] = m.stamp
-				add(n)
-			}
-		}
-		if m.late[c] == m.stamp && m.stamp < stamps { // the answer is lost: the watch will tell
-			n = m.taken(c, v)
-			n.minds[c], n.late[c] = x, 0
-			add(n)
-			n = m.taken(c, v)
-			n.late[c] = 0
-			add(n)
-		}
-		if x.holds == 0 {
-			continue
-		}
-		if x.given && x.holds == m.stamp && m.stamp < stamps { // nobody took it
-			add(m.taken(c, v))
-		}
-		if !x.given && m.settled(c) { // gives it away
-			n = m
-			n.minds[c].given = true
-			n.gift[x.holds], n.isGift[x.holds] = x.loc, true
-			add(n)
-		}
-		if x.given && !v.answersOn {
-			continue
+// next returns all states that can follow by one event.
+func (m modelState) next(mutation mutation) []modelState {
+	var states []modelState
+	for controller := range m.beliefs {
+		states = append(states, m.afterRestart(controller))
+		states = append(states, m.afterWatchEvent(controller)...)
+		states = append(states, m.afterAcquisition(controller, mutation)...)
+		states = append(states, m.afterTransfer(controller, mutation)...)
+		states = append(states, m.afterContact(controller, mutation)...)
+	}
+	return append(states, m.afterTaskEnd()...)
+}
+
+// afterRestart: a controller crashes and starts again without what it knew.
+func (m modelState) afterRestart(controller int) modelState {
+	m.beliefs[controller] = belief{location: locationUnknown}
+	return m
+}
+
+// afterWatchEvent: a controller learns of the present epoch.
+func (m modelState) afterWatchEvent(controller int) []modelState {
+	known := m.beliefs[controller]
+	if known.knownEpoch >= m.epoch {
+		return nil
+	}
+	state := m
+	state.beliefs[controller].knownEpoch = m.epoch
+	if m.owner != int8(controller) || known.ownedEpoch != m.epoch {
+		state.beliefs[controller] = belief{knownEpoch: m.epoch, location: locationUnknown}
+	}
+	return []modelState{state}
+}
+
+// afterAcquisition: a controller acquires the shard, at once or by a write that is applied later,
+// whose response may be lost.
+func (m modelState) afterAcquisition(controller int, mutation mutation) []modelState {
+	if m.epoch >= lastEpoch {
+		return nil
+	}
+	var states []modelState
+	known := m.beliefs[controller]
+	if known.knownEpoch == m.epoch && known.ownedEpoch == 0 {
+		states = append(states, m.acquired(controller, mutation))
+		if m.pendingAcquisition[controller] == 0 {
+			state := m
+			state.pendingAcquisition[controller] = m.epoch
+			states = append(states, state)
 		}
-		for w := range m.runs {
-			if x.holds < m.token[w] {
-				continue // obeys a newer one
-			}
-			if m.token[w] < x.holds { // is told the token
-				n = m
-				n.token[w] = x.holds
-				add(n)
-				continue
-			}
-			n = m // reports under it
-			y := &n.minds[c]
-			y.heard[w] = true
-			switch {
-			case m.runs[w]:
-				y.loc = int8(w)
-			case y.loc == int8(w), y.loc == unknown && y.heard[0] && y.heard[1]:
-				y.loc = nowhere
-			}
-			add(n)
-			if x.loc == nowhere { // is ordered to start it, which arrives or does not
-				n.minds[c].loc = int8(w)
-				add(n)
-				n.runs[w] = true
-				add(n)
-			}
+	}
+	if m.pendingAcquisition[controller] == m.epoch {
+		applied := m.acquired(controller, mutation)
+		applied.pendingAcquisition[controller] = 0
+		responseLost := applied // the watch will tell
+		responseLost.beliefs[controller] = known
+		states = append(states, applied, responseLost)
+	}
+	return states
+}
+
+// afterTransfer: the owner transfers the shard, or acquires it anew since nobody else has.
+func (m modelState) afterTransfer(controller int, mutation mutation) []modelState {
+	var states []modelState
+	owner := m.beliefs[controller]
+	if owner.ownedEpoch == 0 {
+		return nil
+	}
+	if owner.transferred && owner.ownedEpoch == m.epoch && m.epoch < lastEpoch {
+		states = append(states, m.acquired(controller, mutation))
+	}
+	if !owner.transferred && owner.location != locationUnknown {
+		state := m
+		state.beliefs[controller].transferred = true
+		state.payloads[owner.ownedEpoch], state.isSent[owner.ownedEpoch] = owner.location, true
+		states = append(states, state)
+	}
+	return states
+}
+
+// afterContact: the owner is in contact with one of the workers.
+func (m modelState) afterContact(controller int, mutation mutation) []modelState {
+	owner := m.beliefs[controller]
+	if owner.ownedEpoch == 0 || owner.transferred && !mutation.respondsAfterTransfer {
+		return nil
+	}
+	var states []modelState
+	for worker, token := range m.tokens {
+		switch {
+		case owner.ownedEpoch < token: // the worker rejects the command
+		case owner.ownedEpoch > token: // the worker learns of the fencing token
+			state := m
+			state.tokens[worker] = owner.ownedEpoch
+			states = append(states, state)
+		default:
+			states = append(states, m.afterHeartbeat(controller, worker)...)
 		}
 	}
-	for w := range m.runs { // the task is stopped or lost
-		if m.runs[w] {
-			n := m
-			n.runs[w] = false
-			add(n)
+	return states
+}
+
+// afterHeartbeat: a worker sends a heartbeat, and the owner commands it to start a task that runs
+// nowhere; the command arrives or does not.
+func (m modelState) afterHeartbeat(controller, worker int) []modelState {
+	received := m
+	owner := &received.beliefs[controller]
+	owner.heartbeats[worker] = true
+	switch {
+	case m.runs[worker]:
+		owner.location = int8(worker)
+	case owner.location == int8(worker),
+		owner.location == locationUnknown && owner.heartbeats[0] && owner.heartbeats[1]:
+		owner.location = notRunning
+	}
+	if m.beliefs[controller].location != notRunning {
+		return []modelState{received}
+	}
+	commandLost := received
+	commandLost.beliefs[controller].location = int8(worker)
+	started := commandLost
+	started.runs[worker] = true
+	return []modelState{received, commandLost, started}
+}
+
+// afterTaskEnd: the task is stopped or lost.
+func (m modelState) afterTaskEnd() []modelState {
+	var states []modelState
+	for worker, runs := range m.runs {
+		if runs {
+			state := m
+			state.runs[worker] = false
+			states = append(states, state)
 		}
 	}
-	return out
+	return states
 }
 
-// explore looks at all states that can follow within so many steps; it returns how many there
-// are, and the first that breaks the rule.
-func explore(v variant, depth int) (states int, broken *model) {
-	start := model{stamp: 1, holder: 0, token: [2]uint8{1, 1}}
-	for c := range start.minds {
-		start.minds[c] = mind{seen: 1, loc: unknown}
-	}
-	start.minds[0] = mind{holds: 1, seen: 1, loc: nowhere, heard: [2]bool{true, true}}
-	seen, level := map[model]bool{start: true}, []model{start}
-	for range depth {
-		var more []model
-		for _, m := range level {
-			for _, n := range m.next(v) {
-				if seen[n] {
+// explore visits all states that can follow within a number of events. It returns how many there
+// are, and the first one in which both workers run the task.
+func explore(mutation mutation, events int) (visited int, violation *modelState) {
+	start := modelState{epoch: 1, owner: 0, tokens: [2]uint8{1, 1}}
+	for controller := range start.beliefs {
+		start.beliefs[controller] = belief{knownEpoch: 1, location: locationUnknown}
+	}
+	start.beliefs[0] = belief{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
+	seen := map[modelState]bool{start: true}
+	frontier := []modelState{start}
+	for range events {
+		var nextFrontier []modelState
+		for _, state := range frontier {
+			for _, next := range state.next(mutation) {
+				if seen[next] {
 					continue
 				}
-				seen[n] = true
-				if n.runs[0] && n.runs[1] {
-					return len(seen), &n
+				seen[next] = true
+				if next.runs[0] && next.runs[1] {
+					return len(seen), &next
 				}
-				more = append(more, n)
+				nextFrontier = append(nextFrontier, next)
 			}
 		}
-		level = more
+		frontier = nextFrontier
 	}
 	return len(seen), nil
 }
 
-// In no order of events does the task run twice, and each part of the argument is needed:
-// a giver that answers on, and a taker that goes on from what was given under an older
-// record, are found.
-func TestNoOrderOfEventsRunsATaskTwice(t *testing.T) {
-	states, broken := explore(variant{}, 10)
-	if broken != nil {
-		t.Errorf("it runs on both: %+v", *broken)
+// In no order of events do both workers run the task. Each part of the argument is needed: an old
+// owner that still responds, and a recipient that continues from the payload of an older epoch,
+// are found.
+func TestModelNeverRunsTaskTwice(t *testing.T) {
+	visited, violation := explore(mutation{}, 10)
+	if violation != nil {
+		t.Errorf("both workers run the task: %+v", *violation)
 	}
-	if states < 50_000 {
-		t.Errorf("only %d states", states)
+	if visited < 50_000 {
+		t.Errorf("only %d states", visited)
 	}
-	for name, v := range map[string]variant{"the giver answers on": {answersOn: true}, "any record": {anyRecord: true}} {
-		if _, broken := explore(v, 9); broken == nil {
-			t.Error("not found: " + name)
+	for name, mutation := range map[string]mutation{
+		"responds after transfer": {respondsAfterTransfer: true},
+		"uses any payload":        {usesAnyPayload: true},
+	} {
+		if _, violation := explore(mutation, 9); violation == nil {
+			t.Error("violation not found with mutation: " + name)
 		}
 	}
-	t.Log(fmt.Sprint(states, " states"))
+	t.Log(visited, "states")
 }
--- /dev/null
+++ b/internal/handover/snapshot.go
@@ -0,0 +1,112 @@
+package handover
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/peer"
+	"cherrywall/internal/tuning"
+)
+
+// buildChunks returns what is known of a shard in chunks, each of which fits a frame. It returns
+// nil if it is too much to be sent in the time for which nobody responds to the workers.
+func (c *Coordinator) buildChunks(shard *membership.Shard, machines []*clusterstate.Machine, now time.Time) []*peer.TransferChunk {
+	snapshots := c.completedTasks(shard)
+	for _, machine := range machines {
+		snapshots = append(snapshots, c.machineSnapshot(machine, now))
+	}
+	chunk := &peer.TransferChunk{}
+	chunks := []*peer.TransferChunk{chunk}
+	chunkSize := 0
+	for _, snapshot := range snapshots {
+		size := 1 + len(snapshot.Tasks)
+		if chunkSize > 0 && chunkSize+size > tuning.MaxTransferChunkTasks {
+			chunk = &peer.TransferChunk{}
+			chunks = append(chunks, chunk)
+			chunkSize = 0
+		}
+		if size > tuning.MaxTransferChunkTasks || len(chunks) >= tuning.MaxPendingTransferChunks {
+			return nil
+		}
+		chunk.Machines = append(chunk.Machines, snapshot)
+		chunkSize += size
+	}
+	for i, chunk := range chunks {
+		chunk.Shard, chunk.Epoch = shard.ID(), shard.Epoch()
+		chunk.Index, chunk.Total = i, len(chunks)
+	}
+	return chunks
+}
+
+// completedTasks returns the tasks that are done but not recorded as done, as snapshots without a
+// host. A recipient that did not know of them would find them on no machine, take them for not
+// running, and start them again.
+func (c *Coordinator) completedTasks(shard *membership.Shard) []peer.MachineSnapshot {
+	var snapshots []peer.MachineSnapshot
+	var tasks []peer.TaskSnapshot
+	for taskRange := range c.State.TaskRangesIn(shard.ID()) {
+		for _, name := range taskRange.UnrecordedDoneTasks() {
+			tasks = append(tasks, peer.TaskSnapshot{Name: name})
+			if len(tasks) == tuning.MaxTransferChunkTasks-1 {
+				snapshots = append(snapshots, peer.MachineSnapshot{Tasks: tasks})
+				tasks = nil
+			}
+		}
+	}
+	if len(tasks) > 0 {
+		snapshots = append(snapshots, peer.MachineSnapshot{Tasks: tasks})
+	}
+	return snapshots
+}
+
+// machineSnapshot returns what is known of a machine. Assignments of which no start command was
+// sent are left out, unless other tasks of the same gang were sent theirs.
+func (c *Coordinator) machineSnapshot(machine *clusterstate.Machine, now time.Time) peer.MachineSnapshot {
+	snapshot := peer.MachineSnapshot{
+		Host:              machine.Host(),
+		Lost:              machine.IsLost(),
+		Preempted:         machine.IsPreempted(),
+		Drained:           machine.IsCordoned(),
+		Empty:             machine.ReportedEmpty(),
+		AwaitingHeartbeat: !machine.HasReported() && !machine.IsLost(),
+	}
+	snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch = c.Sessions.LastHeartbeat(machine)
+	for assignment := range machine.Assignments() {
+		if assignment.Status().IsPlanned() && !gangStarted(assignment.Job()) {
+			continue
+		}
+		snapshot.Tasks = append(snapshot.Tasks, taskSnapshot(assignment, now))
+	}
+	return snapshot
+}
+
+func taskSnapshot(assignment *clusterstate.Assignment, now time.Time) peer.TaskSnapshot {
+	status := assignment.Status()
+	snapshot := peer.TaskSnapshot{
+		Name:          assignment.Name(),
+		Attempt:       assignment.Attempt(),
+		Status:        status.WorkerStatus,
+		StartSent:     status.StartSent,
+		Reported:      status.Reported,
+		StopRequested: status.Stopping,
+		StopSent:      status.StopSent,
+		GraceSeconds:  status.GraceS,
+		Foreign:       assignment.Job() == nil,
+	}
+	if !status.RunningSince.IsZero() {
+		snapshot.RunningFor = now.Sub(status.RunningSince)
+	}
+	return snapshot
+}
+
+// gangStarted reports whether a start command was sent for some task of a gang; false for jobs
+// of other kinds.
+func gangStarted(job *clusterstate.Job) bool {
+	if job == nil || job.Record().Kind != jobs.Gang {
+		return false
+	}
+	_, started := job.GangAttempt()
+	return started
+}
