--- /dev/null
+++ b/internal/peerstatus/tracker.go
@@ -0,0 +1,167 @@
+// Package peerstatus keeps the latest heartbeat of each other controller and answers questions
+// about them: whether the key-value store is down or only this controller is cut off from it,
+// whether a shard has a newer owner, which controller has the best room for a gang.
+//
+// No safety property rests on the answers, since heartbeats can be lost, delayed or out of date.
+package peerstatus
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/peer"
+	"cherrywall/internal/tuning"
+)
+
+// Tracker keeps the latest heartbeat of each other controller. It is not safe for concurrent use:
+// a single actor owns it.
+type Tracker struct {
+	self   string
+	latest map[string]receivedHeartbeat // by controller, of all others
+}
+
+type receivedHeartbeat struct {
+	heartbeat  peer.Heartbeat
+	receivedAt time.Time // zero: none received
+}
+
+func (r receivedHeartbeat) age(now time.Time) time.Duration { return now.Sub(r.receivedAt) }
+
+// isValid reports whether the peer counts as connected: its heartbeat still describes it.
+func (r receivedHeartbeat) isValid(now time.Time) bool { return r.age(now) < tuning.PeerIdleTimeout }
+
+// isCurrent reports whether at most two heartbeats in succession are missing.
+func (r receivedHeartbeat) isCurrent(now time.Time) bool {
+	return r.age(now) < 3*tuning.PeerHeartbeatInterval
+}
+
+// storeSilentFor returns the longest time for which the key-value store may not have responded to
+// the peer.
+func (r receivedHeartbeat) storeSilentFor(now time.Time) time.Duration {
+	return r.heartbeat.StoreSilentFor + r.age(now)
+}
+
+// New returns a tracker of the controller self for all other controllers.
+func New(self string, controllers []string) *Tracker {
+	t := &Tracker{self: self, latest: map[string]receivedHeartbeat{}}
+	for _, controller := range controllers {
+		if controller != self {
+			t.latest[controller] = receivedHeartbeat{}
+		}
+	}
+	return t
+}
+
+// Observe records a heartbeat, without the transfer chunk that it may carry. It reports whether
+// the sender is a known controller; heartbeats of others are ignored.
+func (t *Tracker) Observe(heartbeat peer.Heartbeat, now time.Time) (known bool) {
+	if _, known = t.latest[heartbeat.Node]; !known {
+		return false
+	}
+	heartbeat.TransferChunk = nil // its memory is not to be kept
+	t.latest[heartbeat.Node] = receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
+	return true
+}
+
+// Latest returns a controller's latest heartbeat and its age; ok is false if there was none.
+func (t *Tracker) Latest(controller string, now time.Time) (heartbeat peer.Heartbeat, age time.Duration, ok bool) {
+	last := t.latest[controller]
+	return last.heartbeat, last.age(now), !last.receivedAt.IsZero()
+}
+
+// HasRecentHeartbeat reports whether any other controller is connected.
+func (t *Tracker) HasRecentHeartbeat(now time.Time) bool {
+	for _, last := range t.latest {
+		if last.isValid(now) {
+			return true
+		}
+	}
+	return false
+}
+
+// IsLeaving reports whether a connected controller has announced its shutdown.
+func (t *Tracker) IsLeaving(controller string, now time.Time) bool {
+	last := t.latest[controller]
+	return last.heartbeat.Leaving && last.isValid(now)
+}
+
+// HasApplied reports whether a controller knows all changes up to a revision, by its latest
+// heartbeat.
+func (t *Tracker) HasApplied(controller string, revision uint64) bool {
+	return t.latest[controller].heartbeat.AppliedRevision >= revision
+}
+
+// HasNotifiedWorkers reports whether a controller has notified its workers, as far as they can be
+// reached, that a job is cancelled, by its latest heartbeat.
+func (t *Tracker) HasNotifiedWorkers(controller, ref string) bool {
+	return slices.ContainsFunc(t.latest[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
+		return job.Ref == ref && job.WorkersNotified
+	})
+}
+
+// IsFaultyJob reports whether a connected controller attributes the failures of a job's tasks to
+// the job. Each controller judges the tasks of its own machines only.
+func (t *Tracker) IsFaultyJob(ref string, now time.Time) bool {
+	for _, last := range t.latest {
+		if last.isValid(now) && slices.Contains(last.heartbeat.FaultyJobs, ref) {
+			return true
+		}
+	}
+	return false
+}
+
+// IsStoreDownForAll reports whether no connected controller reaches the key-value store. Then
+// there is no point in sending the users of this one to another.
+func (t *Tracker) IsStoreDownForAll(now time.Time) bool {
+	for _, last := range t.latest {
+		if last.isValid(now) && last.heartbeat.Synced && last.storeSilentFor(now) < tuning.HealthGracePeriod {
+			return false
+		}
+	}
+	return true
+}
+
+// NoPeerReachesStore reports whether all other controllers have sent a heartbeat just now, which
+// says that the key-value store has not responded for at least silentFor. Then no controller has
+// confirmed a cancellation in that time, and those confirmed before are known here.
+func (t *Tracker) NoPeerReachesStore(now time.Time, silentFor time.Duration) bool {
+	for _, last := range t.latest {
+		if last.receivedAt.IsZero() || last.age(now) > 3*tuning.PeerHeartbeatInterval ||
+			last.heartbeat.StoreSilentFor < silentFor {
+			return false
+		}
+	}
+	return true
+}
+
+// IsCutOffFromStore reports whether the key-value store, which has not responded to this
+// controller for silentFor, responds to another one. Then this controller's users are better
+// served there.
+func (t *Tracker) IsCutOffFromStore(now time.Time, silentFor time.Duration) bool {
+	if silentFor < tuning.IsolatedHealthGracePeriod {
+		return false
+	}
+	// Even in an outage the last responses to two controllers are some time apart.
+	const margin = tuning.IsolatedHealthGracePeriod / 2
+	for _, last := range t.latest {
+		if last.isCurrent(now) && last.heartbeat.Synced &&
+			last.storeSilentFor(now) < silentFor-margin && last.heartbeat.StoreSilentFor < margin {
+			return true
+		}
+	}
+	return false
+}
+
+// NewerOwner returns the owner of a shard under a later epoch than the given one, if another
+// controller knows of one. The owner under the given epoch then stops responding to the shard's
+// workers, which find the new owner sooner than by waiting for their lease to expire.
+func (t *Tracker) NewerOwner(id string, epoch uint64) (owner string, ok bool) {
+	for _, last := range t.latest {
+		for _, shard := range last.heartbeat.Shards {
+			if shard.ID == id && shard.Epoch > epoch && shard.Owner != t.self {
+				return shard.Owner, true
+			}
+		}
+	}
+	return "", false
+}
