--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,184 +1,104 @@
-// Package capacity counts how many tasks of a shape still fit, and converts
-// buffers of one shape into tasks of another (the paper, sections 3.1, 3.2).
+// Package capacity counts how many tasks of a shape still fit into the free resources of
+// machines, and converts buffers of one shape into tasks of another (the paper, sections 3.1
+// and 3.2).
 package capacity
 
-import "math"
-
-// roundingTolerance absorbs rounding in sums of decimal amounts.
-const roundingTolerance = 1e-6
-
-// Resources is an amount of the three resources; as a need it is a task shape.
-type Resources struct {
-	CPU   float64 `json:"cpu"`
-	GPU   float64 `json:"gpu"`
-	MemGB float64 `json:"mem_gb"`
-}
-
-// Add and Sub are componentwise.
-func (v Resources) Add(o Resources) Resources {
-	return Resources{v.CPU + o.CPU, v.GPU + o.GPU, v.MemGB + o.MemGB}
-}
-func (v Resources) Sub(o Resources) Resources {
-	return Resources{v.CPU - o.CPU, v.GPU - o.GPU, v.MemGB - o.MemGB}
-}
-
-// Covers tells whether a need fits.
-func (v Resources) Covers(need Resources) bool {
-	return v.CPU+roundingTolerance >= need.CPU && v.GPU+roundingTolerance >= need.GPU && v.MemGB+roundingTolerance >= need.MemGB
-}
-
-// FitCount is how many tasks of a shape fit into an amount of room: the least over
-// the resources of room divided by need, rounded down.
-func FitCount(free, shape Resources) int {
-	n := math.MaxInt32
-	for _, d := range [3][2]float64{{free.CPU, shape.CPU}, {free.GPU, shape.GPU}, {free.MemGB, shape.MemGB}} {
-		if d[1] > 0 {
-			n = min(n, int(math.Floor((d[0]+roundingTolerance)/d[1])))
-		}
-	}
-	return max(n, 0)
-}
-
-// Group is what counts are kept apart by: jobs differ in what they allow.
+// Group is by what counts are kept apart, since jobs differ in which machines they allow.
 type Group struct {
 	Zone, MachineType string
 	Spot              bool
-	// Surplus machines are wanted empty, to be returned.
+	// Surplus machines are to be drained and scaled in.
 	Surplus bool
 }
 
-// Buffer protects room for x tasks of a shape in a zone ("" for any).
-type Buffer struct {
-	Shape Resources `json:"shape"`
-	Tasks float64   `json:"tasks"`
-}
-
-// ConvertBuffer is the paper's ratio: a buffer of x tasks of t' as tasks of t,
-// A[t]/A[t'] * x, rounded up. If no t' fits any more, x times the largest
-// per-resource ratio of t' to t is taken.
-func ConvertBuffer(aT, aBuf int, b Buffer, t Resources) int {
-	if b.Tasks <= 0 || aT <= 0 {
-		return 0
-	}
-	if aBuf > 0 {
-		return int(math.Ceil(float64(aT)/float64(aBuf)*b.Tasks - roundingTolerance))
-	}
-	return b.ConvertByRatio(t)
-}
-
-// ConvertByRatio is a buffer as tasks of another shape by the largest ratio of any one
-// resource: what it takes where neither shape can be counted.
-func (b Buffer) ConvertByRatio(t Resources) int {
-	ratio := 0.0
-	for _, d := range [3][2]float64{{b.Shape.CPU, t.CPU}, {b.Shape.GPU, t.GPU}, {b.Shape.MemGB, t.MemGB}} {
-		if d[1] > 0 {
-			ratio = max(ratio, d[0]/d[1])
-		}
-	}
-	return int(math.Ceil(ratio*b.Tasks - roundingTolerance))
-}
-
 type machine struct {
 	group Group
 	free  Resources
 }
 
-// Table keeps counts per shape and group, up to date with every change of a
-// machine (the paper, section 4.2, "Caching").
+// Table counts, by shape and group, how many tasks fit. The counts of a shape are computed when
+// it is first asked for, and updated with every change of a machine (the paper, section 4.2,
+// "Caching"). It is not safe for concurrent use.
 type Table struct {
 	machines map[string]machine
 	counts   map[Resources]map[Group]int
 	version  uint64
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{machines: map[string]machine{}, counts: map[Resources]map[Group]int{}}
 }
 
-// Set notes a machine's free room.
-func (t *Table) Set(host string, g Group, free Resources) {
-	old, had := t.machines[host]
-	if had && old.group == g && old.free == free {
+// Set records a machine's group and free resources.
+func (t *Table) Set(host string, group Group, free Resources) {
+	old, known := t.machines[host]
+	if known && old.group == group && old.free == free {
 		return
 	}
-	for shape, per := range t.counts {
-		if had {
-			per[old.group] -= FitCount(old.free, shape)
+	for shape, byGroup := range t.counts {
+		if known {
+			byGroup[old.group] -= FitCount(old.free, shape)
 		}
-		per[g] += FitCount(free, shape)
+		byGroup[group] += FitCount(free, shape)
 	}
-	t.machines[host] = machine{g, free}
+	t.machines[host] = machine{group: group, free: free}
 	t.version++
 }
 
-// Version rises with every change of a count: what was worked out under one holds
-// as long as it is the same.
+// Version rises with every change of a machine: what was computed from the counts at one
+// version holds as long as the version is the same.
 func (t *Table) Version() uint64 { return t.version }
 
-// Remove forgets a machine.
+// Remove removes a machine.
 func (t *Table) Remove(host string) {
-	old, had := t.machines[host]
-	if !had {
+	old, known := t.machines[host]
+	if !known {
 		return
 	}
-	for shape, per := range t.counts {
-		per[old.group] -= FitCount(old.free, shape)
+	for shape, byGroup := range t.counts {
+		byGroup[old.group] -= FitCount(old.free, shape)
 	}
 	delete(t.machines, host)
 	t.version++
 }
 
 func (t *Table) countsFor(shape Resources) map[Group]int {
-	per, ok := t.counts[shape]
-	if !ok {
-		per = map[Group]int{}
-		for _, m := range t.machines {
-			per[m.group] += FitCount(m.free, shape)
-		}
-		t.counts[shape] = per
+	byGroup, known := t.counts[shape]
+	if known {
+		return byGroup
 	}
-	return per
+	byGroup = map[Group]int{}
+	for _, m := range t.machines {
+		byGroup[m.group] += FitCount(m.free, shape)
+	}
+	t.counts[shape] = byGroup
+	return byGroup
 }
 
-// Count is A[t] over the groups a job allows, buffers not yet deducted.
+// Count returns how many tasks of a shape fit into the groups that a job allows, buffers not
+// deducted: the paper's A[t].
 func (t *Table) Count(shape Resources, allow func(Group) bool) int {
-	n := 0
-	for g, c := range t.countsFor(shape) {
-		if allow(g) {
-			n += c
+	total := 0
+	for group, count := range t.countsFor(shape) {
+		if allow(group) {
+			total += count
 		}
 	}
-	return n
+	return total
 }
 
-// Allocable is A[t] less the converted buffers.
+// Allocable returns Count less the converted buffers, at least 0.
 func (t *Table) Allocable(shape Resources, allow func(Group) bool, buffers []Buffer) int {
-	a := t.Count(shape, allow)
-	left := a
-	for _, b := range Aggregate(buffers) {
-		left -= ConvertBuffer(a, t.Count(b.Shape, allow), b, shape)
+	fitting := t.Count(shape, allow)
+	left := fitting
+	for _, buffer := range Aggregate(buffers) {
+		left -= ConvertBuffer(fitting, t.Count(buffer.Shape, allow), buffer, shape)
 	}
 	return max(left, 0)
 }
 
-// Aggregate sums buffers of one shape (the paper's step 5).
-func Aggregate(buffers []Buffer) []Buffer {
-	var out []Buffer
-next:
-	for _, b := range buffers {
-		for i := range out {
-			if out[i].Shape == b.Shape {
-				out[i].Tasks += b.Tasks
-				continue next
-			}
-		}
-		out = append(out, b)
-	}
-	return out
-}
-
-// Recount recomputes everything, and drops shapes that nobody asks for.
+// Recount computes the counts of the wanted shapes anew and drops those of all others.
 func (t *Table) Recount(wanted map[Resources]bool) {
 	for shape := range t.counts {
 		delete(t.counts, shape)
