--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -1,8 +1,7 @@
-// Package blame judges who is at fault when tasks fail: the machine, which may
-// fail every task, or the job, which may fail on every machine. It judges by
-// comparison: a job that has worked anywhere is a witness against the machines
-// on which it fails, and a machine that is not suspected itself is a witness
-// against the jobs that fail there.
+// Package faultattribution decides who is at fault when tasks fail: the machine, which may fail
+// every task, or the job, which may fail on every machine. It decides by comparison: a job that
+// has succeeded anywhere is evidence against the machines on which it fails, and a machine that
+// is not suspected itself is evidence against the jobs that fail there.
 package faultattribution
 
 import (
@@ -11,226 +10,277 @@
 	"cherrywall/internal/tuning"
 )
 
+// maxBackoffShift limits how often the pause of a faulty job is doubled, before its upper bound
+// is applied.
+const maxBackoffShift = 10
+
 // Thresholds are the operators' settings.
 type Thresholds struct {
-	MachineFailures int // failures of jobs that work elsewhere which take a machine out of use
-	JobMachines     int // machines on which a job must fail before it is blamed
+	// MachineFailures is how many failures of jobs that succeed elsewhere take a machine out
+	// of use.
+	MachineFailures int
+	// JobMachines is on how many machines a job must fail before it is at fault.
+	JobMachines int
 }
 
-// Attributor keeps the evidence.
+// Attributor keeps the evidence. It is not safe for concurrent use: one actor owns it.
 type Attributor struct {
 	jobs     map[string]*jobEvidence
 	machines map[string]*machineEvidence
 }
 
 type jobEvidence struct {
-	hasSucceeded      bool           // a task was done, or ran far longer than the failing ones
-	failuresByMachine map[string]int // failures by machine, since it was last blamed
-	failureCount      int            // the same in all
-	longestFailure    time.Duration  // the longest that a failing task ran
-	pauseCount        int
+	// hasSucceeded is set once a task was done, or ran far longer than the failing ones.
+	hasSucceeded bool
+	// failuresByMachine and failureCount start anew when the job is found at fault.
+	failuresByMachine map[string]int
+	failureCount      int
+	longestFailure    time.Duration // the longest time that a failing task ran
+	pauseCount        int           // pauses in a row; 0: not at fault
 	pausedUntil       time.Time
 }
 
 type machineEvidence struct {
-	failuresByJob  map[string]int // failures by job, since a task was last done here
-	suspectedUntil time.Time      // in doubt, not used meanwhile
+	failuresByJob  map[string]int // since a task was last done on the machine
+	suspectedUntil time.Time      // not used until then
 	isFaulty       bool
 }
 
-// New makes a judge without evidence.
-func New() *Attributor { return &Attributor{map[string]*jobEvidence{}, map[string]*machineEvidence{}} }
+// Attribution is what a failure shows. The zero value blames nobody.
+type Attribution struct {
+	// JobPause is how long the job has to wait since it is found at fault; 0 if it is not.
+	JobPause time.Duration
+	// MachineFaulty is set when the machine is found at fault.
+	MachineFaulty bool
+}
 
-func (j *Attributor) jobEvidenceOf(ref string) *jobEvidence {
-	c := j.jobs[ref]
-	if c == nil {
-		c = &jobEvidence{failuresByMachine: map[string]int{}}
-		j.jobs[ref] = c
+// New returns an attributor without evidence.
+func New() *Attributor {
+	return &Attributor{jobs: map[string]*jobEvidence{}, machines: map[string]*machineEvidence{}}
+}
+
+func (a *Attributor) jobEvidenceOf(ref string) *jobEvidence {
+	job := a.jobs[ref]
+	if job == nil {
+		job = &jobEvidence{failuresByMachine: map[string]int{}}
+		a.jobs[ref] = job
 	}
-	return c
+	return job
 }
 
-func (j *Attributor) machineEvidenceOf(name string) *machineEvidence {
-	c := j.machines[name]
-	if c == nil {
-		c = &machineEvidence{failuresByJob: map[string]int{}}
-		j.machines[name] = c
+func (a *Attributor) machineEvidenceOf(host string) *machineEvidence {
+	machine := a.machines[host]
+	if machine == nil {
+		machine = &machineEvidence{failuresByJob: map[string]int{}}
+		a.machines[host] = machine
 	}
-	return c
+	return machine
 }
 
-// RecordFailure notes a task that failed after it ran for some time. Pause is set when
-// the job is blamed by it; sick when the machine is.
-func (j *Attributor) RecordFailure(ref, host string, ran time.Duration, now time.Time, thresholds Thresholds) (pause time.Duration, sick bool) {
-	jc, hc := j.jobEvidenceOf(ref), j.machineEvidenceOf(host)
-	hc.failuresByJob[ref]++
-	jc.longestFailure = max(jc.longestFailure, ran)
-	if now.Before(jc.pausedUntil) {
-		return 0, false // started before the job was blamed: nothing new
+// RecordFailure notes that a job's task failed on a machine after it ran for some time, and
+// returns whom this shows to be at fault.
+func (a *Attributor) RecordFailure(ref, host string, ran time.Duration, now time.Time, thresholds Thresholds) Attribution {
+	job, machine := a.jobEvidenceOf(ref), a.machineEvidenceOf(host)
+	machine.failuresByJob[ref]++
+	job.longestFailure = max(job.longestFailure, ran)
+	if now.Before(job.pausedUntil) {
+		return Attribution{} // the task was started before the job was paused: no new evidence
 	}
-	jc.failuresByMachine[host]++
-	jc.failureCount++
-	// Once blamed, a single trial that fails is enough for the next, longer pause.
-	if !jc.hasSucceeded && (jc.pauseCount > 0 || j.countWitnesses(jc) >= thresholds.JobMachines || jc.failureCount >= thresholds.JobMachines*tuning.JobFaultFailureFactor) {
-		pause = min(tuning.MinJobBackoff<<min(jc.pauseCount, 10), tuning.MaxJobBackoff)
-		jc.pauseCount++
-		jc.pausedUntil = now.Add(pause)
-		jc.failuresByMachine, jc.failureCount = map[string]int{}, 0
-		for _, o := range j.machines { // it is no witness any more
-			delete(o.failuresByJob, ref)
-		}
-		return pause, false
+	job.failuresByMachine[host]++
+	job.failureCount++
+	if a.isJobAtFault(job, thresholds) {
+		return Attribution{JobPause: a.pauseJob(ref, job, now)}
 	}
-	if j.attributeToMachine(hc, thresholds) {
-		return 0, true
+	if a.attributeToMachine(machine, thresholds) {
+		return Attribution{MachineFaulty: true}
 	}
-	if jobs, errors, _ := j.credibleEvidence(hc); jobs > 1 || errors >= thresholds.MachineFailures {
-		hc.suspectedUntil = now.Add(tuning.SuspectMachinePause)
+	if evidence := a.credibleEvidence(machine); evidence.jobs > 1 || evidence.failures >= thresholds.MachineFailures {
+		machine.suspectedUntil = now.Add(tuning.SuspectMachinePause)
+	}
+	return Attribution{}
+}
+
+// isJobAtFault tells whether the failures of a job that has never succeeded are its own fault.
+// After the first pause a single failing trial is enough for the next, longer one.
+func (a *Attributor) isJobAtFault(job *jobEvidence, thresholds Thresholds) bool {
+	if job.hasSucceeded {
+		return false
+	}
+	return job.pauseCount > 0 ||
+		a.countWitnesses(job) >= thresholds.JobMachines ||
+		job.failureCount >= thresholds.JobMachines*tuning.JobFaultFailureFactor
+}
+
+// pauseJob starts the next pause of a job at fault. Its failures are no evidence against
+// machines any more.
+func (a *Attributor) pauseJob(ref string, job *jobEvidence, now time.Time) time.Duration {
+	pause := min(tuning.MinJobBackoff<<min(job.pauseCount, maxBackoffShift), tuning.MaxJobBackoff)
+	job.pauseCount++
+	job.pausedUntil = now.Add(pause)
+	job.failuresByMachine, job.failureCount = map[string]int{}, 0
+	for _, machine := range a.machines {
+		delete(machine.failuresByJob, ref)
 	}
-	return 0, false
+	return pause
 }
 
-// countWitnesses counts the machines that speak against a job: those which are not
-// suspected themselves.
-func (j *Attributor) countWitnesses(jc *jobEvidence) int {
-	n := 0
-	for h := range jc.failuresByMachine {
-		hc := j.machineEvidenceOf(h)
-		if jobs, _, _ := j.credibleEvidence(hc); !hc.isFaulty && jobs < 2 {
-			n++
+// countWitnesses counts the machines that are evidence against a job: those on which it failed
+// and which are not suspected themselves.
+func (a *Attributor) countWitnesses(job *jobEvidence) int {
+	count := 0
+	for host := range job.failuresByMachine {
+		machine := a.machineEvidenceOf(host)
+		if !machine.isFaulty && a.credibleEvidence(machine).jobs < 2 {
+			count++
 		}
 	}
-	return n
-}
-
-// credibleEvidence sums up what speaks against a machine: jobs that work elsewhere, and
-// jobs of which nothing else is known. One that failed on other machines too,
-// and has never worked, says nothing.
-func (j *Attributor) credibleEvidence(hc *machineEvidence) (jobs, errors, working int) {
-	for ref, n := range hc.failuresByJob {
-		jc := j.jobs[ref]
-		switch {
-		case jc == nil:
-		case jc.hasSucceeded:
-			jobs, errors, working = jobs+1, errors+n, working+1
-		case len(jc.failuresByMachine) == 1 && jc.pauseCount == 0:
-			jobs, errors = jobs+1, errors+n
+	return count
+}
+
+// evidenceSummary sums up the evidence against a machine that counts.
+type evidenceSummary struct {
+	jobs      int // that failed on it
+	failures  int // of those jobs
+	succeeded int // of the jobs, those that have succeeded elsewhere
+}
+
+// credibleEvidence counts the jobs that succeed elsewhere, and those of which nothing else is
+// known. A job that failed on other machines too and has never succeeded is no evidence.
+func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
+	var evidence evidenceSummary
+	for ref, failures := range machine.failuresByJob {
+		job := a.jobs[ref]
+		if job == nil {
+			continue
+		}
+		failedOnlyHere := len(job.failuresByMachine) == 1 && job.pauseCount == 0
+		if !job.hasSucceeded && !failedOnlyHere {
+			continue
+		}
+		evidence.jobs++
+		evidence.failures += failures
+		if job.hasSucceeded {
+			evidence.succeeded++
 		}
 	}
-	return jobs, errors, working
+	return evidence
 }
 
-// attributeToMachine decides on a machine. Broken jobs that happen to meet on it must not
-// suffice, however many: a job that works elsewhere is among the witnesses.
-func (j *Attributor) attributeToMachine(hc *machineEvidence, thresholds Thresholds) bool {
-	jobs, errors, working := j.credibleEvidence(hc)
-	if !hc.isFaulty && (working > 0 && (jobs > 1 || errors >= thresholds.MachineFailures)) {
-		hc.isFaulty = true
-		return true
+// attributeToMachine tells whether a machine is newly found at fault. Faulty jobs that happen
+// to meet on it must not suffice, however many they are: one of the jobs must have succeeded
+// elsewhere.
+func (a *Attributor) attributeToMachine(machine *machineEvidence, thresholds Thresholds) bool {
+	if machine.isFaulty {
+		return false
 	}
-	return false
+	evidence := a.credibleEvidence(machine)
+	isEnough := evidence.jobs > 1 || evidence.failures >= thresholds.MachineFailures
+	machine.isFaulty = evidence.succeeded > 0 && isEnough
+	return machine.isFaulty
 }
 
-// RecordSuccess notes that a job works, on a machine if one is named: a task was done
-// there. It tells which machines are sick after all.
-func (j *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (sick []string) {
-	if hc := j.machines[host]; hc != nil {
-		clear(hc.failuresByJob)
-		hc.suspectedUntil = time.Time{}
+// RecordSuccess notes that a job's task was done, or runs well, on a machine. It returns the
+// machines that this shows to be at fault for the job's earlier failures.
+func (a *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (faulty []string) {
+	if machine := a.machines[host]; machine != nil {
+		clear(machine.failuresByJob)
+		machine.suspectedUntil = time.Time{}
 	}
-	jc := j.jobs[ref]
-	if jc == nil {
-		// Most jobs never fail; of them nothing need be remembered.
-		return nil
+	job := a.jobs[ref]
+	if job == nil {
+		return nil // most jobs never fail: nothing is remembered of them
 	}
-	jc.pausedUntil, jc.pauseCount, jc.failureCount = time.Time{}, 0, 0
-	delete(jc.failuresByMachine, host)
-	if jc.hasSucceeded {
+	job.pausedUntil, job.pauseCount, job.failureCount = time.Time{}, 0, 0
+	delete(job.failuresByMachine, host)
+	if job.hasSucceeded {
 		return nil
 	}
-	jc.hasSucceeded = true
-	for h := range jc.failuresByMachine {
-		if hc := j.machines[h]; hc != nil && j.attributeToMachine(hc, thresholds) {
-			sick = append(sick, h)
+	job.hasSucceeded = true
+	for other := range job.failuresByMachine {
+		if machine := a.machines[other]; machine != nil && a.attributeToMachine(machine, thresholds) {
+			faulty = append(faulty, other)
 		}
 	}
-	return sick
+	return faulty
 }
 
-// UnprovenJobs lists the jobs that failed and have not been seen to work, with the time
-// for which a task must run to show it.
-func (j *Attributor) UnprovenJobs() map[string]time.Duration {
-	out := map[string]time.Duration{}
-	for ref, jc := range j.jobs {
-		if !jc.hasSucceeded {
-			out[ref] = 2*jc.longestFailure + tuning.JobWorksAfter
+// UnprovenJobs returns the jobs that failed and have not been seen to succeed, each with the
+// time for which a task must run to prove that the job works.
+func (a *Attributor) UnprovenJobs() map[string]time.Duration {
+	unproven := map[string]time.Duration{}
+	for ref, job := range a.jobs {
+		if !job.hasSucceeded {
+			unproven[ref] = 2*job.longestFailure + tuning.JobWorksAfter
 		}
 	}
-	return out
+	return unproven
 }
 
-// ShouldAvoid tells whether a job should not be tried on a machine.
-func (j *Attributor) ShouldAvoid(ref, host string) bool {
-	jc := j.jobs[ref]
-	return jc != nil && jc.failuresByMachine[host] > 0
+// ShouldAvoid tells whether a job should not be tried on a machine since it failed there.
+func (a *Attributor) ShouldAvoid(ref, host string) bool {
+	job := a.jobs[ref]
+	return job != nil && job.failuresByMachine[host] > 0
 }
 
-// IsPaused tells whether a blamed job has to wait.
-func (j *Attributor) IsPaused(ref string, now time.Time) bool {
-	jc := j.jobs[ref]
-	return jc != nil && now.Before(jc.pausedUntil)
+// IsPaused tells whether a job at fault has to wait.
+func (a *Attributor) IsPaused(ref string, now time.Time) bool {
+	job := a.jobs[ref]
+	return job != nil && now.Before(job.pausedUntil)
 }
 
-// IsJobFaulty tells whether a job is at fault as far as is known: it may be tried in
-// small, but nothing is stopped, kept or rented for it.
-func (j *Attributor) IsJobFaulty(ref string) bool {
-	jc := j.jobs[ref]
-	return jc != nil && jc.pauseCount > 0
+// IsJobFaulty tells whether a job is at fault as far as is known: a few of its tasks may be
+// tried, but nothing is preempted, reserved or scaled out for it.
+func (a *Attributor) IsJobFaulty(ref string) bool {
+	job := a.jobs[ref]
+	return job != nil && job.pauseCount > 0
 }
 
-// FaultyJobs are the jobs at fault, most of them, in no order.
-func (j *Attributor) FaultyJobs(most int) []string {
-	var out []string
-	for ref, jc := range j.jobs {
-		if jc.pauseCount > 0 && len(out) < most {
-			out = append(out, ref)
+// FaultyJobs returns up to limit jobs at fault, in no order.
+func (a *Attributor) FaultyJobs(limit int) []string {
+	var refs []string
+	for ref, job := range a.jobs {
+		if job.pauseCount > 0 && len(refs) < limit {
+			refs = append(refs, ref)
 		}
 	}
-	return out
+	return refs
 }
 
 // IsSuspected tells whether a machine is not to be used for the moment.
-func (j *Attributor) IsSuspected(host string, now time.Time) bool {
-	hc := j.machines[host]
-	return hc != nil && now.Before(hc.suspectedUntil)
+func (a *Attributor) IsSuspected(host string, now time.Time) bool {
+	machine := a.machines[host]
+	return machine != nil && now.Before(machine.suspectedUntil)
 }
 
-// FailureCount is how many failures stand against a machine.
-func (j *Attributor) FailureCount(host string) int {
-	n := 0
-	if hc := j.machines[host]; hc != nil {
-		for _, k := range hc.failuresByJob {
-			n += k
-		}
+// FailureCount returns how many failures are recorded against a machine since a task was last
+// done there.
+func (a *Attributor) FailureCount(host string) int {
+	machine := a.machines[host]
+	if machine == nil {
+		return 0
+	}
+	count := 0
+	for _, failures := range machine.failuresByJob {
+		count += failures
 	}
-	return n
+	return count
 }
 
-// ForgetJob and ForgetHost drop the evidence of what is no more.
-func (j *Attributor) ForgetJob(ref string) {
-	if _, known := j.jobs[ref]; !known {
+// ForgetJob drops the evidence of a job that has ended.
+func (a *Attributor) ForgetJob(ref string) {
+	if _, known := a.jobs[ref]; !known {
 		return
 	}
-	delete(j.jobs, ref)
-	for _, h := range j.machines {
-		delete(h.failuresByJob, ref)
+	delete(a.jobs, ref)
+	for _, machine := range a.machines {
+		delete(machine.failuresByJob, ref)
 	}
 }
 
-// ForgetMachine drops a machine.
-func (j *Attributor) ForgetMachine(host string) {
-	delete(j.machines, host)
-	for _, c := range j.jobs {
-		delete(c.failuresByMachine, host)
+// ForgetMachine drops the evidence of a machine that was removed.
+func (a *Attributor) ForgetMachine(host string) {
+	delete(a.machines, host)
+	for _, job := range a.jobs {
+		delete(job.failuresByMachine, host)
 	}
 }
--- a/internal/workersession/orders.go
+++ b/internal/workersession/orders.go
@@ -142,11 +142,11 @@
 	if since := assignment.Status().RunningSince; !since.IsZero() {
 		ran = now.Sub(since)
 	}
-	pause, sick := k.Faults.RecordFailure(ref, machine.Host(), ran, now, k.faultLimits())
-	if pause > 0 {
-		k.log.Info("job fails on several machines", "job", ref, "pause_s", pause.Seconds())
+	attribution := k.Faults.RecordFailure(ref, machine.Host(), ran, now, k.faultLimits())
+	if attribution.JobPause > 0 {
+		k.log.Info("job fails on several machines", "job", ref, "pause_s", attribution.JobPause.Seconds())
 	}
-	if sick {
+	if attribution.MachineFaulty {
 		k.quarantine(machine.Host())
 	}
 }
