--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -55,7 +55,12 @@
 func New(cfg *config.Config, shards *membership.Table, machineTypes *machinetype.Catalog, classStats *classstats.Stats, attributor *faultattribution.Attributor,
 	log *slog.Logger) *State {
 	b := &State{cfg: cfg, log: log, shards: shards, machineTypes: machineTypes, classStats: classStats, attributor: attributor}
-	b.dependencies = jobdag.New(b.unfinishedRecord, classStats.ExpectedJobSeconds, cfg.DeadlineMultiple, b.updateInherited)
+	b.dependencies = jobdag.New(jobdag.Config{
+		UnfinishedRecord:   b.unfinishedRecord,
+		ExpectedRunSeconds: classStats.ExpectedJobSeconds,
+		DeadlineMultiple:   cfg.DeadlineMultiple,
+		OnChange:           b.updateInherited,
+	})
 	b.Reset()
 	return b
 }
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -45,9 +45,9 @@
 	gang            gangAttempt
 	dependencyNode  *jobdag.Node // nil: it has nothing to do with other jobs
 	priority        jobs.Priority
-	ownDeadlinesMS  [2]int64  // Unix ms, its own; see By
-	blocked         bool      // for other jobs, as last looked at
-	gangPlannedAt   time.Time // since when the gang's plan waits for room
+	ownDeadlines    jobdag.Deadlines // without inherited ones, see Deadlines
+	blocked         bool             // for other jobs, as last looked at
+	gangPlannedAt   time.Time        // since when the gang's plan waits for room
 	background      bool
 	bestEffort      bool
 }
@@ -128,13 +128,13 @@
 // DependencyNode is what it has to do with other jobs, nil for nothing.
 func (j *Job) DependencyNode() *jobdag.Node { return j.dependencyNode }
 
-// DeadlinesMS are the times (Unix ms) by which it should be done for the sake of itself and of those
-// behind it, see depend.Node.
-func (j *Job) DeadlinesMS() [2]int64 {
+// Deadlines are the times (Unix ms) by which it should be done for the sake of itself and of those
+// behind it.
+func (j *Job) Deadlines() jobdag.Deadlines {
 	if j.dependencyNode == nil {
-		return j.ownDeadlinesMS
+		return j.ownDeadlines
 	}
-	return j.dependencyNode.DeadlinesMS()
+	return j.dependencyNode.Deadlines()
 }
 
 // RunnableSinceMS is the time of day (Unix ms) from which on it could have run: that of its
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -111,7 +111,7 @@
 func (b *State) applySpec(j *Job, rec *jobs.JobRecord, spot bool) {
 	j.record = *rec
 	j.need = rec.Need()
-	j.priority, j.ownDeadlinesMS = rec.Priority(), jobdag.OwnDeadlinesMS(rec, b.cfg.DeadlineMultiple)
+	j.priority, j.ownDeadlines = rec.Priority(), jobdag.OwnDeadlines(rec, b.cfg.DeadlineMultiple)
 	j.background = b.IsBackground(rec)
 	j.bestEffort = j.mayWaitForSpot(time.Now(), spot)
 }
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	if j.background && (j.priority > 0 || j.dependencyNode.DeadlinesMS()[0] != jobdag.NoDeadline) {
+	if j.background && (j.priority > 0 || j.dependencyNode.Deadlines().DueMS != jobdag.NoDeadline) {
 		// Somebody waits for it of whom something is asked.
 		j.background, j.bestEffort = false, false
 	}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -315,7 +315,7 @@
 		v := JobView{Job: job.Ref(), Class: rec.Class, Team: rec.Team, Priority: rec.Urgency, Tasks: rec.Tasks, UnclaimedTasks: rec.UnclaimedCount()}
 		v.Done, v.Running = job.Progress()
 		v.WaitsFor, v.Dependents, v.EffectivePriority = job.DependencyNode().OpenDependencies(), job.DependencyNode().DependentCount(), jobs.PriorityName(job.Priority())
-		if by := job.DeadlinesMS()[0]; by != jobdag.NoDeadline {
+		if by := job.Deadlines().DueMS; by != jobdag.NoDeadline {
 			s := float64(by-now.UnixMilli()) / 1000
 			v.DueInSeconds = &s
 		}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -18,9 +18,9 @@
 	RunnableSinceMS   int64
 	RunSeconds        float64 // expected run time of a task, seconds
 	CompletionSeconds float64 // expected time to its end for the sake of jobs behind it, seconds
-	// DeadlinesMS are times (Unix ms) by which it should be done, see depend.Node: of its own
+	// Deadlines are times (Unix ms) by which it should be done, see depend.Node: of its own
 	// deadline, or one that a job behind it has. depend.Never: none.
-	DeadlinesMS [2]int64
+	Deadlines jobdag.Deadlines
 }
 
 // StartByMS is the time (Unix ms) by which a job should start: for a service its arrival, for an array the deadline, or the
@@ -53,7 +53,7 @@
 			by, ok = t, true
 		}
 	}
-	for _, t := range job.DeadlinesMS {
+	for _, t := range [2]int64{job.Deadlines.DueMS, job.Deadlines.LastUsefulMS} {
 		if t != jobdag.NoDeadline {
 			consider(t - int64(max(job.RunSeconds, job.CompletionSeconds)*1000))
 		}
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -17,7 +17,7 @@
 	}
 	by := func(n string) int64 {
 		rec := recs[n]
-		return StartByMS(Job{rec, rec.AcceptedAtMS, rec.EstimatedRunSeconds, 0, jobdag.OwnDeadlinesMS(rec, func(string) float64 { return 1 })}, objectives, now)
+		return StartByMS(Job{rec, rec.AcceptedAtMS, rec.EstimatedRunSeconds, 0, jobdag.OwnDeadlines(rec, func(string) float64 { return 1 })}, objectives, now)
 	}
 	slices.SortFunc(names, func(x, y string) int { return int(by(x) - by(y)) })
 	return names
--- /dev/null
+++ b/internal/jobdag/node.go
@@ -0,0 +1,94 @@
+package jobdag
+
+import (
+	"time"
+
+	"cherrywall/internal/jobs"
+)
+
+// Node is a job in the dependency graph. A nil *Node is valid and stands for a job without
+// dependencies and dependents.
+type Node struct {
+	ref          string
+	record       *jobs.JobRecord // nil: the job has ended, or is not known here
+	finalState   FinalState
+	dependencies []*Node
+	dependents   map[*Node]bool // unfinished jobs that name this one
+	// openDependencies is how many of the dependencies are not known to be done.
+	openDependencies int
+	// cancelledByDependency is set if a dependency, direct or indirect, is cancelled.
+	cancelledByDependency bool
+	priority              jobs.Priority
+	deadlines             Deadlines
+	// expectedRunSeconds is the expected time from when the job may run to its end, in seconds.
+	expectedRunSeconds float64
+	readyAt            time.Time
+}
+
+// isUnknown tells whether neither a record nor a final state of the job is known.
+func (n *Node) isUnknown() bool { return n.record == nil && n.finalState == Unfinished }
+
+// IsBlocked tells whether the job may not run now: it waits for dependencies, or can never run.
+func (n *Node) IsBlocked() bool {
+	return n != nil && n.record != nil && (n.openDependencies > 0 || n.cancelledByDependency)
+}
+
+// IsCancelledByDependency tells whether the job can never run because a dependency, direct or
+// indirect, is cancelled.
+func (n *Node) IsCancelledByDependency() bool { return n != nil && n.cancelledByDependency }
+
+// OpenDependencies returns the jobs that the job waits for.
+func (n *Node) OpenDependencies() []string {
+	if n == nil {
+		return nil
+	}
+	var refs []string
+	for _, dependency := range n.dependencies {
+		if dependency.finalState != Done {
+			refs = append(refs, dependency.ref)
+		}
+	}
+	return refs
+}
+
+// DependentCount returns how many unfinished jobs name the job as a dependency.
+func (n *Node) DependentCount() int {
+	if n == nil {
+		return 0
+	}
+	return len(n.dependents)
+}
+
+// ExpectedRunSeconds returns how long the job is expected to take from when it may run, in seconds;
+// 0 if that was not computed.
+func (n *Node) ExpectedRunSeconds() float64 {
+	if n == nil {
+		return 0
+	}
+	return n.expectedRunSeconds
+}
+
+// Priority returns the highest priority among the job, whose own is given, and its dependents.
+func (n *Node) Priority(own jobs.Priority) jobs.Priority {
+	if n == nil || n.record == nil {
+		return own
+	}
+	return max(own, n.priority)
+}
+
+// Deadlines returns the times by which the job should be done for its own sake and for that of
+// its dependents.
+func (n *Node) Deadlines() Deadlines {
+	if n == nil || n.record == nil {
+		return noDeadlines()
+	}
+	return n.deadlines
+}
+
+// ReadyAt returns when the last dependency was done; zero if the job had none.
+func (n *Node) ReadyAt() time.Time {
+	if n == nil {
+		return time.Time{}
+	}
+	return n.readyAt
+}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -183,7 +183,7 @@
 			continue
 		}
 		rec := *job.Record()
-		if by := job.DeadlinesMS()[0]; by != jobdag.NoDeadline {
+		if by := job.Deadlines().DueMS; by != jobdag.NoDeadline {
 			due := float64(by-job.RunnableSinceMS()) / 1000 // also what those behind it need
 			rec.DeadlineSeconds = &due
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -200,7 +200,7 @@
 
 // deadlineJob is what a job's place in the queue depends on.
 func (d *Scheduler) deadlineJob(job *clusterstate.Job) deadline.Job {
-	return deadline.Job{Record: job.Record(), RunnableSinceMS: job.RunnableSinceMS(), RunSeconds: d.ExpectedRunSeconds(job.Record()), CompletionSeconds: job.DependencyNode().ExpectedRunS(), DeadlinesMS: job.DeadlinesMS()}
+	return deadline.Job{Record: job.Record(), RunnableSinceMS: job.RunnableSinceMS(), RunSeconds: d.ExpectedRunSeconds(job.Record()), CompletionSeconds: job.DependencyNode().ExpectedRunSeconds(), Deadlines: job.Deadlines()}
 }
 
 // shape is all of a job that its counts depend on: many that wait have the same.
