--- /dev/null
+++ b/internal/clusterstate/apply_claim.go
@@ -0,0 +1,176 @@
+package clusterstate
+
+import (
+	"cherrywall/internal/clusterstate/internal/entity"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/membership"
+)
+
+// NewTentativeRange returns a claim of a job's tasks by a shard that is not durable yet. It is not
+// part of the state until AddTentativeRange; its tasks may be placed. zone is where they are to
+// run, "" for any.
+func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
+	record := jobs.RangeRecord{Shard: shard.ID(), Count: interval.Count, Zone: zone}
+	return entity.NewTentativeTaskRange(job, interval.First, record)
+}
+
+// AddTentativeRange adds a tentative claim to the state; inline is whether it is made in the
+// job's own record.
+func (s *State) AddTentativeRange(taskRange *TaskRange, inline bool) {
+	entity.SetInline(taskRange, inline)
+	entity.AddTaskRange(taskRange)
+}
+
+// AbandonTentativeRange removes a tentative claim that was not made: its tasks are unplaced.
+func (s *State) AbandonTentativeRange(taskRange *TaskRange) {
+	job := taskRange.Job()
+	if entity.IsCurrent(taskRange) && taskRange.IsTentative() {
+		s.UnplaceRange(taskRange)
+		entity.RemoveTaskRange(job, taskRange.First())
+		s.removeIfEnded(job)
+	}
+	s.ResetGangAttempt(job)
+	s.dirty = true
+}
+
+// UnplaceRange removes the assignments of a tentative claim, which are only planned, and cancels
+// its preemptions.
+func (s *State) UnplaceRange(taskRange *TaskRange) {
+	for _, assignment := range entity.TakePreemptions(taskRange) {
+		entity.CancelPreemption(assignment)
+		s.markChanged(assignment.Machine())
+	}
+	for i := range taskRange.Len() {
+		if assignment := taskRange.Assignment(i); assignment != nil {
+			s.Unplace(assignment)
+		}
+	}
+}
+
+// ApplyRangeRecord follows the record of a claimed range. complete is whether all older records
+// are known: a range that appears later in a shard owned here was claimed in its present epoch.
+func (s *State) ApplyRangeRecord(ref string, first int, record jobs.RangeRecord, revision uint64, complete bool) {
+	job := s.jobs[ref]
+	if job == nil {
+		// The job has ended, or its record comes later in the same reading.
+		job = entity.NewJob(ref)
+		entity.SetEnded(job)
+		s.jobs[ref] = job
+	}
+	shard := s.shards.Shard(record.Shard)
+	// Only a shard's owner writes its ranges, under the shard's epoch: one that appears after this
+	// controller acquired the shard was claimed by it, and its tasks were never started. One read
+	// together with the shard, in the first load, was there before: its tasks are unknown.
+	neverStarted := shard != nil && shard.IsLocal() && complete && revision > shard.Epoch()
+	s.applyClaim(job, first, record, revision, neverStarted)
+}
+
+// applyInlineClaim follows the claim of a small job in the job's own record.
+func (s *State) applyInlineClaim(job *Job, revision uint64, complete bool) {
+	taskRange, claim := job.TaskRange(0), job.Record().WholeClaim
+	if claim == nil {
+		if taskRange != nil && taskRange.IsInline() && !taskRange.IsTentative() {
+			s.removeRange(taskRange)
+		}
+		return
+	}
+	shard := s.shards.Shard(claim.Shard)
+	if taskRange != nil && taskRange.IsTentative() && (shard == nil || claim.Epoch != shard.Epoch()) {
+		// The claim is an earlier owner's, though it may look like the tentative one.
+		s.UnplaceRange(taskRange)
+		entity.RemoveTaskRange(job, 0)
+		taskRange = nil
+	}
+	if taskRange != nil && !taskRange.IsTentative() && taskRange.Record().Shard == claim.Shard {
+		entity.SetRangeRevision(taskRange, revision)
+		return
+	}
+	// Others may write the record again, so its revision does not tell when the claim was made. If
+	// it was made by this controller in the shard's present epoch and is new here, nothing was
+	// started.
+	neverStarted := shard != nil && shard.IsLocal() && complete && claim.Epoch == shard.Epoch()
+	s.applyClaim(job, 0, jobs.RangeRecord{Shard: claim.Shard, Count: claim.Count}, revision, neverStarted)
+	entity.SetInline(job.TaskRange(0), true)
+}
+
+// applyClaim follows a durable claim. neverStarted is whether, if the claim is new here, none of
+// its tasks was ever started.
+func (s *State) applyClaim(job *Job, first int, record jobs.RangeRecord, revision uint64, neverStarted bool) {
+	applySplit(job, first, record, revision)
+	taskRange := job.TaskRange(first)
+	if taskRange != nil && taskRange.Revision() >= revision {
+		return
+	}
+	if taskRange != nil && taskRange.IsTentative() && !claimsSameTasks(taskRange.Record(), &record) {
+		// Another controller's claim came first, or an earlier one of this controller.
+		s.UnplaceRange(taskRange)
+		taskRange = nil
+	}
+	if taskRange == nil || taskRange.Record().Shard != record.Shard {
+		s.addClaim(job, first, record, revision, neverStarted)
+		return
+	}
+	entity.ConfirmClaim(taskRange, revision)
+	s.executePreemptions(taskRange)
+	entity.SetRangeRecord(taskRange, record)
+	s.clearUntrustedHosts(taskRange)
+	entity.FollowRecordedDone(taskRange)
+}
+
+// applySplit splits the range whose split a record shows to be durable, if there is one.
+func applySplit(job *Job, first int, record jobs.RangeRecord, revision uint64) {
+	for taskRange := range job.TaskRanges() {
+		if entity.IsSplitBy(taskRange, first, record, revision) {
+			entity.Split(taskRange)
+			return
+		}
+	}
+}
+
+func claimsSameTasks(a, b *jobs.RangeRecord) bool {
+	return a.Shard == b.Shard && a.Count == b.Count
+}
+
+// addClaim adds a claim that is new here, in place of another shard's if there is one.
+func (s *State) addClaim(job *Job, first int, record jobs.RangeRecord, revision uint64, neverStarted bool) {
+	taskRange := entity.NewTaskRange(job, first, record, revision)
+	entity.AddTaskRange(taskRange)
+	initial := TaskUnknown
+	if neverStarted {
+		initial = TaskReady
+	}
+	shard := s.shards.Shard(record.Shard)
+	entity.ResetTasks(taskRange, shard != nil && shard.IsLocal(), initial)
+	s.clearUntrustedHosts(taskRange)
+}
+
+// clearUntrustedHosts forgets the workers that a gang's range names if an owner of its shard since
+// then may not have kept to them.
+func (s *State) clearUntrustedHosts(taskRange *TaskRange) {
+	shard := s.shards.Shard(taskRange.Record().Shard)
+	if shard == nil || !shard.TrustsMark(taskRange.Revision()) {
+		entity.ClearGangWorkers(taskRange)
+	}
+}
+
+// ApplyRangeDeletion follows the deletion of a range's record.
+func (s *State) ApplyRangeDeletion(ref string, first int, revision uint64) {
+	job := s.jobs[ref]
+	if job == nil {
+		return
+	}
+	taskRange := job.TaskRange(first)
+	if taskRange == nil || taskRange.Revision() > revision {
+		return
+	}
+	if entity.IsSplitAt(taskRange, 0) {
+		entity.Split(taskRange)
+	}
+	s.removeRange(taskRange)
+}
+
+func (s *State) removeRange(taskRange *TaskRange) {
+	s.abandonTasks(taskRange)
+	entity.RemoveTaskRange(taskRange.Job(), taskRange.First())
+	s.removeIfEnded(taskRange.Job())
+}
--- /dev/null
+++ b/internal/clusterstate/assignments.go
@@ -0,0 +1,191 @@
+package clusterstate
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate/internal/entity"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/workerapi"
+)
+
+// Place plans an attempt of a task, numbered within its range, on a machine.
+func (s *State) Place(taskRange *TaskRange, index int, machine *Machine, attempt uint64) *Assignment {
+	job := taskRange.Job()
+	name := jobs.TaskName(job.Ref(), taskRange.First()+index)
+	assignment := entity.NewAssignment(machine, name, attempt, AssignmentStatus{})
+	entity.SetJobNeeds(assignment, job)
+	entity.AddAssignment(assignment)
+	entity.AssignTask(assignment, taskRange, index)
+	entity.SetLastPlacedAt(taskRange, time.Now())
+	s.markChanged(machine)
+	return assignment
+}
+
+// Unplace removes an assignment whose task is certainly not on the machine (any more). The task
+// is ready again.
+func (s *State) Unplace(assignment *Assignment) {
+	entity.RemoveAssignment(assignment)
+	if entity.ReleaseTask(assignment, TaskReady) {
+		failGangAttemptOf(assignment)
+	}
+	s.markChanged(assignment.Machine())
+}
+
+// abandonTasks stops all tasks of a range, which are of no interest any more.
+func (s *State) abandonTasks(taskRange *TaskRange) {
+	for i := range taskRange.Len() {
+		if assignment := taskRange.Assignment(i); assignment != nil {
+			s.abandon(assignment)
+		}
+	}
+}
+
+// abandon stops an assignment whose task is of no interest any more.
+func (s *State) abandon(assignment *Assignment) {
+	entity.Abandon(assignment)
+	if assignment.Status().IsPlanned() {
+		s.Unplace(assignment)
+		return
+	}
+	machine := assignment.Machine()
+	s.markChanged(machine) // Stop does not if the task is stopping already
+	s.Stop(assignment, 0)
+	if !assignment.Status().HasStarted() || machine.HeartbeatOverdue() {
+		s.urgentStops = append(s.urgentStops, machine)
+	}
+}
+
+// TakeUrgentStops returns the machines, since it was last called, to which stop commands are to be
+// sent at once: a task is abandoned that has perhaps not started yet, or the machine does not
+// report.
+func (s *State) TakeUrgentStops() []*Machine {
+	machines := s.urgentStops
+	s.urgentStops = nil
+	return machines
+}
+
+// Stop notes that an assignment is to be stopped, with so many seconds for a checkpoint. A task
+// that is stopping already never gets more time than before.
+func (s *State) Stop(assignment *Assignment, graceS float64) {
+	status := entity.Status(assignment)
+	if status.Stopping && graceS >= status.GraceS {
+		return
+	}
+	status.Stopping, status.GraceS, status.StopSent = true, graceS, false
+	s.markChanged(assignment.Machine())
+}
+
+// Preempt stops a task for another one; of a gang, all tasks.
+func (s *State) Preempt(assignment *Assignment) {
+	job := assignment.Job()
+	switch {
+	case assignment.Status().IsPlanned():
+		s.Unplace(assignment)
+	case job != nil && job.IsGang():
+		s.StopGang(job)
+	default:
+		s.Stop(assignment, 0)
+	}
+}
+
+// PreemptFor stops a task for those of a claim once the claim is durable. Of two controllers that
+// claimed a job at the same moment, the one whose claim failed had preempted work for nothing: 248
+// tasks for 160 urgent ones over slow links.
+func (s *State) PreemptFor(taskRange *TaskRange, assignment *Assignment) {
+	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
+		s.Preempt(assignment)
+		return
+	}
+	entity.AddPreemption(taskRange, assignment)
+	s.markChanged(assignment.Machine())
+}
+
+// executePreemptions stops the tasks that a claim preempts: it is durable.
+func (s *State) executePreemptions(taskRange *TaskRange) {
+	for _, assignment := range entity.TakePreemptions(taskRange) {
+		entity.CancelPreemption(assignment)
+		if entity.IsOnMachine(assignment) {
+			s.Preempt(assignment)
+		}
+		s.markChanged(assignment.Machine())
+	}
+}
+
+// MarkStartSent notes that a start command was sent.
+func (s *State) MarkStartSent(assignment *Assignment) {
+	entity.Status(assignment).StartSent = true
+	entity.MarkUsageStale(assignment.Machine())
+}
+
+// MarkStopSent notes that a stop command was sent.
+func (s *State) MarkStopSent(assignment *Assignment) {
+	entity.Status(assignment).StopSent = true
+	entity.MarkUsageStale(assignment.Machine())
+}
+
+// ClearStartSent notes that a start command never arrived, or that its agent session is over.
+func (s *State) ClearStartSent(assignment *Assignment) {
+	entity.Status(assignment).StartSent = false
+}
+
+// UpdateStatus notes a task's status as reported by its worker. It tells whether that was known
+// already.
+func (s *State) UpdateStatus(assignment *Assignment, workerStatus string, now time.Time) (unchanged bool) {
+	status := entity.Status(assignment)
+	unchanged = status.Reported && status.WorkerStatus == workerStatus
+	if workerStatus == workerapi.StatusRunning && status.WorkerStatus != workerapi.StatusRunning {
+		status.RunningSince = now
+	}
+	status.Reported, status.StartSent, status.WorkerStatus = true, true, workerStatus
+	noteImage(assignment)
+	return unchanged
+}
+
+// noteImage notes that a machine has the image of a task that is reported to be beyond pulling it.
+func noteImage(assignment *Assignment) {
+	job := assignment.Job()
+	if job != nil && assignment.Status().HasStarted() {
+		entity.AddImage(assignment.Machine(), job.Record().Image)
+	}
+}
+
+// RemoveExited removes the assignment of a task that is done from its machine. Until MarkDone, the
+// task is on no machine and not ready.
+func (s *State) RemoveExited(assignment *Assignment) {
+	entity.Status(assignment).Reported = true
+	entity.RemoveAssignment(assignment)
+	s.markChanged(assignment.Machine())
+}
+
+// MarkDone notes that a task, numbered within its range, is done. assignment is the one that it
+// left by RemoveExited, nil if there is none.
+func (s *State) MarkDone(taskRange *TaskRange, index int, assignment *Assignment) {
+	if assignment != nil && taskRange.Assignment(index) == assignment {
+		entity.SetTask(taskRange, index, TaskReady, nil)
+	}
+	s.markDone(taskRange, index)
+}
+
+func (s *State) markDone(taskRange *TaskRange, index int) {
+	if taskRange.TaskState(index) == TaskFinished {
+		return
+	}
+	if assignment := taskRange.Assignment(index); assignment != nil {
+		s.abandon(assignment)
+	}
+	entity.MarkTaskDone(taskRange, index)
+	if job := taskRange.Job(); job.IsGang() {
+		s.markGangDone(job)
+	}
+	s.dirty = true
+}
+
+// markGangDone notes that all tasks of a gang are done: a gang completes as a whole, as soon as
+// one of its tasks does.
+func (s *State) markGangDone(job *Job) {
+	for taskRange := range job.TaskRanges() {
+		for i := range taskRange.Len() {
+			s.markDone(taskRange, i)
+		}
+	}
+}
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -10,123 +10,153 @@
 	"cherrywall/internal/workerapi"
 )
 
-func ready(t *testing.T) (d *harness.Harness, m *clusterstate.Machine, r *clusterstate.TaskRange) {
+// claimedArray is a harness with a machine of 16 processors, and an array of three tasks of four
+// processors claimed by a shard that is owned here.
+type claimedArray struct {
+	*harness.Harness
+	machine   *clusterstate.Machine
+	taskRange *clusterstate.TaskRange
+}
+
+func newClaimedArray(t *testing.T) *claimedArray {
 	t.Helper()
-	d = harness.New(t, nil)
-	d.OfferMachineTypes("m16")
-	m = d.AddMachine("i-1", "n0", "m16", false)
-	d.Cache.ApplyEvents(nil, 5)
-	d.SetOwner("n0", harness.Self, 5)
-	d.State.EndHeartbeat(m, true, false)
-	d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 3, CPU: 4}, 0, 6)
-	return d, m, d.AddTaskRange("wk-1", "n0", 3, 7)
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	machine := h.AddMachine("i-1", "n0", "m16", false)
+	h.Cache.ApplyEvents(nil, 5)
+	h.SetOwner("n0", harness.Self, 5)
+	h.State.EndHeartbeat(machine, true, false)
+	h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 3, CPU: 4}, 0, 6)
+	return &claimedArray{Harness: h, machine: machine, taskRange: h.AddTaskRange("wk-1", "n0", 3, 7)}
 }
 
-func fit(d *harness.Harness) int {
-	j := d.State.Job("wk-1")
-	return d.State.FreeCapacity().Count(j.Need(), j.Record().Allows)
+// fitCount returns how many tasks of the array fit by the table of free capacity.
+func (c *claimedArray) fitCount() int {
+	job := c.State.Job("wk-1")
+	return c.State.FreeCapacity().Count(job.Need(), job.Record().Allows)
 }
 
-// A task's life, and the counts that follow each step of it.
-func TestTheCountsFollowATaskFromThePlanToItsEnd(t *testing.T) {
-	d, m, r := ready(t)
-	if r.CountTasks(clusterstate.TaskReady) != 3 || fit(d) != 4 {
-		t.Fatalf("claimed in our tenure: %d of 3 may start, %d fit", r.CountTasks(clusterstate.TaskReady), fit(d))
-	}
-	s := d.State.Place(r, 1, m, 9)
-	if fit(d) != 3 || !s.Status().IsPlanned() || d.State.PendingCommands(m) != 1 {
-		t.Errorf("planned: %d fit, %d orders wait", fit(d), d.State.PendingCommands(m))
-	}
-	d.State.MarkStartSent(s)
-	if same := d.State.UpdateStatus(s, workerapi.StatusRunning, time.Now()); same || d.State.PendingCommands(m) != 0 {
-		t.Errorf("shown to run: known before %v, %d orders wait", same, d.State.PendingCommands(m))
-	}
-	d.State.Stop(s, 5)
-	if fit(d) != 4 || d.State.FreeNow(m).CPU != 16 { // it saves nothing: gone with the order
-		t.Errorf("stopping: %d fit, %v free now", fit(d), d.State.FreeNow(m))
-	}
-	d.State.Stop(s, 8)
-	if s.Status().GraceS != 5 {
+// The free capacity follows each step of a task from the plan to its end.
+func TestFreeCapacityFollowsTask(t *testing.T) {
+	c := newClaimedArray(t)
+	state, machine, taskRange := c.State, c.machine, c.taskRange
+	if taskRange.CountTasks(clusterstate.TaskReady) != 3 || c.fitCount() != 4 {
+		t.Fatalf("claimed in the present epoch: %d of 3 are ready, %d fit", taskRange.CountTasks(clusterstate.TaskReady), c.fitCount())
+	}
+	assignment := state.Place(taskRange, 1, machine, 9)
+	if c.fitCount() != 3 || !assignment.Status().IsPlanned() || state.PendingCommands(machine) != 1 {
+		t.Errorf("planned: %d fit, %d pending commands", c.fitCount(), state.PendingCommands(machine))
+	}
+	state.MarkStartSent(assignment)
+	if unchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); unchanged || state.PendingCommands(machine) != 0 {
+		t.Errorf("running: known before %v, %d pending commands", unchanged, state.PendingCommands(machine))
+	}
+	state.Stop(assignment, 5)
+	if c.fitCount() != 4 || state.FreeNow(machine).CPU != 16 { // without checkpoints it is gone with the command
+		t.Errorf("stopping: %d fit, %v free now", c.fitCount(), state.FreeNow(machine))
+	}
+	state.Stop(assignment, 8)
+	if assignment.Status().GraceS != 5 {
 		t.Error("given more time than before")
 	}
-	d.State.RemoveExited(s)
-	d.State.MarkDone(r, 1, s)
-	if done, active := r.Job().Progress(); r.TaskState(1) != clusterstate.TaskFinished || r.DoneTasks() != 1 || done != 0 || active != 0 {
-		t.Errorf("state %d, done %d, told to users: %d done, %d active", r.TaskState(1), r.DoneTasks(), done, active)
+	state.RemoveExited(assignment)
+	state.MarkDone(taskRange, 1, assignment)
+	done, active := taskRange.Job().Progress()
+	if taskRange.TaskState(1) != clusterstate.TaskFinished || taskRange.DoneTasks() != 1 || done != 0 || active != 0 {
+		t.Errorf("state %v, done %d, progress: %d done, %d active", taskRange.TaskState(1), taskRange.DoneTasks(), done, active)
 	}
-	if !r.RecordWithDone().Done.Has(1) || r.Record().Done.Has(1) {
-		t.Error("what is to be recorded as done")
+	if !taskRange.RecordWithDone().Done.Has(1) || taskRange.Record().Done.Has(1) {
+		t.Error("the record to be written does not have the task as done, or the present one has")
 	}
 }
 
-// One attempt on two workers must not count twice, and neither of two may vanish from
-// the books while it runs.
-func TestATaskOnASecondWorkerIsStoppedThere(t *testing.T) {
-	d, m, r := ready(t)
-	other := d.AddMachine("i-2", "n0", "m16", false)
-	d.State.EndHeartbeat(other, true, false)
-	d.State.MarkStartSent(d.State.Place(r, 0, m, 9))
-	entry := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 7, Status: workerapi.StatusRunning}
-	lookup := d.State.LookupTask(other, entry)
+// An attempt on two workers must not count twice, and neither of the two may vanish from the
+// state while it runs.
+func TestTaskOnSecondWorkerIsStopped(t *testing.T) {
+	c := newClaimedArray(t)
+	state, taskRange := c.State, c.taskRange
+	other := c.AddMachine("i-2", "n0", "m16", false)
+	state.EndHeartbeat(other, true, false)
+	state.MarkStartSent(state.Place(taskRange, 0, c.machine, 9))
+	reported := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 7, Status: workerapi.StatusRunning}
+	lookup := state.LookupTask(other, reported)
 	if want := (clusterstate.TaskLookup{JobKnown: true, IsClaimed: true, PlacedElsewhere: true}); lookup != want {
 		t.Errorf("found %+v", lookup)
 	}
-	s := d.State.Adopt(other, entry, false)
-	if !s.Status().Stopping || s.Job() != nil || other.AssignmentCount() != 1 || r.Assignment(0).Machine() != m {
-		t.Errorf("the second: %+v, the first on %s", s.Status(), r.Assignment(0).Machine().Host())
+	second := state.Adopt(other, reported, false)
+	if !second.Status().Stopping || second.Job() != nil || other.AssignmentCount() != 1 || taskRange.Assignment(0).Machine() != c.machine {
+		t.Errorf("the second: %+v, the first on %s", second.Status(), taskRange.Assignment(0).Machine().Host())
 	}
-	d.State.EndJob(r.Job())
-	if f := r.Assignment(0); f == nil || !f.Status().Stopping || f.Job() != nil {
-		t.Error("a task of a job that is over goes on")
+	state.EndJob(taskRange.Job())
+	if first := taskRange.Assignment(0); first == nil || !first.Status().Stopping || first.Job() != nil {
+		t.Error("a task of a job that has ended keeps running")
 	}
 }
 
-// A gang starts as a whole; when one of its tasks is lost, the others have to go before
-// the next try.
-func TestAGangIsOneTry(t *testing.T) {
-	d, m, _ := ready(t)
-	j := d.AddJob(jobs.Spec{Ref: "wk-2", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 7}, 0, 8)
-	r := d.AddTaskRange("wk-2", "n0", 2, 9)
-	d.State.BeginGangAttempt(j, 4)
-	first := d.State.Place(r, 0, m, 4)
-	if d.State.GangCanStart(j) {
+// A gang starts as a whole; when one of its tasks is lost, the others have to go before the next
+// attempt.
+func TestGangRunsUnderOneAttempt(t *testing.T) {
+	c := newClaimedArray(t)
+	state, machine := c.State, c.machine
+	job := c.AddJob(jobs.Spec{Ref: "wk-2", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 7}, 0, 8)
+	taskRange := c.AddTaskRange("wk-2", "n0", 2, 9)
+	state.BeginGangAttempt(job, 4)
+	first := state.Place(taskRange, 0, machine, 4)
+	if state.GangCanStart(job) {
 		t.Error("half a gang may start")
 	}
-	second := d.State.Place(r, 1, m, 4)
-	if !d.State.GangCanStart(j) || !d.State.StartGang(j) || d.State.StartGang(j) {
-		t.Error("the whole one may not, or begins twice")
+	second := state.Place(taskRange, 1, machine, 4)
+	if !state.GangCanStart(job) || !state.StartGang(job) || state.StartGang(job) {
+		t.Error("the whole gang may not start, or starts twice")
 	}
-	d.State.MarkStartSent(first)
-	d.State.MarkStartSent(second)
-	d.State.Unplace(first) // lost
-	if d.State.GangCanStart(j) {
-		t.Error("a broken try goes on")
+	state.MarkStartSent(first)
+	state.MarkStartSent(second)
+	state.Unplace(first) // lost
+	if state.GangCanStart(job) {
+		t.Error("a failed attempt goes on")
 	}
-	d.State.StopFailedGang(j)
+	state.StopFailedGang(job)
 	if !second.Status().Stopping {
-		t.Error("the rest of a broken try is not stopped")
+		t.Error("the rest of a failed attempt is not stopped")
 	}
-	d.State.Unplace(second)
-	d.State.StopFailedGang(j)
-	if attempt, started := j.GangAttempt(); attempt != 0 || started {
-		t.Errorf("the next try begins with %d, started %v", attempt, started)
+	state.Unplace(second)
+	state.StopFailedGang(job)
+	if attempt, started := job.GangAttempt(); attempt != 0 || started {
+		t.Errorf("the next attempt begins with %d, started %v", attempt, started)
 	}
 }
 
-// What the holder before knew is booked as it was; a plan of a job that is over by now is not.
-func TestWhatIsInheritedStandsAsItWas(t *testing.T) {
-	d, m, r := ready(t)
-	now, running := time.Now(), clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
-	d.State.RestoreAssignment(m, clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: "wk-1/0", Attempt: 9}, Progress: running, RanFor: time.Minute}, true, now)
-	if s := r.Assignment(0); s == nil || s.Attempt() != 9 || s.Status().Stopping || now.Sub(s.Status().RunningSince) != time.Minute || r.TaskState(0) != clusterstate.TaskPlaced {
-		t.Fatalf("%+v", s)
-	}
-	d.State.RestoreAssignment(m, clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: "wk-9/0", Attempt: 3}, Progress: running}, false, now)
-	if s := m.Assignment("wk-9/0"); s == nil || !s.Status().Stopping || s.Status().StopSent {
-		t.Errorf("a task of no known job: %+v", s)
-	}
-	d.State.RestoreAssignment(m, clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: "wk-9/1", Attempt: 3}}, false, now)
-	if m.Assignment("wk-9/1") != nil {
-		t.Error("a plan of no known job takes room")
-	}
+// An assignment of the shard's former owner is restored as it was, unless its job has ended: then
+// it is stopped if it runs, and ignored if it was only planned.
+func TestRestoreAssignment(t *testing.T) {
+	now := time.Now()
+	running := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
+	previous := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
+		return clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: task, Attempt: attempt}, Progress: progress}
+	}
+	t.Run("running task", func(t *testing.T) {
+		c := newClaimedArray(t)
+		assignment := previous("wk-1/0", 9, running)
+		assignment.RanFor = time.Minute
+		c.State.RestoreAssignment(c.machine, assignment, true, now)
+		restored := c.taskRange.Assignment(0)
+		if restored == nil || restored.Attempt() != 9 || restored.Status().Stopping ||
+			now.Sub(restored.Status().RunningSince) != time.Minute || c.taskRange.TaskState(0) != clusterstate.TaskPlaced {
+			t.Fatalf("%+v", restored)
+		}
+	})
+	t.Run("running task of an unknown job", func(t *testing.T) {
+		c := newClaimedArray(t)
+		c.State.RestoreAssignment(c.machine, previous("wk-9/0", 3, running), false, now)
+		if restored := c.machine.Assignment("wk-9/0"); restored == nil || !restored.Status().Stopping || restored.Status().StopSent {
+			t.Errorf("%+v", restored)
+		}
+	})
+	t.Run("planned task of an unknown job", func(t *testing.T) {
+		c := newClaimedArray(t)
+		c.State.RestoreAssignment(c.machine, previous("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
+		if c.machine.Assignment("wk-9/1") != nil {
+			t.Error("it takes resources")
+		}
+	})
 }
--- /dev/null
+++ b/internal/clusterstate/condition.go
@@ -0,0 +1,160 @@
+package clusterstate
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate/internal/entity"
+	"cherrywall/internal/tuning"
+)
+
+// setFlag changes a flag that decides whether a machine is used, and counts the machine anew if
+// the flag is new.
+func (s *State) setFlag(machine *Machine, flag *bool, value bool) {
+	if *flag != value {
+		*flag = value
+		s.markChanged(machine)
+	}
+}
+
+// Drain cordons a machine: it gets no more tasks.
+func (s *State) Drain(machine *Machine) {
+	s.setFlag(machine, &entity.Flags(machine).Cordoned, true)
+}
+
+// SetSuspected notes whether several jobs failed on a machine.
+func (s *State) SetSuspected(machine *Machine, suspected bool) {
+	s.setFlag(machine, &entity.Flags(machine).Suspected, suspected)
+}
+
+// SetSurplus notes whether an ordinary machine is to be drained and released.
+func (s *State) SetSurplus(machine *Machine, surplus bool) {
+	s.setFlag(machine, &entity.Flags(machine).Surplus, surplus)
+}
+
+// SetMoving notes whether a write that assigns a machine to another shard is in flight.
+func (s *State) SetMoving(machine *Machine, moving bool) {
+	s.setFlag(machine, &entity.Flags(machine).Moving, moving)
+}
+
+// SetReleasing notes whether a request to release a machine is under way.
+func (s *State) SetReleasing(machine *Machine, releasing bool) {
+	s.setFlag(machine, &entity.Flags(machine).Releasing, releasing)
+}
+
+// MarkPreempted notes that the cloud has given notice that it takes a machine back.
+func (s *State) MarkPreempted(machine *Machine) { entity.Flags(machine).Preempted = true }
+
+// MarkReleased notes that the cloud has confirmed the release of a machine: its tasks are gone.
+func (s *State) MarkReleased(machine *Machine) {
+	entity.Flags(machine).Released = true
+	s.machineCounts = nil
+	s.MarkLost(machine)
+}
+
+// RecordContact notes a heartbeat that shows nothing but that the machine is there. A lost machine
+// stays lost: the heartbeat may be a late copy.
+func (s *State) RecordContact(machine *Machine, at time.Time) {
+	if !machine.IsLost() {
+		entity.Times(machine).LastHeartbeatAt = at
+	}
+}
+
+// SetNoInbound notes whether responses and commands to a machine are lost. Tasks that are only
+// planned there are placed elsewhere then, since commands must not be executed late.
+func (s *State) SetNoInbound(machine *Machine, noInbound bool, now time.Time) {
+	if machine.HasNoInbound() == noInbound {
+		return
+	}
+	entity.Times(machine).NoInboundChangedAt = now
+	s.setFlag(machine, &entity.Flags(machine).NoInbound, noInbound)
+	if noInbound {
+		s.unplacePlanned(machine)
+	}
+}
+
+// MarkHeartbeatOverdue notes that a machine should have reported and has not. Tasks that are only
+// planned there are placed elsewhere, and nothing is planned there until it reports: tasks waited
+// there for as long as the lease, 28 s, while other machines had free capacity.
+func (s *State) MarkHeartbeatOverdue(machine *Machine) {
+	s.setFlag(machine, &entity.Flags(machine).HeartbeatOverdue, true)
+	s.unplacePlanned(machine)
+}
+
+// unplacePlanned removes the tasks that are on a machine by plan only.
+func (s *State) unplacePlanned(machine *Machine) {
+	for assignment := range machine.Assignments() {
+		if assignment.Status().IsPlanned() {
+			s.Unplace(assignment)
+		}
+	}
+}
+
+// BeginHeartbeat notes a heartbeat under the present fencing token, before the tasks that it lists
+// are processed. It tells whether the machine counted as lost until now.
+func (s *State) BeginHeartbeat(machine *Machine, at time.Time) (wasLost bool) {
+	flags, times := entity.Flags(machine), entity.Times(machine)
+	wasLost = flags.Lost
+	if flags.Lost || !flags.Reported {
+		// The machine was empty because it was unreachable, not for lack of work. With the idle
+		// time of an outage it was scaled in before its tasks could be placed again.
+		times.IdleSince = time.Time{}
+	}
+	times.LastHeartbeatAt = at
+	flags.ProbeUnanswered, flags.Lost = false, false
+	s.setFlag(machine, &flags.HeartbeatOverdue, false)
+	return wasLost
+}
+
+// EndHeartbeat notes that all tasks that a heartbeat lists were processed. empty is whether it
+// listed none, unchanged whether it said nothing new, as most do: no decision follows from it
+// then. It tells whether this is the machine's first heartbeat under the present fencing token.
+func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
+	flags := entity.Flags(machine)
+	first = !flags.Reported
+	flags.Reported, flags.ReportedEmpty = true, empty
+	if first || !unchanged {
+		s.markChanged(machine)
+	}
+	return first
+}
+
+// MarkProbeUnanswered notes that a machine did not answer a probe.
+func (s *State) MarkProbeUnanswered(machine *Machine) {
+	entity.Flags(machine).ProbeUnanswered = !machine.HasReported()
+}
+
+// AssumeLost notes that a machine did not report in time after its shard was acquired.
+func (s *State) AssumeLost(machine *Machine, now time.Time) {
+	entity.Flags(machine).Lost, entity.Times(machine).LostAt = true, now
+}
+
+// MarkLost removes all tasks of a machine that is provably gone.
+func (s *State) MarkLost(machine *Machine) {
+	// Whether a machine of another controller's shard was released is not known here.
+	if !machine.IsLost() && !machine.IsReleasing() && s.OwnedShard(machine) != nil {
+		s.recordMachineFailure(time.Now())
+	}
+	for assignment := range machine.Assignments() {
+		s.Unplace(assignment)
+	}
+	s.AssumeLost(machine, time.Now())
+	s.markChanged(machine)
+}
+
+func (s *State) recordMachineFailure(at time.Time) {
+	s.failureTimes = append(s.failureTimes, at)
+	if len(s.failureTimes) > tuning.MaxRecordedMachineFailures {
+		s.failureTimes = s.failureTimes[1:]
+	}
+}
+
+// RecentMachineFailures returns how many machines were lately lost without being released.
+func (s *State) RecentMachineFailures(now time.Time) int {
+	count := 0
+	for _, at := range s.failureTimes {
+		if now.Sub(at) < tuning.MachineFailureWindow {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/clusterstate/gang.go
@@ -0,0 +1,155 @@
+package clusterstate
+
+import (
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/clusterstate/internal/entity"
+	"cherrywall/internal/tuning"
+)
+
+// All tasks of a gang run under one attempt number, or none does.
+
+// BeginGangAttempt notes that a gang is to be placed under an attempt number.
+func (s *State) BeginGangAttempt(job *Job, attempt uint64) { entity.BeginGangAttempt(job, attempt) }
+
+// ResetGangAttempt forgets a gang's attempt: its tasks are given back, or their state is unknown.
+func (s *State) ResetGangAttempt(job *Job) { *entity.Gang(job) = entity.GangAttempt{} }
+
+// adoptGangAttempt follows a task that a worker reports to run under an attempt, if its job is a
+// gang.
+func adoptGangAttempt(job *Job, attempt uint64) {
+	if !job.IsGang() {
+		return
+	}
+	gang := entity.Gang(job)
+	switch {
+	case gang.Attempt == 0 || !gang.Started:
+		*gang = entity.GangAttempt{Attempt: attempt, Started: true}
+	case gang.Attempt != attempt:
+		gang.Failed = true
+	}
+}
+
+// failGangAttemptOf notes that a task was lost, which fails the gang attempt that it was of.
+func failGangAttemptOf(assignment *Assignment) {
+	job := assignment.Job()
+	if !job.IsGang() {
+		return
+	}
+	if gang := entity.Gang(job); gang.Started && assignment.Attempt() == gang.Attempt {
+		gang.Failed = true
+	}
+}
+
+// StartGang notes that a task of a gang is told to start, and tells whether it is the first.
+func (s *State) StartGang(job *Job) (first bool) {
+	gang := entity.Gang(job)
+	first = !gang.Started
+	gang.Started = true
+	return first
+}
+
+// StopGang stops all tasks of a gang with time for a checkpoint.
+func (s *State) StopGang(job *Job) {
+	entity.Gang(job).Failed = true
+	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
+}
+
+// stopGangTasks stops what is left of a gang; tasks that are stopping already keep the time that
+// they were given.
+func (s *State) stopGangTasks(job *Job, graceS float64) {
+	for taskRange := range job.TaskRanges() {
+		for i := range taskRange.Len() {
+			if assignment := taskRange.Assignment(i); assignment != nil {
+				s.stopGangTask(assignment, graceS)
+			}
+		}
+	}
+}
+
+func (s *State) stopGangTask(assignment *Assignment, graceS float64) {
+	status := assignment.Status()
+	switch {
+	case status.IsPlanned():
+		s.Unplace(assignment)
+	case !status.Stopping:
+		s.Stop(assignment, graceS)
+	}
+}
+
+// GangCanStart tells whether a gang's tasks may be told to start: all of them are placed on
+// machines where they fit within one scheduling cycle.
+func (s *State) GangCanStart(job *Job) bool {
+	gang := entity.Gang(job)
+	if gang.Failed {
+		return false
+	}
+	if gang.Started {
+		return true
+	}
+	needs := map[*Machine]capacity.Resources{}
+	for taskRange := range job.TaskRanges() {
+		if !addPlannedNeeds(needs, taskRange) {
+			return false
+		}
+	}
+	for machine, need := range needs {
+		if !s.FreeNow(machine).Covers(need) {
+			return false
+		}
+	}
+	return true
+}
+
+// addPlannedNeeds adds what a range's tasks take by machine. It tells whether all of them may be
+// started where they are planned.
+func addPlannedNeeds(needs map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
+	if !taskRange.HostsAreRecorded() {
+		return false
+	}
+	for i := range taskRange.Len() {
+		assignment := taskRange.Assignment(i)
+		if assignment == nil {
+			return false
+		}
+		machine := assignment.Machine()
+		needs[machine] = needs[machine].Add(assignment.Need())
+	}
+	return true
+}
+
+// StopFailedGang stops what is left of a failed attempt of a gang, which has to be gone before the
+// next attempt. It does nothing for other jobs.
+func (s *State) StopFailedGang(job *Job) {
+	if !job.IsGang() {
+		return
+	}
+	gang := entity.Gang(job)
+	placed, ready, unknown := countTasks(job, TaskPlaced), countTasks(job, TaskReady), countTasks(job, TaskUnknown)
+	if placed == 0 {
+		if unknown == 0 {
+			s.ResetGangAttempt(job)
+		}
+		return
+	}
+	if ready > 0 {
+		// Some tasks are placed and some are not, since a machine was lost. A gang that still
+		// waited for free resources was once left as it was then: it never started, and kept the
+		// places of its other tasks forever.
+		gang.Failed = true
+	}
+	if !gang.Started && ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
+		gang.Failed = true // the resources that it waited for did not become free
+	}
+	if gang.Failed {
+		s.stopGangTasks(job, 0)
+	}
+}
+
+// countTasks returns how many tasks of a job are in a state, of shards owned here.
+func countTasks(job *Job, state TaskState) int {
+	count := 0
+	for taskRange := range job.TaskRanges() {
+		count += taskRange.CountTasks(state)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -0,0 +1,144 @@
+package entity
+
+import (
+	"time"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/workerapi"
+)
+
+// Assignment is a task on a machine, from the plan until it is gone.
+type Assignment struct {
+	machine *Machine
+	name    string
+	// taskRange and index are the task that it runs; nil if it runs no task of this controller
+	// and is only to be stopped.
+	taskRange *TaskRange
+	index     int
+	attempt   uint64
+	need      capacity.Resources
+	// checkpointS is the job's checkpoint interval in seconds, 0 if it saves none.
+	checkpointS float64
+	status      AssignmentStatus
+	// preemptedFor is the claim for which it will be stopped once that is durable.
+	preemptedFor *TaskRange
+}
+
+// AssignmentStatus is how far a task on a machine is.
+type AssignmentStatus struct {
+	StartSent    bool      // a start command was sent
+	Reported     bool      // the worker has reported the task
+	WorkerStatus string    // as last reported
+	RunningSince time.Time // as far as known
+	Stopping     bool      // the task is to be stopped
+	GraceS       float64   // seconds that it has to stop
+	StopSent     bool      // a stop command was sent
+}
+
+// IsPlanned tells whether the task is on the machine by plan only.
+func (s AssignmentStatus) IsPlanned() bool { return !s.StartSent && !s.Reported }
+
+// HasStarted tells whether the worker has reported the task to be beyond pulling its image.
+func (s AssignmentStatus) HasStarted() bool {
+	return s.Reported && s.WorkerStatus != workerapi.StatusPulling
+}
+
+// hasPendingCommand tells whether a start or stop command is still to be sent.
+func (s AssignmentStatus) hasPendingCommand() bool {
+	if s.Stopping {
+		return s.StartSent && !s.StopSent
+	}
+	return !s.StartSent
+}
+
+// NewAssignment returns an assignment of an attempt of a task to a machine, by the task's name.
+// It is to be added to both ends.
+func NewAssignment(machine *Machine, name string, attempt uint64, status AssignmentStatus) *Assignment {
+	return &Assignment{machine: machine, name: name, attempt: attempt, status: status}
+}
+
+// Machine returns the machine that the task is on.
+func (a *Assignment) Machine() *Machine { return a.machine }
+
+// Name returns the task's name.
+func (a *Assignment) Name() string { return a.name }
+
+// Job returns the task's job; nil if this is no task of this controller and only to be stopped.
+func (a *Assignment) Job() *Job {
+	if a.taskRange == nil {
+		return nil
+	}
+	return a.taskRange.job
+}
+
+// IsTentative tells whether the task's claim is not durable yet.
+func (a *Assignment) IsTentative() bool { return a.taskRange != nil && a.taskRange.tentative }
+
+// Attempt returns the number of the task's attempt.
+func (a *Assignment) Attempt() uint64 { return a.attempt }
+
+// Need returns what the task takes.
+func (a *Assignment) Need() capacity.Resources { return a.need }
+
+// Status returns how far the task is.
+func (a *Assignment) Status() AssignmentStatus { return a.status }
+
+// IsLeaving tells whether the task is to be stopped, or will be once the claim that preempts it
+// is durable.
+func (a *Assignment) IsLeaving() bool { return a.status.Stopping || a.preemptedFor != nil }
+
+// stopsImmediately tells whether a stop command ends the task without a checkpoint.
+func (a *Assignment) stopsImmediately() bool {
+	if a.status.WorkerStatus == workerapi.StatusCheckpointing {
+		return false
+	}
+	return a.status.GraceS == 0 || a.checkpointS == 0 || a.status.WorkerStatus != workerapi.StatusRunning
+}
+
+// OccupiesNow tells whether the task still takes its resources after the commands of the present
+// scheduling cycle are executed: it was sent or reported, and does not stop immediately.
+func (a *Assignment) OccupiesNow() bool {
+	if a.status.IsPlanned() {
+		return false
+	}
+	return !a.status.Stopping || !a.stopsImmediately()
+}
+
+// needsOrdinaryMachine tells whether the task may not run on a spot machine: it is of no array
+// that allows them.
+func (a *Assignment) needsOrdinaryMachine() bool {
+	job := a.Job()
+	return job != nil && (job.record.Kind != jobs.Array || !job.record.Spot)
+}
+
+// Status returns an assignment's status, to be changed.
+func Status(a *Assignment) *AssignmentStatus { return &a.status }
+
+// SetJobNeeds sets what an assignment takes by its job.
+func SetJobNeeds(a *Assignment, job *Job) {
+	a.need, a.checkpointS = job.need, job.record.CheckpointIntervalSeconds
+}
+
+// AssignTask makes an assignment the one of a task of a range.
+func AssignTask(a *Assignment, r *TaskRange, index int) {
+	a.taskRange, a.index = r, index
+	SetTask(r, index, TaskPlaced, a)
+}
+
+// Abandon makes an assignment one that runs no task of this controller.
+func Abandon(a *Assignment) { a.taskRange = nil }
+
+// ReleaseTask sets the state of an assignment's task, which has no assignment then. It tells
+// whether the assignment was still the task's.
+func ReleaseTask(a *Assignment, state TaskState) bool {
+	r := a.taskRange
+	if r == nil || a.index >= len(r.tasks) || r.tasks[a.index].assignment != a {
+		return false
+	}
+	SetTask(r, a.index, state, nil)
+	return true
+}
+
+// CancelPreemption notes that an assignment is not preempted by a claim any more.
+func CancelPreemption(a *Assignment) { a.preemptedFor = nil }
--- /dev/null
+++ b/internal/clusterstate/internal/entity/taskstate.go
@@ -0,0 +1,41 @@
+package entity
+
+import "fmt"
+
+// TaskState is what is known of a task of a range whose shard this controller owns.
+type TaskState uint8
+
+// The states of a task.
+const (
+	// TaskUnknown is a task taken over with its shard and not yet found on a machine or ruled
+	// out on all of them.
+	TaskUnknown TaskState = iota
+	// TaskReady is a task that is on no machine and may be started.
+	TaskReady
+	// TaskPlaced is a task with an assignment to a machine.
+	TaskPlaced
+	// TaskFinished is a task that is done.
+	TaskFinished
+	// TaskUnclaiming is a task that is being given back for any shard to claim.
+	TaskUnclaiming
+
+	taskStateCount = iota
+)
+
+// String returns the state's name for logs and test failures.
+func (s TaskState) String() string {
+	switch s {
+	case TaskUnknown:
+		return "unknown"
+	case TaskReady:
+		return "ready"
+	case TaskPlaced:
+		return "placed"
+	case TaskFinished:
+		return "finished"
+	case TaskUnclaiming:
+		return "unclaiming"
+	default:
+		return fmt.Sprintf("TaskState(%d)", uint8(s))
+	}
+}
