--- a/internal/machinelifecycle/export_test.go
+++ b/internal/machinelifecycle/export_test.go
@@ -6,11 +6,11 @@
 	"cherrywall/internal/clusterstate"
 )
 
-// Steps of the upkeep, for tests of one alone.
+// Single steps of Tick and Maintain, for tests.
 
-func (k *Manager) Release(machine *clusterstate.Machine) { k.release(machine) }
-func (k *Manager) SendReleases()                         { k.sendReleases() }
-func (k *Manager) CheckCloudListing(now time.Time)       { k.checkCloudListing(now) }
-func (k *Manager) MarkSurplus()                          { k.markSurplus(nil) }
-func (k *Manager) Consolidate(now time.Time)             { k.consolidate(now) }
-func (k *Manager) PendingReleases() int                  { return len(k.pendingReleases) }
+func (m *Manager) Release(machine *clusterstate.Machine) { m.release(machine) }
+func (m *Manager) SendReleases()                         { m.sendReleases() }
+func (m *Manager) CheckCloudListing(now time.Time)       { m.checkCloudListing(now) }
+func (m *Manager) MarkSurplus()                          { m.markSurplus(nil) }
+func (m *Manager) Consolidate(now time.Time)             { m.consolidate(now) }
+func (m *Manager) PendingReleases() int                  { return len(m.pendingReleases) }
--- /dev/null
+++ b/internal/machinelifecycle/health.go
@@ -0,0 +1,174 @@
+package machinelifecycle
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/tuning"
+)
+
+// suspectHeartbeats is the number of heartbeat intervals without a heartbeat after which the
+// cloud's list is asked whether a machine still exists.
+const suspectHeartbeats = 3
+
+// checkMachines checks the next batch of machines for missed heartbeats, lease expiry and
+// drains.
+func (m *Manager) checkMachines(now time.Time) {
+	if now.Sub(m.lastCheckAt) > tuning.ProcessStallThreshold {
+		m.resumedAt = now // this process stalled: missing heartbeats say nothing about the workers
+	}
+	m.lastCheckAt = now
+	settings, _ := m.Cache.Settings()
+	hasSuspects := false
+	for _, machine := range m.nextBatch() {
+		hasSuspects = hasSuspects || m.isSuspect(machine, now)
+		m.checkMachine(machine, settings.Drain, now)
+	}
+	m.Reconciler.Check(now)
+	if hasSuspects {
+		m.checkCloudListing(now)
+	}
+}
+
+// nextBatch returns the machines to check in this tick; the batches of about a second cover
+// all owned machines.
+func (m *Manager) nextBatch() []*clusterstate.Machine {
+	machines := m.State.OwnedMachines()
+	count := len(machines)
+	if count == 0 {
+		return nil
+	}
+	start := m.checkCursor % count
+	m.checkCursor = start + max(tuning.MinMachineChecksPerTick, count/tuning.MachineCheckTicks+1)
+	batch := machines[start:min(m.checkCursor, count)]
+	if m.checkCursor >= count {
+		m.checkCursor = 0
+	}
+	return batch
+}
+
+// checkMachine updates what is known of one machine and releases it where needed.
+// drainedHosts are the machines that the operators drain.
+func (m *Manager) checkMachine(machine *clusterstate.Machine, drainedHosts []string, now time.Time) {
+	m.State.SetSuspected(machine, m.Faults.IsSuspected(machine.Host(), now))
+	m.expireLease(machine, now)
+	if m.missedHeartbeat(machine, now) {
+		m.State.MarkHeartbeatOverdue(machine)
+	}
+	if m.Cache.IsStale(now) {
+		return
+	}
+	m.releaseIfUnreachable(machine, now)
+	if slices.Contains(drainedHosts, machine.Host()) && !machine.IsCordoned() {
+		m.log.Info("machine drained by operators", "worker", machine.Host())
+		m.State.Drain(machine)
+	}
+	if machine.IsCordoned() && !machine.IsReleasing() && m.evictTasks(machine) {
+		m.release(machine)
+	}
+}
+
+// missedHeartbeat reports whether a heartbeat of the machine became overdue since the last
+// check. Time in which this process stalled does not count.
+func (m *Manager) missedHeartbeat(machine *clusterstate.Machine, now time.Time) bool {
+	if !machine.HasReported() || machine.IsLost() || machine.HeartbeatOverdue() {
+		return false
+	}
+	heardSince := laterOf(machine.LastHeartbeatAt(), m.resumedAt)
+	return now.Sub(heardSince) > m.heartbeatDueAfter(machine)
+}
+
+// heartbeatDueAfter is the time without a heartbeat after which the next one is overdue. The
+// response to the last heartbeat may have been delayed, longer if the worker had no task.
+func (m *Manager) heartbeatDueAfter(machine *clusterstate.Machine) time.Duration {
+	interval := config.Seconds(m.cfg.Cluster.Workers.ReportS)
+	isEmpty := machine.AssignmentCount() == 0
+	return interval + interval/4 + m.Sessions.MaxResponseDelay(isEmpty) + tuning.HeartbeatOverdueMargin
+}
+
+func laterOf(x, y time.Time) time.Time {
+	if x.After(y) {
+		return x
+	}
+	return y
+}
+
+// expireLease marks a machine as lost when its worker's lease has expired: its tasks no
+// longer run.
+func (m *Manager) expireLease(machine *clusterstate.Machine, now time.Time) {
+	if !machine.IsLost() && machine.HasReported() && now.Sub(machine.LastHeartbeatAt()) > m.cfg.WorkerLeaseExpiryDelay() {
+		m.log.Info("worker lease expired", "worker", machine.Host(), "tasks", machine.AssignmentCount())
+		m.Sessions.CloseSession(machine)
+		m.State.MarkLost(machine)
+	}
+	// The machine is known only by its record or by a delayed heartbeat: no controller can
+	// have renewed its lease since the shard was acquired.
+	acquiredAt := laterOf(m.State.OwnedShard(machine).KnownSince(), machine.JoinedShardAt())
+	if !machine.IsLost() && !machine.HasReported() && now.After(m.cfg.WorkerLeaseExpiresAt(acquiredAt, machine.LastHeartbeatAt())) {
+		m.State.MarkLost(machine)
+	}
+}
+
+// releaseIfUnreachable releases a machine that was unreachable for too long, and deletes the
+// record of one whose release the cloud has confirmed.
+func (m *Manager) releaseIfUnreachable(machine *clusterstate.Machine, now time.Time) {
+	switch {
+	case machine.IsReleased() && !machine.IsReleasing():
+		m.State.SetReleasing(machine, true)
+		m.deleteRecords(machine)
+	case machine.HasNoInbound() && now.Sub(machine.NoInboundChangedAt()) > m.unreachableGracePeriod():
+		m.log.Info("worker without inbound connectivity released", "worker", machine.Host())
+		m.release(machine)
+	case machine.IsLost() && m.Sessions.ReachableByCommand(machine, now) && now.Sub(machine.LostAt()) < m.unreachableGracePeriod():
+		// The machine answers commands but cannot reach a controller. Replacing a whole zone
+		// because of a short network partition would cost more than waiting.
+	case machine.IsLost() && now.Sub(machine.LostAt()) > tuning.UnreachableReleaseDelay:
+		m.release(machine)
+	case !machine.IsLost() && !machine.HasReported() && m.timeSinceHeartbeat(machine, now) > m.cfg.HeartbeatAnswerValidity()+tuning.WorkerReconnectPeriod:
+		// The previous owner of the shard must have stopped answering the worker, and it has
+		// not reconnected: it is most likely dead, and a confirmed release proves it.
+		m.release(machine)
+	}
+}
+
+// unreachableGracePeriod is how long a healthy machine with a one-way or lost connection to
+// the controllers is kept.
+func (m *Manager) unreachableGracePeriod() time.Duration {
+	return max(tuning.InboundLossReleaseDelay, 2*m.cfg.WorkerLeaseExpiryDelay())
+}
+
+// evictTasks stops all tasks of a drained machine, with time for a last checkpoint. It reports
+// whether the machine was empty already.
+func (m *Manager) evictTasks(machine *clusterstate.Machine) (wasEmpty bool) {
+	wasEmpty = machine.AssignmentCount() == 0
+	for assignment := range machine.Assignments() {
+		switch job := assignment.Job(); {
+		case job == nil || assignment.Status().Stopping:
+		case job.Record().Kind == jobs.Gang:
+			m.State.StopGang(job)
+		default:
+			m.State.Stop(assignment, job.Record().CheckpointSaveSeconds+1)
+		}
+	}
+	return wasEmpty
+}
+
+// isSuspect reports whether several heartbeats or the probe of a machine are missing, so that
+// it may no longer exist.
+func (m *Manager) isSuspect(machine *clusterstate.Machine, now time.Time) bool {
+	if m.State.OwnedShard(machine) == nil || machine.IsReleased() || machine.IsLost() && machine.HasReported() {
+		return false
+	}
+	limit := suspectHeartbeats * config.Seconds(m.cfg.Cluster.Workers.ReportS)
+	return machine.ProbeUnanswered() || m.timeSinceHeartbeat(machine, now) > limit
+}
+
+// timeSinceHeartbeat is the time since the last heartbeat of a machine in a local shard,
+// counted at the earliest from the acquisition of the shard and from the machine's record.
+func (m *Manager) timeSinceHeartbeat(machine *clusterstate.Machine, now time.Time) time.Duration {
+	sinceAcquired := now.Sub(m.State.OwnedShard(machine).KnownSince())
+	return min(sinceAcquired, now.Sub(machine.JoinedShardAt()), now.Sub(machine.LastHeartbeatAt()))
+}
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 
 	"cherrywall/internal/capacity"
@@ -11,243 +10,142 @@
 	"cherrywall/internal/config"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/tuning"
-	"cherrywall/internal/workerapi"
 )
 
-// Machines that have too little to do.
-
-// idleRetention is how long a machine for which nothing is expected is kept: as long
-// as the money it costs meanwhile is half of what a new ordinary one costs while
-// it boots. A cheap machine is kept longer: the next may not be had as cheaply.
-func (k *Manager) idleRetention(machine *clusterstate.Machine) time.Duration {
-	machineType, _ := k.MachineTypes.Get(machine.Record().MachineType)
-	keep := max(config.Seconds(k.MachineTypes.BootSeconds(machine.Record().MachineType)/2), tuning.MinIdlePeriod)
-	if machine.Record().Spot && machineType.SpotHourlyPrice > 0 {
-		keep = max(keep, min(time.Duration(float64(keep)*machineType.HourlyPrice/machineType.SpotHourlyPrice), tuning.MaxIdlePeriod))
-	}
-	return keep
+// idleCapacity counts, by shard, what may be released: idle machines, and the tasks of each
+// growth buffer that fit on all usable machines.
+type idleCapacity struct {
+	buffers     []classstats.GrowthBuffer
+	machines    map[string]int
+	bufferTasks map[string][]int // parallel to buffers
 }
 
-// isWithinMinimumCharge tells whether a machine costs nothing more for the moment: the cloud
-// charges each for a least time, counted from its rental.
-func (k *Manager) isWithinMinimumCharge(machine *clusterstate.Machine, now time.Time) bool {
-	return machine.EnrolledFor(now)+config.Seconds(k.MachineTypes.BootSeconds(machine.Record().MachineType)) < tuning.MinChargedPeriod-tuning.MinScaleInRequestGap
-}
-
-// releaseIdle returns machines that have had nothing to do for a while.
-func (k *Manager) releaseIdle(now time.Time) {
-	buffers := k.Scheduler.GrowthBuffers(now)
-	defer k.consolidate(now)
-	defer k.markSurplus(buffers)
-	settings, _ := k.Cache.Settings()
-	members := float64(k.Membership.Size())
-	spare := map[string][]int{} // per share, the tasks of each growth that fit
-	idle := map[string]int{}
-	for _, machine := range k.State.OwnedMachines() {
-		if !k.State.IsUsable(machine) {
+// countIdleCapacity counts the idle capacity of all local shards.
+func (m *Manager) countIdleCapacity(buffers []classstats.GrowthBuffer) *idleCapacity {
+	idle := &idleCapacity{buffers: buffers, machines: map[string]int{}, bufferTasks: map[string][]int{}}
+	for _, machine := range m.State.OwnedMachines() {
+		if !m.State.IsUsable(machine) {
 			continue
 		}
 		shardID := machine.Record().Shard
-		if spare[shardID] == nil {
-			spare[shardID] = make([]int, len(buffers))
+		if idle.bufferTasks[shardID] == nil {
+			idle.bufferTasks[shardID] = make([]int, len(buffers))
 		}
 		for i, buffer := range buffers {
-			spare[shardID][i] += k.Scheduler.LendableTasks(machine, buffer)
+			idle.bufferTasks[shardID][i] += m.Scheduler.LendableTasks(machine, buffer)
 		}
 		if machine.RunsOnlyBestEffort() {
-			idle[shardID]++
+			idle.machines[shardID]++
 		}
 	}
-	var waiting []*clusterstate.Job
-	may := k.Scheduler.NewQuotaAllowance()
-	for job := range k.State.Jobs() {
-		if job.HasEnded() || job.Record().Kind == jobs.Array || k.Faults.IsJobFaulty(job.Ref()) {
-			continue
-		}
-		// What waits for its team's limit has no use for machines: a limited team's kept a
-		// third of them empty.
-		if !job.IsBlocked() && (job.HasReadyTasks() || len(job.Record().Unclaimed) > 0 && may.Take(job) > 0) {
-			waiting = append(waiting, job)
+	return idle
+}
+
+// isNeededForGrowth reports whether a growth buffer would become too small without the
+// machine. Each shard keeps an equal fraction of a buffer.
+func (m *Manager) isNeededForGrowth(machine *clusterstate.Machine, idle *idleCapacity) bool {
+	shardCount := float64(m.Membership.Size())
+	tasks := idle.bufferTasks[machine.Record().Shard]
+	for i, buffer := range idle.buffers {
+		lendable := m.Scheduler.LendableTasks(machine, buffer)
+		if lendable > 0 && float64(tasks[i]-lendable) < buffer.Tasks/shardCount {
+			return true
 		}
 	}
-next:
-	for _, machine := range k.State.OwnedMachines() {
-		since, shardID := machine.IdleSince(), machine.Record().Shard
-		if !k.State.IsUsable(machine) || !machine.RunsOnlyBestEffort() || machine.AssignmentCount() > 0 && !machine.IsSurplus() || since.IsZero() || now.Sub(since) < k.idleRetention(machine) {
+	return false
+}
+
+// subtract takes a machine that will be released off the idle capacity.
+func (m *Manager) subtract(machine *clusterstate.Machine, idle *idleCapacity) {
+	shardID := machine.Record().Shard
+	for i, buffer := range idle.buffers {
+		idle.bufferTasks[shardID][i] -= m.Scheduler.LendableTasks(machine, buffer)
+	}
+	idle.machines[shardID]--
+}
+
+// releaseIdle releases machines that have been idle for their retention time and that neither
+// the operators' spare machines, nor waiting jobs, nor the growth buffers need.
+func (m *Manager) releaseIdle(now time.Time, buffers []classstats.GrowthBuffer) {
+	settings, _ := m.Cache.Settings()
+	idle := m.countIdleCapacity(buffers)
+	waiting := m.jobsWaitingForMachines()
+	for _, machine := range m.State.OwnedMachines() {
+		if !m.exceedsIdleRetention(machine, now) {
 			continue
 		}
-		if idle[shardID] <= settings.SpareMachines || k.isWithinMinimumCharge(machine, now) || k.isNeededByWaitingGang(machine, waiting) {
+		if idle.machines[machine.Record().Shard] <= settings.SpareMachines || m.isWithinMinimumCharge(machine, now) || m.isNeededByWaitingJob(machine, waiting) {
 			continue
 		}
-		// A machine in whose room the next urgent jobs are expected stays.
-		for i, buffer := range buffers {
-			if n := k.Scheduler.LendableTasks(machine, buffer); n > 0 && float64(spare[shardID][i]-n) < buffer.Tasks/members {
-				continue next
-			}
-		}
-		for i, buffer := range buffers {
-			spare[shardID][i] -= k.Scheduler.LendableTasks(machine, buffer)
+		if m.isNeededForGrowth(machine, idle) {
+			continue
 		}
-		idle[shardID]--
+		m.subtract(machine, idle)
 		if machine.AssignmentCount() > 0 {
-			// Work that was lent its room saves and goes on elsewhere.
-			k.log.Info("machine emptied of background work", "worker", machine.Host(), "tasks", machine.AssignmentCount())
-			k.State.Drain(machine)
+			// Best-effort tasks save a checkpoint and go on elsewhere.
+			m.log.Info("surplus machine drained of best-effort tasks", "worker", machine.Host(), "tasks", machine.AssignmentCount())
+			m.State.Drain(machine)
 			continue
 		}
-		k.release(machine)
+		m.release(machine)
 	}
 }
 
-// isNeededByWaitingGang tells whether a waiting gang may need the machine: returned while
-// the others that it needs boot, it would have to be rented again.
-func (k *Manager) isNeededByWaitingGang(machine *clusterstate.Machine, waiting []*clusterstate.Job) bool {
-	return slices.ContainsFunc(waiting, func(job *clusterstate.Job) bool {
-		return job.Record().Allows(machine.Group()) && capacity.FitCount(k.State.Free(machine), job.Need()) > 0
-	})
-}
-
-// consolidate empties a surplus machine whose long tasks can save and find room on
-// fuller ones: a few long tasks on each kept every machine of a large cluster
-// half empty for minutes. One at a time, so that the next one is judged by where
-// they went.
-func (k *Manager) consolidate(now time.Time) {
-	if now.Sub(k.consolidatedAt) < tuning.ConsolidationInterval {
-		return
+// exceedsIdleRetention reports whether a machine has been idle for its retention time. Only a
+// surplus machine counts as idle while it runs best-effort tasks.
+func (m *Manager) exceedsIdleRetention(machine *clusterstate.Machine, now time.Time) bool {
+	if !m.State.IsUsable(machine) || !machine.RunsOnlyBestEffort() {
+		return false
 	}
-	k.consolidatedAt = now
-	var best *clusterstate.Machine
-	for _, machine := range k.State.OwnedMachines() {
-		if k.State.IsUsable(machine) && machine.IsSurplus() && machine.AssignmentCount() > 0 && k.canMigrateTasks(machine, now) &&
-			(best == nil || k.State.UsedCPUFraction(machine) < k.State.UsedCPUFraction(best)) {
-			best = machine
-		}
-	}
-	if best == nil || k.isWithinMinimumCharge(best, now) {
-		return
-	}
-	// Is there room for each of its tasks on machines of its share that are fuller?
-	need := map[*clusterstate.Job]int{}
-	for assignment := range best.Assignments() {
-		need[assignment.Job()]++
-	}
-	for job, n := range need {
-		for _, machine := range k.State.OwnedMachines() {
-			if machine != best && machine.Record().Shard == best.Record().Shard && k.State.IsUsable(machine) && job.Record().Allows(machine.Group()) &&
-				k.State.UsedCPUFraction(machine) > k.State.UsedCPUFraction(best) {
-				n -= capacity.FitCount(k.State.Free(machine), job.Need()) / len(need)
-			}
-		}
-		if n > 0 {
-			return
-		}
+	if machine.AssignmentCount() > 0 && !machine.IsSurplus() {
+		return false
 	}
-	k.log.Info("machine emptied, its tasks find room on fuller ones", "worker", best.Host(), "tasks", best.AssignmentCount())
-	k.State.Drain(best)
+	idleSince := machine.IdleSince()
+	return !idleSince.IsZero() && now.Sub(idleSince) >= m.idleRetention(machine)
 }
 
-// canMigrateTasks tells whether all tasks of a machine run, save their progress, and have
-// so much before them that moving them pays.
-func (k *Manager) canMigrateTasks(machine *clusterstate.Machine, now time.Time) bool {
-	for assignment := range machine.Assignments() {
-		is, job := assignment.Status(), assignment.Job()
-		if job == nil || is.Stopping || is.WorkerStatus != workerapi.StatusRunning || job.Record().Kind != jobs.Array || job.Record().CheckpointIntervalSeconds <= 0 || is.RunningSince.IsZero() {
-			return false
-		}
-		left := config.Seconds(k.Scheduler.ExpectedRunSeconds(job.Record())) - now.Sub(is.RunningSince)
-		if left < tuning.MinConsolidationRunTime+config.Seconds(2*job.Record().CheckpointSaveSeconds) || now.Sub(is.RunningSince) < tuning.MinConsolidationRunTime/2 {
-			return false
-		}
+// idleRetention is how long a machine is kept for which no work is expected: as long as it
+// costs half of what a new on-demand machine costs while it boots. A spot machine is kept
+// longer, since the next one may not be had as cheaply.
+func (m *Manager) idleRetention(machine *clusterstate.Machine) time.Duration {
+	typeName := machine.Record().MachineType
+	machineType, _ := m.MachineTypes.Get(typeName)
+	retention := max(config.Seconds(m.MachineTypes.BootSeconds(typeName)/2), tuning.MinIdlePeriod)
+	if machine.Record().Spot && machineType.SpotHourlyPrice > 0 {
+		spotRetention := time.Duration(float64(retention) * machineType.HourlyPrice / machineType.SpotHourlyPrice)
+		retention = max(retention, min(spotRetention, tuning.MaxIdlePeriod))
 	}
-	return true
+	return retention
 }
 
-// markSurplus finds the ordinary machines that neither hold work that had to
-// go there nor are needed for the next urgent jobs. Lent to arrays for ever,
-// they would never fall empty.
-func (k *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
-	var machines []*clusterstate.Machine
-	for _, machine := range k.State.OwnedMachines() {
-		if k.State.IsUsable(machine) {
-			machines = append(machines, machine)
-		} else {
-			k.State.SetSurplus(machine, false)
-		}
-	}
-	// The fullest are kept for the buffers, so that the emptiest fall empty.
-	sort.Slice(machines, func(i, j int) bool {
-		if x, y := machines[i].AssignmentCount(), machines[j].AssignmentCount(); x != y {
-			return x > y
-		}
-		return machines[i].Host() < machines[j].Host()
-	})
-	members := float64(k.Membership.Size())
-	kept := map[string][]int{}
-	for _, machine := range machines {
-		have := kept[machine.Record().Shard]
-		if have == nil {
-			have = make([]int, len(buffers))
-			kept[machine.Record().Shard] = have
+// isWithinMinimumCharge reports whether keeping a machine costs nothing for the moment: the
+// cloud charges each machine for a minimum period, counted from the scale-out request.
+func (m *Manager) isWithinMinimumCharge(machine *clusterstate.Machine, now time.Time) bool {
+	bootTime := config.Seconds(m.MachineTypes.BootSeconds(machine.Record().MachineType))
+	return machine.EnrolledFor(now)+bootTime < tuning.MinChargedPeriod-tuning.MinScaleInRequestGap
+}
+
+// jobsWaitingForMachines returns the gangs and services that have tasks to place.
+func (m *Manager) jobsWaitingForMachines() []*clusterstate.Job {
+	var waiting []*clusterstate.Job
+	allowance := m.Scheduler.NewQuotaAllowance()
+	for job := range m.State.Jobs() {
+		if job.HasEnded() || job.Record().Kind == jobs.Array || m.Faults.IsJobFaulty(job.Ref()) {
+			continue
 		}
-		surplus := !machine.Record().Spot && k.State.OrdinaryTasks(machine) == 0
-		for i, buffer := range buffers {
-			n := k.Scheduler.LendableTasks(machine, buffer)
-			if n > 0 && float64(have[i]) < buffer.Tasks/members {
-				surplus = false
-			}
-			if !surplus {
-				have[i] += n
-			}
+		// Tasks that wait for their team's quota have no use for machines: those of a single
+		// team at its limit once kept a third of the machines idle.
+		if !job.IsBlocked() && (job.HasReadyTasks() || len(job.Record().Unclaimed) > 0 && allowance.Take(job) > 0) {
+			waiting = append(waiting, job)
 		}
-		k.State.SetSurplus(machine, surplus)
 	}
+	return waiting
 }
 
-// LogUtilization logs what the machines of a share are used for.
-func (k *Manager) LogUtilization() {
-	for _, shard := range k.Membership.LocalShards() {
-		var idle, surplus, spot, busy, closed int
-		var used, total capacity.Resources
-		var ordinary, gangs, arrays, fetching float64 // CPUs: of ordinary machines, and what uses them
-		for _, machine := range k.State.OwnedMachines() {
-			if machine.Record().Shard != shard.ID() {
-				continue
-			}
-			if !k.State.IsUsable(machine) {
-				closed++
-				continue
-			}
-			t, _ := k.State.Total(machine)
-			total = total.Add(t)
-			used = used.Add(t.Sub(k.State.Free(machine)))
-			if !machine.Record().Spot {
-				ordinary += t.CPU
-			}
-			for assignment := range machine.Assignments() {
-				status, job := assignment.Status().WorkerStatus, assignment.Job()
-				switch {
-				case status == workerapi.StatusPulling || status == workerapi.StatusAwaitingGang:
-					fetching += assignment.Need().CPU
-				case machine.Record().Spot || job == nil:
-				case job.Record().Kind == jobs.Array:
-					arrays += assignment.Need().CPU
-				default:
-					gangs += assignment.Need().CPU
-				}
-			}
-			switch {
-			case machine.AssignmentCount() == 0:
-				idle++
-			case machine.IsSurplus():
-				surplus++
-			case machine.Record().Spot:
-				spot++
-			default:
-				busy++
-			}
-		}
-		k.log.Debug("share use", "share", shard.ID(), "idle", idle, "surplus", surplus, "spot", spot, "ordinary", busy,
-			"closed", closed, "cpu_used", used.CPU, "cpu_total", total.CPU, "cpu_ordinary", ordinary, "ordinary_gangs", gangs,
-			"ordinary_arrays", arrays, "cpu_fetching", fetching)
-	}
+// isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. Released
+// while the other machines of a gang boot, it would have to be requested again.
+func (m *Manager) isNeededByWaitingJob(machine *clusterstate.Machine, waiting []*clusterstate.Job) bool {
+	return slices.ContainsFunc(waiting, func(job *clusterstate.Job) bool {
+		return job.Record().Allows(machine.Group()) && capacity.FitCount(m.State.Free(machine), job.Need()) > 0
+	})
 }
--- /dev/null
+++ b/internal/machinelifecycle/manager_test.go
@@ -0,0 +1,205 @@
+package machinelifecycle_test
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/cloud"
+	"cherrywall/internal/config"
+	"cherrywall/internal/fake/harness"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/tuning"
+	"cherrywall/internal/workerapi"
+)
+
+// One release request per machine would exceed the cloud's limit of 3 requests a second.
+func TestReleasesAreBatched(t *testing.T) {
+	h := harness.New(t, nil)
+	h.SetOwner("n0", harness.Self, 2)
+	for i := range 130 {
+		h.Machines.Release(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false))
+	}
+	h.Machines.SendReleases()
+	h.RunNext() // the result of the request
+	if h.Cloud.ReleaseCalls != 1 || h.Cloud.ReleasedHosts != 100 || h.Machines.PendingReleases() != 30 {
+		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCalls, h.Cloud.ReleasedHosts, h.Machines.PendingReleases())
+	}
+}
+
+// unreachableWorkers fails every command with a timeout.
+type unreachableWorkers struct{}
+
+func (unreachableWorkers) Inspect(context.Context, string) error { return context.DeadlineExceeded }
+
+func (unreachableWorkers) Probe(context.Context, string, uint64, uint64) (*workerapi.Heartbeat, error) {
+	return nil, context.DeadlineExceeded
+}
+
+func (unreachableWorkers) Execute(context.Context, string, workerapi.CommandRequest) (*workerapi.Heartbeat, bool, error) {
+	return nil, false, context.DeadlineExceeded
+}
+
+// A machine that was being released when its controller ended delayed the reconciliation of its
+// shard until it had missed three heartbeats, although the cloud no longer listed it.
+func TestUnansweredProbeChecksCloudListingAtOnce(t *testing.T) {
+	h := harness.New(t, func(h *harness.Harness) {
+		h.Workers, h.Cfg.Cluster.Cloud.ListLagS = unreachableWorkers{}, 8
+		h.Cloud.Machines = []cloud.Machine{{Host: "i-2", Status: "running"}}
+	})
+	for _, host := range []string{"i-1", "i-2"} {
+		h.AddMachine(host, "n1", "m16", false)
+	}
+	h.SyncCache(100)
+	h.SetOwner("n1", harness.Self, 6)
+	h.RunNext()
+	h.RunNext() // both probes have failed
+	h.Machines.CheckCloudListing(time.Now())
+	h.RunNext() // the machine list
+	unlistedLost, listedLost := h.State.Machine("i-1").IsLost(), h.State.Machine("i-2").IsLost()
+	if !unlistedLost || listedLost {
+		t.Errorf("lost: unlisted machine %v, listed machine %v", unlistedLost, listedLost)
+	}
+}
+
+// A few long tasks on each of many machines kept all machines: half of the paid capacity was
+// idle for four minutes.
+func TestLongTasksAreConsolidated(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := harness.New(t, nil)
+		h.OfferMachineTypes("m16")
+		h.Cache.ApplyEvents(nil, 100)
+		spec := jobs.Spec{Ref: "wk-1", Class: "c", Kind: jobs.Array, Urgency: "idle", Tasks: 12, CPU: 4, EstimatedRunSeconds: 300, Spot: true, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 3}
+		h.AddJob(spec, 0, 5)
+		h.SetOwner("n0", harness.Self, 6)
+		taskRange := h.AddTaskRange("wk-1", "n0", 12, 7)
+		next := 0
+		for i, n := range []int{1, 2, 3} { // tasks on each machine
+			machine := h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false)
+			h.State.EndHeartbeat(machine, false, false)
+			for range n {
+				h.State.UpdateStatus(h.State.Place(taskRange, next, machine, 1), workerapi.StatusRunning, time.Now())
+				next++
+			}
+		}
+		isDrained := func(i int) bool { return h.State.Machine(fmt.Sprintf("i-%d", i)).IsCordoned() }
+		time.Sleep(4*time.Minute + 30*time.Second) // of 5 minutes expected run time
+		h.Machines.MarkSurplus()
+		h.Machines.Consolidate(time.Now())
+		if isDrained(0) {
+			t.Error("machine drained although its task is nearly done")
+		}
+		assignment := taskRange.Assignment(0)
+		machine := assignment.Machine()
+		h.State.Unplace(assignment)
+		h.State.UpdateStatus(h.State.Place(taskRange, 0, machine, 2), workerapi.StatusRunning, time.Now())
+		for i := 1; i < next; i++ {
+			h.State.UpdateStatus(taskRange.Assignment(i), workerapi.StatusPulling, time.Now())
+			h.State.UpdateStatus(taskRange.Assignment(i), workerapi.StatusRunning, time.Now())
+		}
+		time.Sleep(max(40*time.Second, tuning.ConsolidationInterval))
+		h.Machines.MarkSurplus()
+		h.Machines.Consolidate(time.Now())
+		if !isDrained(0) || isDrained(1) || isDrained(2) {
+			t.Error("not exactly the emptiest machine drained, whose task fits on the others")
+		}
+	})
+}
+
+// The tasks of a worker are lost when its lease expires, and a later heartbeat of the same
+// session does not restore them.
+func TestHeartbeatAfterLeaseExpiryRestoresNoTasks(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := harness.New(t, nil)
+		h.OfferMachineTypes("m16")
+		machine := h.AddMachine("i-1", "n0", "m16", false)
+		h.Cache.ApplyEvents(nil, 5)
+		h.SetOwner("n0", harness.Self, 5)
+		h.SyncCache(5)
+		h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 1, CPU: 1}, 0, 6)
+		taskRange := h.AddTaskRange("wk-1", "n0", 1, 7)
+		running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 9, Status: workerapi.StatusRunning}
+		h.Heartbeat("i-1", 1, 5, running)
+		if taskRange.Assignment(0) == nil {
+			t.Fatal("no assignment for the reported task")
+		}
+		time.Sleep(h.Cfg.WorkerLeaseExpiryDelay() + 2*time.Second)
+		h.SyncCache(5)
+		h.Machines.Tick(time.Now())
+		if !machine.IsLost() || taskRange.Assignment(0) != nil {
+			t.Fatal("the task is still assigned after its worker's lease expired")
+		}
+		if response := h.Heartbeat("i-1", 2, 5, running); response.StatusCode != 503 || taskRange.Assignment(0) != nil {
+			t.Errorf("response to the late heartbeat: %+v", response)
+		}
+	})
+}
+
+// An idle machine is kept for a gang that waits for other machines to boot, but not for one
+// that its team's quota keeps from starting.
+func TestIdleMachineIsNotKeptForJobBlockedByQuota(t *testing.T) {
+	for _, test := range []struct {
+		name              string
+		cpusUsedElsewhere float64
+		wantKept          bool
+	}{
+		{"gang within quota", 0, true},
+		{"gang above quota", 20, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				h := harness.New(t, func(h *harness.Harness) { h.Cfg.Cluster.Teams = []config.Team{{Name: "few", MaxCPUs: 28}} })
+				h.OfferMachineTypes("m16")
+				machine := h.AddMachine("i-1", "n0", "m16", false)
+				h.Cache.ApplyEvents(nil, 5)
+				h.SetOwner("n0", harness.Self, 5)
+				h.SyncCache(5)
+				h.Heartbeat("i-1", 1, 5)
+				gang := jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}
+				h.AddJob(gang, 4, 6)
+				if test.cpusUsedElsewhere > 0 { // by another shard
+					h.AddJob(jobs.Spec{Ref: "wk-2", Team: "few", Kind: jobs.Array, Urgency: "high", Tasks: 1, CPU: test.cpusUsedElsewhere}, 0, 6)
+					h.AddTaskRange("wk-2", "n1", 1, 7)
+				}
+				time.Sleep(tuning.MinChargedPeriod + tuning.MaxIdlePeriod)
+				h.SyncCache(7)
+				h.Heartbeat("i-1", 2, 5)
+				h.Machines.Maintain(time.Now())
+				if machine.IsReleasing() == test.wantKept {
+					t.Errorf("%v of 28 CPUs used elsewhere: released %v", test.cpusUsedElsewhere, machine.IsReleasing())
+				}
+			})
+		})
+	}
+}
+
+// A shard changed its owner just after machines of it had been released. The records stayed,
+// since the shard's epoch was a precondition of their deletion, and the next owner waited for
+// 13 to 36 s for machines that no longer existed.
+func TestReleasedMachineRecordsAreDeletedAfterShardOwnerChange(t *testing.T) {
+	h := harness.New(t, nil)
+	h.SetOwner("n0", harness.Self, 2)
+	h.Cloud.AcceptsReleases = true
+	for i := range 50 {
+		h.Machines.Release(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false))
+	}
+	h.Machines.SendReleases()
+	h.SetOwner("n0", harness.OtherNode, 8)
+	h.Store.AcceptFrom(9)
+	h.RunNext() // the result of the request
+	h.RunNext()
+	h.RunNext() // both transactions
+	if _, left := h.State.Sizes(); left != 0 || len(h.Store.Transactions()) != 2 {
+		t.Errorf("%d records left after %d transactions", left, len(h.Store.Transactions()))
+	}
+	for _, txn := range h.Store.Transactions() {
+		for _, condition := range txn.Conditions {
+			if !strings.HasPrefix(condition.Key, jobs.WorkerPrefix) || condition.Revision == 0 {
+				t.Errorf("unexpected precondition of a deletion: %+v", condition)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/machinelifecycle/release.go
@@ -0,0 +1,130 @@
+package machinelifecycle
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// release queues a machine for release. Once the cloud confirms it, the machine, its tasks and
+// its record are gone. A machine that is being released or whose shard is being transferred is
+// left alone.
+func (m *Manager) release(machine *clusterstate.Machine) {
+	shard := m.State.OwnedShard(machine)
+	if machine.IsReleasing() || shard != nil && shard.IsTransferring() {
+		return
+	}
+	m.State.SetReleasing(machine, true)
+	m.pendingReleases = append(m.pendingReleases, machine)
+}
+
+// sendReleases asks the cloud to release the pending machines, many in one request: the cloud
+// accepts only few requests per second.
+func (m *Manager) sendReleases() {
+	if m.releaseInFlight || len(m.pendingReleases) == 0 || time.Since(m.lastReleaseAt) < tuning.MinScaleInRequestGap {
+		return
+	}
+	machines := m.takePendingReleases()
+	if len(machines) == 0 {
+		return
+	}
+	hosts := make([]string, 0, len(machines))
+	for _, machine := range machines {
+		hosts = append(hosts, machine.Host())
+	}
+	m.releaseInFlight, m.lastReleaseAt = true, time.Now()
+	go func() {
+		err := m.provider.Release(m.mailbox.Context(), hosts)
+		m.mailbox.Send(func() { m.finishRelease(machines, hosts, err) })
+	}()
+}
+
+// takePendingReleases removes the machines of the next request from the queue.
+func (m *Manager) takePendingReleases() []*clusterstate.Machine {
+	var machines []*clusterstate.Machine
+	for len(m.pendingReleases) > 0 && len(machines) < tuning.MaxScaleInPerRequest {
+		machine := m.pendingReleases[0]
+		m.pendingReleases = m.pendingReleases[1:]
+		// A machine whose shard changed its owner meanwhile is the new owner's business.
+		if m.State.IsCurrentMachine(machine) && machine.IsReleasing() && m.State.OwnedShard(machine) != nil {
+			machines = append(machines, machine)
+		}
+	}
+	return machines
+}
+
+// finishRelease applies the result of a release request.
+func (m *Manager) finishRelease(machines []*clusterstate.Machine, hosts []string, err error) {
+	m.releaseInFlight = false
+	if err != nil {
+		m.log.Info("machine release failed", "workers", hosts, "error", err)
+	}
+	var terminated []*clusterstate.Machine
+	for _, machine := range machines {
+		if m.applyReleaseResult(machine, err) {
+			terminated = append(terminated, machine)
+		}
+	}
+	m.deleteRecords(terminated...)
+}
+
+// applyReleaseResult applies the result of a release request to one machine. It reports
+// whether the machine is terminated; after an error the release is attempted again later.
+func (m *Manager) applyReleaseResult(machine *clusterstate.Machine, err error) (terminated bool) {
+	switch {
+	case !m.State.IsCurrentMachine(machine) || err != nil && m.State.OwnedShard(machine) == nil:
+		return false
+	case err != nil:
+		m.mailbox.SendAfter(tuning.MaxRetryDelay, func() { m.State.SetReleasing(machine, false) })
+		return false
+	}
+	m.log.Info("machine released", "worker", machine.Host(), "was_lost", machine.IsLost())
+	m.markTerminated(machine)
+	return true
+}
+
+// markTerminated records that the cloud has terminated a machine; heartbeats that it sent
+// before are ignored from now on.
+func (m *Manager) markTerminated(machine *clusterstate.Machine) {
+	m.Sessions.CloseAllSessions(machine)
+	m.State.MarkReleased(machine)
+}
+
+// deleteRecords deletes the records of terminated machines, as many in one transaction as the
+// store allows, and retries until they are deleted.
+//
+// The shard's epoch is no precondition: a terminated machine stays terminated whoever owns its
+// shard, and its name is never used again. With that precondition the records stayed when the
+// shard changed its owner just after the release, and the next owner waited up to 36 s for
+// machines that no longer existed. The normal priority has the same reason.
+func (m *Manager) deleteRecords(machines ...*clusterstate.Machine) {
+	for batch := range slices.Chunk(machines, m.cfg.EffectiveStateLimits().TxnOps) {
+		var txn kvstore.Txn
+		for _, machine := range batch {
+			key := jobs.WorkerPrefix + machine.Host()
+			txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: key, Revision: machine.Revision()})
+			txn.Writes = append(txn.Writes, kvstore.Write{DeleteKey: key})
+		}
+		m.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+			if err != nil || !result.Succeeded {
+				m.retryDeletion(batch)
+			}
+		})
+	}
+}
+
+// retryDeletion deletes each record in a transaction of its own: a single record that was
+// written since would fail the others again.
+func (m *Manager) retryDeletion(machines []*clusterstate.Machine) {
+	for _, machine := range machines {
+		m.mailbox.SendAfter(tuning.MaxRetryDelay, func() {
+			if m.State.IsCurrentMachine(machine) {
+				m.deleteRecords(machine)
+			}
+		})
+	}
+}
