--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -13,54 +13,58 @@
 	"cherrywall/internal/tuning"
 )
 
-// Arrays: claimed and placed as far as tasks fit.
+// Job arrays and services: their tasks are claimed and assigned as far as they fit.
 
-// placeClaimed starts tasks that are claimed and have no place.
-func (d *Scheduler) placeClaimed(job *clusterstate.Job) {
+// placeClaimed assigns tasks that are claimed and have no machine.
+func (s *Scheduler) placeClaimed(job *clusterstate.Job) {
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() || taskRange.IsTentative() {
 			continue
 		}
-		shard := d.Membership.Shard(taskRange.Record().Shard)
+		shard := s.Membership.Shard(taskRange.Record().Shard)
 		ready := taskRange.CountTasks(clusterstate.TaskReady)
 		if ready == 0 || shard == nil || !shard.IsLocal() {
 			continue
 		}
-		if job.Record().Kind == jobs.Gang {
-			if ready == taskRange.Len() && d.placeGang(job, taskRange, shard) {
-				d.Claims.RecordGangWorkers(taskRange)
-			}
-			continue
-		}
-		k := min(ready, d.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
-		if k > 0 {
-			k = d.withinQuota(job, shard, min(k, d.probeLimit(job)))
-		}
-		var idle []int
-		for i := 0; i < taskRange.Len() && len(idle) < k; i++ {
-			if taskRange.TaskState(i) == clusterstate.TaskReady {
-				idle = append(idle, i)
-			}
+		if job.Record().Kind != jobs.Gang {
+			s.placeClaimedArray(job, taskRange, shard)
+		} else if ready == taskRange.Len() && s.placeGang(job, taskRange, shard) {
+			s.Claims.RecordGangWorkers(taskRange)
 		}
-		if len(idle) == 0 {
-			continue
-		}
-		zone := taskRange.Record().Zone
-		if job.Record().OneZone {
-			zone = zoneOfTasks(job, zone)
-		}
-		st := allowSurplus
-		if job.IsBestEffort() {
-			st = d.surplusUseFor(job, time.Now())
+	}
+}
+
+// placeClaimedArray assigns as many ready tasks of a claimed range as fit.
+func (s *Scheduler) placeClaimedArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) {
+	ready := taskRange.CountTasks(clusterstate.TaskReady)
+	starting := min(ready, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
+	if starting > 0 {
+		starting = s.withinQuota(job, shard, min(starting, s.probeLimit(job)))
+	}
+	var readyTasks []int
+	for i := 0; i < taskRange.Len() && len(readyTasks) < starting; i++ {
+		if taskRange.TaskState(i) == clusterstate.TaskReady {
+			readyTasks = append(readyTasks, i)
 		}
-		d.placeArray(job, taskRange, shard, idle, zone, st)
 	}
+	if len(readyTasks) == 0 {
+		return
+	}
+	zone := taskRange.Record().Zone
+	if job.Record().OneZone {
+		zone = zoneOfTasks(job, zone)
+	}
+	surplus := allowSurplus
+	if job.IsBestEffort() {
+		surplus = avoidSurplus
+	}
+	s.placeArray(job, taskRange, shard, readyTasks, zone, surplus)
 }
 
-// probeLimit is how many more tasks of a job may be started: of one that is blamed a
-// single one at a time, to see whether it works by now.
-func (d *Scheduler) probeLimit(job *clusterstate.Job) int {
-	if !d.Faults.IsJobFaulty(job.Ref()) {
+// probeLimit is how many more tasks of a job may start. Of a faulty job one task runs at a time, to
+// find out whether it works by now.
+func (s *Scheduler) probeLimit(job *clusterstate.Job) int {
+	if !s.Faults.IsJobFaulty(job.Ref()) {
 		return math.MaxInt32
 	}
 	for taskRange := range job.TaskRanges() {
@@ -71,18 +75,18 @@
 	return 1
 }
 
-// withinQuota is how many of so many tasks, for which there is room, the team's limit allows
-// in a share; what is lacking is taken, if anybody has it to give.
-func (d *Scheduler) withinQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
-	left := d.Claims.TasksWithinQuota(job, shard)
-	if left < tasks {
-		d.Claims.RequestQuota(job, shard, tasks, false)
-	}
-	return min(left, tasks)
+// withinQuota returns how many of so many fitting tasks the team's quota allocation of a shard
+// allows. If it does not allow all, more quota is requested for the shard.
+func (s *Scheduler) withinQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
+	allowed := s.Claims.TasksWithinQuota(job, shard)
+	if allowed < tasks {
+		s.Claims.RequestQuota(job, shard, tasks, false)
+	}
+	return min(allowed, tasks)
 }
 
-// surplusUse is how dear the room may be that an array takes: a surplus machine is
-// lent only to work that finds nothing else.
+// surplusUse is whether an array may use surplus machines. They are to be drained and scaled in, so
+// only work that fits nowhere else uses them.
 type surplusUse int
 
 const (
@@ -90,26 +94,29 @@
 	allowSurplus
 )
 
-func (d *Scheduler) surplusUseFor(job *clusterstate.Job, now time.Time) surplusUse {
+// surplusUseFor returns whether a job may use surplus machines now. A job that may run on spot
+// machines avoids them for SurplusPlacementDelay, so that a spot machine can become free.
+func (s *Scheduler) surplusUseFor(job *clusterstate.Job, now time.Time) surplusUse {
 	if job.IsBestEffort() {
 		return avoidSurplus
 	}
 	if !job.Record().Spot || now.Sub(job.KnownSince()) >= tuning.SurplusPlacementDelay {
 		return allowSurplus
 	}
-	for lot := range d.State.MachineCounts() {
+	for lot := range s.State.MachineCounts() {
 		if lot.Group.Spot && job.Record().Allows(lot.Group) {
 			return avoidSurplus
 		}
 	}
-	return allowSurplus // there is no cheap machine to wait for
+	return allowSurplus // there is no spot machine to wait for
 }
 
-func (st surplusUse) allows(g capacity.Group) bool {
-	return st == allowSurplus || !g.Surplus
+func (u surplusUse) allows(g capacity.Group) bool {
+	return u == allowSurplus || !g.Surplus
 }
 
-// zoneOfTasks is the zone in which a oneZone job's tasks still are.
+// zoneOfTasks is the zone in which the assigned tasks of a job that must run in one zone are, and
+// the given zone if none is assigned.
 func zoneOfTasks(job *clusterstate.Job, zone string) string {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
@@ -121,217 +128,211 @@
 	return zone
 }
 
-// score is how well a machine suits one more task of an array: one that has the
-// image, then the fullest, so that whole machines fall empty and can be
-// returned. It grows as a machine is filled, so the best one is filled first.
-func (d *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
-	total, _ := d.State.Total(machine)
+// score is how well a machine suits one more task of an array: a machine that has the image cached
+// is preferred, then the fullest, so that whole machines become empty and can be scaled in. The
+// score grows as a machine is filled, so the best machine is filled first.
+func (s *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
+	total, _ := s.State.Total(machine)
 	score := 0.0
 	if machine.HasImage(job.Record().Image) {
 		score += tuning.ScoreCachedImage
 	}
 	if total.CPU > 0 {
-		score += 1 - d.State.Free(machine).CPU/total.CPU
+		score += 1 - s.State.Free(machine).CPU/total.CPU
 	}
 	if !machine.IsSurplus() {
-		// Room that is kept for urgent work is paid for anyway: it is lent before
-		// cheap machines are filled, surplus ones come last.
+		// Machines that are retained for urgent work are paid for anyway: they are used before
+		// spot machines, and surplus machines last.
 		score += tuning.ScoreRetained
 		if !machine.Record().Spot {
 			score += tuning.ScoreOnDemand
 		}
 	}
-	if !d.allowsUrgentGangs(machine) {
-		// First of all go those on which no urgent gang will stop the task, and
-		// that need not stand ready for one.
+	if !s.allowsUrgentGangs(machine) {
+		// Preferred above all are machines on which no urgent gang will preempt the task, and that
+		// need not stay free for one.
 		score += tuning.ScoreGangSafe
 	}
 	return score
 }
 
-// allowsUrgentGangs tells whether urgent gangs of the classes seen allow a machine. Of
-// those that are only too small for them nothing is said: arrays that were sent
-// there first let the large ones fall empty, and the next gang had to wait until
-// others were up.
-func (d *Scheduler) allowsUrgentGangs(machine *clusterstate.Machine) bool {
-	return d.ClassStats.AnyUrgentGang(func(rec *jobs.JobRecord) bool { return rec.Allows(machine.Group()) })
+// allowsUrgentGangs reports whether urgent gangs of the known classes may run on a machine,
+// whether or not it is large enough for them. Machines that are too small are deliberately not
+// preferred: when arrays were placed on them first, the large machines became empty and were
+// scaled in, and the next gang had to wait until others had booted.
+func (s *Scheduler) allowsUrgentGangs(machine *clusterstate.Machine) bool {
+	return s.ClassStats.AnyUrgentGang(func(record *jobs.JobRecord) bool { return record.Allows(machine.Group()) })
+}
+
+// scoredMachine is a candidate for tasks of an array.
+type scoredMachine struct {
+	machine *clusterstate.Machine
+	score   float64
 }
 
-func (d *Scheduler) placeArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard, idle []int, zone string, st surplusUse) int {
-	type seat struct {
-		m     *clusterstate.Machine
-		score float64
-	}
-	var seats []seat
-	for _, machine := range d.candidates(job, shard.ID(), zone) {
-		if st.allows(machine.Group()) && d.State.Free(machine).Covers(job.Need()) {
-			seats = append(seats, seat{machine, d.score(job, machine)})
+// placeArray assigns the given tasks of a range to the machines with the best scores, as far as
+// they fit, and returns how many it assigned. An empty zone stands for all zones.
+func (s *Scheduler) placeArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard, tasks []int, zone string, surplus surplusUse) int {
+	var scored []scoredMachine
+	for _, machine := range s.candidates(job, shard.ID(), zone) {
+		if surplus.allows(machine.Group()) && s.State.Free(machine).Covers(job.Need()) {
+			scored = append(scored, scoredMachine{machine, s.score(job, machine)})
 		}
 	}
-	slices.SortStableFunc(seats, func(x, y seat) int { return cmp.Compare(y.score, x.score) })
-	n := 0
-	for _, x := range seats {
-		for range capacity.FitCount(d.State.Free(x.m), job.Need()) {
-			if n == len(idle) {
-				return n
+	slices.SortStableFunc(scored, func(x, y scoredMachine) int { return cmp.Compare(y.score, x.score) })
+	placed := 0
+	for _, candidate := range scored {
+		for range capacity.FitCount(s.State.Free(candidate.machine), job.Need()) {
+			if placed == len(tasks) {
+				return placed
 			}
-			d.State.Place(taskRange, idle[n], x.m, d.nextAttempt(shard))
-			n++
+			s.State.Place(taskRange, tasks[placed], candidate.machine, s.nextAttempt(shard))
+			placed++
 		}
 	}
-	return n
+	return placed
+}
+
+// arrayZone is where the next tasks of an array may run, and how many of them.
+type arrayZone struct {
+	name     string // empty for all zones
+	maxTasks int
 }
 
-func (d *Scheduler) admitArray(job *clusterstate.Job, shard *membership.Shard, bufs []capacity.Buffer) {
-	rec := job.Record()
-	st := d.surplusUseFor(job, time.Now())
-	zone, most := "", rec.UnclaimedCount()
-	if rec.Spread || rec.OneZone {
-		if zone, most = d.zoneForArray(job, shard, st, bufs); zone == "" {
-			d.waitReasons[job.Ref()] = waitReason{text: "no zone of this controller"}
+// admitArray claims and assigns the unclaimed tasks of an array or service that fit on the machines
+// of a shard. If none fits, it tries to preempt lower work.
+func (s *Scheduler) admitArray(job *clusterstate.Job, shard *membership.Shard, buffers []capacity.Buffer) {
+	record := job.Record()
+	surplus := s.surplusUseFor(job, time.Now())
+	zone := arrayZone{maxTasks: record.UnclaimedCount()}
+	if record.Spread || record.OneZone {
+		zone = s.zoneForArray(job, shard, surplus, buffers)
+		if zone.name == "" {
+			s.waitReasons[job.Ref()] = waitReason{kind: waitNoZone}
 			return
 		}
 	}
-	if st != allowSurplus && !job.IsBestEffort() {
-		d.requestCycle(tuning.SurplusPlacementDelay)
+	if surplus == avoidSurplus && !job.IsBestEffort() {
+		s.requestCycle(tuning.SurplusPlacementDelay)
 	}
 	allow := func(g capacity.Group) bool {
-		return rec.Allows(g) && (zone == "" || g.Zone == zone) && st.allows(g)
+		return record.Allows(g) && (zone.name == "" || g.Zone == zone.name) && surplus.allows(g)
 	}
-	have := min(d.State.FreeCapacity().Allocable(job.Need(), allow, bufs), most, d.probeLimit(job))
+	starting := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
 	if isOverdue(job, time.Now()) {
-		have = min(have, 1) // it has begun then, and waits on like any other
+		starting = min(starting, 1) // after that it has started and is not overdue any more
 	}
-	if have > 0 {
-		if have = d.withinQuota(job, shard, have); have == 0 {
-			d.waitReasons[job.Ref()] = waitReason{text: waitForQuota}
+	if starting > 0 {
+		if starting = s.withinQuota(job, shard, starting); starting == 0 {
+			s.waitReasons[job.Ref()] = waitReason{kind: waitQuota}
 			return
 		}
 	}
-	if have <= 0 {
-		d.waitReasons[job.Ref()] = waitReason{text: "0 tasks fit"}
-		d.claimByPreemption(job, shard, zone, min(most, d.fittingWithPreemption(job, allow, bufs)))
+	if starting <= 0 {
+		s.waitReasons[job.Ref()] = waitReason{kind: waitNothingFits}
+		s.claimByPreemption(job, shard, zone.name, min(zone.maxTasks, s.fittingWithPreemption(job, allow, buffers)))
 		return
 	}
+	s.claimArray(job, shard, starting, zone.name, surplus)
+}
+
+// claimArray claims so many tasks of an array, and more ahead, and assigns the former.
+func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, starting int, zone string, surplus surplusUse) {
 	ahead := 0
-	if zone == "" && !d.Faults.IsJobFaulty(job.Ref()) {
-		ahead = d.claimAhead(job, shard, have)
+	if zone == "" && !s.Faults.IsJobFaulty(job.Ref()) {
+		ahead = s.claimAhead(job, shard, starting)
 	}
-	d.Claims.Claim(job, shard, have+ahead, zone, func(taskRange *clusterstate.TaskRange) bool {
-		idle := make([]int, min(have, taskRange.Len()))
-		for i := range idle {
-			idle[i] = i
+	s.Claims.Claim(job, shard, starting+ahead, zone, func(taskRange *clusterstate.TaskRange) bool {
+		tasks := make([]int, min(starting, taskRange.Len()))
+		for i := range tasks {
+			tasks[i] = i
 		}
-		n := d.placeArray(job, taskRange, shard, idle, zone, st)
-		if n == 0 {
+		placed := s.placeArray(job, taskRange, shard, tasks, zone, surplus)
+		if placed == 0 {
 			return false
 		}
-		// Claim no more than was placed, and what the running ones make room
-		// for: the rest is for other shares.
-		if n = min(n+ahead, taskRange.Len()); n < taskRange.Len() {
-			taskRange.Truncate(n)
+		// Claim no more than was assigned and will soon fit: the rest is left to other shards.
+		if claimed := min(placed+ahead, taskRange.Len()); claimed < taskRange.Len() {
+			taskRange.Truncate(claimed)
 		}
 		return true
 	})
 }
 
-// zoneForArray is the zone in which an array that is bound to one, or spread, goes on, and how many of its
-// unclaimed tasks may be there: of those allowed the one with the most room. The first by name was
-// taken once, full as it was, and the array waited beside an empty one.
-func (d *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, st surplusUse, bufs []capacity.Buffer) (zone string, most int) {
-	rec, best := job.Record(), -1
-	for _, z := range d.zones() {
-		left := rec.Tasks
-		if rec.Spread {
-			left = (rec.Tasks+1)/2 - rec.ClaimedPerZone[z]
+// zoneForArray selects the zone for the next tasks of an array that must run in one zone or is
+// spread over zones: of the zones that it may use the one with the most free capacity. The name is
+// empty if there is none. When the first zone by name was selected, an array waited for a full zone
+// beside an empty one.
+func (s *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, surplus surplusUse, buffers []capacity.Buffer) arrayZone {
+	record := job.Record()
+	best, mostFitting := arrayZone{}, -1
+	for _, zone := range s.zones() {
+		maxTasks := record.Tasks
+		if record.Spread {
+			maxTasks = maxTasksPerZone(record) - record.ClaimedPerZone[zone]
 		}
-		if rec.OneZone && !canStayInZone(job, z) || left <= 0 || len(d.candidates(job, shard.ID(), z)) == 0 {
+		if record.OneZone && !canStayInZone(job, zone) || maxTasks <= 0 || len(s.candidates(job, shard.ID(), zone)) == 0 {
 			continue
 		}
-		room := min(left, d.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
-			return rec.Allows(g) && g.Zone == z && st.allows(g)
-		}, bufs))
-		if room > best {
-			zone, most, best = z, min(rec.UnclaimedCount(), left), room
+		fitting := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
+			return record.Allows(g) && g.Zone == zone && surplus.allows(g)
+		}, buffers))
+		if fitting > mostFitting {
+			best, mostFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fitting
 		}
 	}
-	return zone, most
+	return best
 }
 
-// claimAhead is how many more tasks to claim than there is room for now: those for
-// which the tasks that run or start here make room soon. They then start with
-// no further change in the state service. What other shares may need of the
-// rest is left to them.
-func (d *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, starting int) int {
+// maxTasksPerZone is how many tasks of a job that is spread over zones may run in one zone.
+func maxTasksPerZone(record *jobs.JobRecord) int { return (record.Tasks + 1) / 2 }
+
+// claimAhead is how many tasks to claim beyond those that fit now: those for which the tasks that
+// run or start in this shard make room soon. They then start without another transaction. What
+// other shards may need of the remaining tasks is left to them.
+func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, starting int) int {
 	running := starting
 	for taskRange := range job.TaskRanges() {
 		if taskRange.Record().Shard == shard.ID() {
 			running += taskRange.CountTasks(clusterstate.TaskPlaced)
 		}
 	}
-	turns := tuning.ClaimAheadPeriod.Seconds() / max(d.ExpectedRunSeconds(job.Record()), 1)
-	return min(int(float64(running)*turns), max(0, job.Record().UnclaimedCount()-starting)/d.Membership.Size())
+	turns := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
+	return min(int(float64(running)*turns), max(0, job.Record().UnclaimedCount()-starting)/s.Membership.Size())
 }
 
-// wholeZone: a oneZone array stays in the zone of its first claimed range.
+// canStayInZone reports whether all claimed ranges of an array that must run in one zone are in a
+// zone.
 func canStayInZone(job *clusterstate.Job, zone string) bool {
 	for taskRange := range job.TaskRanges() {
-		if z := taskRange.Record().Zone; z != "" && z != zone {
+		if claimedIn := taskRange.Record().Zone; claimedIn != "" && claimedIn != zone {
 			return false
 		}
 	}
 	return true
 }
 
-// claimByPreemption claims tasks of a job into room that lower work has to leave.
-func (d *Scheduler) claimByPreemption(job *clusterstate.Job, shard *membership.Shard, zone string, most int) {
-	n := min(most, d.preemptibleTasks(job, func(g capacity.Group) bool {
-		return job.Record().Allows(g) && (zone == "" || g.Zone == zone)
-	}))
-	if n > 0 {
-		n = d.withinQuota(job, shard, n)
-	}
-	for ; n > 0; n /= 2 {
-		steps, _, ok := d.planWithPreemption(job, shard.ID(), zone, n)
-		if !ok {
-			continue
-		}
-		d.Claims.Claim(job, shard, n, zone, func(taskRange *clusterstate.TaskRange) bool {
-			if taskRange.Len() > len(steps) {
-				return false
-			}
-			for i := range taskRange.Len() {
-				for _, v := range steps[i].victims {
-					d.State.PreemptFor(taskRange, v)
-				}
-				d.State.Place(taskRange, i, steps[i].machine, d.nextAttempt(shard))
-			}
-			return true
-		})
-		return
-	}
-}
-
-// ShardForImmediateClaim finds the share of ours that has room for a small job at the moment
-// it is submitted, besides so many tasks that were taken but are not in the books yet.
-func (d *Scheduler) ShardForImmediateClaim(rec *jobs.JobRecord, untold int) *membership.Shard {
-	if !d.Claims.IsSmallJob(rec) || !d.Cache.MayRenewWorkerLeases(time.Now()) {
+// ShardForImmediateClaim returns the owned shard whose machines fit a small job at the moment at
+// which it is submitted, nil if there is none. pendingTasks is how many tasks were claimed this way
+// that are not in the cluster state yet.
+func (s *Scheduler) ShardForImmediateClaim(record *jobs.JobRecord, pendingTasks int) *membership.Shard {
+	if !s.Claims.IsSmallJob(record) || !s.Cache.MayRenewWorkerLeases(time.Now()) {
 		return nil
 	}
-	set, _ := d.Cache.Settings()
-	job := d.State.NewUnrecordedJob(rec, set.Spot)
-	st := d.surplusUseFor(job, time.Now())
-	allow := func(g capacity.Group) bool { return rec.Allows(g) && st.allows(g) }
-	if d.State.FreeCapacity().Allocable(job.Need(), allow, d.buffersFor(job)) < rec.Tasks+untold {
+	settings, _ := s.Cache.Settings()
+	job := s.State.NewUnrecordedJob(record, settings.Spot)
+	surplus := s.surplusUseFor(job, time.Now())
+	allow := func(g capacity.Group) bool { return record.Allows(g) && surplus.allows(g) }
+	if s.State.FreeCapacity().Allocable(job.Need(), allow, s.buffersFor(job)) < record.Tasks+pendingTasks {
 		return nil
 	}
-	for _, shard := range d.Membership.LocalShards() {
-		n := 0
-		for _, machine := range d.candidates(job, shard.ID(), "") {
-			if st.allows(machine.Group()) {
-				n += capacity.FitCount(d.State.Free(machine), job.Need())
+	for _, shard := range s.Membership.LocalShards() {
+		fitting := 0
+		for _, machine := range s.candidates(job, shard.ID(), "") {
+			if surplus.allows(machine.Group()) {
+				fitting += capacity.FitCount(s.State.Free(machine), job.Need())
 			}
-			if n >= rec.Tasks {
+			if fitting >= record.Tasks {
 				return shard
 			}
 		}
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -6,162 +6,199 @@
 	"cherrywall/internal/capacity"
 	"cherrywall/internal/classstats"
 	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/tuning"
 )
 
-// Protected amounts, sized from what was seen.
+// Buffers: capacity that is protected from some of the jobs, sized by what was observed.
 
-// GrowthBuffers sizes the growth buffers from what was seen and what runs.
-func (d *Scheduler) GrowthBuffers(now time.Time) []classstats.GrowthBuffer {
+// GrowthBuffers sizes the buffers for urgent work that is expected to arrive.
+func (s *Scheduler) GrowthBuffers(now time.Time) []classstats.GrowthBuffer {
 	var running []classstats.RunningJob
-	for job := range d.State.Jobs() {
-		if rec := job.Record(); !job.HasEnded() && len(rec.Unclaimed) == 0 {
-			running = append(running, classstats.RunningJob{Class: rec.Class, Tasks: rec.Tasks, ExpectedSeconds: d.ExpectedRunSeconds(rec)})
+	for job := range s.State.Jobs() {
+		if record := job.Record(); !job.HasEnded() && len(record.Unclaimed) == 0 {
+			running = append(running, classstats.RunningJob{
+				Class:           record.Class,
+				Tasks:           record.Tasks,
+				ExpectedSeconds: s.ExpectedRunSeconds(record),
+			})
 		}
 	}
-	set, _ := d.Cache.Settings()
-	return d.ClassStats.GrowthBuffers(now, d.MachineTypes.LongestBootSeconds(), set.GrowthFactor, running)
+	settings, _ := s.Cache.Settings()
+	return s.ClassStats.GrowthBuffers(now, s.MachineTypes.LongestBootSeconds(), settings.GrowthFactor, running)
 }
 
-// ExpectedRunSeconds is the corrected run time of a task, in seconds.
-func (d *Scheduler) ExpectedRunSeconds(rec *jobs.JobRecord) float64 {
-	return d.ClassStats.ExpectedTaskSeconds(rec)
+// ExpectedRunSeconds is the expected run time of a task in seconds: the submitted estimate,
+// corrected by what tasks of its class took.
+func (s *Scheduler) ExpectedRunSeconds(record *jobs.JobRecord) float64 {
+	return s.ClassStats.ExpectedTaskSeconds(record)
 }
 
-// LendableTasks is how many tasks of a growth buffer a machine could take, lower
-// work set aside.
-func (d *Scheduler) LendableTasks(machine *clusterstate.Machine, g classstats.GrowthBuffer) int {
-	if !g.Record.Allows(machine.Group()) {
+// LendableTasks is how many tasks of a growth buffer would fit on a machine if lower work were
+// preempted.
+func (s *Scheduler) LendableTasks(machine *clusterstate.Machine, buffer classstats.GrowthBuffer) int {
+	if !buffer.Record.Allows(machine.Group()) {
 		return 0
 	}
-	return capacity.FitCount(d.State.FreeBelow(machine, g.Record.Priority()), g.Need)
+	return capacity.FitCount(s.State.FreeBelow(machine, buffer.Record.Priority()), buffer.Need)
 }
 
-// buffersFor are the protected amounts that a job has to leave alone. Room is
-// lent to work that a claimant may stop, so a job sees only the buffers of
-// those that could not take the room back from it.
-func (d *Scheduler) buffersFor(job *clusterstate.Job) []capacity.Buffer {
-	var out []capacity.Buffer
-	highest := job.Priority() == jobs.HighestPriority()
-	for _, t := range d.cfg.Cluster.Teams {
-		if t.Name == job.Record().Team || t.GuaranteedCPUs <= 0 && t.GuaranteedGPUs <= 0 {
+// buffersFor returns the buffers that a job has to leave free. Protected capacity is lent to work
+// that its claimant can preempt, so a job sees only the buffers of those that could not preempt it.
+func (s *Scheduler) buffersFor(job *clusterstate.Job) []capacity.Buffer {
+	var buffers []capacity.Buffer
+	isHighest := job.Priority() == jobs.HighestPriority()
+	if isHighest {
+		buffers = s.guaranteeBuffers(job.Record().Team)
+	}
+	buffers = append(buffers, s.serviceRestartBuffers(job)...)
+	if job.IsBackground() {
+		buffers = append(buffers, s.objectiveBuffers(job)...)
+	}
+	if isHighest {
+		// Lower work can be preempted when a machine fails, the highest can not.
+		buffers = append(buffers, s.healingBuffers()...)
+	}
+	return buffers
+}
+
+// guaranteeBuffers protect from a team what the others have not claimed of their guarantees, as
+// tasks of the shape that each uses most, divided by the number of shards.
+func (s *Scheduler) guaranteeBuffers(except string) []capacity.Buffer {
+	var buffers []capacity.Buffer
+	for _, team := range s.cfg.Cluster.Teams {
+		if team.Name == except || !hasGuarantee(team) {
 			continue
 		}
-		// What the team has not claimed of its guarantee, as tasks of the shape
-		// it uses most, in this share's part.
-		used, most, seen := d.teamUsage(t.Name), capacity.Resources{CPU: 1}, 0
-		for other := range d.State.Jobs() {
-			if rec := other.Record(); !other.HasEnded() && !other.IsBlocked() && rec.Team == t.Name && rec.Tasks > seen {
-				most, seen = other.Need(), rec.Tasks
-			}
-		}
-		x := 0.0
-		if most.CPU > 0 {
-			x = (t.GuaranteedCPUs - used.CPU) / most.CPU
-		}
-		if most.GPU > 0 {
-			x = max(x, (t.GuaranteedGPUs-used.GPU)/most.GPU)
-		}
-		if x > 0 && highest {
-			out = append(out, capacity.Buffer{Shape: most, Tasks: x / float64(d.Membership.Size())})
+		taskShape := s.largestShapeOf(team.Name)
+		if tasks := unusedGuarantee(team, s.teamUsage(team.Name), taskShape); tasks > 0 {
+			buffers = append(buffers, capacity.Buffer{Shape: taskShape, Tasks: tasks / float64(s.Membership.Size())})
 		}
 	}
-	out = append(out, d.serviceRestartBuffers(job)...)
-	if job.IsBackground() {
-		out = append(out, d.objectiveBuffers(job)...)
-	}
-	if x := d.healingMachines(time.Now()); x > 0 && highest {
-		// Lower work can be stopped when a machine fails; the highest can not.
-		var whole capacity.Resources
-		for _, machine := range d.State.OwnedMachines() {
-			if t, ok := d.State.Total(machine); ok && t.CPU > whole.CPU {
-				whole = t
-			}
-		}
-		if whole.CPU > 0 {
-			out = append(out, capacity.Buffer{Shape: whole, Tasks: x})
+	return buffers
+}
+
+// largestShapeOf is the shape of a team's job with the most tasks, one CPU if it has no job.
+func (s *Scheduler) largestShapeOf(team string) capacity.Resources {
+	largest, mostTasks := capacity.Resources{CPU: 1}, 0
+	for job := range s.State.Jobs() {
+		record := job.Record()
+		if !job.HasEnded() && !job.IsBlocked() && record.Team == team && record.Tasks > mostTasks {
+			largest, mostTasks = job.Need(), record.Tasks
 		}
 	}
-	return out
+	return largest
+}
+
+// unusedGuarantee is how many tasks of a shape fill what a team does not use of its guarantee.
+func unusedGuarantee(team config.Team, used, taskShape capacity.Resources) float64 {
+	tasks := 0.0
+	if taskShape.CPU > 0 {
+		tasks = (team.GuaranteedCPUs - used.CPU) / taskShape.CPU
+	}
+	if taskShape.GPU > 0 {
+		tasks = max(tasks, (team.GuaranteedGPUs-used.GPU)/taskShape.GPU)
+	}
+	return tasks
 }
 
-// serviceRestartBuffers is kept for the replicas of services that a failing machine would
-// take with it: as many as the fullest machine holds. Work that a service may
-// stop need not leave it free.
-func (d *Scheduler) serviceRestartBuffers(job *clusterstate.Job) []capacity.Buffer {
-	if d.cycle.maxReplicas == nil {
-		d.cycle.maxReplicas = d.maxReplicasPerMachine()
-	}
-	var out []capacity.Buffer
-	for other, n := range d.cycle.maxReplicas {
-		if other != job && !other.HasEnded() && job.Priority() >= other.Priority() {
-			out = append(out, capacity.Buffer{Shape: other.Need(), Tasks: float64(n)})
+// serviceRestartBuffers are kept for the replicas of services that fail with a machine: as many as
+// run on the machine with the most. Work that a service can preempt need not leave them free.
+func (s *Scheduler) serviceRestartBuffers(job *clusterstate.Job) []capacity.Buffer {
+	if s.cycle.maxReplicas == nil {
+		s.cycle.maxReplicas = s.maxReplicasPerMachine()
+	}
+	var buffers []capacity.Buffer
+	for service, replicas := range s.cycle.maxReplicas {
+		if service != job && !service.HasEnded() && job.Priority() >= service.Priority() {
+			buffers = append(buffers, capacity.Buffer{Shape: service.Need(), Tasks: float64(replicas)})
 		}
 	}
-	return out
+	return buffers
 }
 
-func (d *Scheduler) maxReplicasPerMachine() map[*clusterstate.Job]int {
+// maxReplicasPerMachine returns the most replicas of each service on one machine.
+func (s *Scheduler) maxReplicasPerMachine() map[*clusterstate.Job]int {
 	most := map[*clusterstate.Job]int{}
-	for _, machine := range d.State.OwnedMachines() {
-		if d.State.ServiceReplicas(machine) == 0 {
+	for _, machine := range s.State.OwnedMachines() {
+		if s.State.ServiceReplicas(machine) == 0 {
 			continue
 		}
-		per := map[*clusterstate.Job]int{}
+		replicas := map[*clusterstate.Job]int{}
 		for assignment := range machine.Assignments() {
-			if other := assignment.Job(); other != nil && other.Record().Kind == jobs.Service {
-				per[other]++
+			if job := assignment.Job(); job != nil && job.Record().Kind == jobs.Service {
+				replicas[job]++
 			}
 		}
-		for other, n := range per {
-			most[other] = max(most[other], n)
+		for service, n := range replicas {
+			most[service] = max(most[service], n)
 		}
 	}
 	return most
 }
 
-// healingMachines is how many whole machines are likely to fail while another boots,
-// from the failures seen lately (the paper's healing buffer).
-func (d *Scheduler) healingMachines(now time.Time) float64 {
-	return float64(d.State.RecentMachineFailures(now)) * d.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
+// healingBuffers protect the capacity of the machines that are likely to fail while a replacement
+// boots, by the failures of late (the healing buffer of the Kerveros paper), each as large as the
+// largest owned machine.
+func (s *Scheduler) healingBuffers() []capacity.Buffer {
+	failures := float64(s.State.RecentMachineFailures(time.Now()))
+	machines := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
+	if machines <= 0 {
+		return nil
+	}
+	var largest capacity.Resources
+	for _, machine := range s.State.OwnedMachines() {
+		if total, ok := s.State.Total(machine); ok && total.CPU > largest.CPU {
+			largest = total
+		}
+	}
+	if largest.CPU <= 0 {
+		return nil
+	}
+	return []capacity.Buffer{{Shape: largest, Tasks: machines}}
 }
 
-// classLoad is what a class is expected to use, in CPUs, and what it uses.
+// classLoad is what a class is expected to use, and what it uses now.
 type classLoad struct {
 	classstats.ExpectedLoad
 	usedCPU float64
 }
 
-// objectiveBuffers are the buffers that background work has to leave alone: what arrays
-// of its priority with an aim are likely to use beyond what they use now. Work
-// of higher priority takes its room back by itself; those of the same can't stop it.
-func (d *Scheduler) objectiveBuffers(job *clusterstate.Job) []capacity.Buffer {
-	if d.cycle.classLoads == nil {
-		d.cycle.classLoads = d.expectedLoads(time.Now())
-	}
-	var out []capacity.Buffer
-	for _, l := range d.cycle.classLoads {
-		if x := l.PeakCPU - l.usedCPU; x > 0 && l.Record.Priority() <= job.Priority() && l.Record.CPU > 0 {
-			out = append(out, capacity.Buffer{Shape: l.Record.Need(), Tasks: x / l.Record.CPU / float64(d.Membership.Size())})
+// objectiveBuffers are the buffers that background work has to leave free: what arrays with an
+// objective and of its priority or lower are likely to use beyond what they use now. Work of higher
+// priority preempts background work, but that of the same priority can not.
+func (s *Scheduler) objectiveBuffers(job *clusterstate.Job) []capacity.Buffer {
+	if s.cycle.classLoads == nil {
+		s.cycle.classLoads = s.expectedLoads(time.Now())
+	}
+	var buffers []capacity.Buffer
+	for _, load := range s.cycle.classLoads {
+		unusedCPU := load.PeakCPU - load.usedCPU
+		if unusedCPU > 0 && load.Record.Priority() <= job.Priority() && load.Record.CPU > 0 {
+			buffers = append(buffers, capacity.Buffer{
+				Shape: load.Record.Need(),
+				Tasks: unusedCPU / load.Record.CPU / float64(s.Membership.Size()),
+			})
 		}
 	}
-	return out
+	return buffers
 }
 
-func (d *Scheduler) expectedLoads(now time.Time) map[string]classLoad {
-	out := map[string]classLoad{}
-	for name, l := range d.ClassStats.ExpectedLoads(now, d.cfg.Cluster.Objectives, d.State.IsBackground) {
-		out[name] = classLoad{ExpectedLoad: l}
+// expectedLoads returns the expected and current load of the classes with an objective, by class.
+func (s *Scheduler) expectedLoads(now time.Time) map[string]classLoad {
+	loads := map[string]classLoad{}
+	for class, expected := range s.ClassStats.ExpectedLoads(now, s.cfg.Cluster.Objectives, s.State.IsBackground) {
+		loads[class] = classLoad{ExpectedLoad: expected}
 	}
-	for job := range d.State.Jobs() {
-		rec := job.Record()
-		l, known := out[rec.Class]
+	for job := range s.State.Jobs() {
+		record := job.Record()
+		load, known := loads[record.Class]
 		if !known || job.HasEnded() {
 			continue
 		}
-		l.usedCPU += float64(job.OpenTasks()) * rec.CPU
-		out[rec.Class] = l
+		load.usedCPU += float64(job.OpenTasks()) * record.CPU
+		loads[record.Class] = load
 	}
-	return out
+	return loads
 }
--- /dev/null
+++ b/internal/scheduler/capacity_table.go
@@ -0,0 +1,99 @@
+package scheduler
+
+import (
+	"time"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/classstats"
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/peer"
+	"cherrywall/internal/tuning"
+)
+
+// FittingTasks returns, by zone, how many tasks fit of the shapes that wait or are expected. It is
+// sent to the peers and is what the autoscaler relies on. The result is cached for half a peer
+// heartbeat interval; the caller must not change it.
+func (s *Scheduler) FittingTasks(now time.Time) []peer.ShapeCapacity {
+	if now.Sub(s.fittingTasksAt) < tuning.PeerHeartbeatInterval/2 {
+		return s.fittingTasks
+	}
+	shapes := map[capacity.Resources]*jobs.JobRecord{}
+	for _, buffer := range s.GrowthBuffers(now) {
+		shapes[buffer.Need] = buffer.Record
+	}
+	for job := range s.State.Jobs() {
+		if len(shapes) >= tuning.MaxPeerHeartbeatShapes {
+			break
+		}
+		if !job.HasEnded() && !job.IsBlocked() && job.Record().Kind == jobs.Gang && len(job.Record().Unclaimed) > 0 {
+			shapes[job.Need()] = job.Record()
+		}
+	}
+	s.fittingTasks, s.fittingTasksAt = nil, now
+	for need, record := range shapes {
+		s.fittingTasks = append(s.fittingTasks, s.shapeCapacities(need, record)...)
+	}
+	return s.fittingTasks
+}
+
+// shapeCapacities counts the tasks of one shape that fit on the owned machines, by zone.
+func (s *Scheduler) shapeCapacities(need capacity.Resources, record *jobs.JobRecord) []peer.ShapeCapacity {
+	perZone := map[string]*peer.ShapeCapacity{}
+	for _, machine := range s.State.OwnedMachines() {
+		if !s.State.IsUsable(machine) {
+			continue
+		}
+		zone := machine.Record().Zone
+		count := perZone[zone]
+		if count == nil {
+			count = &peer.ShapeCapacity{CPU: need.CPU, GPU: need.GPU, Mem: need.MemGB, Zone: zone}
+			perZone[zone] = count
+		}
+		if record.Allows(machine.Group()) {
+			free := capacity.FitCount(s.State.Free(machine), need)
+			count.Free += free
+			count.Preemptible += s.LendableTasks(machine, classstats.GrowthBuffer{Record: record, Need: need}) - free
+		}
+	}
+	var out []peer.ShapeCapacity
+	for _, count := range perZone {
+		out = append(out, *count)
+	}
+	return out
+}
+
+// CapacityRow is a row of the capacity table that the administration API shows.
+type CapacityRow struct {
+	Shape     capacity.Resources `json:"shape"`
+	Zone      string             `json:"zone"`
+	Fitting   int                `json:"fit"`
+	Allocable int                `json:"allocable"` // of the fitting tasks, those beside the buffers
+	Buffers   []capacity.Buffer  `json:"buffers,omitempty"`
+}
+
+// CapacityTable counts the tasks that fit for the shapes of all jobs that have not ended, by zone.
+func (s *Scheduler) CapacityTable() []CapacityRow {
+	jobsByShape := map[capacity.Resources]*clusterstate.Job{}
+	for job := range s.State.Jobs() {
+		if !job.HasEnded() && !job.IsBlocked() {
+			jobsByShape[job.Need()] = job
+		}
+	}
+	rows := []CapacityRow{}
+	counts := s.State.FreeCapacity()
+	for need, job := range jobsByShape {
+		buffers := s.buffersFor(job)
+		for _, zone := range s.zones() {
+			isInZone := func(g capacity.Group) bool { return g.Zone == zone }
+			rows = append(rows, CapacityRow{
+				Shape:     need,
+				Zone:      zone,
+				Fitting:   counts.Count(need, isInZone),
+				Allocable: counts.Allocable(need, isInZone, buffers),
+				Buffers:   buffers,
+			})
+		}
+	}
+	return rows
+}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -7,63 +7,62 @@
 
 	"cherrywall/internal/admin"
 	"cherrywall/internal/capacity"
+	"cherrywall/internal/classstats"
 	"cherrywall/internal/clusterstate"
 	"cherrywall/internal/jobdag"
 	"cherrywall/internal/jobs"
-	"cherrywall/internal/quota"
 	"cherrywall/internal/tuning"
 )
 
-// PendingJob is a waiting job as the renting actor sees it.
+// PendingJob is a job with unclaimed tasks, as the autoscaler sees it.
 type PendingJob struct {
 	Record     jobs.JobRecord
-	Need       capacity.Resources
-	Tasks      int
-	RunSeconds float64 // expected run time of a task, seconds
-	Waiting    time.Duration
-	Age        time.Duration // since it could have run
-	// Background work leaves room to the other classes; Leftover is no reason for
-	// dear machines.
-	Background, Leftover bool
+	Need       capacity.Resources // of one task
+	Tasks      int                // that are unclaimed and within the team's quota
+	RunSeconds float64            // expected run time of a task
+	Waiting    time.Duration      // since this controller has known the job
+	Age        time.Duration      // since the job could have run
+	Background bool               // leaves capacity to the classes with an objective
+	Leftover   bool               // is no reason to scale out on-demand machines
 }
 
-// Demand is what waits and what is there.
+// Demand is what the autoscaler decides by: the jobs that wait and the machines that exist.
 type Demand struct {
-	IsCurrent            bool // false without fresh knowledge
-	Settings             admin.Settings
-	Incarnation          uint64
-	BootSeconds          map[string]float64 // usual boot time by type as recorded, seconds
-	Jobs                 []PendingJob
-	LiveMachines         map[string]capacity.Group             // every recorded worker that is not gone
-	RecordedMachines     map[string]bool                       // every recorded worker
-	FittingTasks         map[capacity.Resources]map[string]int // by shape and zone: tasks of gangs that fit, lower work set aside
-	GangCPU              float64                               // held by gangs and services
-	UrgentGangCPU        float64                               // CPUs beside and for urgent gangs that are there anyway, see kept
-	Running              map[string]RunningWork                // by class, what running array tasks still need, as expected
-	BackgroundReserveCPU float64                               // CPUs that background work has to leave free, see owners
+	IsCurrent        bool // false if the cached state may be outdated: then nothing else is reliable
+	Settings         admin.Settings
+	Incarnation      uint64             // of this controller's process
+	BootSeconds      map[string]float64 // usual boot time by machine type, as recorded
+	Jobs             []PendingJob       // in the order of the queue
+	LiveMachines     map[string]capacity.Group
+	RecordedMachines map[string]bool // also those that are lost, releasing, cordoned or preempted
+	// FittingTasks is how many tasks of gangs fit if lower work is preempted, by shape and zone.
+	FittingTasks         map[capacity.Resources]map[string]int
+	GangCPU              float64                // used by gangs and services
+	UrgentGangCPU        float64                // beside and for urgent gangs, see cpuForUrgentGangs
+	Running              map[string]RunningWork // what running array tasks still need, by class
+	BackgroundReserveCPU float64                // that background work has to leave free, see objectiveBuffers
 }
 
-// RunningWork is work that is under way: what it holds and for how long.
+// RunningWork is the work of a class that is running: the CPUs it uses and for how long.
 type RunningWork struct {
 	CPU              float64
-	RemainingSeconds float64 // seconds
-	// Background work holds its CPUs, but need not be done.
-	Background bool
+	RemainingSeconds float64
+	Background       bool // uses its CPUs, but need not be finished
 }
 
-// Add joins more work of the class: so many CPUs for so long.
-func (r RunningWork) Add(cpu, left float64, background bool) RunningWork {
+// Add joins more work of the class: so many CPUs for so many seconds.
+func (r RunningWork) Add(cpu, remainingSeconds float64, background bool) RunningWork {
 	if r.CPU+cpu > 0 {
-		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*left) / (r.CPU + cpu)
+		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*remainingSeconds) / (r.CPU + cpu)
 	}
 	r.CPU += cpu
 	r.Background = background
 	return r
 }
 
-// CPUSecondsWithin is how many CPU seconds of it count against the next seconds. Work with
-// an aim counts whole, also what will not be done by then: machines that are
-// rented for it are of use to the next.
+// CPUSecondsWithin is how many CPU seconds of the work count against the next horizon seconds. Work
+// with an objective counts in full, also what will not be finished by then: machines that are
+// scaled out for it are of use to what follows.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
 	if r.Background {
 		return r.CPU * min(r.RemainingSeconds, horizon)
@@ -71,125 +70,146 @@
 	return r.CPU * r.RemainingSeconds
 }
 
-// cpuForUrgentGangs are the CPUs, beyond those that gangs hold, of machines that are there for
-// urgent gangs anyway: what is left over beside their tasks, and what is kept for
-// those that are likely to come. Arrays may count on them; the rest of the dear
-// machines is to be returned, and an array that takes it keeps it.
-func (d *Scheduler) cpuForUrgentGangs(gangCPU float64, now time.Time) float64 {
-	sum := 0.0
-	for _, g := range d.GrowthBuffers(now) {
-		if g.Need.CPU <= 0 {
-			continue
-		}
-		// The type that a task of it fits best.
-		over := math.Inf(1)
-		for sku, f := range d.MachineTypes.All() {
-			total := f.Total()
-			if n := capacity.FitCount(total, g.Need); n > 0 && (g.Record.MachineTypes == nil || slices.Contains(g.Record.MachineTypes, sku)) {
-				over = min(over, total.CPU/(float64(n)*g.Need.CPU))
-			}
-		}
-		if math.IsInf(over, 1) {
-			continue
-		}
-		sum += g.Tasks*g.Need.CPU*over + gangCPU*(over-1)
-		gangCPU = 0 // counted once
+// Demand returns the current demand. incarnation is that of this controller's process.
+func (s *Scheduler) Demand(now time.Time, incarnation uint64) Demand {
+	settings, _ := s.Cache.Settings()
+	demand := Demand{
+		IsCurrent:        s.Cache.Synced() && !s.Cache.IsStale(now),
+		Settings:         settings,
+		Incarnation:      incarnation,
+		BootSeconds:      s.MachineTypes.RecordedBootTimes(),
+		LiveMachines:     map[string]capacity.Group{},
+		RecordedMachines: map[string]bool{},
+		FittingTasks:     map[capacity.Resources]map[string]int{},
+		Running:          map[string]RunningWork{},
 	}
-	return sum
+	s.addMachines(&demand)
+	s.addFittingTasks(&demand, now)
+	s.addRunningWork(&demand)
+	demand.UrgentGangCPU = s.cpuForUrgentGangs(demand.GangCPU, now)
+	for _, load := range s.expectedLoads(now) {
+		demand.BackgroundReserveCPU += max(0, load.PeakCPU-load.usedCPU)
+	}
+	s.addPendingJobs(&demand, now)
+	return demand
 }
 
-// QuotaAllowance is what teams' limits leave to jobs that wait: machines for more would stand
-// empty. A team of lumenweg-ops-fleet with a limit of half its load had 26 times the price
-// of its useful work paid.
-type QuotaAllowance struct {
-	scheduler *Scheduler
-	remaining map[string]quota.Amount // by team
+func (s *Scheduler) addMachines(demand *Demand) {
+	for machine := range s.State.Machines() {
+		demand.RecordedMachines[machine.Host()] = true
+		if !machine.IsLost() && !machine.IsReleasing() && !machine.IsCordoned() && !machine.IsPreempted() {
+			demand.LiveMachines[machine.Host()] = machine.Group()
+		}
+	}
 }
 
-// NewQuotaAllowance is a new one, of which nothing was taken.
-func (d *Scheduler) NewQuotaAllowance() *QuotaAllowance {
-	return &QuotaAllowance{scheduler: d, remaining: map[string]quota.Amount{}}
+// addFittingTasks sums up the counts of this controller and of its peers.
+func (s *Scheduler) addFittingTasks(demand *Demand, now time.Time) {
+	for _, count := range slices.Concat(s.FittingTasks(now), s.Peers.Capacities(now)) {
+		need := capacity.Resources{CPU: count.CPU, GPU: count.GPU, MemGB: count.Mem}
+		if demand.FittingTasks[need] == nil {
+			demand.FittingTasks[need] = map[string]int{}
+		}
+		demand.FittingTasks[need][count.Zone] += count.Free + count.Preemptible
+	}
 }
 
-// Take is how many of a job's unclaimed tasks the limit of its team allows beside those
-// that were claimed, and taken before.
-func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
-	rec := job.Record()
-	n := rec.UnclaimedCount()
-	t, _ := a.scheduler.cfg.Team(rec.Team)
-	if !quota.IsLimited(t) {
-		return n
-	}
-	left, known := a.remaining[t.Name]
-	if !known {
-		left = quota.LimitOf(t).Sub(quota.UsageOf(t, a.scheduler.teamUsage(t.Name), 1))
-	}
-	one := quota.UsageOf(t, job.Need(), 1)
-	if rec.Kind != jobs.Gang {
-		n = min(n, quota.TasksThatFit(left, one))
-	} else if quota.TasksThatFit(left, one) < n {
-		n = 0
+func (s *Scheduler) addRunningWork(demand *Demand) {
+	for job := range s.State.Jobs() {
+		if job.HasEnded() || job.IsBlocked() {
+			continue
+		}
+		record := job.Record()
+		usedCPU := float64(job.OpenTasks()) * job.Need().CPU
+		if record.Kind != jobs.Array {
+			demand.GangCPU += usedCPU
+			continue
+		}
+		remainingSeconds := s.ExpectedRunSeconds(record) / 2 // on average a task is half done
+		demand.Running[record.Class] = demand.Running[record.Class].Add(usedCPU, remainingSeconds, job.IsBackground())
 	}
-	a.remaining[t.Name] = left.Sub(quota.UsageOf(t, job.Need(), n))
-	return n
 }
 
-// Demand is what waits for machines, and what is there, to a run of this controller's
-// process.
-func (d *Scheduler) Demand(now time.Time, boot uint64) Demand {
-	set, _ := d.Cache.Settings()
-	w := Demand{IsCurrent: d.Cache.Synced() && !d.Cache.IsStale(now), Incarnation: boot, BootSeconds: d.MachineTypes.RecordedBootTimes(), Settings: set,
-		LiveMachines: map[string]capacity.Group{}, RecordedMachines: map[string]bool{}, Running: map[string]RunningWork{}}
-	for machine := range d.State.Machines() {
-		w.RecordedMachines[machine.Host()] = true
-		if !machine.IsLost() && !machine.IsReleasing() && !machine.IsCordoned() && !machine.IsPreempted() {
-			w.LiveMachines[machine.Host()] = machine.Group()
+// addPendingJobs adds the jobs that have waited long enough for the autoscaler to act, as far as
+// their teams' quotas allow.
+func (s *Scheduler) addPendingJobs(demand *Demand, now time.Time) {
+	queue := s.jobsToScaleOutFor(now)
+	s.sortQueue(queue, now)
+	allowance := s.NewQuotaAllowance()
+	for _, job := range queue {
+		tasks := allowance.Take(job)
+		if tasks == 0 {
+			continue
 		}
-	}
-	w.FittingTasks = map[capacity.Resources]map[string]int{}
-	for _, c := range slices.Concat(d.FittingTasks(now), d.Peers.Capacities(now)) {
-		v := capacity.Resources{CPU: c.CPU, GPU: c.GPU, MemGB: c.Mem}
-		if w.FittingTasks[v] == nil {
-			w.FittingTasks[v] = map[string]int{}
+		record := *job.Record()
+		if deadlineMS := job.DeadlinesMS()[0]; deadlineMS != jobdag.NoDeadline {
+			// This includes the deadlines of jobs that depend on it.
+			deadlineSeconds := float64(deadlineMS-job.RunnableSinceMS()) / 1000
+			record.DeadlineSeconds = &deadlineSeconds
 		}
-		w.FittingTasks[v][c.Zone] += c.Free + c.Preemptible
+		demand.Jobs = append(demand.Jobs, PendingJob{
+			Record:     record,
+			Need:       job.Need(),
+			Tasks:      tasks,
+			RunSeconds: s.ExpectedRunSeconds(job.Record()),
+			Waiting:    now.Sub(job.KnownSince()),
+			Age:        job.Age(now),
+			Background: job.IsBackground(),
+			Leftover:   job.IsBestEffort(),
+		})
 	}
+}
+
+func (s *Scheduler) jobsToScaleOutFor(now time.Time) []*clusterstate.Job {
 	var queue []*clusterstate.Job
-	for job := range d.State.Jobs() {
-		if job.HasEnded() || job.IsBlocked() {
+	for job := range s.State.Jobs() {
+		if job.HasEnded() || job.IsBlocked() || s.Faults.IsJobFaulty(job.Ref()) {
 			continue
 		}
-		rec := job.Record()
-		if len(rec.Unclaimed) > 0 && now.Sub(job.KnownSince()) >= tuning.ScaleOutDelay && !d.Faults.IsJobFaulty(job.Ref()) {
+		if len(job.Record().Unclaimed) > 0 && now.Sub(job.KnownSince()) >= tuning.ScaleOutDelay {
 			queue = append(queue, job)
 		}
-		open := float64(job.OpenTasks())
-		if rec.Kind == jobs.Array {
-			// On average a task is half done.
-			w.Running[rec.Class] = w.Running[rec.Class].Add(open*job.Need().CPU, d.ExpectedRunSeconds(rec)/2, job.IsBackground())
-		} else {
-			w.GangCPU += open * job.Need().CPU
-		}
 	}
-	w.UrgentGangCPU = d.cpuForUrgentGangs(w.GangCPU, now)
-	for _, l := range d.expectedLoads(now) {
-		w.BackgroundReserveCPU += max(0, l.PeakCPU-l.usedCPU)
+	return queue
+}
+
+// cpuForUrgentGangs is the number of CPUs, beyond those that gangs use, of machines that exist for
+// urgent gangs anyway: what is left over beside their tasks, and what is kept for those that are
+// likely to arrive. Arrays may rely on it. They may not rely on other on-demand machines, which are
+// to be scaled in and would be kept by an array that uses them.
+func (s *Scheduler) cpuForUrgentGangs(gangCPU float64, now time.Time) float64 {
+	sum := 0.0
+	for _, buffer := range s.GrowthBuffers(now) {
+		if buffer.Need.CPU <= 0 {
+			continue
+		}
+		overhead := s.leastOverhead(buffer)
+		if math.IsInf(overhead, 1) {
+			continue
+		}
+		sum += buffer.Tasks*buffer.Need.CPU*overhead + gangCPU*(overhead-1)
+		gangCPU = 0 // counted once
 	}
-	d.sortQueue(queue, now)
-	may := d.NewQuotaAllowance()
-	for _, job := range queue {
-		tasks := may.Take(job)
-		if tasks == 0 {
+	return sum
+}
+
+// leastOverhead is the ratio of a machine's CPUs to those of the tasks of a buffer that fit on it,
+// for the machine type that they fit best; infinite if no type that they allow is large enough.
+func (s *Scheduler) leastOverhead(buffer classstats.GrowthBuffer) float64 {
+	least := math.Inf(1)
+	for name, machineType := range s.MachineTypes.All() {
+		if !allowsType(buffer.Record, name) {
 			continue
 		}
-		rec := *job.Record()
-		if by := job.DeadlinesMS()[0]; by != jobdag.NoDeadline {
-			due := float64(by-job.RunnableSinceMS()) / 1000 // also what those behind it need
-			rec.DeadlineSeconds = &due
+		total := machineType.Total()
+		if tasks := capacity.FitCount(total, buffer.Need); tasks > 0 {
+			least = min(least, total.CPU/(float64(tasks)*buffer.Need.CPU))
 		}
-		w.Jobs = append(w.Jobs, PendingJob{Record: rec, Need: job.Need(), Tasks: tasks,
-			RunSeconds: d.ExpectedRunSeconds(job.Record()), Waiting: now.Sub(job.KnownSince()), Age: job.Age(now),
-			Background: job.IsBackground(), Leftover: job.IsBestEffort()})
 	}
-	return w
+	return least
+}
+
+// allowsType reports whether the tasks of a job may run on a machine type.
+func allowsType(record *jobs.JobRecord, machineType string) bool {
+	return record.MachineTypes == nil || slices.Contains(record.MachineTypes, machineType)
 }
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -6,15 +6,20 @@
 	"cherrywall/internal/clusterstate"
 )
 
-// Parts of a round, for tests of one alone.
+// Parts of a scheduling cycle, for tests of a single part.
 
-func (d *Scheduler) SortQueue(queue []*clusterstate.Job) { d.sortQueue(queue, time.Now()) }
-func (d *Scheduler) Score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
-	return d.score(job, machine)
+func (s *Scheduler) SortQueue(queue []*clusterstate.Job) { s.sortQueue(queue, time.Now()) }
+
+func (s *Scheduler) Score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
+	return s.score(job, machine)
 }
-func (d *Scheduler) RequestCycle(after time.Duration) { d.requestCycle(after) }
-func (d *Scheduler) HasRequestedCycle() bool          { return !d.nextCycleAt.IsZero() }
-func (d *Scheduler) StartCycle()                      { d.cycle = cycle{} }
-func (d *Scheduler) AllocableTasks(job *clusterstate.Job) int {
-	return d.State.FreeCapacity().Allocable(job.Need(), job.Record().Allows, d.buffersFor(job))
+
+func (s *Scheduler) RequestCycle(delay time.Duration) { s.requestCycle(delay) }
+
+func (s *Scheduler) HasRequestedCycle() bool { return !s.nextCycleAt.IsZero() }
+
+func (s *Scheduler) StartCycle() { s.cycle = cycle{} }
+
+func (s *Scheduler) AllocableTasks(job *clusterstate.Job) int {
+	return s.State.FreeCapacity().Allocable(job.Need(), job.Record().Allows, s.buffersFor(job))
 }
--- /dev/null
+++ b/internal/scheduler/guarantees.go
@@ -0,0 +1,60 @@
+package scheduler
+
+import (
+	"slices"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/jobs"
+)
+
+// Capacity that teams are guaranteed. Their upper limits are enforced by claims.TasksWithinQuota.
+
+// guaranteeTolerance is by how much a sum of CPUs or GPUs may exceed a limit because of rounding.
+const guaranteeTolerance = 1e-6
+
+// teamUsage returns what a team's claimed and unfinished tasks use in all shards.
+func (s *Scheduler) teamUsage(team string) capacity.Resources {
+	var used capacity.Resources
+	for job := range s.State.Jobs() {
+		if job.HasEnded() || job.Record().Team != team {
+			continue
+		}
+		tasks := float64(job.OpenTasks())
+		used = used.Add(capacity.Resources{CPU: tasks * job.Need().CPU, GPU: tasks * job.Need().GPU})
+	}
+	return used
+}
+
+// isWithinGuarantee reports whether one more task of a job, or all of a gang, keeps its team within
+// its guarantee.
+func (s *Scheduler) isWithinGuarantee(job *clusterstate.Job) bool {
+	team, _ := s.cfg.Team(job.Record().Team)
+	if !hasGuarantee(team) {
+		return false
+	}
+	tasks := 1.0
+	if job.Record().Kind == jobs.Gang {
+		tasks = float64(job.Record().UnclaimedCount())
+	}
+	used := s.teamUsage(team.Name)
+	return used.CPU+tasks*job.Need().CPU <= team.GuaranteedCPUs+guaranteeTolerance &&
+		used.GPU+tasks*job.Need().GPU <= team.GuaranteedGPUs+guaranteeTolerance
+}
+
+// exceedsGuarantee reports whether a job's team uses more than its guarantee.
+func (s *Scheduler) exceedsGuarantee(job *clusterstate.Job) bool {
+	team, _ := s.cfg.Team(job.Record().Team)
+	used := s.teamUsage(team.Name)
+	return used.CPU > team.GuaranteedCPUs+guaranteeTolerance || used.GPU > team.GuaranteedGPUs+guaranteeTolerance
+}
+
+func hasGuarantee(team config.Team) bool {
+	return team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0
+}
+
+// hasGuarantees reports whether any team has a guarantee.
+func (s *Scheduler) hasGuarantees() bool {
+	return slices.ContainsFunc(s.cfg.Cluster.Teams, hasGuarantee)
+}
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -9,85 +9,122 @@
 	"cherrywall/internal/tuning"
 )
 
-// Nobody waits for ever. In an overload the order by what can still be met serves most, but
-// a large gang finds its room taken by smaller ones each time, and an array without an aim
-// is behind all that have one. Who has waited for long without any task begun goes first; for
-// a gang, room is kept that others would take.
+// No job may starve. In an overload the order by deadlines serves most jobs, but a large gang finds
+// its capacity taken by smaller ones each time, and an array without an objective is behind all
+// that have one. An overdue job therefore goes first, and for an overdue gang capacity is reserved.
 
-// isOverdue tells whether none of a job's tasks has begun though it could have for long.
+// isOverdue reports whether no task of a job has started although it could have for a long time.
 func isOverdue(job *clusterstate.Job, now time.Time) bool {
-	return job.Age(now) > tuning.JobOverdueAfter && job.Record().Kind != jobs.Service && job.Record().UnclaimedCount() == job.Record().Tasks
+	return job.Age(now) > tuning.JobOverdueAfter && job.Record().Kind != jobs.Service &&
+		job.Record().UnclaimedCount() == job.Record().Tasks
 }
 
-// reservation is the room that is kept for an overdue gang: what falls free in a share, or in all,
-// and in a zone if it needs one. Work that it may stop is lent that room.
+// reservation keeps machines for an overdue gang. Work that the gang may preempt can still use
+// them.
 type reservation struct {
-	job         *clusterstate.Job // nil: none
-	shard, zone string
+	job   *clusterstate.Job // nil for no reservation
+	shard string            // empty for all shards
+	zone  string            // empty for all zones
 }
 
-// excludes tells whether a machine is kept from a job.
-func (k reservation) excludes(job *clusterstate.Job, machine *clusterstate.Machine) bool {
-	return k.job != nil && job != k.job && job.Priority() >= k.job.Record().Priority() && (k.shard == "" || machine.Record().Shard == k.shard) &&
-		(k.zone == "" || machine.Record().Zone == k.zone) && k.job.Record().Allows(machine.Group())
+// excludes reports whether a machine is reserved and therefore not available to a job.
+func (r reservation) excludes(job *clusterstate.Job, machine *clusterstate.Machine) bool {
+	if r.job == nil || job == r.job || job.Priority() < r.job.Record().Priority() {
+		return false
+	}
+	return r.covers(machine) && r.job.Record().Allows(machine.Group())
+}
+
+func (r reservation) covers(machine *clusterstate.Machine) bool {
+	record := machine.Record()
+	return (r.shard == "" || record.Shard == r.shard) && (r.zone == "" || record.Zone == r.zone)
 }
 
-// CapacityByShard is how many of a job's tasks the recorded machines hold when they are empty, by
-// share and zone: as the records say, so that all controllers count the same.
-func (d *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
-	fit := map[string]map[string]int{}
-	for lot, machines := range d.State.MachineCounts() {
-		total, known := d.MachineTypes.Capacity(lot.Group.MachineType)
+// CapacityByShard returns how many tasks of a job the recorded machines would fit if they were
+// empty, by shard and zone. It depends on stored records only, so that all controllers count the
+// same.
+func (s *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
+	fitting := map[string]map[string]int{}
+	for lot, machines := range s.State.MachineCounts() {
+		total, known := s.MachineTypes.Capacity(lot.Group.MachineType)
 		if !known || !job.Record().Allows(lot.Group) {
 			continue
 		}
-		if fit[lot.Shard] == nil {
-			fit[lot.Shard] = map[string]int{}
+		if fitting[lot.Shard] == nil {
+			fitting[lot.Shard] = map[string]int{}
 		}
-		fit[lot.Shard][lot.Group.Zone] += machines * capacity.FitCount(total, job.Need())
+		fitting[lot.Shard][lot.Group.Zone] += machines * capacity.FitCount(total, job.Need())
 	}
-	return fit
+	return fitting
 }
 
-// reserveForOverdueGang keeps room for the first overdue gang of a queue, in the share and zone that hold
-// the most of it by their machines, so that all controllers name the same. Not for one that
-// the machines there can't hold, or that waits for its team's limit: what is kept would stand
-// empty for as long as that lasts. And for a while only, then as long not: should it not help,
-// others must go on.
-func (d *Scheduler) reserveForOverdueGang(queue []*clusterstate.Job, now time.Time) {
+// reserveForOverdueGang reserves capacity for the first overdue gang of a sorted queue that may
+// have a reservation and that the recorded machines can hold.
+func (s *Scheduler) reserveForOverdueGang(queue []*clusterstate.Job, now time.Time) {
 	for _, job := range queue {
 		if !isOverdue(job, now) {
-			return // they come first
+			return // overdue jobs are at the front of the queue
 		}
-		if job.Record().Kind != jobs.Gang || d.Faults.IsJobFaulty(job.Ref()) || d.waitReasons[job.Ref()].text == waitForQuota ||
-			(job.Age(now)-tuning.JobOverdueAfter)%(2*tuning.GangReservationPeriod) > tuning.GangReservationPeriod {
+		if !s.mayReserve(job, now) {
 			continue
 		}
-		type place struct{ share, zone string }
-		fit, best := map[place]int{}, place{}
-		all := map[string]int{} // by zone
-		for share, per := range d.CapacityByShard(job) {
-			for z, n := range per {
-				p := place{share: share}
-				if job.Record().OneZone {
-					p.zone = z
-				}
-				fit[p] += n
-				all[p.zone] += n
-			}
+		if reserved, ok := s.reservationFor(job); ok {
+			s.cycle.reserved = reserved
+			return
 		}
-		for p, n := range fit {
-			if n > fit[best] || n == fit[best] && (p.share < best.share || p.share == best.share && p.zone < best.zone) {
-				best = p
+	}
+}
+
+// mayReserve reports whether capacity may be reserved for an overdue job now. A gang that waits for
+// its team's quota gets none: the machines would stand empty for as long as that lasts. A
+// reservation lasts for GangReservationPeriod and then pauses for as long, so that the other jobs
+// go on if it does not help.
+func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
+	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
+		return false
+	}
+	if s.waitReasons[job.Ref()].kind == waitQuota {
+		return false
+	}
+	overdueFor := job.Age(now) - tuning.JobOverdueAfter
+	return overdueFor%(2*tuning.GangReservationPeriod) <= tuning.GangReservationPeriod
+}
+
+// reservationPlace is where a gang's capacity may be reserved: a shard and, if it must run in one
+// zone, a zone.
+type reservationPlace struct{ shard, zone string }
+
+// before orders places by name.
+func (p reservationPlace) before(other reservationPlace) bool {
+	return p.shard < other.shard || p.shard == other.shard && p.zone < other.zone
+}
+
+// reservationFor selects the shard and zone whose machines hold the most of a gang, so that all
+// controllers select the same. ok is false if the recorded machines can not hold the gang.
+func (s *Scheduler) reservationFor(job *clusterstate.Job) (reserved reservation, ok bool) {
+	fitting := map[reservationPlace]int{}
+	fittingInZone := map[string]int{}
+	for shard, perZone := range s.CapacityByShard(job) {
+		for zone, tasks := range perZone {
+			place := reservationPlace{shard: shard}
+			if job.Record().OneZone {
+				place.zone = zone
 			}
+			fitting[place] += tasks
+			fittingInZone[place.zone] += tasks
 		}
-		if all[best.zone] < job.Record().Tasks {
-			continue
-		}
-		if fit[best] < job.Record().Tasks {
-			best.share = "" // machines have to fall empty and move, see lifetime
+	}
+	best := reservationPlace{}
+	for place, tasks := range fitting {
+		if tasks > fitting[best] || tasks == fitting[best] && place.before(best) {
+			best = place
 		}
-		d.cycle.reserved = reservation{job, best.share, best.zone}
-		return
 	}
+	if fittingInZone[best.zone] < job.Record().Tasks {
+		return reservation{}, false
+	}
+	if fitting[best] < job.Record().Tasks {
+		best.shard = "" // empty machines have to move to one shard first, see machinelifecycle
+	}
+	return reservation{job: job, shard: best.shard, zone: best.zone}, true
 }
--- /dev/null
+++ b/internal/scheduler/preemption.go
@@ -0,0 +1,216 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"cherrywall/internal/binpacking"
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/deadline"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/membership"
+)
+
+// canPreempt reports whether a job may take the place of an assigned task: work of a higher
+// priority that of lower work, and a team within its guarantee that of what another team runs
+// beyond its own. A faulty job preempts nothing.
+func (s *Scheduler) canPreempt(job *clusterstate.Job, assignment *clusterstate.Assignment) bool {
+	victim := assignment.Job()
+	if victim == nil || assignment.IsLeaving() || s.Faults.IsJobFaulty(job.Ref()) {
+		return false
+	}
+	if victim.Priority() < s.preemptionPriority(job) {
+		return true
+	}
+	return victim.Record().Team != job.Record().Team && s.isWithinGuarantee(job) && s.exceedsGuarantee(victim)
+}
+
+// preemptionPriority is the priority with which a job preempts others. The priority that it
+// inherits from jobs that depend on it counts only when one of their objectives is at risk: until
+// then the job goes first in the queue, but preempts nothing.
+func (s *Scheduler) preemptionPriority(job *clusterstate.Job) jobs.Priority {
+	priority := job.Record().Priority()
+	if job.Priority() == priority {
+		return priority
+	}
+	if cached, known := s.cycle.preemptionPriorities[job]; known {
+		return cached
+	}
+	if deadline.IsObjectiveAtRisk(s.deadlineJob(job), s.cfg.Cluster.Objectives, time.Now()) {
+		priority = job.Priority()
+	}
+	if s.cycle.preemptionPriorities == nil {
+		s.cycle.preemptionPriorities = map[*clusterstate.Job]jobs.Priority{}
+	}
+	s.cycle.preemptionPriorities[job] = priority
+	return priority
+}
+
+// preemptionLoss is the work (CPU seconds) that preempting a task of an owned shard discards.
+func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
+	record := assignment.Job().Record()
+	ranSeconds := 0.0
+	if since := assignment.Status().RunningSince; !since.IsZero() {
+		ranSeconds = time.Since(since).Seconds()
+	}
+	hasCheckpoints := record.CheckpointIntervalSeconds > 0
+	if record.Kind == jobs.Gang {
+		// The whole gang stops; one with checkpoints loses the time of saving one.
+		if hasCheckpoints {
+			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
+		}
+		return ranSeconds * assignment.Need().CPU * float64(record.Tasks)
+	}
+	if hasCheckpoints {
+		ranSeconds = math.Mod(ranSeconds, record.CheckpointIntervalSeconds)
+	}
+	return ranSeconds * assignment.Need().CPU
+}
+
+// freeWithPreemption is the capacity of a machine that is free or that a job may preempt.
+func (s *Scheduler) freeWithPreemption(job *clusterstate.Job, machine *clusterstate.Machine) capacity.Resources {
+	free := s.State.Free(machine)
+	for assignment := range machine.Assignments() {
+		if s.canPreempt(job, assignment) {
+			free = free.Add(assignment.Need())
+		}
+	}
+	return free
+}
+
+// preemptibleTasks is how many more tasks of a job would fit on the allowed machines if lower work
+// were preempted.
+func (s *Scheduler) preemptibleTasks(job *clusterstate.Job, allow func(capacity.Group) bool) int {
+	if s.Faults.IsJobFaulty(job.Ref()) {
+		return 0
+	}
+	if !s.hasGuarantees() {
+		below := s.State.FreeCapacityBelow(s.preemptionPriority(job)).Count(job.Need(), allow)
+		return below - s.State.FreeCapacity().Count(job.Need(), allow)
+	}
+	// With guarantees it depends on what each team uses at this moment.
+	tasks := 0
+	for _, machine := range s.State.OwnedMachines() {
+		if !s.State.IsUsable(machine) || !allow(machine.Group()) {
+			continue
+		}
+		withPreemption := capacity.FitCount(s.freeWithPreemption(job, machine), job.Need())
+		tasks += withPreemption - capacity.FitCount(s.State.Free(machine), job.Need())
+	}
+	return tasks
+}
+
+// fittingWithPreemption is how many tasks of a job fit if lower work is preempted. The buffers are
+// subtracted also from preemptible capacity: it may be lent to lower work, but is protected from
+// the job.
+func (s *Scheduler) fittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
+	free := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
+	preemptible := s.preemptibleTasks(job, allow)
+	if preemptible == 0 {
+		return free
+	}
+	all := s.State.FreeCapacity().Count(job.Need(), allow) + preemptible
+	for _, buffer := range capacity.Aggregate(buffers) {
+		all -= buffer.ConvertByRatio(job.Need())
+	}
+	return max(free, all)
+}
+
+// taskPlacement is the machine for one task, and the tasks that have to leave it.
+type taskPlacement struct {
+	machine *clusterstate.Machine
+	victims []*clusterstate.Assignment
+}
+
+// placementPlan is a machine for each of several tasks.
+type placementPlan struct {
+	placements []taskPlacement
+	cost       float64 // CPU seconds, see binpacking.Plan
+}
+
+// planWithPreemption finds machines of a shard for so many tasks of a job at the least loss of
+// work. An empty zone stands for all zones. ok is false if there are not enough.
+func (s *Scheduler) planWithPreemption(job *clusterstate.Job, shard, zone string, tasks int) (plan placementPlan, ok bool) {
+	var machines []*clusterstate.Machine
+	var bins []binpacking.Machine
+	for _, machine := range s.candidates(job, shard, zone) {
+		if bin, fits := s.binpackingMachine(job, machine); fits {
+			machines = append(machines, machine)
+			bins = append(bins, bin)
+		}
+	}
+	maxPerZone := tasks
+	if job.Record().Spread {
+		maxPerZone = maxTasksPerZone(job.Record())
+	}
+	placements, cost, ok := binpacking.Plan(bins, job.Need(), tasks, maxPerZone)
+	plan = placementPlan{placements: make([]taskPlacement, len(placements)), cost: cost}
+	for i, placement := range placements {
+		machine := machines[placement.Machine]
+		plan.placements[i].machine = machine
+		for _, victim := range placement.Victims {
+			plan.placements[i].victims = append(plan.placements[i].victims, machine.Assignment(victim.Name))
+		}
+	}
+	return plan, ok
+}
+
+// binpackingMachine describes a machine to the planner. fits is false if not even one task of the
+// job fits with all preemptible tasks gone.
+func (s *Scheduler) binpackingMachine(job *clusterstate.Job, machine *clusterstate.Machine) (bin binpacking.Machine, fits bool) {
+	bin = binpacking.Machine{Zone: machine.Record().Zone, Free: s.State.Free(machine)}
+	if !machine.HasImage(job.Record().Image) {
+		machineType, _ := s.MachineTypes.Get(machine.Record().MachineType)
+		if machineType.FetchGBPerS > 0 {
+			bin.ImageCost = job.Record().ImageGB / machineType.FetchGBPerS * job.Need().CPU
+		}
+	}
+	free := bin.Free
+	for assignment := range machine.Assignments() {
+		if s.canPreempt(job, assignment) {
+			free = free.Add(assignment.Need())
+			bin.Victims = append(bin.Victims, binpacking.Victim{
+				Name:           assignment.Name(),
+				Need:           assignment.Need(),
+				LostCPUSeconds: s.preemptionLoss(assignment),
+			})
+		}
+	}
+	return bin, free.Covers(job.Need())
+}
+
+// applyPlacement preempts the victims of a planned placement and assigns the i-th task of a range.
+func (s *Scheduler) applyPlacement(taskRange *clusterstate.TaskRange, i int, placement taskPlacement, attempt uint64) {
+	for _, victim := range placement.victims {
+		s.State.PreemptFor(taskRange, victim)
+	}
+	s.State.Place(taskRange, i, placement.machine, attempt)
+}
+
+// claimByPreemption claims up to maxTasks tasks of a job that fit if lower work is preempted. If no
+// plan is found for all of them it tries half as many.
+func (s *Scheduler) claimByPreemption(job *clusterstate.Job, shard *membership.Shard, zone string, maxTasks int) {
+	tasks := min(maxTasks, s.preemptibleTasks(job, func(g capacity.Group) bool {
+		return job.Record().Allows(g) && (zone == "" || g.Zone == zone)
+	}))
+	if tasks > 0 {
+		tasks = s.withinQuota(job, shard, tasks)
+	}
+	for ; tasks > 0; tasks /= 2 {
+		plan, ok := s.planWithPreemption(job, shard.ID(), zone, tasks)
+		if !ok {
+			continue
+		}
+		s.Claims.Claim(job, shard, tasks, zone, func(taskRange *clusterstate.TaskRange) bool {
+			if taskRange.Len() > len(plan.placements) {
+				return false
+			}
+			for i := range taskRange.Len() {
+				s.applyPlacement(taskRange, i, plan.placements[i], s.nextAttempt(shard))
+			}
+			return true
+		})
+		return
+	}
+}
--- /dev/null
+++ b/internal/scheduler/queue.go
@@ -0,0 +1,93 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/deadline"
+	"cherrywall/internal/jobs"
+)
+
+// queueEntry is a waiting job with what its place in the queue depends on.
+type queueEntry struct {
+	job          *clusterstate.Job
+	isOverdue    bool
+	priority     jobs.Priority
+	isBackground bool
+	teamCPU      float64 // CPUs that the team uses; 0 unless the job is background work
+	startByMS    int64
+}
+
+// sortQueue orders waiting jobs: overdue ones first, then by priority, and within a priority by
+// when they have to start (see deadline.StartByMS). The order decides who is considered first; a
+// later job may still pass one that does not fit.
+func (s *Scheduler) sortQueue(queue []*clusterstate.Job, now time.Time) {
+	entries := make([]queueEntry, len(queue))
+	teamCPU := map[string]float64{}
+	for i, job := range queue {
+		entry := queueEntry{
+			job:          job,
+			isOverdue:    isOverdue(job, now),
+			priority:     job.Priority(),
+			isBackground: job.IsBackground(),
+			startByMS:    deadline.StartByMS(s.deadlineJob(job), s.cfg.Cluster.Objectives, now),
+		}
+		if entry.isBackground {
+			team := job.Record().Team
+			if _, known := teamCPU[team]; !known {
+				teamCPU[team] = s.teamUsage(team).CPU
+			}
+			entry.teamCPU = teamCPU[team]
+		}
+		entries[i] = entry
+	}
+	slices.SortFunc(entries, compareEntries)
+	for i, entry := range entries {
+		queue[i] = entry.job
+	}
+}
+
+// compareEntries orders queue entries; jobs that are equal in all else are ordered by reference.
+func compareEntries(x, y queueEntry) int {
+	if x.isOverdue != y.isOverdue {
+		return trueFirst(x.isOverdue)
+	}
+	if x.isOverdue && x.job.RunnableSinceMS() != y.job.RunnableSinceMS() {
+		return cmp.Compare(x.job.RunnableSinceMS(), y.job.RunnableSinceMS())
+	}
+	if x.priority != y.priority {
+		return cmp.Compare(y.priority, x.priority)
+	}
+	if x.isBackground != y.isBackground {
+		return trueFirst(y.isBackground)
+	}
+	return cmp.Or(
+		// The teams share the capacity that is left for background work: one that submits a
+		// great many jobs does not starve the others.
+		cmp.Compare(x.teamCPU, y.teamCPU),
+		cmp.Compare(x.startByMS, y.startByMS),
+		strings.Compare(x.job.Ref(), y.job.Ref()),
+	)
+}
+
+// trueFirst is the result of a comparison of two different booleans of which the first is x.
+func trueFirst(x bool) int {
+	if x {
+		return -1
+	}
+	return 1
+}
+
+// deadlineJob returns what the deadline of a job is computed from.
+func (s *Scheduler) deadlineJob(job *clusterstate.Job) deadline.Job {
+	return deadline.Job{
+		Record:            job.Record(),
+		RunnableSinceMS:   job.RunnableSinceMS(),
+		RunSeconds:        s.ExpectedRunSeconds(job.Record()),
+		CompletionSeconds: job.DependencyNode().ExpectedRunS(),
+		DeadlinesMS:       job.DeadlinesMS(),
+	}
+}
--- /dev/null
+++ b/internal/scheduler/quota_allowance.go
@@ -0,0 +1,43 @@
+package scheduler
+
+import (
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/quota"
+)
+
+// QuotaAllowance distributes what the teams' quotas leave to their waiting jobs. Machines for tasks
+// beyond it would stay empty: a team whose limit was half of its load cost 26 times the price of
+// its useful work (lumenweg-ops-fleet).
+type QuotaAllowance struct {
+	scheduler *Scheduler
+	remaining map[string]quota.Amount // by team
+}
+
+// NewQuotaAllowance creates an allowance of which nothing was taken.
+func (s *Scheduler) NewQuotaAllowance() *QuotaAllowance {
+	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
+}
+
+// Take returns how many of a job's unclaimed tasks its team's quota allows beside the tasks that are
+// claimed or were taken before, and takes them. Of a gang it is all or none.
+func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
+	record := job.Record()
+	tasks := record.UnclaimedCount()
+	team, _ := a.scheduler.cfg.Team(record.Team)
+	if !quota.IsLimited(team) {
+		return tasks
+	}
+	remaining, known := a.remaining[team.Name]
+	if !known {
+		remaining = quota.LimitOf(team).Sub(quota.UsageOf(team, a.scheduler.teamUsage(team.Name), 1))
+	}
+	allowed := quota.TasksThatFit(remaining, quota.UsageOf(team, job.Need(), 1))
+	if record.Kind != jobs.Gang {
+		tasks = min(tasks, allowed)
+	} else if allowed < tasks {
+		tasks = 0
+	}
+	a.remaining[team.Name] = remaining.Sub(quota.UsageOf(team, job.Need(), tasks))
+	return tasks
+}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -13,146 +13,145 @@
 	"cherrywall/internal/tuning"
 )
 
-func aimed(d *harness.Harness) {
-	d.Cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "own"}}
+func withObjective(h *harness.Harness) {
+	h.Cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "own"}}
 }
 
-// A guest's long tasks took all the room within seconds, and work with deadlines
-// of the same priority, which may not stop them, waited for minutes.
-func TestBackgroundWorkLeavesRoomToClassesWithAnAim(t *testing.T) {
+// Without objective buffers the long tasks of background work took all capacity within seconds, and
+// work with deadlines of the same priority, which may not preempt it, waited for minutes.
+func TestBackgroundWorkLeavesObjectiveBuffersFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := harness.New(t, aimed)
-		d.OfferMachineTypes("m16")
-		d.SetOwner("n0", harness.Self, 4)
+		h := harness.New(t, withObjective)
+		h.OfferMachineTypes("m16")
+		h.SetOwner("n0", harness.Self, 4)
 		for i := range 10 {
-			d.State.EndHeartbeat(d.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
+			h.State.EndHeartbeat(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
 		}
 		due := 60.0
 		own := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &due}
 		for i := range 4 {
 			own.Ref = fmt.Sprintf("wk-%d", i)
 			at := time.Now().Add(-time.Duration(40-10*i) * time.Second)
-			d.ClassStats.RecordArrival(&jobs.JobRecord{Spec: own, AcceptedAtMS: at.UnixMilli()}, at.UnixMilli(), time.Now())
+			h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: own, AcceptedAtMS: at.UnixMilli()}, at.UnixMilli(), time.Now())
 		}
 		spec := jobs.Spec{Ref: "wk-9", Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 200, CPU: 1, EstimatedRunSeconds: 300, Spot: true}
-		guest := d.AddJob(spec, 200, 5)
+		guest := h.AddJob(spec, 200, 5)
 		if !guest.IsBackground() || !guest.IsBestEffort() {
-			t.Fatalf("the guest's work: background %v, leftover %v", guest.IsBackground(), guest.IsBestEffort())
+			t.Fatalf("the guest's work: background %v, best effort %v", guest.IsBackground(), guest.IsBestEffort())
 		}
-		if n := d.Scheduler.AllocableTasks(guest); n < 20 || n > 130 {
-			t.Errorf("%d of 160 CPUs are open to the guest", n)
+		if n := h.Scheduler.AllocableTasks(guest); n < 20 || n > 130 {
+			t.Errorf("%d of 160 CPUs are allocable to background work", n)
 		}
-		// Then no more of the others come.
+		// Then no more work with an objective arrives.
 		time.Sleep(5 * time.Minute)
-		d.Scheduler.StartCycle()
-		if n := d.Scheduler.AllocableTasks(guest); n != 160 {
-			t.Errorf("%d of 160 CPUs are open while nothing else comes", n)
+		h.Scheduler.StartCycle()
+		if n := h.Scheduler.AllocableTasks(guest); n != 160 {
+			t.Errorf("%d of 160 CPUs are allocable while no other work arrives", n)
 		}
-		// Neither forgotten.
+		// After a while it is no longer best effort.
 		time.Sleep(time.Minute)
-		d.Scheduler.Recount(time.Now())
+		h.Scheduler.Recount(time.Now())
 		if guest.IsBestEffort() {
-			t.Error("no machine is rented for it, however long it waits")
+			t.Error("background work stays best effort, and without a machine, however long it waits")
 		}
 	})
 }
 
-func TestWhatIsLeftOverIsSharedByTeam(t *testing.T) {
-	d := harness.New(t, aimed)
+func TestBackgroundWorkIsOrderedByTeamUsage(t *testing.T) {
+	h := harness.New(t, withObjective)
 	waiting := func(ref, team string) *clusterstate.Job {
-		return d.AddJob(jobs.Spec{Ref: ref, Team: team, Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 50, CPU: 1, EstimatedRunSeconds: 300, Spot: true}, 30, 5)
+		return h.AddJob(jobs.Spec{Ref: ref, Team: team, Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 50, CPU: 1, EstimatedRunSeconds: 300, Spot: true}, 30, 5)
 	}
-	flood, late := waiting("wk-1", "loud"), waiting("wk-2", "quiet")
-	d.AddTaskRange("wk-1", "n1", 20, 6)
-	queue := []*clusterstate.Job{flood, late}
-	d.Scheduler.SortQueue(queue)
-	if queue[0] != late {
+	busyTeam, idleTeam := waiting("wk-1", "loud"), waiting("wk-2", "quiet")
+	h.AddTaskRange("wk-1", "n1", 20, 6)
+	queue := []*clusterstate.Job{busyTeam, idleTeam}
+	h.Scheduler.SortQueue(queue)
+	if queue[0] != idleTeam {
 		t.Error("the team that has 20 tasks running goes before the one that has none")
 	}
 }
 
-// Arrays went to the ordinary room that is kept for gangs before cheap machines:
-// a seventh of their tasks was stopped again, and the machines never fell empty.
-func TestArraysGoFirstWhereNoUrgentGangMayStopThem(t *testing.T) {
-	d := harness.New(t, nil)
-	d.OfferMachineTypes("m16")
-	array := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 1, CPU: 1}, 1, 2)
-	dear, cheap := d.AddMachine("i-1", "n1", "m16", false), d.AddMachine("i-2", "n1", "m16", true)
+// When arrays were placed on the on-demand machines retained for gangs before spot machines, a
+// seventh of their tasks was preempted, and the machines never became empty.
+func TestArraysPreferMachinesWithoutUrgentGangs(t *testing.T) {
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	array := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 1, CPU: 1}, 1, 2)
+	onDemand, spot := h.AddMachine("i-1", "n1", "m16", false), h.AddMachine("i-2", "n1", "m16", true)
 	gang := jobs.Spec{Class: "g", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}
-	d.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
-	if d.Scheduler.Score(array, cheap) <= d.Scheduler.Score(array, dear) {
-		t.Error("kept ordinary room goes before cheap machines that gangs may not use")
+	h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
+	if h.Scheduler.Score(array, spot) <= h.Scheduler.Score(array, onDemand) {
+		t.Error("retained on-demand machines are preferred to spot machines that gangs may not use")
 	}
 	gang.Spot = true
-	d.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
-	if d.Scheduler.Score(array, dear) <= d.Scheduler.Score(array, cheap) {
-		t.Error("where gangs may use both, what is kept for them is lent first")
+	h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
+	if h.Scheduler.Score(array, onDemand) <= h.Scheduler.Score(array, spot) {
+		t.Error("spot machines are preferred to retained ones where gangs may use both")
 	}
 }
 
-// The pause of a blamed job, minutes long, was armed in the one timer there was,
-// and every claim that staggers by 120 ms waited for the next recount.
-func TestALongWaitDoesNotDelayAShortOne(t *testing.T) {
+// When there was one timer for all requested cycles, the pause of a faulty job, minutes long, made
+// every claim that is staggered by 120 ms wait for the next recount.
+func TestEarlierCycleRequestReplacesLaterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := harness.New(t, nil)
-		d.Scheduler.RequestCycle(5 * time.Minute)
-		d.Scheduler.RequestCycle(100 * time.Millisecond)
-		d.Scheduler.RequestCycle(time.Second) // the one before it will do
-		d.State.ClearDirty()
+		h := harness.New(t, nil)
+		h.Scheduler.RequestCycle(5 * time.Minute)
+		h.Scheduler.RequestCycle(100 * time.Millisecond)
+		h.Scheduler.RequestCycle(time.Second) // the earlier request is enough
+		h.State.ClearDirty()
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		d.RunNext()
-		if !d.State.IsDirty() || d.Scheduler.HasRequestedCycle() || len(d.Mailbox.Messages()) > 0 {
-			t.Errorf("after 200 ms: touched %v, armed %v, %d more", d.State.IsDirty(), d.Scheduler.HasRequestedCycle(), len(d.Mailbox.Messages()))
+		h.RunNext()
+		if !h.State.IsDirty() || h.Scheduler.HasRequestedCycle() || len(h.Mailbox.Messages()) > 0 {
+			t.Errorf("after 200 ms: dirty %v, requested %v, %d more messages", h.State.IsDirty(), h.Scheduler.HasRequestedCycle(), len(h.Mailbox.Messages()))
 		}
 	})
 }
 
-// A machine was lost while a gang waited for room there: its other tasks kept
-// their places for ever and it never started (sinai-huts-booking-fleet, zone, six
-// seeds of six).
-func TestAPlannedGangThatLosesAMachineIsPlacedAnew(t *testing.T) {
-	d := harness.New(t, nil)
-	d.OfferMachineTypes("m16")
-	d.SetOwner("n0", harness.Self, 2)
+// When a machine was lost while a gang waited for its victims there, the gang's other tasks kept
+// their assignments for ever and it never started (sinai-huts-booking-fleet, zone, six seeds of
+// six).
+func TestGangIsReplannedAfterMachineLoss(t *testing.T) {
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	h.SetOwner("n0", harness.Self, 2)
 	for i := range 3 {
-		d.State.EndHeartbeat(d.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
+		h.State.EndHeartbeat(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
 	}
-	job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}, 0, 4)
-	taskRange := d.AddTaskRange("wk-1", "n0", 4, 4)
-	d.SyncCache(5)
-	d.Reconciler.Check(time.Now())
-	d.Scheduler.RunCycle(time.Now())
+	job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}, 0, 4)
+	taskRange := h.AddTaskRange("wk-1", "n0", 4, 4)
+	h.SyncCache(5)
+	h.Reconciler.Check(time.Now())
+	h.Scheduler.RunCycle(time.Now())
 	if n := taskRange.CountTasks(clusterstate.TaskPlaced); n != 4 {
 		t.Fatalf("%d of 4 tasks placed", n)
 	}
 	lost := taskRange.Assignment(0).Machine()
-	d.State.MarkLost(lost)
+	h.State.MarkLost(lost)
 	for range 2 {
-		d.Scheduler.RunCycle(time.Now())
+		h.Scheduler.RunCycle(time.Now())
 	}
 	if n := taskRange.CountTasks(clusterstate.TaskPlaced); n != 4 || lost.AssignmentCount() > 0 {
 		t.Errorf("%d of 4 tasks placed, %d on the lost machine", n, lost.AssignmentCount())
 	}
-	if why := d.Scheduler.WaitReason(job); why != "" {
-		t.Errorf("a job that does not wait waits for %q", why)
+	if reason := h.Scheduler.WaitReason(job); reason != "" {
+		t.Errorf("a job that does not wait has the reason %q", reason)
 	}
 }
 
-// The best placed controller claims a new job; another waits for its turn, and the job
-// says why nothing was found for it.
-func TestAJobTellsWhyItWaits(t *testing.T) {
+// A job that does not fit waits, and the reason says how many of its tasks fit.
+func TestWaitReasonOfGangWithoutCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := harness.New(t, nil)
-		d.OfferMachineTypes("m16")
-		d.SetOwner("n0", harness.Self, 2)
-		d.State.EndHeartbeat(d.AddMachine("i-1", "n0", "m16", false), true, false)
-		job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}, 4, 4)
+		h := harness.New(t, nil)
+		h.OfferMachineTypes("m16")
+		h.SetOwner("n0", harness.Self, 2)
+		h.State.EndHeartbeat(h.AddMachine("i-1", "n0", "m16", false), true, false)
+		job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}, 4, 4)
 		time.Sleep(3 * tuning.ClaimStaggerDelay)
-		d.SyncCache(5)
-		d.Scheduler.RunCycle(time.Now())
-		if job.InTransaction() || d.Scheduler.WaitReason(job) != "2 tasks fit, 4 needed" {
-			t.Errorf("busy %v, why: %q", job.InTransaction(), d.Scheduler.WaitReason(job))
+		h.SyncCache(5)
+		h.Scheduler.RunCycle(time.Now())
+		if job.InTransaction() || h.Scheduler.WaitReason(job) != "2 tasks fit, 4 needed" {
+			t.Errorf("in transaction %v, reason %q", job.InTransaction(), h.Scheduler.WaitReason(job))
 		}
 	})
 }
