--- /dev/null
+++ b/internal/reconciliation/discrepancy.go
@@ -0,0 +1,78 @@
+package reconciliation
+
+import "cherrywall/internal/clusterstate"
+
+// Discrepancy classifies what a worker's heartbeat, or its absence, shows against the records.
+type Discrepancy int
+
+// The discrepancies of a task come first, then those of a worker.
+const (
+	Agrees               Discrepancy = iota // the task runs as recorded
+	RunningUnclaimed                        // the task runs, and its shard has not claimed it
+	ClaimedNotRunning                       // the task is claimed, and no worker runs it
+	StaleAttempt                            // the task runs while another attempt of it is assigned
+	UnknownJob                              // the task runs, and no unfinished job has it
+	JobFinished                             // the task runs, and its job has ended
+	CompletionUnrecorded                    // the task is done, and its completion is not recorded
+	WorkerUnrecorded                        // a worker without a record sends heartbeats
+	WorkerMissing                           // a recorded worker sends no heartbeats
+	discrepancyCount
+)
+
+// Action is what reconciliation does about a discrepancy.
+type Action int
+
+// The actions.
+const (
+	ActionKeep             Action = iota // the task keeps running where it is
+	ActionStop                           // the task is stopped
+	ActionStart                          // the task may be started
+	ActionRecordCompletion               // the completion is recorded, then the worker may drop the task
+	ActionRegisterWorker                 // the worker is recorded before its heartbeat is answered
+	ActionAwaitWorker                    // nothing is decided until the worker reports or its lease has expired
+)
+
+// Rule decides one discrepancy. docs/recovery.md shows the same table.
+type Rule struct {
+	Name         string // in logs, views and metrics
+	Action       Action
+	ProtocolRule string // the rule of the protocol that any other action would break
+}
+
+// Rules holds the rule of each discrepancy. Nothing else decides what follows from one.
+var Rules = [discrepancyCount]Rule{
+	Agrees:               {"agrees", ActionKeep, "ran_twice"},
+	RunningUnclaimed:     {"without a claim", ActionStop, "ran_twice"},
+	ClaimedNotRunning:    {"claimed, not running", ActionStart, "forgotten"},
+	StaleAttempt:         {"older attempt", ActionStop, "ran_twice"},
+	UnknownJob:           {"unknown job", ActionStop, "ran_cancelled"},
+	JobFinished:          {"job is over", ActionStop, "ran_cancelled"},
+	CompletionUnrecorded: {"done, not recorded", ActionRecordCompletion, "not_done"},
+	WorkerUnrecorded:     {"machine without a record", ActionRegisterWorker, "ran_twice"},
+	WorkerMissing:        {"record without a machine", ActionAwaitWorker, "ran_twice"},
+}
+
+// String returns the name of the discrepancy's rule.
+func (d Discrepancy) String() string { return Rules[d].Name }
+
+// KeepsRunning reports whether a task that a worker lists keeps running where it is.
+func KeepsRunning(lookup clusterstate.TaskLookup) bool {
+	return Rules[Classify(lookup)].Action == ActionKeep
+}
+
+// Classify compares a task that a worker lists, and that is not assigned to it, with the records.
+func Classify(lookup clusterstate.TaskLookup) Discrepancy {
+	switch {
+	case !lookup.JobKnown:
+		return UnknownJob
+	case lookup.JobEnded:
+		return JobFinished
+	case lookup.ReportedDone && lookup.IsClaimed && !lookup.IsFinished:
+		return CompletionUnrecorded
+	case lookup.PlacedElsewhere, lookup.IsFinished:
+		return StaleAttempt
+	case !lookup.IsClaimed:
+		return RunningUnclaimed
+	}
+	return Agrees
+}
--- /dev/null
+++ b/internal/reconciliation/gang_workers_test.go
@@ -0,0 +1,123 @@
+package reconciliation_test
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/fake/harness"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/workerapi"
+)
+
+// addGang records a gang of two tasks, claimed by a shard for the given workers.
+func addGang(h *harness.Harness, ref, shard string, revision uint64, workers ...string) *clusterstate.TaskRange {
+	h.AddJob(jobs.Spec{Ref: ref, Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 7}, 0, revision)
+	h.WriteRecord(jobs.RangeKey(ref, 0), jobs.RangeRecord{Shard: shard, Count: 2, GangWorkers: workers}, revision)
+	return h.State.Job(ref).TaskRange(0)
+}
+
+// If all machines are of one type, every unconfirmed worker could run every task: nothing that was
+// claimed may start before all are confirmed or their leases have expired. The recorded workers of
+// a gang say where the gang can be.
+func TestUnconfirmedWorkerBlocksOnlyGangsRecordedForIt(t *testing.T) {
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	h.SetOwner("n1", harness.OtherNode, 2)
+	for _, host := range []string{"i-1", "i-2", "i-3"} {
+		h.AddMachine(host, "n1", "m16", false)
+	}
+	onConfirmed := addGang(h, "wk-1", "n1", 4, "i-1", "i-2")
+	onUnconfirmed := addGang(h, "wk-2", "n1", 5, "i-2", "i-3")
+	onAny := addGang(h, "wk-3", "n1", 6)
+	h.Cache.ApplyEvents(nil, 9)
+	h.WriteRecord(jobs.ShardPrefix+"n1", json.RawMessage(membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now())), 10)
+	h.SyncCache(10)
+	h.Reconciler.Check(time.Now())
+	if n := onConfirmed.CountTasks(clusterstate.TaskReady); n != 0 {
+		t.Fatalf("%d tasks are ready before any worker is confirmed", n)
+	}
+	for _, host := range []string{"i-1", "i-2"} {
+		h.Sessions.ApplyHeartbeat(h.State.Machine(host), &workerapi.Heartbeat{Host: host, AgentEpoch: 1, Sequence: 1, FencingToken: 10}, time.Now())
+	}
+	h.Reconciler.Check(time.Now())
+	if onConfirmed.CountTasks(clusterstate.TaskReady) != 2 || onUnconfirmed.CountTasks(clusterstate.TaskUnknown) != 2 || onAny.CountTasks(clusterstate.TaskUnknown) != 2 {
+		t.Errorf("ready: %d of the gang on confirmed workers; unknown: %d of the gang recorded for the unconfirmed one, %d of the gang without recorded workers",
+			onConfirmed.CountTasks(clusterstate.TaskReady), onUnconfirmed.CountTasks(clusterstate.TaskUnknown), onAny.CountTasks(clusterstate.TaskUnknown))
+	}
+	views := h.Reconciler.Views(time.Now())
+	if len(views) != 1 || views[0].Stage != "squaring reports" || views[0].UnconfirmedWorkers != 1 || views[0].UnconfirmedSample[0] != "i-3" || views[0].UnaccountedTasks != 4 {
+		t.Errorf("views: %+v", views)
+	}
+}
+
+// A controller of an earlier version does not keep to the recorded workers of a gang: they are not
+// trusted for ranges that such a controller owned.
+func TestGangWorkersNotTrustedAfterOwnerOfEarlierVersion(t *testing.T) {
+	h := harness.New(t, nil)
+	h.SetOwner("n1", harness.OtherNode, 2)
+	taskRange := addGang(h, "wk-1", "n1", 4, "i-1")
+	if taskRange.MayBeOn("i-2") {
+		t.Error("the recorded workers are ignored")
+	}
+	h.WriteRecord(jobs.ShardPrefix+"n1", map[string]any{"holder": "n2", "boot": 3}, 6)
+	if !taskRange.MayBeOn("i-2") {
+		t.Error("trusted under an owner that records no gang workers")
+	}
+	h.WriteRecord(jobs.ShardPrefix+"n1", json.RawMessage(membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now())), 8)
+	late := addGang(h, "wk-2", "n1", 9, "i-1")
+	if !taskRange.MayBeOn("i-2") || late.MayBeOn("i-2") {
+		t.Errorf("may run on another worker: claimed before %v, claimed after %v", taskRange.MayBeOn("i-2"), late.MayBeOn("i-2"))
+	}
+}
+
+// A gang that is planned on other workers starts only once these are recorded. A write without an
+// answer leaves it open which workers are recorded until the record has another revision.
+func TestReplannedGangWaitsForRecordedWorkers(t *testing.T) {
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	h.SetOwner("n0", harness.Self, 2)
+	a, b, c := h.AddMachine("i-1", "n0", "m16", false), h.AddMachine("i-2", "n0", "m16", false), h.AddMachine("i-3", "n0", "m16", false)
+	for _, machine := range []*clusterstate.Machine{a, b, c} {
+		h.State.EndHeartbeat(machine, true, false)
+	}
+	h.SyncCache(3)
+	taskRange := addGang(h, "wk-1", "n0", 4, "i-1", "i-2")
+	job := taskRange.Job()
+	plan := func(machines ...*clusterstate.Machine) {
+		for i := range machines {
+			if assignment := taskRange.Assignment(i); assignment != nil {
+				h.State.Unplace(assignment)
+			}
+		}
+		h.State.BeginGangAttempt(job, 9)
+		for i, machine := range machines {
+			h.State.Place(taskRange, i, machine, 9)
+		}
+	}
+	plan(a, b)
+	if !h.State.GangCanStart(job) {
+		t.Fatal("planned on the recorded workers, and cannot start")
+	}
+	plan(a, c)
+	if h.State.GangCanStart(job) {
+		t.Fatal("can start on a worker that is not recorded")
+	}
+	h.Claims.RecordGangWorkers(taskRange) // the harness's key-value store does not answer
+	if plan(a, b); h.State.GangCanStart(job) {
+		t.Error("can start while its workers are being written")
+	}
+	h.RunNext()
+	if h.State.GangCanStart(job) {
+		t.Error("can start although it is not known which workers are recorded")
+	}
+	h.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1", "i-3"}}, 11)
+	if h.State.GangCanStart(job) {
+		t.Error("the write was applied after all, and it can start elsewhere")
+	}
+	if plan(a, c); !h.State.GangCanStart(job) {
+		t.Error("cannot start on the recorded workers")
+	}
+}
--- /dev/null
+++ b/internal/reconciliation/reconciliation.go
@@ -0,0 +1,258 @@
+// Package reconciliation brings a shard back to work after its owner changed or all controllers
+// went down (docs/recovery.md). It makes first contact with the shard's workers at a rate that
+// leaves the processor to users, compares their heartbeats with the records, and decides from when
+// on a claimed task that no worker lists may be started.
+package reconciliation
+
+import (
+	"iter"
+	"log/slog"
+	"slices"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/statecache"
+	"cherrywall/internal/workerapi"
+)
+
+// Dependencies is the state that reconciliation reads and completes.
+type Dependencies struct {
+	State      *clusterstate.State
+	Membership *membership.Table
+	Cache      *statecache.Cache
+}
+
+// Reconciler follows the recovery of the local shards. A worker is confirmed when its first
+// heartbeat under the shard's epoch was applied. It has no locks: one actor owns it.
+type Reconciler struct {
+	Dependencies
+	cfg        *config.Config
+	log        *slog.Logger
+	recoveries map[string]*shardRecovery // by shard
+}
+
+// New returns a reconciler that follows no shard yet.
+func New(cfg *config.Config, deps Dependencies, log *slog.Logger) *Reconciler {
+	return &Reconciler{Dependencies: deps, cfg: cfg, log: log, recoveries: map[string]*shardRecovery{}}
+}
+
+// Reset drops all recoveries, since the records are read again.
+func (r *Reconciler) Reset() { clear(r.recoveries) }
+
+// recoveryOf returns the recovery of a local shard under its present epoch.
+func (r *Reconciler) recoveryOf(shard *membership.Shard) *shardRecovery {
+	recovery := r.recoveries[shard.ID()]
+	if recovery != nil && recovery.epoch == shard.Epoch() {
+		return recovery
+	}
+	recovery = &shardRecovery{
+		epoch:           shard.Epoch(),
+		acquiredAt:      shard.KnownSince(),
+		recordedWorkers: r.State.MachineCountIn(shard.ID()),
+		commandsSent:    map[string]int{},
+		exempt:          map[*clusterstate.Machine]bool{},
+	}
+	r.recoveries[shard.ID()] = recovery
+	return recovery
+}
+
+// recoveryOfWorker returns the recovery of a worker's shard, nil if the shard is not local.
+func (r *Reconciler) recoveryOfWorker(machine *clusterstate.Machine) *shardRecovery {
+	if shard := r.State.OwnedShard(machine); shard != nil {
+		return r.recoveryOf(shard)
+	}
+	return nil
+}
+
+// CountDiscrepancy counts a discrepancy in a worker's first heartbeat under the present epoch.
+func (r *Reconciler) CountDiscrepancy(machine *clusterstate.Machine, discrepancy Discrepancy) {
+	recovery := r.recoveryOfWorker(machine)
+	if recovery != nil && !machine.HasReported() {
+		recovery.discrepancies[discrepancy]++
+	}
+}
+
+// WorkerRegistered notes that a worker without a record was recorded.
+func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
+	recovery := r.recoveryOfWorker(machine)
+	if recovery != nil && recovery.isTracked(now) {
+		recovery.discrepancies[WorkerUnrecorded]++
+	}
+}
+
+// CommandsSent counts the commands of a response to a worker.
+func (r *Reconciler) CommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
+	recovery := r.recoveryOfWorker(machine)
+	if recovery == nil || !recovery.isTracked(now) {
+		return
+	}
+	for _, command := range commands {
+		recovery.commandsSent[command.Verb]++
+	}
+}
+
+// WorkerConfirmed notes that a worker's first heartbeat under the present epoch was applied.
+func (r *Reconciler) WorkerConfirmed(machine *clusterstate.Machine, now time.Time) {
+	recovery := r.recoveryOfWorker(machine)
+	if recovery == nil {
+		return
+	}
+	recovery.confirm(machine)
+	r.reconcileShard(r.State.OwnedShard(machine), now)
+}
+
+// WorkerTransferred notes that a worker is as the previous owner's snapshot says. The caller calls
+// Check when it has applied the whole snapshot.
+func (r *Reconciler) WorkerTransferred(machine *clusterstate.Machine) {
+	if recovery := r.recoveryOfWorker(machine); recovery != nil {
+		recovery.confirm(machine)
+	}
+}
+
+// ExemptWorker notes that a worker need not be confirmed: by the previous owner's snapshot no
+// command was ever sent to it.
+func (r *Reconciler) ExemptWorker(machine *clusterstate.Machine) {
+	if recovery := r.recoveryOfWorker(machine); recovery != nil {
+		recovery.exempt[machine] = true
+	}
+}
+
+// Check completes what can be completed of the recovery of each local shard.
+func (r *Reconciler) Check(now time.Time) {
+	for _, shard := range r.Membership.LocalShards() {
+		r.reconcileShard(shard, now)
+		r.reconcileRanges(shard)
+	}
+}
+
+// isOpen reports whether a shard's records are read and its recovery is not complete.
+//
+// The write that acquired a shard is known here before the watch has delivered earlier changes. A
+// worker or task range that was recorded just before it may still be missing, and a task on that
+// worker would be started a second time. So nothing is decided before the cache has reached the
+// shard's epoch.
+func (r *Reconciler) isOpen(shard *membership.Shard) bool {
+	return !shard.IsReconciled() && r.Cache.HasReachedEpoch(shard)
+}
+
+// reconcileShard completes the recovery of a shard once each of its workers is confirmed or its
+// lease has expired: then no worker runs a task that no heartbeat has listed.
+func (r *Reconciler) reconcileShard(shard *membership.Shard, now time.Time) {
+	if !r.isOpen(shard) {
+		return
+	}
+	recovery := r.recoveryOf(shard)
+	// This runs for each first heartbeat: mostly the first unconfirmed worker ends the loop.
+	for machine := range listUnconfirmed(r, shard) {
+		if !isLeaseExpired(r, shard, machine, now) {
+			return
+		}
+		r.State.AssumeLost(machine, now)
+	}
+	shard.MarkReconciled()
+	recovery.reconciledAt = now
+	r.markAllNotRunning(shard, recovery)
+	r.countMissingWorkers(shard, recovery)
+	r.State.MarkDirty()
+	attributes := []any{"shard", shard.ID(), "after_s", now.Sub(shard.KnownSince()).Seconds()}
+	r.log.Info("shard reconciled", append(attributes, recovery.logAttributes()...)...)
+}
+
+func (r *Reconciler) markAllNotRunning(shard *membership.Shard, recovery *shardRecovery) {
+	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
+		if taskRange.IsOwned() {
+			recovery.markNotRunning(taskRange)
+		}
+	}
+}
+
+func (r *Reconciler) countMissingWorkers(shard *membership.Shard, recovery *shardRecovery) {
+	for machine := range r.State.OwnedMachinesIn(shard.ID()) {
+		if machine.Revision() < shard.Epoch() && !machine.HasReported() {
+			recovery.discrepancies[WorkerMissing]++
+		}
+	}
+}
+
+// reconcileRanges completes single task ranges while some workers are unconfirmed. Every controller
+// sends a task only to a worker on which it is allowed and which is large enough: if no unconfirmed
+// worker is, none of them runs the task, and the confirmed ones did not list it. So the loss of many
+// spot machines does not hold back work that may not use any.
+func (r *Reconciler) reconcileRanges(shard *membership.Shard) {
+	if !r.isOpen(shard) {
+		return
+	}
+	unconfirmed := slices.Collect(listUnconfirmed(r, shard))
+	recovery := r.recoveryOf(shard)
+	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
+		if taskRange.CountTasks(clusterstate.TaskUnknown) == 0 || taskRange.Job().HasEnded() {
+			continue
+		}
+		if r.anyCouldRun(taskRange, unconfirmed) {
+			continue
+		}
+		recovery.markNotRunning(taskRange)
+		r.State.MarkDirty()
+	}
+}
+
+// listUnconfirmed and isLeaseExpired are variables so that mutation tests can replace them and show
+// that the invariant checkers notice.
+var (
+	listUnconfirmed = (*Reconciler).unconfirmedWorkers
+	isLeaseExpired  = (*Reconciler).leaseExpired
+)
+
+// leaseExpired reports whether so much time has passed that a worker of a shard that is not
+// confirmed runs no tasks any more.
+func (r *Reconciler) leaseExpired(shard *membership.Shard, machine *clusterstate.Machine, now time.Time) bool {
+	return now.After(r.cfg.WorkerLeaseExpiresAt(shard.KnownSince(), machine.LastHeartbeatAt()))
+}
+
+// unconfirmedWorkers yields the workers of a shard that are neither confirmed nor lost, and that a
+// previous owner may have sent tasks of the shard.
+//
+// Workers whose record is younger than the shard's epoch registered since, or came empty from
+// another shard. They are left out: when a shard was acquired while hundreds of machines started,
+// waiting for the last of them delayed its recovery by 12 s after all that mattered was confirmed.
+//
+// The order is random on purpose: searched from the same end each time, the first unconfirmed
+// worker of thousands would come after all that are confirmed.
+func (r *Reconciler) unconfirmedWorkers(shard *membership.Shard) iter.Seq[*clusterstate.Machine] {
+	exempt := r.recoveryOf(shard).exempt
+	return func(yield func(*clusterstate.Machine) bool) {
+		for machine := range r.State.Machines() {
+			if machine.Record().Shard != shard.ID() || machine.Revision() >= shard.Epoch() {
+				continue
+			}
+			if machine.HasReported() || machine.IsLost() || exempt[machine] {
+				continue
+			}
+			if !yield(machine) {
+				return
+			}
+		}
+	}
+}
+
+func (r *Reconciler) anyCouldRun(taskRange *clusterstate.TaskRange, machines []*clusterstate.Machine) bool {
+	return slices.ContainsFunc(machines, func(machine *clusterstate.Machine) bool {
+		return r.couldRun(taskRange, machine)
+	})
+}
+
+// couldRun reports whether a task of a range may ever have been sent to a worker: by the recorded
+// workers of a gang, by what the job allows, and by size. A machine type that is not known rules
+// nothing out.
+func (r *Reconciler) couldRun(taskRange *clusterstate.TaskRange, machine *clusterstate.Machine) bool {
+	if !taskRange.MayBeOn(machine.Host()) || !taskRange.Job().Record().Allows(machine.Group()) {
+		return false
+	}
+	if zone := taskRange.Record().Zone; zone != "" && zone != machine.Record().Zone {
+		return false
+	}
+	total, isKnown := r.State.Total(machine)
+	return !isKnown || total.Covers(taskRange.Job().Need())
+}
--- /dev/null
+++ b/internal/reconciliation/view.go
@@ -0,0 +1,83 @@
+package reconciliation
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/tuning"
+)
+
+// View shows operators the recovery of a shard. Durations are in seconds.
+type View struct {
+	Shard              string         `json:"share"`
+	Stage              string         `json:"stage"`
+	SinceS             float64        `json:"since_s"`        // since the shard was acquired
+	ReconciledAfterS   float64        `json:"settled_s"`      // from the acquisition on; 0: not yet
+	RecordedWorkers    int            `json:"machines"`       // when the shard was acquired
+	ConfirmedWorkers   int            `json:"heard"`          // of these and of new ones
+	UnconfirmedWorkers int            `json:"waits_for"`      // neither confirmed nor lost
+	UnconfirmedSample  []string       `json:"some,omitempty"` // host names, tuning.MaxListedNames at most
+	LongestWaitS       float64        `json:"within_s"`       // until the leases of all unconfirmed workers have expired
+	UnaccountedTasks   int            `json:"unaccounted"`
+	Discrepancies      map[string]int `json:"outcomes"`
+	CommandsSent       map[string]int `json:"orders"` // by verb, within tuning.AcquisitionTrackingPeriod
+}
+
+// Views returns the recoveries of the local shards.
+func (r *Reconciler) Views(now time.Time) []View {
+	views := []View{}
+	for _, shard := range r.Membership.LocalShards() {
+		views = append(views, r.view(shard, now))
+	}
+	return views
+}
+
+func (r *Reconciler) view(shard *membership.Shard, now time.Time) View {
+	recovery := r.recoveryOf(shard)
+	stage := r.stage(shard)
+	view := View{
+		Shard:            shard.ID(),
+		Stage:            stage.String(),
+		SinceS:           now.Sub(recovery.acquiredAt).Seconds(),
+		RecordedWorkers:  recovery.recordedWorkers,
+		ConfirmedWorkers: recovery.confirmedWorkers,
+		Discrepancies:    recovery.discrepancyCounts(),
+		CommandsSent:     recovery.commandsSent,
+	}
+	switch {
+	case stage == StageReconciling:
+		r.addUnconfirmed(&view, shard, now)
+	case stage == StageReconciled && !recovery.reconciledAt.IsZero():
+		view.ReconciledAfterS = recovery.reconciledAt.Sub(recovery.acquiredAt).Seconds()
+	}
+	return view
+}
+
+func (r *Reconciler) stage(shard *membership.Shard) Stage {
+	switch {
+	case !r.Cache.HasReachedEpoch(shard):
+		return StageReadingRecords
+	case !shard.IsReconciled():
+		return StageReconciling
+	}
+	return StageReconciled
+}
+
+// addUnconfirmed adds to a view what the shard still waits for.
+func (r *Reconciler) addUnconfirmed(view *View, shard *membership.Shard, now time.Time) {
+	var hosts []string
+	for machine := range listUnconfirmed(r, shard) {
+		hosts = append(hosts, machine.Host())
+	}
+	slices.Sort(hosts)
+	view.UnconfirmedWorkers = len(hosts)
+	view.UnconfirmedSample = hosts[:min(len(hosts), tuning.MaxListedNames)]
+	view.LongestWaitS = max(0, r.cfg.PreviousOwnerExpiryDelay()-now.Sub(shard.KnownSince())).Seconds()
+	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
+		if taskRange.IsOwned() {
+			view.UnaccountedTasks += taskRange.CountTasks(clusterstate.TaskUnknown)
+		}
+	}
+}
--- a/internal/workersession/greet.go
+++ b/internal/workersession/greet.go
@@ -13,9 +13,14 @@
 
 // What is asked of workers: the answers to greetings, and whether they can be reached at all.
 
-// probeAnswered takes the answer in, if the worker is still commanded by the token
+// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
+func (k *Manager) AgentEpoch(machine *clusterstate.Machine) uint64 {
+	return k.lastHeartbeats[machine.Host()].agentEpoch
+}
+
+// ProbeAnswered takes the answer in, if the worker is still commanded by the token
 // that it was shown.
-func (k *Manager) probeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
+func (k *Manager) ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	shard := k.State.OwnedShard(machine)
 	at := heartbeatID{heartbeat.AgentEpoch, heartbeat.Sequence}
 	if shard == nil || !k.State.IsCurrentMachine(machine) || machine.HasReported() || machine.IsLost() || max(shard.Epoch(), machine.Revision()) != fencingToken ||
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -120,8 +120,7 @@
 	if workers != nil {
 		greeter = workers
 	}
-	k.firstContact = reconciliation.NewFirstContact(mailbox, cfg, s.Reconciler.Dependencies, greeter,
-		func(machine *clusterstate.Machine) uint64 { return k.lastHeartbeats[machine.Host()].agentEpoch }, k.probeAnswered)
+	k.firstContact = reconciliation.NewFirstContact(mailbox, cfg, s.Reconciler.Dependencies, greeter, k)
 	k.exchanges.limiter = reconciliation.NewContactLimiter(cfg, tuning.DirectCommandCPUFraction)
 	return k
 }
