--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -15,49 +15,54 @@
 	"cherrywall/internal/tuning"
 )
 
-// What teams with a limit may use here: allocations that are taken when work has room and
-// lacks only them, and given back when it does not.
+// A team with a quota may use in a shard what is allocated to the shard. An allocation is
+// acquired when work has room and is short of quota only, and released when it is unused.
 
-// teamShard is a team in a share.
+// teamShard is the key of what concerns a team in a shard.
 type teamShard struct{ team, shard string }
 
-// shortfall is what lately was lacking in a place.
+// shortfall is the quota that a shard was short of when it was last asked for.
 type shortfall struct {
 	amount       quota.Amount
 	allOrNothing bool // nothing less is of use
 	recordedAt   time.Time
 }
 
-// allocationState is what is under way and expected of allocations.
+// allocationState is what a Writer keeps for the allocations of all teams.
 type allocationState struct {
-	writesPending map[string]bool // by team: a write of its record
+	writesPending map[string]bool // by team: a write of its record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time    // since when a part of an allocation is of no use
-	usage         map[teamShard]quota.Amount // see used, at so many changes of the books
-	usageVersion  uint64
+	idleSince     map[teamShard]time.Time    // since when a part of an allocation is unused
+	usage         map[teamShard]quota.Amount // see usageOf; valid at usageVersion
+	usageVersion  uint64                     // the change count of the cluster state
 }
 
 func newAllocationState() allocationState {
-	return allocationState{writesPending: map[string]bool{}, shortfalls: map[teamShard]shortfall{}, idleSince: map[teamShard]time.Time{}, usage: map[teamShard]quota.Amount{}}
+	return allocationState{
+		writesPending: map[string]bool{},
+		shortfalls:    map[teamShard]shortfall{},
+		idleSince:     map[teamShard]time.Time{},
+		usage:         map[teamShard]quota.Amount{},
+	}
 }
 
 func allocationKey(team string) string { return jobs.QuotaPrefix + hex.EncodeToString([]byte(team)) }
 
-// usageOf is what a team's tasks take on the machines of a share. Tasks of jobs that are over
-// count until they are gone: their team may no longer be known, so they count for every
-// team.
-func (w *Writer) usageOf(team config.Team, share string) quota.Amount {
-	if n := w.State.ChangeCount(); n != w.allocations.usageVersion {
-		w.allocations.usageVersion = n
+// usageOf returns what a team's tasks take on the machines of a shard. Tasks of ended jobs
+// count until they have stopped: their team may no longer be known, so they count for every
+// team. The result is cached, so that a hundred waiting jobs cost little more than one.
+func (w *Writer) usageOf(team config.Team, shardID string) quota.Amount {
+	if version := w.State.ChangeCount(); version != w.allocations.usageVersion {
+		w.allocations.usageVersion = version
 		clear(w.allocations.usage)
 	}
-	at := teamShard{team.Name, share}
-	if sum, known := w.allocations.usage[at]; known { // a hundred jobs that wait cost little more than one
-		return sum
+	key := teamShard{team.Name, shardID}
+	if usage, known := w.allocations.usage[key]; known {
+		return usage
 	}
 	var need capacity.Resources
 	for _, machine := range w.State.OwnedMachines() {
-		if machine.Record().Shard != share {
+		if machine.Record().Shard != shardID {
 			continue
 		}
 		for assignment := range machine.Assignments() {
@@ -67,60 +72,64 @@
 			}
 		}
 	}
-	w.allocations.usage[at] = quota.UsageOf(team, need, 1)
-	return w.allocations.usage[at]
+	usage := quota.UsageOf(team, need, 1)
+	w.allocations.usage[key] = usage
+	return usage
 }
 
-// unusedAllocation is what a team may use more in a share; false if that is not known yet, or not
-// this controller's to say.
-func (w *Writer) unusedAllocation(team config.Team, shard *membership.Shard) (quota.Amount, bool) {
+// unusedAllocation returns what a team may use more in a shard. ok is false if that is not
+// known: the shard is another controller's, or not all its workers have reported.
+func (w *Writer) unusedAllocation(team config.Team, shard *membership.Shard) (unused quota.Amount, ok bool) {
 	if shard == nil || !shard.IsLocal() || !shard.IsReconciled() {
 		return quota.Amount{}, false
 	}
 	return w.Quotas.Available(team, shard.ID()).Sub(w.usageOf(team, shard.ID())), true
 }
 
-// TasksWithinQuota is how many more of a job's tasks its team's limit allows in a share.
+// TasksWithinQuota returns how many more of a job's tasks its team's quota allows in a shard.
 func (w *Writer) TasksWithinQuota(job *clusterstate.Job, shard *membership.Shard) int {
 	team, _ := w.cfg.Team(job.Record().Team)
 	if !quota.IsLimited(team) {
 		return math.MaxInt32
 	}
-	left, known := w.unusedAllocation(team, shard)
-	if !known {
+	unused, ok := w.unusedAllocation(team, shard)
+	if !ok {
 		return 0
 	}
-	return quota.TasksThatFit(left, quota.UsageOf(team, job.Need(), 1))
+	return quota.TasksThatFit(unused, quota.UsageOf(team, job.Need(), 1))
 }
 
-// RequestQuota takes what a share lacks for so many more of a job's tasks, for which it has room:
-// all of it or none if nothing less is of use.
-func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, whole bool) {
+// RequestQuota acquires what a shard is short of for that many more of a job's tasks, for which
+// it has room. With allOrNothing it acquires all of it or nothing.
+func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, allOrNothing bool) {
 	team, _ := w.cfg.Team(job.Record().Team)
-	left, known := w.unusedAllocation(team, shard)
-	if !known || tasks <= 0 {
+	unused, ok := w.unusedAllocation(team, shard)
+	if !ok || tasks <= 0 {
 		return
 	}
-	lacks := quota.UsageOf(team, job.Need(), tasks).Sub(left.NonNegative()).NonNegative()
-	w.allocations.shortfalls[teamShard{team.Name, shard.ID()}] = shortfall{lacks, whole, time.Now()}
-	if record, ok := w.Quotas.Acquire(team, shard.ID(), lacks, whole); ok {
+	missing := quota.UsageOf(team, job.Need(), tasks).Sub(unused.NonNegative()).NonNegative()
+	w.allocations.shortfalls[teamShard{team.Name, shard.ID()}] = shortfall{missing, allOrNothing, time.Now()}
+	if record, ok := w.Quotas.Acquire(team, shard.ID(), missing, allOrNothing); ok {
 		w.writeAllocations(team.Name, shard, record, func(kvstore.TxnResult, error) {})
 	}
 }
 
-// writeAllocations writes a team's record as the holder of a share.
+// writeAllocations writes a team's record as the owner of a shard and calls done with the
+// outcome. It returns false if no write is possible now.
 func (w *Writer) writeAllocations(team string, shard *membership.Shard, record quota.Record, done func(result kvstore.TxnResult, err error)) bool {
 	if w.allocations.writesPending[team] || w.Cache.IsStale(time.Now()) {
 		return false
 	}
 	w.allocations.writesPending[team] = true
 	key := allocationKey(team)
-	w.Cache.Commit(kvstore.Normal, kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: w.Quotas.Revision(team)}, ownershipCondition(shard)},
-		Writes: []kvstore.Write{{Key: key, Value: kvstore.Encode(record)}}}, func(result kvstore.TxnResult, err error) {
+	w.Cache.Commit(kvstore.Normal, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: key, Revision: w.Quotas.Revision(team)}, ownershipCondition(shard)},
+		Writes:     []kvstore.Write{{Key: key, Value: kvstore.Encode(record)}},
+	}, func(result kvstore.TxnResult, err error) {
 		done(result, err)
-		if err == nil && result.Succeeded {
+		if isCommitted(result, err) {
 			delete(w.allocations.writesPending, team)
-		} else { // the watch is about to tell what has changed
+		} else { // the watch is about to deliver what has changed
 			w.mailbox.SendAfter(2*tuning.MinWatchRequestGap, func() { delete(w.allocations.writesPending, team) })
 		}
 		w.State.MarkDirty()
@@ -128,73 +137,90 @@
 	return true
 }
 
-// releaseIdleAllocations gives back what is of no use here: soon if the team has work that nobody
-// has claimed, and after a while in any case.
+// releaseIdleAllocations releases what is unused in this controller's shards: soon if the team
+// has unclaimed work, and after a while in any case.
 func (w *Writer) releaseIdleAllocations(now time.Time) {
-	var hungry map[string]bool // teams with work that nobody has claimed
+	var contended map[string]bool // teams with unclaimed work
 	for _, team := range w.cfg.Cluster.Teams {
 		if !quota.IsLimited(team) || w.allocations.writesPending[team.Name] {
 			continue
 		}
-		if hungry == nil {
-			hungry = map[string]bool{}
-			for job := range w.State.Jobs() {
-				if !job.HasEnded() && !job.IsBlocked() && len(job.Record().Unclaimed) > 0 {
-					hungry[job.Record().Team] = true
-				}
-			}
+		if contended == nil {
+			contended = w.teamsWithUnclaimedWork()
 		}
-		for _, shard := range w.Membership.LocalShards() {
-			if w.Quotas.IsReleasePending(team.Name) {
-				// A giving back has no outcome yet. The record written once more decides it:
-				// the late transaction then finds another stamp.
-				w.writeAllocations(team.Name, shard, w.Quotas.Record(team.Name), func(kvstore.TxnResult, error) {})
-				break
-			}
-			if w.releaseIdleAllocation(team, shard, hungry[team.Name], now) {
-				break
-			}
+		delay := tuning.AllocationReleaseDelay
+		if contended[team.Name] {
+			delay = tuning.ContendedAllocationReleaseDelay
 		}
+		w.releaseIdleAllocationOf(team, delay, now)
 	}
 }
 
-// releaseIdleAllocation gives the idle part of a share's allocation back; false if there is none,
-// or not for long enough.
-func (w *Writer) releaseIdleAllocation(team config.Team, shard *membership.Shard, hungry bool, now time.Time) bool {
-	at := teamShard{team.Name, shard.ID()}
-	idle, known := w.unusedAllocation(team, shard)
-	if !known || idle.IsNegligible() || !w.Cache.HasReachedEpoch(shard) {
-		delete(w.allocations.idleSince, at)
-		return false
+func (w *Writer) teamsWithUnclaimedWork() map[string]bool {
+	teams := map[string]bool{}
+	for job := range w.State.Jobs() {
+		if !job.HasEnded() && !job.IsBlocked() && len(job.Record().Unclaimed) > 0 {
+			teams[job.Record().Team] = true
+		}
 	}
-	// What is lacking may come as long as somebody may give it. Two shares that have half
-	// of what a gang needs would wait for each other for ever.
-	if lacking := w.allocations.shortfalls[at]; now.Sub(lacking.recordedAt) < tuning.QuotaShortfallValidity && (!lacking.allOrNothing || w.Quotas.Unallocated(team).Covers(lacking.amount)) {
-		delete(w.allocations.idleSince, at)
-		return false
+	return teams
+}
+
+// releaseIdleAllocationOf makes at most one write of a team's record.
+func (w *Writer) releaseIdleAllocationOf(team config.Team, delay time.Duration, now time.Time) {
+	for _, shard := range w.Membership.LocalShards() {
+		if w.Quotas.IsReleasePending(team.Name) {
+			// The outcome of a release is not known. Writing the record once more decides it:
+			// the late transaction then finds another revision.
+			w.writeAllocations(team.Name, shard, w.Quotas.Record(team.Name), func(kvstore.TxnResult, error) {})
+			return
+		}
+		if w.releaseIdleAllocation(team, shard, delay, now) {
+			return
+		}
 	}
-	since, was := w.allocations.idleSince[at]
-	if !was {
-		w.allocations.idleSince[at] = now
+}
+
+// releaseIdleAllocation releases the part of a shard's allocation that was unused for the
+// delay. It returns false if nothing was written.
+func (w *Writer) releaseIdleAllocation(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
+	key := teamShard{team.Name, shard.ID()}
+	unused, ok := w.unusedAllocation(team, shard)
+	if !ok || unused.IsNegligible() || !w.Cache.HasReachedEpoch(shard) || w.canBeCompleted(team, key, now) {
+		delete(w.allocations.idleSince, key)
 		return false
 	}
-	wait := tuning.AllocationReleaseDelay
-	if hungry {
-		wait = tuning.ContendedAllocationReleaseDelay
+	since, known := w.allocations.idleSince[key]
+	if !known {
+		w.allocations.idleSince[key] = now
+		return false
 	}
-	if now.Sub(since) < wait {
+	if now.Sub(since) < delay {
 		return false
 	}
-	idle = idle.NonNegative()
-	record := w.Quotas.Release(team, shard.ID(), idle)
-	if !w.writeAllocations(team.Name, shard, record, func(result kvstore.TxnResult, err error) {
+	unused = unused.NonNegative()
+	record := w.Quotas.Release(team, shard.ID(), unused)
+	isSent := w.writeAllocations(team.Name, shard, record, func(result kvstore.TxnResult, err error) {
 		if err == nil && !result.Succeeded {
 			w.Quotas.ReleaseRejected(team.Name, shard.ID())
 		}
-	}) {
+	})
+	if !isSent {
 		return false
 	}
-	w.Quotas.ReleaseSent(team.Name, shard.ID(), idle) // not to be used from now on
-	delete(w.allocations.idleSince, at)
+	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // not to be used from now on
+	delete(w.allocations.idleSince, key)
 	return true
 }
+
+// canBeCompleted reports whether an unused allocation is worth keeping because the rest that
+// the shard is short of may still be acquired. If nothing less than all is of use, the rest must
+// be unallocated: two shards that have half of what a gang needs would wait for each other for
+// ever.
+func (w *Writer) canBeCompleted(team config.Team, key teamShard, now time.Time) bool {
+	missing := w.allocations.shortfalls[key]
+	if now.Sub(missing.recordedAt) >= tuning.QuotaShortfallValidity {
+		return false
+	}
+	return !missing.allOrNothing || w.Quotas.Unallocated(team).Covers(missing.amount)
+}
--- /dev/null
+++ b/internal/claims/batches.go
@@ -0,0 +1,162 @@
+package claims
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/completionbatch"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/quota"
+	"cherrywall/internal/tuning"
+)
+
+// Small jobs are written with few changes of the key-value store: 800 jobs of one task within a
+// minute took six changes each, more than the store allows. The write that accepts a small job
+// also claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many of
+// them are done. Their own records follow when there is budget for it (cleanUpBatches).
+
+// IsSmallJob reports whether a job may be claimed as a whole in its own record. The tasks of
+// others are bound to zones or quotas, which task ranges keep track of.
+func (w *Writer) IsSmallJob(record *jobs.JobRecord) bool {
+	team, _ := w.cfg.Team(record.Team)
+	return record.Kind == jobs.Array && record.Tasks <= tuning.MaxSmallJobTasks && !record.OneZone && !record.Spread &&
+		record.Completed == 0 && !quota.IsLimited(team)
+}
+
+// NewWholeJobClaim returns the claim of all tasks of a job for its own record.
+func NewWholeJobClaim(shard *membership.Shard, tasks int) *jobs.WholeJobClaim {
+	return &jobs.WholeJobClaim{Shard: shard.ID(), Epoch: shard.Epoch(), Count: tasks}
+}
+
+// isBatched reports whether the job's end is recorded in a completion batch.
+func isBatched(record *jobs.JobRecord) bool {
+	return record.WholeClaim != nil && !record.ExcludedFromBatches
+}
+
+// writeCompletionBatch records many completed small jobs of one shard in one write. That none
+// of them was cancelled meanwhile rests on the revisions of their records: see
+// ExcludeFromBatches.
+func (w *Writer) writeCompletionBatch(now time.Time) {
+	if w.isWritingBatch {
+		return
+	}
+	completed, due := w.completedSmallJobs(now)
+	if !due {
+		return
+	}
+	for shardID, done := range completed {
+		shard := w.ownedShard(shardID)
+		if shard == nil {
+			continue
+		}
+		w.addToBatch(shard, done)
+		return
+	}
+}
+
+// completedSmallJobs returns the completed small jobs by shard, and whether the write of one
+// is due.
+func (w *Writer) completedSmallJobs(now time.Time) (completed map[string][]*clusterstate.Job, due bool) {
+	completed = map[string][]*clusterstate.Job{}
+	for job := range w.State.Jobs() {
+		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
+			continue
+		}
+		taskRange := job.TaskRange(0)
+		if taskRange == nil || !taskRange.IsOwned() || taskRange.IsTentative() || !taskRange.IsComplete() {
+			continue
+		}
+		shardID := taskRange.Record().Shard
+		completed[shardID] = append(completed[shardID], job)
+		_, since := taskRange.UnrecordedDone()
+		due = due || now.Sub(since) >= tuning.CompletionBatchInterval
+	}
+	return completed, due
+}
+
+// addToBatch writes completed jobs to the shard's open batch, as many as one transaction takes.
+func (w *Writer) addToBatch(shard *membership.Shard, completed []*clusterstate.Job) {
+	batch := w.CompletionBatches.OpenBatch(shard.ID())
+	entries := batch.Entries
+	// The store allows four times as many preconditions as changes. Two are the batch's and the
+	// shard's.
+	count := min(len(completed), 4*w.cfg.EffectiveStateLimits().TxnOps-2, tuning.MaxCompletionBatchJobs)
+	added := completed[:count]
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: batch.Key, Revision: batch.Revision}, ownershipCondition(shard)}}
+	for _, job := range added {
+		entries = append(entries, jobs.BatchEntry(job.Ref(), job.Record().Tasks))
+		txn.Conditions = append(txn.Conditions, jobCondition(job))
+	}
+	value := kvstore.Encode(entries)
+	if !w.Cache.FitsOneValue(value) && len(batch.Entries) > 0 {
+		w.CompletionBatches.MarkFull(batch.Key) // the next batch takes them
+		return
+	}
+	txn.Writes = []kvstore.Write{{Key: batch.Key, Value: value}}
+	w.isWritingBatch = true
+	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+		w.isWritingBatch = false
+		if !isCommitted(result, err) {
+			return
+		}
+		for _, job := range added {
+			w.logJobDone(job)
+		}
+	})
+}
+
+// ExcludeFromBatches begins the cancellation of a job whose end may be recorded in a completion
+// batch, which leaves the job's own record as it is. The record is marked first: from then on no
+// batch can take the job, and once the cache has applied the mark it is known whether one has
+// before. done is called with the outcome.
+func (w *Writer) ExcludeFromBatches(job *clusterstate.Job, done func(err error)) {
+	record := *job.Record()
+	record.ExcludedFromBatches = true
+	w.Cache.Commit(kvstore.Urgent, kvstore.Txn{
+		Conditions: []kvstore.Condition{jobCondition(job), {Key: jobs.FinalKey(job.Ref())}},
+		Writes:     []kvstore.Write{writeJob(job, record)},
+	}, func(_ kvstore.TxnResult, err error) { done(err) })
+}
+
+// cleanUpBatches gives some jobs of a completion batch final states of their own and deletes
+// their records; when all are through it deletes the batch. It runs only while the store's
+// changes are not needed for submissions, or when batches have accumulated.
+func (w *Writer) cleanUpBatches(now time.Time) {
+	if w.isCleaningUp || now.Sub(w.lastCleanupAt) < tuning.BatchCleanupInterval {
+		return
+	}
+	isQuiet := now.Sub(w.State.LastJobArrivedAt()) >= tuning.BatchCleanupQuietPeriod
+	if !isQuiet && w.CompletionBatches.JobCount() < tuning.BatchCleanupBacklog {
+		return
+	}
+	w.lastCleanupAt = now
+	maxJobs := min(tuning.BatchCleanupChanges, w.cfg.EffectiveStateLimits().TxnOps) / 2 // two changes each
+	cleanup, ok := w.CompletionBatches.NextCleanup(maxJobs, func(shardID string) bool {
+		shard := w.ownedShard(shardID)
+		return shard != nil && w.Cache.HasReachedEpoch(shard)
+	})
+	if !ok {
+		return
+	}
+	txn := cleanupTxn(cleanup)
+	txn.Conditions = append(txn.Conditions, ownershipCondition(w.Membership.Shard(cleanup.Shard)))
+	w.isCleaningUp = true
+	w.Cache.Commit(kvstore.Background, txn, func(kvstore.TxnResult, error) { w.isCleaningUp = false })
+}
+
+func cleanupTxn(cleanup completionbatch.Cleanup) kvstore.Txn {
+	if len(cleanup.Pending) == 0 {
+		return kvstore.Txn{
+			Conditions: []kvstore.Condition{{Key: cleanup.Key, Revision: cleanup.Revision}},
+			Writes:     []kvstore.Write{{DeleteKey: cleanup.Key}},
+		}
+	}
+	var txn kvstore.Txn
+	for _, job := range cleanup.Pending {
+		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.JobKey(job.Ref), Revision: job.RecordRevision})
+		txn.Writes = append(txn.Writes, writeDone(job.Ref, job.Tasks)...)
+	}
+	return txn
+}
--- /dev/null
+++ b/internal/claims/claim.go
@@ -0,0 +1,77 @@
+package claims
+
+import (
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/tuning"
+)
+
+// Claim claims up to count of a job's unclaimed tasks for a shard in one transaction: the
+// unclaimed tasks shrink and a task range of the shard appears. place first puts the tasks of
+// the tentative range on machines and may truncate it; if it returns false nothing is written,
+// and if the transaction fails the tasks are removed from their machines. zone binds the tasks
+// of a job that is spread over zones, else it is empty.
+func (w *Writer) Claim(job *clusterstate.Job, shard *membership.Shard, count int, zone string, place func(taskRange *clusterstate.TaskRange) bool) {
+	if job.Record().Kind != jobs.Gang { // a gang is one range, and done as a whole
+		count = min(count, tuning.MaxRangeTasks)
+	}
+	claimed, rest := jobs.TakeUnclaimed(job.Record().Unclaimed, count)
+	taskRange := w.State.NewTentativeRange(job, shard, claimed, zone)
+	if !place(taskRange) {
+		w.State.UnplaceRange(taskRange)
+		return
+	}
+	taskRange.SetPlannedHosts()
+	if taskRange.Record().Count < claimed.Count { // place has truncated it
+		claimed, rest = jobs.TakeUnclaimed(job.Record().Unclaimed, taskRange.Record().Count)
+	}
+	record := job.RecordWithoutDependencies()
+	record.Unclaimed = rest
+	if zone != "" && record.Spread {
+		record.ClaimedPerZone = addToZone(record.ClaimedPerZone, zone, claimed.Count)
+	}
+	inline := claimed.Count == record.Tasks && w.IsSmallJob(job.Record())
+	txn := claimTxn(taskRange, shard, record, inline)
+	w.State.AddTentativeRange(taskRange, inline)
+	job.BeginTransaction()
+	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+		job.EndTransaction(result, err)
+		if w.State.Job(job.Ref()) != job || isCommitted(result, err) || !taskRange.IsTentative() {
+			// A range that is no longer tentative was made durable by the cache: perhaps by an
+			// earlier request of the same transaction, which was carried out although its
+			// answer was lost. Abandoning the range then would make a gang that has been
+			// started lose its attempt.
+			return
+		}
+		w.State.AbandonTentativeRange(taskRange)
+	})
+}
+
+// claimTxn returns the transaction of a claim. An inline claim stands in the job's record.
+func claimTxn(taskRange *clusterstate.TaskRange, shard *membership.Shard, record jobs.JobRecord, inline bool) kvstore.Txn {
+	job := taskRange.Job()
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job), ownershipCondition(shard)}}
+	if inline {
+		record.WholeClaim = NewWholeJobClaim(shard, taskRange.Record().Count)
+		txn.Writes = []kvstore.Write{writeJob(job, record)}
+		return txn
+	}
+	key := rangeKey(taskRange)
+	txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: key})
+	txn.Writes = []kvstore.Write{
+		writeJob(job, record),
+		{Key: key, Value: kvstore.Encode(taskRange.Record())},
+	}
+	return txn
+}
+
+// addToZone returns a copy of the task counts by zone with n more (or fewer) in one zone.
+func addToZone(counts map[string]int, zone string, n int) map[string]int {
+	changed := map[string]int{zone: n}
+	for name, count := range counts {
+		changed[name] += count
+	}
+	return changed
+}
--- /dev/null
+++ b/internal/claims/completions.go
@@ -0,0 +1,144 @@
+package claims
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// writeCompletions records completed tasks, many in one write. The write that completes a job
+// also records its final state. What is left of jobs that have ended is deleted.
+func (w *Writer) writeCompletions(now time.Time) {
+	for job := range w.State.Jobs() {
+		if job.HasEnded() {
+			w.deleteRanges(job)
+			continue
+		}
+		if !job.CanWriteAt(w.Cache.AppliedRevision()) || isBatched(job.Record()) {
+			continue
+		}
+		pending := w.pendingCompletions(job, now)
+		if pending.mustCompact(job) {
+			w.compactRanges(job, pending.complete)
+			continue
+		}
+		for _, taskRange := range pending.partial {
+			w.writeRangeCompletions(taskRange)
+		}
+	}
+}
+
+// pendingCompletions is what this controller has to record of a job.
+type pendingCompletions struct {
+	partial  []*clusterstate.TaskRange // ranges with completed tasks whose write is due
+	complete []*clusterstate.TaskRange // ranges of which all tasks are done
+	done     int                       // tasks done, if the complete ranges are recorded
+	due      bool                      // a complete range has waited for long enough
+	hasOpen  bool                      // more tasks are to come in this controller's shards
+}
+
+// mustCompact reports whether the complete ranges are to be recorded now. The last ones of this
+// controller are recorded at once: another controller may be waiting for them to complete the
+// job.
+func (p *pendingCompletions) mustCompact(job *clusterstate.Job) bool {
+	return len(p.complete) > 0 && (p.done == job.Record().Tasks || p.due || !p.hasOpen)
+}
+
+func (w *Writer) pendingCompletions(job *clusterstate.Job, now time.Time) pendingCompletions {
+	// A transaction also needs a change for the job's record and one for its final state.
+	maxRanges := w.cfg.EffectiveStateLimits().TxnOps - 2
+	pending := pendingCompletions{done: job.Record().Completed, hasOpen: len(job.Record().Unclaimed) > 0}
+	for taskRange := range job.TaskRanges() {
+		if !taskRange.IsOwned() {
+			continue
+		}
+		pending.hasOpen = pending.hasOpen || !taskRange.IsComplete()
+		if taskRange.HasWriteInFlight() || taskRange.IsTentative() {
+			continue
+		}
+		unrecorded, since := taskRange.UnrecordedDone()
+		isDue := now.Sub(since) >= tuning.CompletionWriteDelay
+		switch {
+		case taskRange.IsComplete() && len(pending.complete) < maxRanges:
+			pending.complete = append(pending.complete, taskRange)
+			pending.done += taskRange.Record().Count
+			pending.due = pending.due || isDue
+		case unrecorded > 0 && !taskRange.IsInline() && isDue:
+			pending.partial = append(pending.partial, taskRange)
+		}
+	}
+	return pending
+}
+
+// writeRangeCompletions records the completed tasks of a range in the range's record.
+func (w *Writer) writeRangeCompletions(taskRange *clusterstate.TaskRange) {
+	shard := w.localShard(taskRange)
+	if shard == nil {
+		return
+	}
+	taskRange.BeginWrite()
+	w.Cache.Commit(kvstore.Background, kvstore.Txn{
+		Conditions: []kvstore.Condition{rangeCondition(taskRange), ownershipCondition(shard)},
+		Writes:     []kvstore.Write{{Key: rangeKey(taskRange), Value: kvstore.Encode(taskRange.RecordWithDone())}},
+	}, func(kvstore.TxnResult, error) { taskRange.EndDoneWrite() })
+}
+
+// compactRanges counts completed ranges in the job's record and deletes their records. The
+// compaction that completes the job records its final state in the same transaction. All
+// compactions of a job write its record, so they exclude each other and a cancellation.
+func (w *Writer) compactRanges(job *clusterstate.Job, complete []*clusterstate.TaskRange) {
+	record := job.RecordWithoutDependencies()
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job)}}
+	conditioned := map[string]bool{} // shards whose epoch the transaction rests on
+	for _, taskRange := range complete {
+		shard := w.localShard(taskRange)
+		if shard == nil {
+			return
+		}
+		if !conditioned[shard.ID()] {
+			conditioned[shard.ID()] = true
+			txn.Conditions = append(txn.Conditions, ownershipCondition(shard))
+		}
+		if !taskRange.IsInline() {
+			txn.Conditions = append(txn.Conditions, rangeCondition(taskRange))
+			txn.Writes = append(txn.Writes, kvstore.Write{DeleteKey: rangeKey(taskRange)})
+		}
+		record.Completed += taskRange.Record().Count
+	}
+	isDone := record.Completed == record.Tasks
+	if isDone {
+		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.FinalKey(job.Ref())})
+		txn.Writes = append(txn.Writes, writeDone(job.Ref(), record.Tasks)...)
+	} else {
+		txn.Writes = append(txn.Writes, writeJob(job, record))
+	}
+	job.BeginTransaction()
+	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+		job.EndTransaction(result, err)
+		if isDone && isCommitted(result, err) {
+			w.logJobDone(job)
+		}
+	})
+}
+
+func (w *Writer) logJobDone(job *clusterstate.Job) {
+	w.log.Info("job done", "job", job.Ref(), "class", job.Record().Class, "duration_s", job.Age(time.Now()).Seconds())
+}
+
+// deleteRanges deletes the range records of a job that has ended.
+func (w *Writer) deleteRanges(job *clusterstate.Job) {
+	for taskRange := range job.TaskRanges() {
+		shard := w.localShard(taskRange)
+		if shard == nil || taskRange.IsDeleting() || taskRange.IsTentative() || taskRange.IsInline() {
+			continue
+		}
+		taskRange.SetDeleting(true)
+		w.Cache.Commit(kvstore.Background, kvstore.Txn{
+			Conditions: []kvstore.Condition{{Key: jobs.JobKey(job.Ref())}, ownershipCondition(shard), rangeCondition(taskRange)},
+			Writes:     []kvstore.Write{{DeleteKey: rangeKey(taskRange)}},
+		}, func(kvstore.TxnResult, error) { taskRange.SetDeleting(false) })
+	}
+}
--- a/internal/claims/export_test.go
+++ b/internal/claims/export_test.go
@@ -2,7 +2,7 @@
 
 import "cherrywall/internal/clusterstate"
 
-// FenceUnclaim is what follows a giving back that was never answered.
-func (w *Writer) FenceUnclaim(taskRange *clusterstate.TaskRange, k, n int, tenure uint64) {
-	w.fenceUnclaim(taskRange, k, n, tenure)
+// FenceUnclaim exports fenceUnclaim, which follows an unclaim without an answer.
+func (w *Writer) FenceUnclaim(taskRange *clusterstate.TaskRange, offset, count int, epoch uint64) {
+	w.fenceUnclaim(taskRange, taskRun{offset, count}, epoch)
 }
--- /dev/null
+++ b/internal/claims/writer_test.go
@@ -0,0 +1,235 @@
+package claims_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/fake/harness"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/quota"
+	"cherrywall/internal/tuning"
+	"cherrywall/internal/workerapi"
+)
+
+// newShardWithMachine returns a harness that owns a reconciled shard n0 with the empty machine
+// i-1 of 16 CPUs.
+func newShardWithMachine(t *testing.T) (*harness.Harness, *clusterstate.Machine) {
+	t.Helper()
+	d := harness.New(t, nil)
+	d.OfferMachineTypes("m16")
+	machine := d.AddMachine("i-1", "n0", "m16", false)
+	d.SetOwner("n0", harness.Self, 5)
+	d.SyncCache(5)
+	d.Heartbeat("i-1", 1, 5)
+	return d, machine
+}
+
+// Tasks whose unclaim had no answer when the shard was lost must not become ready in a later
+// epoch.
+func TestUnclaimFenceEndsWithEpoch(t *testing.T) {
+	d := harness.New(t, nil)
+	d.Cache.ApplyEvents(nil, 5)
+	d.SetOwner("n0", harness.Self, 10)
+	d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 1, CPU: 1}, 0, 11)
+	taskRange := d.AddTaskRange("wk-1", "n0", 1, 11)
+	taskRange.BeginUnclaim(taskRange.Len()-1, 1)
+	d.SetOwner("n0", harness.OtherNode, 20)
+	d.SetOwner("n0", harness.Self, 30)
+	taskRange.CancelUnclaim(0, 1)
+	d.Claims.FenceUnclaim(taskRange, 0, 1, 10)
+	if taskRange.TaskState(0) != clusterstate.TaskUnknown || taskRange.HasWriteInFlight() {
+		t.Errorf("task state %d, write in flight: %v", taskRange.TaskState(0), taskRange.HasWriteInFlight())
+	}
+}
+
+// A claim that the key-value store refuses leaves nothing behind: its tasks are removed from
+// their machines and the job is unclaimed as before.
+func TestRefusedClaimIsAbandoned(t *testing.T) {
+	d, machine := newShardWithMachine(t)
+	job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 100, CPU: 1}, 100, 6)
+	d.Claims.Claim(job, d.Membership.Shard("n0"), 10, "", func(taskRange *clusterstate.TaskRange) bool {
+		for i := range 4 {
+			d.State.Place(taskRange, i, machine, 1)
+		}
+		taskRange.Truncate(4)
+		return true
+	})
+	if taskRange := job.TaskRange(0); taskRange == nil || !taskRange.IsTentative() || taskRange.Len() != 4 || !job.InTransaction() || d.State.Free(machine).CPU != 12 {
+		t.Fatalf("tentative claim: %+v, %v free", taskRange, d.State.Free(machine))
+	}
+	if taskRange, _ := d.State.FindTask("wk-1", 2); taskRange != nil {
+		t.Error("FindTask finds a task of a tentative claim")
+	}
+	d.RunNext() // the transaction is refused
+	if job.TaskRange(0) != nil || job.InTransaction() || d.State.Free(machine).CPU != 16 || machine.AssignmentCount() != 0 {
+		t.Errorf("after the refusal: %+v, in transaction: %v, %v free", job.TaskRange(0), job.InTransaction(), d.State.Free(machine))
+	}
+}
+
+// Tasks that find no room are unclaimed after tuning.UnclaimAfter, counted from the last one
+// that was placed.
+func TestUnclaimUnplaceableTail(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d, machine := newShardWithMachine(t)
+		job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 0, 6)
+		taskRange := d.AddTaskRange("wk-1", "n0", 20, 7)
+		d.State.Place(taskRange, 0, machine, 1)
+		d.Claims.Tick(time.Now())
+		time.Sleep(tuning.UnclaimAfter - time.Second)
+		d.Claims.Tick(time.Now())
+		d.State.Place(taskRange, 1, machine, 2)
+		time.Sleep(2 * time.Second)
+		d.Claims.Tick(time.Now())
+		if job.InTransaction() || taskRange.CountTasks(clusterstate.TaskUnclaiming) > 0 {
+			t.Error("unclaimed although a task has just been placed")
+		}
+		time.Sleep(tuning.UnclaimAfter)
+		d.Claims.Tick(time.Now())
+		if !job.InTransaction() || taskRange.CountTasks(clusterstate.TaskUnclaiming) != 18 || taskRange.CountTasks(clusterstate.TaskPlaced) != 2 {
+			t.Errorf("%d of 18 tasks are unclaimed", taskRange.CountTasks(clusterstate.TaskUnclaiming))
+		}
+	})
+}
+
+// A team's quota is used only as far as it is allocated to the shard, by a controller that
+// knows all that runs there; what is being released is not used any more.
+func TestAllocationUseUntilRelease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := harness.New(t, func(d *harness.Harness) {
+			d.Cfg.Cluster.Teams = []config.Team{{Name: "few", MaxCPUs: 6}}
+		})
+		d.OfferMachineTypes("m16")
+		machine := d.AddMachine("i-1", "n0", "m16", false)
+		other := d.AddMachine("i-2", "n0", "m16", false)
+		d.Cache.ApplyEvents(nil, 5)
+		d.SetOwner("n0", harness.Self, 5)
+		d.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 1}}}, 5)
+		d.SyncCache(5)
+		job := d.AddJob(jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 17, 6)
+		taskRange := d.AddTaskRange("wk-1", "n0", 3, 7)
+		shard := d.Membership.Shard("n0")
+		expectAllowed := func(when string, want int) {
+			t.Helper()
+			if got := d.Claims.TasksWithinQuota(job, shard); got != want {
+				t.Errorf("%s: %d tasks are allowed, want %d", when, got, want)
+			}
+		}
+		d.Heartbeat("i-1", 1, 5)
+		expectAllowed("before all workers have reported", 0)
+		d.Heartbeat("i-2", 1, 5)
+		expectAllowed("after all workers have reported", 4)
+		d.State.Place(taskRange, 0, machine, 1)
+		stopping := d.State.Place(taskRange, 1, other, 1)
+		d.State.MarkStartSent(stopping)
+		d.State.Stop(stopping, 5)
+		expectAllowed("with one task planned and one stopping", 2)
+		time.Sleep(tuning.QuotaShortfallValidity)
+		d.SyncCache(7)
+		d.Claims.Tick(time.Now()) // idle from now on
+		time.Sleep(tuning.ContendedAllocationReleaseDelay)
+		d.SyncCache(7)
+		d.Claims.Tick(time.Now())
+		expectAllowed("during the release", 0)
+		synctest.Wait()
+		d.RunNext() // no answer: the release may have been made
+		expectAllowed("after a release without an answer", 0)
+		d.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 2}}}, 9)
+		expectAllowed("under a newer record, which excludes a late write", 2)
+	})
+}
+
+// A claim had no answer and was repeated. The first request was carried out after all, the watch
+// delivered it, the gang was started, and then the second request was refused: the gang lost its
+// attempt and was stopped.
+func TestClaimCommittedByUnansweredRequest(t *testing.T) {
+	d, machine := newShardWithMachine(t)
+	spec := jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 1}
+	job := d.AddJob(spec, 2, 6)
+	d.Claims.Claim(job, d.Membership.Shard("n0"), 2, "", func(taskRange *clusterstate.TaskRange) bool {
+		d.State.BeginGangAttempt(job, 9)
+		for i := range 2 {
+			d.State.Place(taskRange, i, machine, 9)
+		}
+		return true
+	})
+	d.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1"}}, 7)
+	d.WriteRecord(jobs.JobKey("wk-1"), jobs.JobRecord{Spec: spec}, 7)
+	if !d.State.GangCanStart(job) {
+		t.Fatal("the claim is durable, and the gang cannot start")
+	}
+	d.State.StartGang(job)
+	d.RunNext() // the second write was refused
+	if attempt, started := job.GangAttempt(); attempt != 9 || !started || job.TaskRange(0) == nil || job.TaskRange(0).CountTasks(clusterstate.TaskPlaced) != 2 {
+		t.Errorf("attempt %d, started: %v", attempt, started)
+	}
+}
+
+// When tasks in the middle of a range are unclaimed, those behind them stay where they are, in a
+// range of their own, whichever of the records of that write the watch delivers first.
+func TestRangeSplitEventOrder(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		offset, count int   // the unclaimed tasks, of five
+		order         []int // of the records of the write
+	}{
+		{"middle, job first", 1, 3, []int{0, 1, 2}},
+		{"middle, job last", 1, 3, []int{2, 1, 0}},
+		{"start, job first", 0, 4, []int{0, 1, 2}},
+		{"start, remaining range first", 0, 4, []int{2, 0, 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) { testRangeSplit(t, c.offset, c.count, c.order) })
+	}
+}
+
+func testRangeSplit(t *testing.T, offset, count int, order []int) {
+	t.Helper()
+	d := harness.New(t, nil)
+	d.Cache.ApplyEvents(nil, 5)
+	d.AddMachine("i-1", "n0", "m16", false)
+	job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 5, CPU: 1}, 0, 4)
+	taskRange := d.AddTaskRange("wk-1", "n0", 5, 4)
+	d.SetOwner("n0", harness.Self, 10)
+	d.SyncCache(10)
+	running := []workerapi.TaskStatus{{Task: "wk-1/4", Attempt: 3, Status: workerapi.StatusRunning}}
+	if offset > 0 {
+		running = append(running, workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning})
+	}
+	d.Heartbeat("i-1", 5, 10, running...)
+	taskRange.MarkUnknownReady()
+	taskRange.BeginUnclaim(offset, count)
+	record := *job.Record()
+	record.Unclaimed = []jobs.TaskInterval{{First: offset, Count: count}}
+	firstRange := kvstore.Event{DeletedKey: jobs.RangeKey("wk-1", 0), Revision: 20}
+	if offset > 0 {
+		firstRange = harness.Event(jobs.RangeKey("wk-1", 0), taskRange.Subrange(0, offset), 20)
+	}
+	written := []kvstore.Event{
+		harness.Event(jobs.JobKey("wk-1"), record, 20),
+		firstRange,
+		harness.Event(jobs.RangeKey("wk-1", 4), taskRange.Subrange(4, 1), 20),
+	}
+	var delivered []kvstore.Event
+	for _, i := range order {
+		delivered = append(delivered, written[i])
+	}
+	d.Cache.ApplyEvents(delivered, 20)
+	behind := job.TaskRange(4)
+	if behind == nil || behind.Len() != 1 || behind.TaskState(0) != clusterstate.TaskPlaced || behind.Assignment(0).Machine().Host() != "i-1" {
+		t.Fatalf("range behind: %+v", behind)
+	}
+	before := job.TaskRange(0)
+	if (before != nil) != (offset > 0) || before != nil && (before.Len() != 1 || before.TaskState(0) != clusterstate.TaskPlaced) {
+		t.Errorf("range before: %+v", before)
+	}
+	if taskRange, i := d.State.FindTask("wk-1", 2); taskRange != nil {
+		t.Errorf("an unclaimed task is in a range, at %d", i)
+	}
+	assignment := d.State.Machine("i-1").Assignment("wk-1/4")
+	if assignment == nil || assignment.Status().Stopping || assignment.Job() != job {
+		t.Errorf("assignment of the task behind: %+v", assignment)
+	}
+}
--- /dev/null
+++ b/internal/completionbatch/index_test.go
@@ -0,0 +1,59 @@
+package completionbatch
+
+import (
+	"encoding/json"
+	"testing"
+
+	"cherrywall/internal/jobs"
+)
+
+// encodeEntries returns a batch's recorded form.
+func encodeEntries(t *testing.T, entries ...string) json.RawMessage {
+	t.Helper()
+	raw, err := json.Marshal(entries)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+func anyShard(string) bool { return true }
+
+// A batch is cleaned up job by job, and deleted after the last.
+func TestBatchCleanupByJob(t *testing.T) {
+	index := New()
+	first := index.OpenBatch("n0")
+	if first.Key != jobs.CompletionBatchPrefix+"n0/1" || first.Entries != nil || first.Revision != 0 {
+		t.Fatalf("first batch: %+v", first)
+	}
+	added, err := index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2"), 10)
+	if err != nil || len(added) != 2 || added[0].Tasks != 3 {
+		t.Fatalf("added %+v, %v", added, err)
+	}
+	added, _ = index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2", "wk-3/1"), 11)
+	if len(added) != 1 || added[0].Ref != "wk-3" {
+		t.Errorf("added by the second write: %+v", added)
+	}
+	if final, ok := index.FinalState("wk-1"); !ok || final.Tasks != 3 || final.Status != jobs.Done {
+		t.Errorf("final state %+v, %v", final, ok)
+	}
+	if !index.JobRecordSeen("wk-1", 4) || index.JobRecordSeen("wk-9", 4) {
+		t.Error("wrong jobs are taken for batched ones")
+	}
+	cleanup, ok := index.NextCleanup(5, anyShard)
+	if !ok || cleanup.Shard != "n0" || cleanup.Revision != 11 || len(cleanup.Pending) != 1 || cleanup.Pending[0].RecordRevision != 4 {
+		t.Errorf("cleanup %+v, %v", cleanup, ok)
+	}
+	index.JobRecordDeleted("wk-1", 12)
+	if cleanup, ok := index.NextCleanup(5, anyShard); !ok || len(cleanup.Pending) > 0 {
+		t.Errorf("cleanup after the record's deletion: %+v, %v", cleanup, ok)
+	}
+	index.MarkFull(first.Key)
+	if next := index.OpenBatch("n0"); next.Key != jobs.CompletionBatchPrefix+"n0/2" {
+		t.Errorf("batch after a full one: %s", next.Key)
+	}
+	index.RemoveBatch(first.Key, 11)
+	if _, ok := index.FinalState("wk-1"); ok || index.JobCount() != 0 {
+		t.Error("a removed batch still has jobs")
+	}
+}
