--- /dev/null
+++ b/internal/kvstore/client.go
@@ -0,0 +1,278 @@
+// Package kvstore is the client of the consensus-backed key-value store ("state service"):
+// reads, compare-and-swap transactions, leases and watches, within a budget of requests and
+// writes that all controllers share.
+package kvstore
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// maxIdleConnections is how many idle connections to the service are kept open.
+const maxIdleConnections = 16
+
+// DialFunc opens a connection to an address of a network.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Client is a client of the service over HTTP. It is safe for concurrent use.
+type Client struct {
+	baseURL    string
+	httpClient *http.Client
+	budget     *budget
+}
+
+// New makes a client for the service at an address. The rates are the service's limits of
+// requests and writes per second, which so many controllers share.
+func New(address string, requestRate, writeRate float64, controllers int, dial DialFunc) *Client {
+	return &Client{
+		baseURL: "http://" + address,
+		httpClient: &http.Client{Transport: &http.Transport{
+			DialContext:         dial,
+			MaxIdleConnsPerHost: maxIdleConnections,
+			IdleConnTimeout:     tuning.IdleConnectionTimeout,
+			DisableCompression:  true,
+		}},
+		budget: newBudget(requestRate, writeRate, controllers),
+	}
+}
+
+// RecordPeerUsage notes the requests and writes per second that another controller reports with
+// its peer heartbeats. They arrive long before the service would answer that it is over its
+// limits, which is the only other sign of the peers' usage.
+func (c *Client) RecordPeerUsage(node string, requests, writes float64) {
+	c.budget.recordPeerUsage(node, requests, writes)
+}
+
+// Usage returns the requests and writes per second of this controller, smoothed.
+func (c *Client) Usage() (requests, writes float64) { return c.budget.usage() }
+
+// Commit executes a transaction: see Service.
+func (c *Client) Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
+	defer cancel()
+	if err := c.budget.await(ctx, priority, len(txn.Writes)); err != nil {
+		return TxnResult{}, err
+	}
+	if txn.Conditions == nil {
+		txn.Conditions = []Condition{} // the service takes a list, not null
+	}
+	var response struct {
+		Revision uint64   `json:"epoch"`
+		Failed   []string `json:"failed"`
+	}
+	status, err := c.callWithRetry(ctx, http.MethodPost, "/txn", txn, &response)
+	if err != nil {
+		return TxnResult{}, err
+	}
+	return TxnResult{Succeeded: status == http.StatusOK, Revision: response.Revision, FailedKeys: response.Failed}, nil
+}
+
+// Get reads a key: see Service.
+func (c *Client) Get(ctx context.Context, priority Priority, key string) (row KeyValue, found bool, revision uint64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
+	defer cancel()
+	if err := c.budget.await(ctx, priority, 0); err != nil {
+		return KeyValue{}, false, 0, err
+	}
+	var response struct {
+		KeyValue
+		StoreRevision uint64 `json:"epoch"`
+	}
+	status, err := c.callWithRetry(ctx, http.MethodGet, "/kv/"+key, nil, &response)
+	if err != nil {
+		return KeyValue{}, false, 0, err
+	}
+	return response.KeyValue, status == http.StatusOK, response.StoreRevision, nil
+}
+
+// List reads all keys with a prefix, page by page: see Service. The revision is that of the
+// first page.
+func (c *Client) List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error) {
+	from := ""
+	for {
+		page, err := c.listPage(ctx, prefix, from)
+		if err != nil {
+			return nil, 0, err
+		}
+		if from == "" {
+			revision = page.Revision
+		}
+		rows = append(rows, page.Rows...)
+		if !page.Truncated || len(page.Rows) == 0 {
+			return rows, revision, nil
+		}
+		from = page.Rows[len(page.Rows)-1].Key
+	}
+}
+
+// listing is one page of a listing.
+type listing struct {
+	Rows      []KeyValue `json:"rows"`
+	Truncated bool       `json:"truncated"`
+	Revision  uint64     `json:"epoch"`
+}
+
+// listPage reads the page that begins after the key from.
+func (c *Client) listPage(ctx context.Context, prefix, from string) (listing, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StoreRequestTimeout)
+	defer cancel()
+	if err := c.budget.await(ctx, Normal, 0); err != nil {
+		return listing{}, err
+	}
+	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.ListPageRows)}}
+	if from != "" {
+		query.Set("from", from)
+	}
+	var page listing
+	status, err := c.callWithRetry(ctx, http.MethodGet, "/kv?"+query.Encode(), nil, &page)
+	return page, requireOK("list", status, err)
+}
+
+// Watch waits for changes after a revision: see Service.
+func (c *Client) Watch(ctx context.Context, prefix string, from uint64) ([]Event, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.WatchRequestWait+tuning.WatchTimeoutMargin)
+	defer cancel()
+	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+		return nil, 0, err
+	}
+	query := url.Values{
+		"starts": {prefix},
+		"from":   {strconv.FormatUint(from, 10)},
+		"waitMs": {strconv.FormatInt(tuning.WatchRequestWait.Milliseconds(), 10)},
+	}
+	var response struct {
+		Revision uint64  `json:"epoch"`
+		Events   []Event `json:"news"`
+	}
+	status, err := c.callWithRetry(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, &response)
+	return response.Events, response.Revision, requireOK("watch", status, err)
+}
+
+// GrantLease obtains a lease: see Service.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
+	defer cancel()
+	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+		return 0, err
+	}
+	request := map[string]int64{"ttlMs": ttl.Milliseconds()}
+	var response struct {
+		LeaseID uint64 `json:"permit"`
+	}
+	status, err := c.callWithRetry(ctx, http.MethodPost, "/grants", request, &response)
+	return response.LeaseID, requireOK("grant", status, err)
+}
+
+// KeepAlive renews a lease: see Service.
+func (c *Client) KeepAlive(ctx context.Context, leaseID uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
+	defer cancel()
+	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+		return err
+	}
+	path := "/grants/" + strconv.FormatUint(leaseID, 10) + "/touch"
+	status, err := c.callWithRetry(ctx, http.MethodPost, path, nil, nil)
+	if err == nil && status == http.StatusNotFound {
+		return ErrExpired
+	}
+	return err
+}
+
+// requireOK turns an unexpected status of a response without an error into an error.
+func requireOK(operation string, status int, err error) error {
+	if err == nil && status != http.StatusOK {
+		return fmt.Errorf("%w: %s status %d", ErrOutcomeUnknown, operation, status)
+	}
+	return err
+}
+
+// callWithRetry sends a request, and repeats it shortly when the service is over its limits:
+// such a request was not executed, and failing it would cost the caller, or a user, far more
+// than a short delay. The body is encoded as JSON, the response decoded into out.
+func (c *Client) callWithRetry(ctx context.Context, method, path string, body any, out any) (status int, err error) {
+	for attempt := 1; ; attempt++ {
+		status, err := c.callOnce(ctx, method, path, body, out)
+		rateLimited := errors.Is(err, errRateLimited)
+		c.budget.adapt(rateLimited)
+		if !rateLimited || attempt == tuning.RateLimitedAttempts {
+			return status, err
+		}
+		if Pause(ctx, time.Duration(attempt)*tuning.RateLimitedRetryDelay) != nil {
+			return status, err
+		}
+	}
+}
+
+func (c *Client) callOnce(ctx context.Context, method, path string, body any, out any) (status int, err error) {
+	request, err := c.newRequest(ctx, method, path, body)
+	if err != nil {
+		return 0, err
+	}
+	response, err := c.httpClient.Do(request)
+	if err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	}
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	}
+	status = response.StatusCode
+	if err := statusError(status); err != nil {
+		if errors.Is(err, ErrRejected) {
+			err = fmt.Errorf("%w: %s %s: %s", err, method, path, raw)
+		}
+		return status, err
+	}
+	if out != nil && len(raw) > 0 {
+		if err := json.Unmarshal(raw, out); err != nil {
+			return status, fmt.Errorf("%w: decode response: %w", ErrOutcomeUnknown, err)
+		}
+	}
+	return status, nil
+}
+
+func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
+	var reader io.Reader
+	if body != nil {
+		raw, err := json.Marshal(body)
+		if err != nil {
+			return nil, fmt.Errorf("encode request: %w", err)
+		}
+		reader = bytes.NewReader(raw)
+	}
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
+	if err != nil {
+		return nil, fmt.Errorf("make request: %w", err)
+	}
+	return request, nil
+}
+
+// statusError maps a response status to one of the package's errors, nil for those that carry
+// a result: a key may not exist, and conditions of a transaction may not hold.
+func statusError(status int) error {
+	switch status {
+	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
+		return nil
+	case http.StatusGone:
+		return ErrExpired
+	case http.StatusTooManyRequests:
+		return errRateLimited
+	case http.StatusServiceUnavailable:
+		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
+	case http.StatusBadRequest:
+		return ErrRejected
+	}
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+}
--- /dev/null
+++ b/internal/kvstore/client_test.go
@@ -0,0 +1,104 @@
+package kvstore
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// memoryNetwork is a listener in memory: what is dialled is accepted.
+type memoryNetwork chan net.Conn
+
+func (n memoryNetwork) dial(context.Context, string, string) (net.Conn, error) {
+	client, server := net.Pipe()
+	n <- server
+	return client, nil
+}
+
+func (n memoryNetwork) Accept() (net.Conn, error) {
+	if conn, ok := <-n; ok {
+		return conn, nil
+	}
+	return nil, net.ErrClosed
+}
+
+func (n memoryNetwork) Close() error   { return nil }
+func (n memoryNetwork) Addr() net.Addr { return &net.TCPAddr{} }
+
+// A rate limited request was not executed. Failing such requests at once made a third of the
+// submissions late at high load.
+func TestRateLimitedRequestIsRetriedAndReducesBudget(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		network := make(memoryNetwork, 1)
+		requests := 0
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			if requests++; requests < 3 {
+				w.WriteHeader(http.StatusTooManyRequests)
+				return
+			}
+			_, _ = w.Write([]byte(`{"epoch":9}`))
+		})}
+		go func() { _ = server.Serve(network) }()
+		client := New("state:1", 150, 50, 3, network.dial)
+		requestLimit := client.budget.requestLimiter.Limit
+		before := requestLimit()
+		result, err := client.Commit(t.Context(), Urgent, Txn{Writes: []Write{{DeleteKey: "cw/x"}}})
+		if err != nil || !result.Succeeded || result.Revision != 9 || requests != 3 {
+			t.Errorf("%+v after %d requests: %v", result, requests, err)
+		}
+		if requestLimit() >= before || float64(requestLimit()) < 150/3*0.9 {
+			t.Errorf("limit %v, before %v", requestLimit(), before)
+		}
+		close(network)
+		client.httpClient.CloseIdleConnections()
+		_ = server.Close() // the connections end with it
+	})
+}
+
+// Without reports of the peers' usage each controller learned its fraction of the limits by
+// being rate limited, hundreds of times a day.
+func TestBudgetLeavesReportedUsageToPeers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := New("state:1", 300, 100, 3, nil)
+		limits := func() (requests, writes float64) {
+			return float64(client.budget.requestLimiter.Limit()), float64(client.budget.writeLimiter.Limit())
+		}
+		withoutPeers, _ := limits()
+		client.RecordPeerUsage("n1", 10, 2)
+		if requests, _ := limits(); requests != withoutPeers {
+			t.Errorf("%v with a report of one of two peers, %v before", requests, withoutPeers)
+		}
+		client.RecordPeerUsage("n2", 20, 3)
+		if requests, writes := limits(); requests != 180 || writes != 60 {
+			t.Errorf("%v and %v while the peers use little", requests, writes)
+		}
+		client.RecordPeerUsage("n1", 200, 60)
+		client.RecordPeerUsage("n2", 20, 15)
+		if requests, writes := limits(); requests != 155 || writes != 50 {
+			t.Errorf("%v and %v left by 220 and 75", requests, writes)
+		}
+		client.RecordPeerUsage("n2", 400, 400)
+		if requests, writes := limits(); requests < 118 || requests > 119 || writes < 39 || writes > 40 {
+			t.Errorf("%v and %v: less than an equal fraction, or much more", requests, writes)
+		}
+		time.Sleep(time.Second)
+		for range 30 {
+			client.budget.recordRequest(2)
+		}
+		if requests, writes := client.Usage(); requests < 15 || requests > 30 || writes != 2*requests {
+			t.Errorf("30 requests with two writes each within a second reported as %v and %v", requests, writes)
+		}
+		time.Sleep(tuning.PeerIdleTimeout) // all reports are outdated
+		client.budget.mu.Lock()
+		client.budget.updateLimits(time.Now())
+		client.budget.mu.Unlock()
+		if requests, _ := limits(); requests != withoutPeers {
+			t.Errorf("%v after the reports are outdated, %v before", requests, withoutPeers)
+		}
+	})
+}
