--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
--- a/internal/statecache/export_test.go
+++ b/internal/statecache/export_test.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// TimestampReadsByResponse is a broken variant: what is known counts from the answer on, not from the
-// question. The returned function mends it.
-func TimestampReadsByResponse() (mend func()) {
-	right := readTimestamp
-	readTimestamp = func(_, answered time.Time) time.Time { return answered }
-	return func() { readTimestamp = right }
+// TimestampReadsByResponse is a mutation: reads count as of the moment at which the response
+// was received, not of the one at which the request was sent. The returned function undoes it.
+func TimestampReadsByResponse() (restore func()) {
+	original := readTimestamp
+	readTimestamp = func(_, receivedAt time.Time) time.Time { return receivedAt }
+	return func() { readTimestamp = original }
 }
--- /dev/null
+++ b/internal/statecache/features.go
@@ -0,0 +1,43 @@
+package statecache
+
+import (
+	"encoding/json"
+
+	"cherrywall/internal/featuregate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// applyVersion applies the record of the program version that a controller runs.
+func (c *Cache) applyVersion(node string, value json.RawMessage, revision uint64) error {
+	err := c.FeatureGate.ApplyRecord(node, value, revision)
+	if c.FeatureGate.IsOpen() && !c.featuresEnabled {
+		c.featuresEnabled = true
+		c.log.Info("all controllers run this version or a later one", "version", featuregate.Version)
+		c.hooks.FeaturesEnabled()
+	}
+	return err
+}
+
+// writeVersionRecord records durably which program version this controller runs, unless that is
+// recorded already.
+func (c *Cache) writeVersionRecord() {
+	revision, due := c.FeatureGate.RecordDue()
+	if !due || c.writingVersion {
+		return
+	}
+	c.writingVersion = true
+	key := jobs.VersionPrefix + c.cfg.Node
+	txn := kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: key, Revision: revision}},
+		Writes:     []kvstore.Write{{Key: key, Value: featuregate.EncodeVersionRecord()}},
+	}
+	c.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+		if err == nil && result.Succeeded {
+			c.writingVersion = false
+			return
+		}
+		c.mailbox.SendAfter(tuning.MaxRetryDelay, func() { c.writingVersion = false })
+	})
+}
--- /dev/null
+++ b/internal/statecache/finals.go
@@ -0,0 +1,82 @@
+package statecache
+
+import (
+	"encoding/json"
+	"time"
+
+	"cherrywall/internal/jobdag"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// Final returns a job's final state, if it is cached here.
+func (c *Cache) Final(ref string) (final jobs.FinalState, known bool) {
+	if final, batched := c.CompletionBatches.FinalState(ref); batched {
+		return final, true
+	}
+	return c.finalStates.Get(ref)
+}
+
+// LookUpFinal reads a final state from the store and passes it to done on the actor; found is
+// false if the job has none.
+func (c *Cache) LookUpFinal(ref string, done func(final jobs.FinalState, found bool, err error)) {
+	go func() {
+		row, found, _, err := c.store.Get(c.mailbox.Context(), kvstore.Normal, jobs.FinalKey(ref))
+		c.mailbox.Send(func() {
+			var final jobs.FinalState
+			if err == nil && found {
+				if err = json.Unmarshal(row.Value, &final); err == nil {
+					c.applyFinal(ref, final)
+				}
+			}
+			done(final, found, err)
+		})
+	}()
+}
+
+// applyFinal applies a durable final state.
+func (c *Cache) applyFinal(ref string, final jobs.FinalState) {
+	c.finalStates.Add(ref, final)
+	c.State.Dependencies().ApplyFinalState(ref, jobdag.FinalStateOf(final.Status), time.Now())
+}
+
+// applyFinalRecord applies the record of a final state.
+func (c *Cache) applyFinalRecord(ref string, value json.RawMessage, revision uint64) error {
+	var final jobs.FinalState
+	if err := json.Unmarshal(value, &final); err != nil {
+		return err
+	}
+	if _, known := c.Final(ref); !known && final.Status == jobs.Cancelled {
+		c.hooks.JobCancelled(ref, final.Tasks, revision)
+	}
+	c.applyFinal(ref, final)
+	return nil
+}
+
+// ApplyPeerCancellation applies a cancellation that a peer reports, with the revision of its
+// record and the number of tasks that were done. It is as true as what the watch delivers, and
+// arrives also where the store cannot be read.
+func (c *Cache) ApplyPeerCancellation(ref string, doneTasks int, revision uint64) {
+	if _, known := c.Final(ref); known || !c.synced || !jobs.ValidRef(ref) {
+		return
+	}
+	final := jobs.FinalState{Status: jobs.Cancelled, Tasks: doneTasks}
+	c.ApplyWrite(jobs.FinalKey(ref), kvstore.Encode(final), revision)
+	c.ApplyDelete(jobs.JobKey(ref), revision)
+}
+
+// lookUpDependencyFinals reads the final states of jobs that others depend on and that ended
+// before this controller started: a load does not contain final states. Until such a state is
+// known, the jobs that depend on it wait.
+func (c *Cache) lookUpDependencyFinals(now time.Time) {
+	if !c.synced || c.finalLookups >= tuning.MaxConcurrentFinalStateReads {
+		return
+	}
+	retryBefore := now.Add(-tuning.FinalStateReadRetryInterval)
+	limit := tuning.MaxConcurrentFinalStateReads - c.finalLookups
+	for _, ref := range c.State.Dependencies().UnknownJobs(retryBefore, now, limit) {
+		c.finalLookups++
+		c.LookUpFinal(ref, func(jobs.FinalState, bool, error) { c.finalLookups-- })
+	}
+}
--- /dev/null
+++ b/internal/statecache/quarantine.go
@@ -0,0 +1,50 @@
+package statecache
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+
+	"cherrywall/internal/tuning"
+)
+
+// QuarantinedRecord is a record that cannot be read: damaged, impossible, or of a later version
+// of the program. It is left alone, nothing that it says is done, and all else goes on.
+type QuarantinedRecord struct {
+	Key      string `json:"key"`
+	Revision uint64 `json:"stamp"`
+	Error    string `json:"error"`
+	Value    string `json:"value"` // its beginning
+}
+
+// updateQuarantine quarantines a record that could not be applied, and releases one that could.
+func (c *Cache) updateQuarantine(key string, value json.RawMessage, revision uint64, err error) {
+	if err == nil {
+		delete(c.quarantined, key)
+		return
+	}
+	c.log.Error("record quarantined", "key", key, "revision", revision, "error", err)
+	c.quarantined[key] = QuarantinedRecord{
+		Key:      key,
+		Revision: revision,
+		Error:    err.Error(),
+		Value:    string(value[:min(len(value), tuning.MaxQuarantinedRecordBytes)]),
+	}
+}
+
+// QuarantinedRecords returns the quarantined records in the order of their keys, at most
+// tuning.MaxListedQuarantinedRecords of them.
+func (c *Cache) QuarantinedRecords() []QuarantinedRecord {
+	var records []QuarantinedRecord
+	keys := slices.Sorted(maps.Keys(c.quarantined))
+	for _, key := range keys[:min(len(keys), tuning.MaxListedQuarantinedRecords)] {
+		records = append(records, c.quarantined[key])
+	}
+	return records
+}
+
+// IsQuarantined reports whether the record of a key is quarantined.
+func (c *Cache) IsQuarantined(key string) bool {
+	_, quarantined := c.quarantined[key]
+	return quarantined
+}
--- /dev/null
+++ b/internal/statecache/shards.go
@@ -0,0 +1,112 @@
+package statecache
+
+import (
+	"encoding/json"
+	"time"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/membership"
+)
+
+// AcquireShards acquires the shards that fall to this controller, except those that are being
+// handed over.
+func (c *Cache) AcquireShards(now time.Time) {
+	livenessRevision, ok := c.canAcquireShards(now)
+	if !ok {
+		return
+	}
+	failed := func(node string) bool { return c.hooks.ControllerFailed(node, now) }
+	for _, id := range c.Membership.ShardsToAcquire(now, failed) {
+		shard := c.Membership.Shard(id)
+		ownerIsLive := c.Membership.OwnerIsLive(shard)
+		if ownerIsLive && !failed(shard.Owner()) && c.hooks.AwaitHandover(id, now) {
+			continue
+		}
+		if ownerIsLive && failed(shard.Owner()) {
+			c.log.Info("controller considered failed before its lease expired", "controller", shard.Owner(), "shard", id)
+		}
+		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
+		if id != c.cfg.Node {
+			// The shard's home controller has no lease, or is the one that is considered failed
+			// and has not started anew since.
+			conditions = append(conditions, kvstore.Condition{Key: jobs.LivenessPrefix + id, Revision: c.Membership.LivenessRevision(id)})
+		}
+		c.acquireShard(id, now, conditions...)
+	}
+}
+
+// canAcquireShards reports whether the cache is recent enough to acquire shards, and the
+// revision of this controller's own liveness record.
+func (c *Cache) canAcquireShards(now time.Time) (livenessRevision uint64, ok bool) {
+	livenessRevision, live := c.Membership.OwnLivenessRevision()
+	caughtUp := c.readBarrier.NewestRevision() <= c.appliedRevision
+	return livenessRevision, live && !c.acquisitionStopped && caughtUp && !c.IsStale(now)
+}
+
+// AcquireTransferredShard acquires a shard that its owner has transferred to this controller.
+func (c *Cache) AcquireTransferredShard(shard *membership.Shard, now time.Time) {
+	if livenessRevision, ok := c.canAcquireShards(now); ok {
+		c.acquireShard(shard.ID(), now, kvstore.Condition{Key: c.livenessKey(), Revision: livenessRevision})
+	}
+}
+
+// StopAcquiringShards has this controller acquire no shard any more: it is about to shut down.
+func (c *Cache) StopAcquiringShards() { c.acquisitionStopped = true }
+
+// ReacquireShard begins a new epoch of a shard that this controller owns: whatever was to be
+// done under the old epoch, by any controller, fails from then on.
+func (c *Cache) ReacquireShard(shard *membership.Shard, now time.Time) {
+	c.acquireShard(shard.ID(), now)
+}
+
+// acquireShard replaces a shard's record, provided that it is the cached one and the other
+// conditions hold, unless such a write is in flight already.
+func (c *Cache) acquireShard(id string, now time.Time, conditions ...kvstore.Condition) {
+	if c.acquiring[id] {
+		return
+	}
+	c.acquiring[id] = true
+	shard := c.Membership.Shard(id)
+	unchanged := kvstore.Condition{Key: jobs.ShardPrefix + id} // it has no record
+	if shard != nil {
+		unchanged.Revision = shard.Epoch()
+	}
+	txn := kvstore.Txn{
+		Conditions: append(conditions, unchanged),
+		Writes:     []kvstore.Write{{Key: unchanged.Key, Value: membership.EncodeShard(c.cfg.Node, c.incarnation, shard, now)}},
+	}
+	c.Commit(kvstore.Urgent, txn, func(result kvstore.TxnResult, err error) {
+		delete(c.acquiring, id)
+		if err != nil || !result.Succeeded {
+			c.log.Info("shard not acquired", "shard", id, "failed_keys", result.FailedKeys, "error", err)
+		}
+	})
+}
+
+// applyShard applies a shard's record. Its owner commands the workers with the record's revision,
+// the epoch, as the lower bound of their fencing tokens.
+func (c *Cache) applyShard(id string, value json.RawMessage, revision uint64) error {
+	shard, err := c.Membership.ApplyShard(id, value, revision, time.Now())
+	if shard == nil {
+		return err
+	}
+	c.log.Info("shard acquired", "shard", shard.ID(), "owner", shard.Owner(), "local", shard.IsLocal(), "epoch", shard.Epoch())
+	if c.synced {
+		c.hooks.ShardAcquired(shard.Owner())
+	}
+	for _, machine := range c.State.ApplyShardRecord(shard) {
+		c.hooks.MachineOwnerChanged(machine)
+	}
+	return nil
+}
+
+// HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied: this
+// controller's own write of it is applied before the watch has delivered earlier changes. A
+// heartbeat that was accepted before that may list a task of a range that the previous owner
+// claimed at the last moment. The task would be stopped as unknown, and, once the range became
+// known, the worker would count as having reported without it, so that the task was started on
+// another worker and ran twice.
+func (c *Cache) HasReachedEpoch(shard *membership.Shard) bool {
+	return c.appliedRevision >= shard.Epoch()
+}
--- /dev/null
+++ b/internal/statecache/sync.go
@@ -0,0 +1,210 @@
+package statecache
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"time"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// loadedPrefixes are the keys and prefixes that a load lists. Final states are left out: they
+// are kept for ever and looked up singly.
+var loadedPrefixes = []string{
+	jobs.LivenessPrefix, jobs.ShardPrefix, jobs.WorkerPrefix, jobs.JobPrefix, jobs.RangePrefix,
+	jobs.CompletionBatchPrefix, jobs.QuotaPrefix, jobs.VersionPrefix,
+	jobs.SettingsKey, jobs.MachineTypesKey, jobs.BootTimesKey,
+}
+
+// listing is the result of listing all records one prefix after the other.
+type listing struct {
+	rows []kvstore.KeyValue
+	// oldest and newest are the lowest and the highest revision of the single listings: the
+	// records are complete up to oldest, and some are as new as newest.
+	oldest, newest uint64
+}
+
+// syncLoop loads the records and follows their changes until the context ends. It loads them
+// anew if the watch cannot be resumed.
+func (c *Cache) syncLoop(ctx context.Context) {
+	delay := tuning.MinRetryDelay
+	for ctx.Err() == nil {
+		err := c.loadAndWatch(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		c.log.Info("state cache reload", "error", err)
+		if kvstore.Pause(ctx, delay) != nil {
+			return
+		}
+		delay = min(2*delay, tuning.MaxRetryDelay)
+	}
+}
+
+func (c *Cache) loadAndWatch(ctx context.Context) error {
+	loaded, err := c.list(ctx)
+	if err != nil {
+		return err
+	}
+	c.mailbox.Send(func() { c.applyListing(loaded) })
+	return c.watch(ctx, loaded.oldest)
+}
+
+func (c *Cache) list(ctx context.Context) (listing, error) {
+	var all listing
+	for i, prefix := range loadedPrefixes {
+		rows, revision, err := c.store.List(ctx, prefix)
+		if err != nil {
+			return listing{}, err
+		}
+		// The first revision of a new store is 0, so 0 cannot stand for "none yet".
+		if i == 0 || revision < all.oldest {
+			all.oldest = revision
+		}
+		all.newest = max(all.newest, revision)
+		all.rows = append(all.rows, rows...)
+	}
+	return all, nil
+}
+
+func (c *Cache) applyListing(loaded listing) {
+	c.reset()
+	for _, row := range loaded.rows {
+		c.ApplyWrite(row.Key, row.Value, row.Revision)
+	}
+	c.appliedRevision, c.loadedRevision = loaded.oldest, loaded.newest
+	c.lastContactAt = time.Now()
+	if loaded.oldest >= loaded.newest {
+		c.markSynced()
+	}
+	c.hooks.PipelineEvents(nil, true)
+}
+
+// watch follows the changes after a revision. It returns when the context ends or the watch
+// cannot be resumed.
+func (c *Cache) watch(ctx context.Context, from uint64) error {
+	for ctx.Err() == nil {
+		watchCtx, cancel := context.WithCancel(ctx)
+		c.mailbox.Send(func() { c.cancelWatch = cancel })
+		events, revision, err := c.store.Watch(watchCtx, jobs.Prefix, from)
+		cancel()
+		if errors.Is(err, kvstore.ErrExpired) {
+			return err
+		}
+		delay := tuning.MinRetryDelay
+		if err == nil {
+			from = max(from, revision)
+			c.mailbox.Send(func() { c.ApplyEvents(events, revision) })
+			delay = tuning.MinWatchRequestGap
+		}
+		if kvstore.Pause(ctx, delay) != nil {
+			return ctx.Err()
+		}
+	}
+	return ctx.Err()
+}
+
+func (c *Cache) markSynced() {
+	if c.synced {
+		return
+	}
+	c.synced = true
+	c.State.MarkDirty()
+	jobCount, machineCount := c.State.Sizes()
+	c.log.Info("state cache loaded", "jobs", jobCount, "workers", machineCount, "revision", c.appliedRevision)
+}
+
+// ApplyEvents applies what the watch has delivered: all changes up to a revision.
+func (c *Cache) ApplyEvents(events []kvstore.Event, revision uint64) {
+	var pipelineEvents []kvstore.Event
+	for _, event := range events {
+		switch {
+		case strings.HasPrefix(event.Key+event.DeletedKey, jobs.OpaquePrefix):
+			pipelineEvents = append(pipelineEvents, event)
+		case event.DeletedKey != "":
+			c.ApplyDelete(event.DeletedKey, event.Revision)
+		default:
+			c.ApplyWrite(event.Key, event.Value, event.Revision)
+		}
+	}
+	if len(pipelineEvents) > 0 {
+		c.hooks.PipelineEvents(pipelineEvents, false)
+	}
+	c.appliedRevision = max(c.appliedRevision, revision)
+	c.lastContactAt = time.Now()
+	c.removeTombstones()
+	if c.appliedRevision >= c.loadedRevision {
+		c.markSynced()
+	}
+	if len(pipelineEvents) == 0 || len(pipelineEvents) < len(events) {
+		c.State.MarkDirty()
+	}
+	c.advanceReadBarrier(time.Now())
+	c.hooks.CaughtUp()
+}
+
+// removeTombstones removes those that the watch has passed.
+func (c *Cache) removeTombstones() {
+	for key, revision := range c.tombstones {
+		if revision <= c.appliedRevision {
+			delete(c.tombstones, key)
+		}
+	}
+}
+
+// restartStuckWatch restarts the watch request if it stays behind a revision known from
+// elsewhere: its connection may be dead without an error.
+func (c *Cache) restartStuckWatch(now time.Time) {
+	if c.readBarrier.NewestRevision() <= c.appliedRevision {
+		c.watchBehindSince = time.Time{}
+		return
+	}
+	if c.watchBehindSince.IsZero() {
+		c.watchBehindSince = now
+		return
+	}
+	if now.Sub(c.watchBehindSince) > tuning.WatchStuckAfter && c.cancelWatch != nil {
+		c.cancelWatch()
+		c.watchBehindSince = time.Time{}
+	}
+}
+
+// ReadBarrier calls done once the cache is at least as new as now: a read of it is linearizable
+// then. ok is false if that took too long. Urgent callers wait less for others to share the
+// request with.
+func (c *Cache) ReadBarrier(urgent bool, done func(ok bool)) {
+	c.readBarrier.Wait(time.Now(), urgent, done)
+}
+
+// readRevision asks the store for its revision, for those that wait in the read barrier.
+func (c *Cache) readRevision(startedAt time.Time) {
+	go func() {
+		// The key never exists; the response carries the revision.
+		_, _, revision, err := c.store.Get(c.mailbox.Context(), kvstore.Urgent, jobs.Prefix+"none")
+		c.mailbox.Send(func() {
+			now := time.Now()
+			c.readBarrier.CompleteRead(now, readTimestamp(startedAt, now), revision, err)
+			if err == nil {
+				c.lastContactAt = now
+				c.advanceReadBarrier(now)
+			}
+			c.readBarrier.StartIfDue(time.Now())
+		})
+	}()
+}
+
+// readTimestamp is the moment as of which the response to a read counts, given when it was sent
+// and when it was received: the store may have looked as soon as it was sent. Tests replace it
+// by a mutation.
+var readTimestamp = func(sentAt, _ time.Time) time.Time { return sentAt }
+
+func (c *Cache) advanceReadBarrier(now time.Time) {
+	consistentAsOf, serve := c.readBarrier.Advance(now, c.appliedRevision, c.synced)
+	if consistentAsOf.After(c.consistentAsOf) {
+		c.consistentAsOf = consistentAsOf
+	}
+	serve()
+}
