--- /dev/null
+++ b/internal/reachability/monitor_test.go
@@ -0,0 +1,67 @@
+package reachability
+
+import (
+	"testing"
+	"time"
+)
+
+const (
+	workers           = 100
+	heartbeatInterval = 5 * time.Second
+)
+
+// A link that fails and recovers again and again: each restoration takes longer than the one
+// before.
+func TestBackoffGrowsWithRepeatedLoss(t *testing.T) {
+	now := time.Now()
+	m := &Monitor{}
+	m.ObserveHeartbeat(now)
+	pass := func(duration time.Duration) {
+		for end := now.Add(duration); now.Before(end); {
+			now = now.Add(250 * time.Millisecond)
+			m.Tick(now)
+		}
+	}
+	var previous time.Duration
+	for round := range 3 {
+		pass(5 * time.Second)
+		if !m.ShouldProbe(now, workers, heartbeatInterval) {
+			t.Fatal("no probe after 5 s without a heartbeat")
+		}
+		m.ProbeStarted()
+		if m.ShouldProbe(now, workers, heartbeatInterval) {
+			t.Error("a second probe at the same time")
+		}
+		if transition := m.ProbeFinished(false, now, now, true); transition != Unreachable {
+			t.Fatalf("round %d: %v", round, transition)
+		}
+		took := time.Duration(0)
+		for transition := NoTransition; transition != Restored; took += time.Second {
+			pass(time.Second)
+			if !m.ShouldProbe(now, workers, heartbeatInterval) {
+				continue
+			}
+			m.ProbeStarted()
+			transition = m.ProbeFinished(true, now, now, true)
+		}
+		if took <= previous {
+			t.Errorf("round %d: restored after %v, before after %v", round, took, previous)
+		}
+		previous = took
+	}
+}
+
+func TestStalledProcessSuspectsNoWorker(t *testing.T) {
+	now := time.Now()
+	m := &Monitor{}
+	m.Tick(now)
+	m.ObserveHeartbeat(now)
+	now = now.Add(time.Minute)
+	m.Tick(now)
+	if m.ShouldProbe(now, workers, heartbeatInterval) {
+		t.Error("probe after a minute in which the process was stalled")
+	}
+	if transition := m.ProbeFinished(false, now.Add(-10*time.Second), now, true); transition != NoTransition {
+		t.Errorf("a probe that took 10 s leads to %v", transition)
+	}
+}
