--- /dev/null
+++ b/internal/peer/encode.go
@@ -0,0 +1,164 @@
+package peer
+
+import (
+	"encoding/binary"
+
+	"cherrywall/internal/peer/wire"
+
+	flatbuffers "github.com/google/flatbuffers/go"
+)
+
+const initialBufferBytes = 512
+
+// Encode returns a heartbeat as a frame: the length in four bytes, big endian, then the buffer.
+//
+// The order in which the parts are built decides their place in the frame. It stays as it is, so
+// that a heartbeat has the same bytes in all versions.
+func Encode(heartbeat Heartbeat) []byte {
+	e := encoder{flatbuffers.NewBuilder(initialBufferBytes)}
+	e.Finish(e.heartbeat(heartbeat))
+	body := e.FinishedBytes()
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
+	return append(frame, body...)
+}
+
+// encoder builds tables and returns their offsets in the buffer.
+type encoder struct{ *flatbuffers.Builder }
+
+func (e encoder) heartbeat(heartbeat Heartbeat) flatbuffers.UOffsetT {
+	shardTables := encodeAll(heartbeat.Shards, e.shard)
+	capacityTables := encodeAll(heartbeat.Capacities, e.capacity)
+	faultyJobNames := encodeAll(heartbeat.FaultyJobs, e.CreateString)
+	requestedNames := encodeAll(heartbeat.RequestedShards, e.CreateString)
+	suspectNames := encodeAll(heartbeat.Suspects, e.CreateString)
+	var chunk flatbuffers.UOffsetT
+	if heartbeat.TransferChunk != nil {
+		chunk = e.chunk(heartbeat.TransferChunk)
+	}
+	faultyJobs := e.vector(wire.BeatStartBlamedVector, faultyJobNames)
+	shards := e.vector(wire.BeatStartSharesVector, shardTables)
+	capacities := e.vector(wire.BeatStartCountsVector, capacityTables)
+	requested := e.vector(wire.BeatStartWantsVector, requestedNames)
+	suspects := e.optionalVector(wire.BeatStartSuspectsVector, suspectNames)
+	cancelled := e.optionalVector(wire.BeatStartCancelledVector, encodeAll(heartbeat.CancelledJobs, e.cancelledJob))
+	node := e.CreateString(heartbeat.Node)
+	wire.BeatStart(e.Builder)
+	wire.BeatAddNode(e.Builder, node)
+	wire.BeatAddBoot(e.Builder, heartbeat.Incarnation)
+	wire.BeatAddSilentMs(e.Builder, uint32(min(heartbeat.StoreSilentFor.Milliseconds(), 1<<31)))
+	wire.BeatAddSynced(e.Builder, heartbeat.Synced)
+	wire.BeatAddShares(e.Builder, shards)
+	wire.BeatAddCounts(e.Builder, capacities)
+	wire.BeatAddRequests(e.Builder, float32(heartbeat.RequestsPerSecond))
+	wire.BeatAddChanges(e.Builder, float32(heartbeat.WritesPerSecond))
+	wire.BeatAddBlamed(e.Builder, faultyJobs)
+	wire.BeatAddWants(e.Builder, requested)
+	wire.BeatAddLeaving(e.Builder, heartbeat.Leaving)
+	if suspects != 0 {
+		wire.BeatAddSuspects(e.Builder, suspects)
+	}
+	if heartbeat.TransferChunk != nil {
+		wire.BeatAddPiece(e.Builder, chunk)
+	}
+	wire.BeatAddReached(e.Builder, heartbeat.AppliedRevision)
+	if cancelled != 0 {
+		wire.BeatAddCancelled(e.Builder, cancelled)
+	}
+	return wire.BeatEnd(e.Builder)
+}
+
+func (e encoder) shard(shard Shard) flatbuffers.UOffsetT {
+	id, owner := e.CreateString(shard.ID), e.CreateString(shard.Owner)
+	wire.ShareStart(e.Builder)
+	wire.ShareAddId(e.Builder, id)
+	wire.ShareAddHolder(e.Builder, owner)
+	wire.ShareAddStamp(e.Builder, shard.Epoch)
+	return wire.ShareEnd(e.Builder)
+}
+
+func (e encoder) capacity(capacity ShapeCapacity) flatbuffers.UOffsetT {
+	zone := e.CreateString(capacity.Zone)
+	wire.CountStart(e.Builder)
+	wire.CountAddCpu(e.Builder, capacity.CPU)
+	wire.CountAddGpu(e.Builder, capacity.GPU)
+	wire.CountAddMem(e.Builder, capacity.Mem)
+	wire.CountAddZone(e.Builder, zone)
+	wire.CountAddFree(e.Builder, uint32(capacity.Free))
+	wire.CountAddLent(e.Builder, uint32(capacity.Preemptible))
+	return wire.CountEnd(e.Builder)
+}
+
+func (e encoder) cancelledJob(job CancelledJob) flatbuffers.UOffsetT {
+	ref := e.CreateString(job.Ref)
+	wire.CancelledStart(e.Builder)
+	wire.CancelledAddJob(e.Builder, ref)
+	wire.CancelledAddStamp(e.Builder, job.Revision)
+	wire.CancelledAddDone(e.Builder, uint32(job.CompletedTasks))
+	wire.CancelledAddTold(e.Builder, job.WorkersNotified)
+	return wire.CancelledEnd(e.Builder)
+}
+
+func (e encoder) chunk(chunk *TransferChunk) flatbuffers.UOffsetT {
+	machines := e.vector(wire.PieceStartMachinesVector, encodeAll(chunk.Machines, e.machine))
+	shard := e.CreateString(chunk.Shard)
+	wire.PieceStart(e.Builder)
+	wire.PieceAddShare(e.Builder, shard)
+	wire.PieceAddStamp(e.Builder, chunk.Epoch)
+	wire.PieceAddIndex(e.Builder, uint16(chunk.Index))
+	wire.PieceAddOf(e.Builder, uint16(chunk.Total))
+	wire.PieceAddMachines(e.Builder, machines)
+	return wire.PieceEnd(e.Builder)
+}
+
+func (e encoder) machine(machine MachineSnapshot) flatbuffers.UOffsetT {
+	tasks := e.vector(wire.StandingStartTasksVector, encodeAll(machine.Tasks, e.task))
+	host := e.CreateString(machine.Host)
+	wire.StandingStart(e.Builder)
+	wire.StandingAddHost(e.Builder, host)
+	wire.StandingAddSession(e.Builder, machine.AgentEpoch)
+	wire.StandingAddReport(e.Builder, machine.HeartbeatSeq)
+	wire.StandingAddOver(e.Builder, machine.EndedAgentEpoch)
+	wire.StandingAddFlags(e.Builder, packFlags(machine.Lost, machine.Preempted, machine.Drained, machine.Empty, machine.AwaitingHeartbeat))
+	wire.StandingAddTasks(e.Builder, tasks)
+	return wire.StandingEnd(e.Builder)
+}
+
+func (e encoder) task(task TaskSnapshot) flatbuffers.UOffsetT {
+	name, status := e.CreateString(task.Name), e.CreateSharedString(task.Status)
+	wire.TaskStart(e.Builder)
+	wire.TaskAddName(e.Builder, name)
+	wire.TaskAddAttempt(e.Builder, task.Attempt)
+	wire.TaskAddStatus(e.Builder, status)
+	wire.TaskAddFlags(e.Builder, packFlags(task.StartSent, task.Reported, task.StopRequested, task.StopSent, task.Foreign))
+	wire.TaskAddLeeway(e.Builder, float32(task.GraceSeconds))
+	wire.TaskAddRan(e.Builder, float32(task.RunningFor.Seconds()))
+	return wire.TaskEnd(e.Builder)
+}
+
+// encodeAll builds one part of the buffer for each item.
+func encodeAll[T any](items []T, encode func(T) flatbuffers.UOffsetT) []flatbuffers.UOffsetT {
+	offsets := make([]flatbuffers.UOffsetT, len(items))
+	for i, item := range items {
+		offsets[i] = encode(item)
+	}
+	return offsets
+}
+
+// startVector starts one of the generated vectors, of a number of items.
+type startVector func(builder *flatbuffers.Builder, items int) flatbuffers.UOffsetT
+
+func (e encoder) vector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+	start(e.Builder, len(offsets))
+	for i := len(offsets) - 1; i >= 0; i-- {
+		e.PrependUOffsetT(offsets[i])
+	}
+	return e.EndVector(len(offsets))
+}
+
+// optionalVector is vector, but returns 0 if there are no items: the field is left out then.
+func (e encoder) optionalVector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+	if len(offsets) == 0 {
+		return 0
+	}
+	return e.vector(start, offsets)
+}
--- /dev/null
+++ b/internal/peer/heartbeat.go
@@ -0,0 +1,62 @@
+// Package peer is the protocol between controllers: FlatBuffers frames over TCP.
+//
+// Every controller sends each other one a Heartbeat twice a second, and at once when there is
+// something urgent. Heartbeats may be lost, delayed or out of date, so no safety property rests
+// on them. They distinguish a partition from an outage of the key-value store, make failovers and
+// cancellations faster, and carry the chunks of shards that are transferred.
+package peer
+
+import "time"
+
+// Heartbeat is one message, and describes its sender.
+type Heartbeat struct {
+	Node        string // the controller's name
+	Incarnation uint64 // identifies the run of its process
+	// StoreSilentFor is the time since the key-value store last responded to the sender.
+	StoreSilentFor time.Duration
+	Synced         bool // its cache of the key-value store was read completely
+	Shards         []Shard
+	Capacities     []ShapeCapacity
+	// RequestsPerSecond and WritesPerSecond are the sender's present use of the key-value store.
+	RequestsPerSecond, WritesPerSecond float64
+	// FaultyJobs are the jobs that failed on several of its machines on which others work.
+	FaultyJobs []string
+	// RequestedShards are the shards whose transfer to the sender is requested.
+	RequestedShards []string
+	// Leaving announces the sender's shutdown; it transfers its shards to whoever requests them.
+	Leaving bool
+	// Suspects are the controllers whose heartbeats to the sender are overdue.
+	Suspects []string
+	// AppliedRevision is the revision of the key-value store up to which the sender knows all
+	// changes.
+	AppliedRevision uint64
+	// CancelledJobs are the jobs that were cancelled a moment ago.
+	CancelledJobs []CancelledJob
+	// TransferChunk is a part of a shard that is transferred to the recipient, nil if there is
+	// none.
+	TransferChunk *TransferChunk
+}
+
+// Shard is the ownership of a shard as the sender knows it.
+type Shard struct {
+	ID, Owner string
+	Epoch     uint64
+}
+
+// ShapeCapacity is how many more tasks of a shape fit on the sender's machines in a zone.
+type ShapeCapacity struct {
+	CPU, GPU, Mem float64 // the shape: cores, devices, GB
+	Zone          string
+	Free          int // tasks that fit without preemption
+	Preemptible   int // tasks that fit beyond that, in place of less urgent ones
+}
+
+// CancelledJob is a job that was cancelled by the record of a revision.
+type CancelledJob struct {
+	Ref            string
+	Revision       uint64
+	CompletedTasks int // at that revision
+	// WorkersNotified says that the sender's workers were notified, as far as they can be
+	// reached.
+	WorkersNotified bool
+}
--- /dev/null
+++ b/internal/peer/outbox.go
@@ -0,0 +1,29 @@
+package peer
+
+import "cherrywall/internal/tuning"
+
+// Outbox queues transfer chunks, by recipient, until SendHeartbeats sends them. A nil chunk makes
+// it send a heartbeat at once. Chunks that find no room or no connection are lost; the handover
+// then ends by its timeout.
+type Outbox map[string]chan *TransferChunk
+
+// NewOutbox returns an empty outbox for the given recipients.
+func NewOutbox(recipients ...string) Outbox {
+	outbox := Outbox{}
+	for _, recipient := range recipients {
+		outbox[recipient] = make(chan *TransferChunk, tuning.MaxPendingTransferChunks)
+	}
+	return outbox
+}
+
+// Enqueue queues chunks without waiting, and reports whether there was room for all of them.
+func (o Outbox) Enqueue(to string, chunks []*TransferChunk) bool {
+	for _, chunk := range chunks {
+		select {
+		case o[to] <- chunk:
+		default:
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/peer/rate_sharing.go
@@ -0,0 +1,40 @@
+package peer
+
+import "math"
+
+// Meter is a client of the key-value store, whose request limits all controllers share.
+type Meter interface {
+	// Usage returns the present rates of this controller's requests and writes, per second.
+	Usage() (requests, writes float64)
+	// RecordPeerUsage records those of another controller.
+	RecordPeerUsage(controller string, requests, writes float64)
+}
+
+// RateSharing is a Controller whose heartbeats exchange the use of the key-value store, so that
+// each controller keeps to what the others leave of the limits.
+type RateSharing struct {
+	Controller
+	Meter Meter
+	Peers map[string]bool // the names of all other controllers
+}
+
+// PeerHeartbeat returns the Controller's heartbeat with the usage added.
+func (r RateSharing) PeerHeartbeat() (heartbeat Heartbeat, ok bool) {
+	heartbeat, ok = r.Controller.PeerHeartbeat()
+	heartbeat.RequestsPerSecond, heartbeat.WritesPerSecond = r.Meter.Usage()
+	return heartbeat, ok
+}
+
+// HandlePeerHeartbeat records the sender's usage and passes the heartbeat on. Usage of unknown
+// senders and invalid rates are ignored: with a limit that is not a number, no request would pass
+// any more.
+func (r RateSharing) HandlePeerHeartbeat(heartbeat Heartbeat) {
+	isValid := isValidRate(heartbeat.RequestsPerSecond) && isValidRate(heartbeat.WritesPerSecond)
+	if r.Peers[heartbeat.Node] && isValid {
+		r.Meter.RecordPeerUsage(heartbeat.Node, heartbeat.RequestsPerSecond, heartbeat.WritesPerSecond)
+	}
+	r.Controller.HandlePeerHeartbeat(heartbeat)
+}
+
+// isValidRate reports whether a rate is a number, not negative and finite.
+func isValidRate(rate float64) bool { return rate >= 0 && !math.IsInf(rate, 1) }
--- /dev/null
+++ b/internal/peer/transport_test.go
@@ -0,0 +1,67 @@
+package peer
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+)
+
+// channelController passes on what it receives.
+type channelController struct{ received chan Heartbeat }
+
+func (c channelController) PeerHeartbeat() (Heartbeat, bool) { return Heartbeat{Node: "n0"}, true }
+
+func (c channelController) HandlePeerHeartbeat(heartbeat Heartbeat) {
+	select {
+	case c.received <- heartbeat:
+	default:
+	}
+}
+
+func TestHeartbeatCarriesQueuedChunk(t *testing.T) {
+	ctx, stop := context.WithCancel(t.Context())
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	controller := channelController{received: make(chan Heartbeat, 100)}
+	outbox := NewOutbox("n1")
+	if !outbox.Enqueue("n1", []*TransferChunk{sampleChunk}) {
+		t.Fatal("no room in an empty outbox")
+	}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		Listen(ctx, listener, controller, slog.New(slog.DiscardHandler))
+	}()
+	go SendHeartbeats(ctx, listener.Addr().String(), outbox["n1"], controller)
+	deadline := time.After(10 * time.Second)
+	for received := false; !received; {
+		select {
+		case heartbeat := <-controller.received:
+			received = heartbeat.TransferChunk != nil && heartbeat.TransferChunk.Shard == sampleChunk.Shard
+		case <-deadline:
+			t.Fatal("the chunk did not arrive")
+		}
+	}
+	stop()
+	select {
+	case <-ended:
+	case <-time.After(10 * time.Second):
+		t.Error("Listen does not end with its context")
+	}
+}
+
+func TestOutboxHasBoundedRoom(t *testing.T) {
+	outbox := NewOutbox("n1")
+	for range cap(outbox["n1"]) {
+		if !outbox.Enqueue("n1", []*TransferChunk{nil}) {
+			t.Fatal("the outbox is full too early")
+		}
+	}
+	if outbox.Enqueue("n1", []*TransferChunk{nil}) {
+		t.Error("a chunk was queued in a full outbox")
+	}
+}
