--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,5 +1,5 @@
-// Package loop is the mailbox of an actor: what is said to it is done one after the
-// other, on one goroutine, which alone touches the actor's state and its slices'.
+// Package actor provides the mailbox of an actor: functions that are sent to it run one after
+// another on the actor's goroutine, which alone reads and writes the actor's state.
 package actor
 
 import (
@@ -9,46 +9,49 @@
 	"cherrywall/internal/tuning"
 )
 
-// Mailbox takes what is said to the actor.
+// Mailbox queues functions for an actor. Its methods may be called concurrently.
 type Mailbox struct {
 	ctx      context.Context
 	messages chan func()
 }
 
-// New makes the mailbox. What is said after ctx has ended is lost.
+// New returns an empty mailbox of an actor that ends with ctx. Functions that are sent later than
+// that are dropped.
 func New(ctx context.Context) *Mailbox {
 	return &Mailbox{ctx: ctx, messages: make(chan func(), tuning.MailboxCapacity)}
 }
 
-// Context ends with the actor.
-func (l *Mailbox) Context() context.Context { return l.ctx }
+// Context returns the context with which the actor ends.
+func (m *Mailbox) Context() context.Context { return m.ctx }
 
-// Messages is where the actor takes its messages from.
-func (l *Mailbox) Messages() <-chan func() { return l.messages }
+// Messages returns the channel from which the actor receives the functions, each of which it has
+// to call.
+func (m *Mailbox) Messages() <-chan func() { return m.messages }
 
-// Send has something done by the actor. It waits while the mailbox is full, so the
-// actor itself must not call it.
-func (l *Mailbox) Send(do func()) {
+// Send has the actor call a function. It blocks while the mailbox is full, so the actor itself
+// must not use it.
+func (m *Mailbox) Send(do func()) {
 	select {
-	case l.messages <- do:
-	case <-l.ctx.Done():
+	case m.messages <- do:
+	case <-m.ctx.Done():
 	}
 }
 
-// SendAfter has something done by the actor after a while; it may be stopped until then.
-func (l *Mailbox) SendAfter(d time.Duration, do func()) *time.Timer {
-	return time.AfterFunc(d, func() { l.Send(do) })
+// SendAfter has the actor call a function after a delay. Stopping the returned timer before that
+// prevents it.
+func (m *Mailbox) SendAfter(delay time.Duration, do func()) *time.Timer {
+	return time.AfterFunc(delay, func() { m.Send(do) })
 }
 
-// Ask has the actor compute an answer and waits for it; ok is false if the actor ends
-// before.
-func Ask[T any](l *Mailbox, compute func() T) (answer T, ok bool) {
-	out := make(chan T, 1)
-	l.Send(func() { out <- compute() })
+// Ask has the actor compute an answer and waits for it. ok is false if the actor ends first. The
+// actor itself must not use it.
+func Ask[T any](m *Mailbox, compute func() T) (answer T, ok bool) {
+	answers := make(chan T, 1)
+	m.Send(func() { answers <- compute() })
 	select {
-	case answer = <-out:
+	case answer = <-answers:
 		return answer, true
-	case <-l.ctx.Done():
+	case <-m.ctx.Done():
 		return answer, false
 	}
 }
--- /dev/null
+++ b/internal/actor/actor_test.go
@@ -0,0 +1,64 @@
+package actor
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// run calls the functions that are sent to a mailbox until its context ends.
+func run(m *Mailbox) {
+	for {
+		select {
+		case do := <-m.Messages():
+			do()
+		case <-m.Context().Done():
+			return
+		}
+	}
+}
+
+func TestAskReturnsAnswerAfterEarlierMessages(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := New(t.Context())
+		go run(m)
+		state := 0
+		m.Send(func() { state = 1 })
+		m.SendAfter(time.Second, func() { state = 2 })
+		if answer, ok := Ask(m, func() int { return state }); !ok || answer != 1 {
+			t.Errorf("%d, %v", answer, ok)
+		}
+		time.Sleep(time.Second + time.Millisecond)
+		if answer, ok := Ask(m, func() int { return state }); !ok || answer != 2 {
+			t.Errorf("%d, %v after the delay", answer, ok)
+		}
+	})
+}
+
+func TestStoppedTimerSendsNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := New(t.Context())
+		m.SendAfter(time.Second, func() {}).Stop()
+		time.Sleep(2 * time.Second)
+		if queued := len(m.Messages()); queued > 0 {
+			t.Errorf("%d messages", queued)
+		}
+	})
+}
+
+// Nobody blocks on an actor that has ended, even if its mailbox is full.
+func TestEndedActorDropsMessages(t *testing.T) {
+	ctx, stop := context.WithCancel(t.Context())
+	m := New(ctx)
+	for range tuning.MailboxCapacity {
+		m.Send(func() {})
+	}
+	stop()
+	m.Send(func() { t.Error("called") })
+	if _, ok := Ask(m, func() int { return 1 }); ok {
+		t.Error("an ended actor has answered")
+	}
+}
