--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -22,7 +22,7 @@
 	return Resources{CPU: r.CPU - o.CPU, GPU: r.GPU - o.GPU, MemGB: r.MemGB - o.MemGB}
 }
 
-// Covers tells whether a need fits into the amount.
+// Covers reports whether a need fits into the amount.
 func (r Resources) Covers(need Resources) bool {
 	return r.CPU+roundingTolerance >= need.CPU &&
 		r.GPU+roundingTolerance >= need.GPU &&
--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -85,7 +85,7 @@
 		entity.SetRangeRevision(taskRange, revision)
 		return
 	}
-	// Others may write the record again, so its revision does not tell when the claim was made. If
+	// Others may write the record again, so its revision does not show when the claim was made. If
 	// it was made by this controller in the shard's present epoch and is new here, nothing was
 	// started.
 	neverStarted := shard != nil && shard.IsLocal() && complete && claim.Epoch == shard.Epoch()
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -21,7 +21,7 @@
 	entity.SetSpec(job, record, ownDeadlines, s.IsBackground(record), spotInUse)
 }
 
-// IsBackground tells whether a job gets only capacity that nobody else wants: an array of the
+// IsBackground reports whether a job gets only capacity that nobody else wants: an array of the
 // lowest priority without a deadline or objective. A guest's 3,800 long tasks took every machine
 // that could be added within seconds, and for four minutes no deadline of the owners was met.
 func (s *State) IsBackground(record *jobs.JobRecord) bool {
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -128,7 +128,7 @@
 	entity.Status(assignment).StartSent = false
 }
 
-// UpdateStatus notes a task's status as reported by its worker. It tells whether that was known
+// UpdateStatus notes a task's status as reported by its worker. It reports whether that was known
 // already.
 func (s *State) UpdateStatus(assignment *Assignment, workerStatus string, now time.Time) (unchanged bool) {
 	status := entity.Status(assignment)
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -90,7 +90,7 @@
 }
 
 // BeginHeartbeat notes a heartbeat under the present fencing token, before the tasks that it lists
-// are processed. It tells whether the machine counted as lost until now.
+// are processed. It reports whether the machine counted as lost until now.
 func (s *State) BeginHeartbeat(machine *Machine, at time.Time) (wasLost bool) {
 	flags, times := entity.Flags(machine), entity.Times(machine)
 	wasLost = flags.Lost
@@ -107,7 +107,7 @@
 
 // EndHeartbeat notes that all tasks that a heartbeat lists were processed. empty is whether it
 // listed none, unchanged whether it said nothing new, as most do: no decision follows from it
-// then. It tells whether this is the machine's first heartbeat under the present fencing token.
+// then. It reports whether this is the machine's first heartbeat under the present fencing token.
 func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
 	flags := entity.Flags(machine)
 	first = !flags.Reported
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// StartGang notes that a task of a gang is told to start, and tells whether it is the first.
+// StartGang notes that a start command is sent for a task of a gang, and reports whether it is the
+// first.
 func (s *State) StartGang(job *Job) (first bool) {
 	gang := entity.Gang(job)
 	first = !gang.Started
@@ -76,7 +77,7 @@
 	}
 }
 
-// GangCanStart tells whether a gang's tasks may be told to start: all of them are placed on
+// GangCanStart reports whether a gang's tasks may be started: all of them are placed on
 // machines where they fit within one scheduling cycle.
 func (s *State) GangCanStart(job *Job) bool {
 	gang := entity.Gang(job)
@@ -100,7 +101,7 @@
 	return true
 }
 
-// addPlannedNeeds adds what a range's tasks take by machine. It tells whether all of them may be
+// addPlannedNeeds adds what a range's tasks take by machine. It reports whether all of them may be
 // started where they are planned.
 func addPlannedNeeds(needs map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
 	if !taskRange.HostsAreRecorded() {
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -36,15 +36,15 @@
 	StopSent     bool      // a stop command was sent
 }
 
-// IsPlanned tells whether the task is on the machine by plan only.
+// IsPlanned reports whether the task is on the machine by plan only.
 func (s AssignmentStatus) IsPlanned() bool { return !s.StartSent && !s.Reported }
 
-// HasStarted tells whether the worker has reported the task to be beyond pulling its image.
+// HasStarted reports whether the worker has reported the task to be beyond pulling its image.
 func (s AssignmentStatus) HasStarted() bool {
 	return s.Reported && s.WorkerStatus != workerapi.StatusPulling
 }
 
-// hasPendingCommand tells whether a start or stop command is still to be sent.
+// hasPendingCommand reports whether a start or stop command is still to be sent.
 func (s AssignmentStatus) hasPendingCommand() bool {
 	if s.Stopping {
 		return s.StartSent && !s.StopSent
@@ -72,7 +72,7 @@
 	return a.taskRange.job
 }
 
-// IsTentative tells whether the task's claim is not durable yet.
+// IsTentative reports whether the task's claim is not durable yet.
 func (a *Assignment) IsTentative() bool { return a.taskRange != nil && a.taskRange.tentative }
 
 // Attempt returns the number of the task's attempt.
@@ -84,11 +84,11 @@
 // Status returns how far the task is.
 func (a *Assignment) Status() AssignmentStatus { return a.status }
 
-// IsLeaving tells whether the task is to be stopped, or will be once the claim that preempts it
+// IsLeaving reports whether the task is to be stopped, or will be once the claim that preempts it
 // is durable.
 func (a *Assignment) IsLeaving() bool { return a.status.Stopping || a.preemptedFor != nil }
 
-// stopsImmediately tells whether a stop command ends the task without a checkpoint.
+// stopsImmediately reports whether a stop command ends the task without a checkpoint.
 func (a *Assignment) stopsImmediately() bool {
 	if a.status.WorkerStatus == workerapi.StatusCheckpointing {
 		return false
@@ -96,7 +96,7 @@
 	return a.status.GraceS == 0 || a.checkpointS == 0 || a.status.WorkerStatus != workerapi.StatusRunning
 }
 
-// OccupiesNow tells whether the task still takes its resources after the commands of the present
+// OccupiesNow reports whether the task still takes its resources after the commands of the present
 // scheduling cycle are executed: it was sent or reported, and does not stop immediately.
 func (a *Assignment) OccupiesNow() bool {
 	if a.status.IsPlanned() {
@@ -105,7 +105,7 @@
 	return !a.status.Stopping || !a.stopsImmediately()
 }
 
-// needsOrdinaryMachine tells whether the task may not run on a spot machine: it is of no array
+// needsOrdinaryMachine reports whether the task may not run on a spot machine: it is of no array
 // that allows them.
 func (a *Assignment) needsOrdinaryMachine() bool {
 	job := a.Job()
@@ -129,7 +129,7 @@
 // Abandon makes an assignment one that runs no task of this controller.
 func Abandon(a *Assignment) { a.taskRange = nil }
 
-// ReleaseTask sets the state of an assignment's task, which has no assignment then. It tells
+// ReleaseTask sets the state of an assignment's task, which has no assignment then. It reports
 // whether the assignment was still the task's.
 func ReleaseTask(a *Assignment, state TaskState) bool {
 	r := a.taskRange
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// NeedsHostsWrite tells whether the planned workers have to be recorded before the range's tasks
+// NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks
 // may be started: none was started in this attempt, and they are planned on workers that the
 // record does not name, or it is not known which workers it names.
 func (r *TaskRange) NeedsHostsWrite() bool {
@@ -62,7 +62,7 @@
 	return needsWrite
 }
 
-// MayBeOn tells whether, by the range's record, a task of it may ever have been started on a
+// MayBeOn reports whether, by the range's record, a task of it may ever have been started on a
 // worker. A record that names no workers allows all.
 func (r *TaskRange) MayBeOn(host string) bool {
 	return len(r.record.GangWorkers) == 0 || slices.Contains(r.record.GangWorkers, host)
@@ -71,7 +71,7 @@
 // BeginHostsWrite notes that a write of the range's workers begins.
 func (r *TaskRange) BeginHostsWrite() { r.hostsWriteInFlight = true }
 
-// HasHostsWriteInFlight tells whether a write of the range's workers is in flight.
+// HasHostsWriteInFlight reports whether a write of the range's workers is in flight.
 func (r *TaskRange) HasHostsWriteInFlight() bool { return r.hostsWriteInFlight }
 
 // EndHostsWrite notes that a write of the range's workers ended, and whether its outcome is known.
@@ -82,7 +82,7 @@
 	}
 }
 
-// HostsAreRecorded tells whether a gang's tasks may be started where they are planned.
+// HostsAreRecorded reports whether a gang's tasks may be started where they are planned.
 func (r *TaskRange) HostsAreRecorded() bool { return !r.hostsWriteInFlight && !r.NeedsHostsWrite() }
 
 // ClearGangWorkers forgets the workers that a range's record names, so that its tasks may be on
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -44,7 +44,7 @@
 // value is no attempt.
 type GangAttempt struct {
 	Attempt uint64
-	// Started is set once a task was told to start.
+	// Started is set once a start command was sent for a task.
 	Started bool
 	// Failed is set once the attempt cannot succeed any more; all its tasks have to be gone
 	// before the next one.
@@ -63,7 +63,7 @@
 // of the job are known, see HasRecord.
 func (j *Job) Record() *jobs.JobRecord { return &j.record }
 
-// HasRecord tells whether the job's record is known, and not only ranges of it.
+// HasRecord reports whether the job's record is known, and not only ranges of it.
 func (j *Job) HasRecord() bool { return j.record.Ref != "" }
 
 // Revision returns the revision of the job's record in the key-value store.
@@ -72,17 +72,17 @@
 // Need returns what one task of the job takes.
 func (j *Job) Need() capacity.Resources { return j.need }
 
-// HasEnded tells whether the job is done or cancelled.
+// HasEnded reports whether the job is done or cancelled.
 func (j *Job) HasEnded() bool { return j.ended }
 
 // KnownSince returns when this controller learned of the job, or when the job became unblocked.
 func (j *Job) KnownSince() time.Time { return j.knownSince }
 
-// IsBackground tells whether the job gets only capacity that nobody else wants: it is an array of
+// IsBackground reports whether the job gets only capacity that nobody else wants: it is an array of
 // the lowest priority without a deadline or objective.
 func (j *Job) IsBackground() bool { return j.background }
 
-// IsBestEffort tells whether a background job is no reason to keep or scale out any but spot
+// IsBestEffort reports whether a background job is no reason to keep or scale out any but spot
 // machines. It uses free capacity of other machines as long as they are there for other work,
 // and leaves those that are to be scaled in. After a while it counts like any other job, so that
 // it does not wait forever.
@@ -91,11 +91,11 @@
 // Priority returns the highest priority among the job and its dependents.
 func (j *Job) Priority() jobs.Priority { return j.priority }
 
-// IsBlocked tells whether the job may not run now: it waits for dependencies, or can never run
+// IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run
 // since one of them is cancelled. It takes part in no quota, reservation, count or claim then.
 func (j *Job) IsBlocked() bool { return j.dependencyNode.IsBlocked() }
 
-// IsCancelledByDependency tells whether the job can never run because a dependency, direct or
+// IsCancelledByDependency reports whether the job can never run because a dependency, direct or
 // indirect, is cancelled.
 func (j *Job) IsCancelledByDependency() bool { return j.dependencyNode.IsCancelledByDependency() }
 
@@ -138,7 +138,7 @@
 // TaskRange returns the range that begins with a task, nil if there is none.
 func (j *Job) TaskRange(first int) *TaskRange { return j.ranges[first] }
 
-// HasReadyTasks tells whether some of the job's claimed tasks are ready to be placed.
+// HasReadyTasks reports whether some of the job's claimed tasks are ready to be placed.
 func (j *Job) HasReadyTasks() bool {
 	for _, taskRange := range j.ranges {
 		if taskRange.CountTasks(TaskReady) > 0 {
@@ -171,14 +171,14 @@
 	return done, active
 }
 
-// CanWriteAt tells whether a transaction on the job may begin: none of this controller's is in
+// CanWriteAt reports whether a transaction on the job may begin: none of this controller's is in
 // flight, and the cache of the store, which is at a revision, has caught up with what made the
 // last one fail its preconditions.
 func (j *Job) CanWriteAt(revision uint64) bool {
 	return !j.inTransaction && j.awaitedRevision <= revision
 }
 
-// InTransaction tells whether a transaction of this controller on the job is in flight.
+// InTransaction reports whether a transaction of this controller on the job is in flight.
 func (j *Job) InTransaction() bool { return j.inTransaction }
 
 // BeginTransaction notes that a transaction on the job begins.
@@ -196,10 +196,10 @@
 }
 
 // GangAttempt returns the number of the gang's present attempt, 0 if there is none, and whether a
-// task of it was told to start.
+// start command was sent for a task of it.
 func (j *Job) GangAttempt() (attempt uint64, started bool) { return j.gang.Attempt, j.gang.Started }
 
-// IsGang tells whether the job is a gang, all of whose tasks run at the same time or not at all.
+// IsGang reports whether the job is a gang, all of whose tasks run at the same time or not at all.
 func (j *Job) IsGang() bool { return j.record.Kind == jobs.Gang }
 
 // SetSpec sets a job's record and what follows from it. spotInUse is whether the autoscaler may
@@ -227,7 +227,7 @@
 	j.bestEffort = j.background && j.record.Spot && spotInUse && j.Age(now) < tuning.BackgroundSpotOnlyPeriod
 }
 
-// SetDependencyNode sets a job's node in the dependency graph and tells whether its priority has
+// SetDependencyNode sets a job's node in the dependency graph and reports whether its priority has
 // changed by it.
 func SetDependencyNode(j *Job, node *jobdag.Node) (priorityChanged bool) {
 	j.dependencyNode = node
@@ -253,7 +253,7 @@
 	return j.blocked
 }
 
-// Unblock tells whether a job that was blocked by dependencies no longer is. It counts as known
+// Unblock reports whether a job that was blocked by dependencies no longer is. It counts as known
 // from this moment on.
 func Unblock(j *Job, now time.Time) bool {
 	if !j.blocked || j.dependencyNode.IsBlocked() {
@@ -281,8 +281,8 @@
 // RemoveTaskRange removes the range that begins with a task from a job.
 func RemoveTaskRange(j *Job, first int) { delete(j.ranges, first) }
 
-// HasTaskRanges tells whether any range of a job is claimed.
+// HasTaskRanges reports whether any range of a job is claimed.
 func HasTaskRanges(j *Job) bool { return len(j.ranges) > 0 }
 
-// IsCurrent tells whether a range is the one that its job knows by its first task.
+// IsCurrent reports whether a range is the one that its job knows by its first task.
 func IsCurrent(r *TaskRange) bool { return r.job.ranges[r.first] == r }
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -44,7 +44,7 @@
 	HeartbeatOverdue bool
 }
 
-// acceptsTasks tells whether nothing in the machine's condition forbids to start tasks on it.
+// acceptsTasks reports whether nothing in the machine's condition forbids to start tasks on it.
 func (f MachineFlags) acceptsTasks() bool {
 	isReachable := f.Reported && !f.Lost && !f.NoInbound && !f.HeartbeatOverdue
 	isLeaving := f.Preempted || f.Releasing || f.Moving
@@ -74,50 +74,50 @@
 // Revision returns the revision of the machine's record in the key-value store.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// HasReported tells whether a heartbeat has arrived under the present fencing token.
+// HasReported reports whether a heartbeat has arrived under the present fencing token.
 func (m *Machine) HasReported() bool { return m.flags.Reported }
 
-// IsLost tells whether the worker's lease has expired, or it did not report in time after its
+// IsLost reports whether the worker's lease has expired, or it did not report in time after its
 // shard was acquired. What it ran is no longer running.
 func (m *Machine) IsLost() bool { return m.flags.Lost }
 
-// IsPreempted tells whether the cloud has given notice that it takes the machine back.
+// IsPreempted reports whether the cloud has given notice that it takes the machine back.
 func (m *Machine) IsPreempted() bool { return m.flags.Preempted }
 
-// IsReleasing tells whether a request to release the machine is under way.
+// IsReleasing reports whether a request to release the machine is under way.
 func (m *Machine) IsReleasing() bool { return m.flags.Releasing }
 
-// IsReleased tells whether the cloud has confirmed the release.
+// IsReleased reports whether the cloud has confirmed the release.
 func (m *Machine) IsReleased() bool { return m.flags.Released }
 
-// IsSurplus tells whether an ordinary machine is to be drained and released.
+// IsSurplus reports whether an ordinary machine is to be drained and released.
 func (m *Machine) IsSurplus() bool { return m.flags.Surplus }
 
-// IsCordoned tells whether the machine takes no more tasks: every task fails on it, or an
+// IsCordoned reports whether the machine takes no more tasks: every task fails on it, or an
 // operator drains it.
 func (m *Machine) IsCordoned() bool { return m.flags.Cordoned }
 
-// IsSuspected tells whether several jobs failed on the machine and it is left alone until it is
+// IsSuspected reports whether several jobs failed on the machine and it is left alone until it is
 // known whether they work elsewhere (see faultattribution.Attributor).
 func (m *Machine) IsSuspected() bool { return m.flags.Suspected }
 
-// ReportedEmpty tells whether the last heartbeat listed no task, not even an exited one.
+// ReportedEmpty reports whether the last heartbeat listed no task, not even an exited one.
 func (m *Machine) ReportedEmpty() bool { return m.flags.ReportedEmpty }
 
-// IsMoving tells whether a write that assigns the machine to another shard is in flight.
+// IsMoving reports whether a write that assigns the machine to another shard is in flight.
 func (m *Machine) IsMoving() bool { return m.flags.Moving }
 
-// HasNoInbound tells whether the machine's heartbeats arrive while responses and commands to it
+// HasNoInbound reports whether the machine's heartbeats arrive while responses and commands to it
 // are lost.
 func (m *Machine) HasNoInbound() bool { return m.flags.NoInbound }
 
-// ProbeUnanswered tells whether the machine did not answer a probe and has not reported since.
+// ProbeUnanswered reports whether the machine did not answer a probe and has not reported since.
 func (m *Machine) ProbeUnanswered() bool { return m.flags.ProbeUnanswered }
 
-// HeartbeatOverdue tells whether a heartbeat should have arrived by now and has not.
+// HeartbeatOverdue reports whether a heartbeat should have arrived by now and has not.
 func (m *Machine) HeartbeatOverdue() bool { return m.flags.HeartbeatOverdue }
 
-// AcceptsTasks tells whether nothing in the machine's condition forbids to start tasks on it. Its
+// AcceptsTasks reports whether nothing in the machine's condition forbids to start tasks on it. Its
 // shard may still be owned by another controller.
 func (m *Machine) AcceptsTasks() bool { return m.flags.acceptsTasks() }
 
@@ -142,7 +142,7 @@
 	return time.Duration(now.UnixMilli()-m.record.RegisteredAtMS) * time.Millisecond
 }
 
-// HasImage tells whether a task with an image was seen on the machine in this agent session.
+// HasImage reports whether a task with an image was seen on the machine in this agent session.
 func (m *Machine) HasImage(image string) bool { return m.images[image] }
 
 // AssignmentCount returns the number of the machine's assignments.
@@ -166,7 +166,7 @@
 	return capacity.Group{Zone: m.record.Zone, MachineType: m.record.MachineType, Spot: m.record.Spot}
 }
 
-// RunsOnlyBestEffort tells whether the machine is used for nothing but work that is no reason to
+// RunsOnlyBestEffort reports whether the machine is used for nothing but work that is no reason to
 // keep it.
 func (m *Machine) RunsOnlyBestEffort() bool {
 	if len(m.assignments) == 0 {
@@ -208,7 +208,7 @@
 	}
 }
 
-// IsOnMachine tells whether an assignment is the one that its machine has for the task.
+// IsOnMachine reports whether an assignment is the one that its machine has for the task.
 func IsOnMachine(a *Assignment) bool { return a.machine.assignments[a.name] == a }
 
 // ClearAssignments removes all assignments of a machine.
@@ -226,7 +226,7 @@
 	}
 }
 
-// BeginRecount tells whether a machine is to be put on the list of those to be counted again: it
+// BeginRecount reports whether a machine is to be put on the list of those to be counted again: it
 // is not on it yet.
 func BeginRecount(m *Machine) bool {
 	if m.recountPending {
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -67,7 +67,7 @@
 // that of the job's record.
 func (r *TaskRange) Revision() uint64 { return r.revision }
 
-// IsOwned tells whether the range's tasks are known, since this controller owns its shard.
+// IsOwned reports whether the range's tasks are known, since this controller owns its shard.
 func (r *TaskRange) IsOwned() bool { return r.tasks != nil }
 
 // Len returns the number of tasks that are known here; 0 if the shard is not owned here.
@@ -103,13 +103,13 @@
 // LastPlacedAt returns when a task of the range was last placed on a machine, zero if none was.
 func (r *TaskRange) LastPlacedAt() time.Time { return r.lastPlacedAt }
 
-// IsTentative tells whether the range's claim is not durable yet.
+// IsTentative reports whether the range's claim is not durable yet.
 func (r *TaskRange) IsTentative() bool { return r.tentative }
 
-// IsInline tells whether the range's claim is in the job's own record.
+// IsInline reports whether the range's claim is in the job's own record.
 func (r *TaskRange) IsInline() bool { return r.inline }
 
-// IsDeleting tells whether a deletion of the range's record is in flight.
+// IsDeleting reports whether a deletion of the range's record is in flight.
 func (r *TaskRange) IsDeleting() bool { return r.deleting }
 
 // SetDeleting notes whether a deletion of the range's record is in flight.
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -9,7 +9,7 @@
 // DoneTasks returns how many of the range's tasks are done, recorded or not.
 func (r *TaskRange) DoneTasks() int { return r.recordedDone + len(r.unrecordedDone) }
 
-// IsComplete tells whether all of the range's tasks are done.
+// IsComplete reports whether all of the range's tasks are done.
 func (r *TaskRange) IsComplete() bool { return r.DoneTasks() == r.record.Count }
 
 // UnrecordedDone returns how many tasks are done without being recorded so, and since when the
@@ -38,7 +38,7 @@
 	return record
 }
 
-// HasWriteInFlight tells whether a write of this controller that records done tasks is in flight.
+// HasWriteInFlight reports whether a write of this controller that records done tasks is in flight.
 func (r *TaskRange) HasWriteInFlight() bool { return r.writeInFlight }
 
 // BeginWrite notes that a write of the range's record begins.
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -43,14 +43,14 @@
 // being given back.
 func (r *TaskRange) behindUnclaimed() int { return r.unclaiming.First + r.unclaiming.Count }
 
-// IsSplitAt tells whether a record that ends the range before a task shows that a split of the
+// IsSplitAt reports whether a record that ends the range before a task shows that a split of the
 // range, written by this controller, is durable.
 func IsSplitAt(r *TaskRange, count int) bool {
 	return r != nil && r.tasks != nil && r.unclaiming.Count > 0 &&
 		count == r.unclaiming.First && r.behindUnclaimed() < len(r.tasks)
 }
 
-// IsSplitBy tells whether a range record shows that a split of the range is durable: it is the
+// IsSplitBy reports whether a range record shows that a split of the range is durable: it is the
 // record of what is left before the tasks given back, or of what is behind them, whichever is
 // seen first.
 func IsSplitBy(r *TaskRange, first int, record jobs.RangeRecord, revision uint64) bool {
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -16,7 +16,7 @@
 // Machines yields all recorded machines, in no order.
 func (s *State) Machines() iter.Seq[*Machine] { return maps.Values(s.machines) }
 
-// IsCurrentMachine tells whether a machine is still the one that is recorded under its name.
+// IsCurrentMachine reports whether a machine is still the one that is recorded under its name.
 func (s *State) IsCurrentMachine(machine *Machine) bool { return s.machines[machine.Host()] == machine }
 
 // OwnedShard returns the machine's shard if this controller owns it, else nil.
@@ -28,7 +28,7 @@
 	return shard
 }
 
-// IsUsable tells whether tasks may be started on a machine.
+// IsUsable reports whether tasks may be started on a machine.
 func (s *State) IsUsable(machine *Machine) bool {
 	return machine.AcceptsTasks() && s.OwnedShard(machine) != nil
 }
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -80,7 +80,7 @@
 // to keep running, it is only to be stopped.
 func (s *State) RestoreAssignment(machine *Machine, previous PreviousAssignment, keepsRunning bool, now time.Time) {
 	if previous.Progress.IsPlanned() && !keepsRunning {
-		return // the worker was never told of it: it could not be stopped and would never leave
+		return // no command for it was ever sent: the worker could not stop it, and it would never leave
 	}
 	assignment := s.Adopt(machine, previous.TaskStatus, keepsRunning)
 	status := entity.Status(assignment)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -79,7 +79,7 @@
 // MarkDirty notes that something has changed on which scheduling decisions depend.
 func (s *State) MarkDirty() { s.dirty = true }
 
-// IsDirty tells whether anything has changed since ClearDirty on which scheduling decisions
+// IsDirty reports whether anything has changed since ClearDirty on which scheduling decisions
 // depend.
 func (s *State) IsDirty() bool { return s.dirty }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// IsCurrentTaskRange tells whether a range is still its job's, and the job has not ended.
+// IsCurrentTaskRange reports whether a range is still its job's, and the job has not ended.
 func (s *State) IsCurrentTaskRange(taskRange *TaskRange) bool {
 	job := taskRange.Job()
 	return entity.IsCurrent(taskRange) && s.jobs[job.Ref()] == job && !job.HasEnded()
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -46,7 +46,7 @@
 	isFaulty       bool
 }
 
-// Attribution is what a failure shows. The zero value blames nobody.
+// Attribution is what a failure shows. The zero value finds nobody at fault.
 type Attribution struct {
 	// JobPause is how long the job has to wait since it is found at fault; 0 if it is not.
 	JobPause time.Duration
@@ -100,7 +100,7 @@
 	return Attribution{}
 }
 
-// isJobAtFault tells whether the failures of a job that has never succeeded are its own fault.
+// isJobAtFault reports whether the failures of a job that has never succeeded are its own fault.
 // After the first pause a single failing trial is enough for the next, longer one.
 func (a *Attributor) isJobAtFault(job *jobEvidence, thresholds Thresholds) bool {
 	if job.hasSucceeded {
@@ -166,7 +166,7 @@
 	return evidence
 }
 
-// attributeToMachine tells whether a machine is newly found at fault. Faulty jobs that happen
+// attributeToMachine reports whether a machine is newly found at fault. Faulty jobs that happen
 // to meet on it must not suffice, however many they are: one of the jobs must have succeeded
 // elsewhere.
 func (a *Attributor) attributeToMachine(machine *machineEvidence, thresholds Thresholds) bool {
@@ -216,19 +216,19 @@
 	return unproven
 }
 
-// ShouldAvoid tells whether a job should not be tried on a machine since it failed there.
+// ShouldAvoid reports whether a job should not be tried on a machine since it failed there.
 func (a *Attributor) ShouldAvoid(ref, host string) bool {
 	job := a.jobs[ref]
 	return job != nil && job.failuresByMachine[host] > 0
 }
 
-// IsPaused tells whether a job at fault has to wait.
+// IsPaused reports whether a job at fault has to wait.
 func (a *Attributor) IsPaused(ref string, now time.Time) bool {
 	job := a.jobs[ref]
 	return job != nil && now.Before(job.pausedUntil)
 }
 
-// IsJobFaulty tells whether a job is at fault as far as is known: a few of its tasks may be
+// IsJobFaulty reports whether a job is at fault as far as is known: a few of its tasks may be
 // tried, but nothing is preempted, reserved or scaled out for it.
 func (a *Attributor) IsJobFaulty(ref string) bool {
 	job := a.jobs[ref]
@@ -246,7 +246,7 @@
 	return refs
 }
 
-// IsSuspected tells whether a machine is not to be used for the moment.
+// IsSuspected reports whether a machine is not to be used for the moment.
 func (a *Attributor) IsSuspected(host string, now time.Time) bool {
 	machine := a.machines[host]
 	return machine != nil && now.Before(machine.suspectedUntil)
--- a/internal/jobdag/node.go
+++ b/internal/jobdag/node.go
@@ -25,15 +25,15 @@
 	readyAt            time.Time
 }
 
-// isUnknown tells whether neither a record nor a final state of the job is known.
+// isUnknown reports whether neither a record nor a final state of the job is known.
 func (n *Node) isUnknown() bool { return n.record == nil && n.finalState == Unfinished }
 
-// IsBlocked tells whether the job may not run now: it waits for dependencies, or can never run.
+// IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run.
 func (n *Node) IsBlocked() bool {
 	return n != nil && n.record != nil && (n.openDependencies > 0 || n.cancelledByDependency)
 }
 
-// IsCancelledByDependency tells whether the job can never run because a dependency, direct or
+// IsCancelledByDependency reports whether the job can never run because a dependency, direct or
 // indirect, is cancelled.
 func (n *Node) IsCancelledByDependency() bool { return n != nil && n.cancelledByDependency }
 
