--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -112,10 +112,10 @@
 	}
 	set, _ := a.cache.Settings()
 	l := set.ClassLimits[spec.Class] // none: no limit of these
-	switch tasks, runs := l.Exceeded(spec); {
-	case tasks:
+	switch {
+	case l.ExceededByTasks(spec):
 		err = fmt.Errorf("%w: %d tasks, but class %s allows %d", admission.ErrUnsatisfiable, spec.Tasks, spec.Class, l.MaxTasks)
-	case runs:
+	case l.ExceededByRunTime(spec):
 		err = fmt.Errorf("%w: an estimate of %g s, but class %s allows %g", admission.ErrUnsatisfiable, spec.EstimatedRunSeconds, spec.Class, l.MaxRunSeconds)
 	}
 	return true, err
--- /dev/null
+++ b/internal/jobs/record_test.go
@@ -0,0 +1,45 @@
+package jobs
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// Property: taking and returning unclaimed tasks in any order loses and duplicates none.
+func TestUnclaimedIntervalsKeepEveryTask(t *testing.T) {
+	random := rand.New(rand.NewPCG(3, 4))
+	unclaimed := []TaskInterval{{0, 500}}
+	var claimed []TaskInterval
+	for range 3000 {
+		if len(unclaimed) > 0 && random.IntN(2) == 0 {
+			var taken TaskInterval
+			taken, unclaimed = TakeUnclaimed(unclaimed, 1+random.IntN(60))
+			claimed = append(claimed, taken)
+		} else if len(claimed) > 0 {
+			i := random.IntN(len(claimed))
+			returned := claimed[i]
+			claimed = append(claimed[:i], claimed[i+1:]...)
+			if kept := random.IntN(returned.Count); kept > 0 { // only the tail is returned
+				claimed = append(claimed, TaskInterval{returned.First, kept})
+				returned = TaskInterval{returned.First + kept, returned.Count - kept}
+			}
+			unclaimed = ReturnUnclaimed(unclaimed, returned)
+		}
+		expectEachTaskOnce(t, append(append([]TaskInterval{}, unclaimed...), claimed...), 500)
+	}
+}
+
+func expectEachTaskOnce(t *testing.T, intervals []TaskInterval, tasks int) {
+	t.Helper()
+	seen := make([]int, tasks)
+	for _, interval := range intervals {
+		for i := interval.First; i < interval.First+interval.Count; i++ {
+			seen[i]++
+		}
+	}
+	for i, n := range seen {
+		if n != 1 {
+			t.Fatalf("task %d is in %d intervals", i, n)
+		}
+	}
+}
--- a/internal/pipeline/plan.go
+++ b/internal/pipeline/plan.go
@@ -503,11 +503,10 @@
 	if j.Retries > l.MaxRetries {
 		c.addProblem(at("retry"), "%s.retry: %d, but class %s allows %d", base, j.Retries, j.Spec.Class, l.MaxRetries)
 	}
-	tasks, runs := l.Exceeded(&j.Spec)
-	if tasks {
+	if l.ExceededByTasks(&j.Spec) {
 		c.addProblem(at("cluster", "tasks"), "%s.cluster.tasks: %d, but class %s allows %d", base, j.Spec.Tasks, j.Spec.Class, l.MaxTasks)
 	}
-	if runs {
+	if l.ExceededByRunTime(&j.Spec) {
 		c.addProblem(at("cluster", "estimate_s"), "%s.cluster.estimate_s: %g, but class %s allows %g", base, j.Spec.EstimatedRunSeconds, j.Spec.Class, l.MaxRunSeconds)
 	}
 }
