--- /dev/null
+++ b/internal/autoscaler/boottimes.go
@@ -0,0 +1,92 @@
+package autoscaler
+
+import (
+	"math"
+	"time"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/forecast"
+	"cherrywall/internal/scheduler"
+	"cherrywall/internal/tuning"
+)
+
+func typeZoneOf(group capacity.Group) forecast.TypeZone {
+	return forecast.TypeZone{MachineType: group.MachineType, Zone: group.Zone}
+}
+
+// updatePending removes the pending machines that have sent a heartbeat, whose boot times are
+// learned, and those that are given up.
+func (a *Autoscaler) updatePending(demand scheduler.Demand) {
+	for host, pending := range a.pending {
+		age := time.Since(pending.requestedAt)
+		switch {
+		case demand.RecordedMachines[host]:
+			a.bootTimes.Observe(typeZoneOf(pending.group), pending.requestedAt, age)
+			delete(a.pending, host)
+		case age.Seconds() > a.bootTimeoutSeconds(pending.group)+tuning.PendingMachineGracePeriod.Seconds():
+			delete(a.pending, host)
+		}
+	}
+	for host := range demand.RecordedMachines {
+		a.hasReported[host] = true
+	}
+}
+
+// updateBootTimes estimates the boot time of each machine type in each zone from recent boots
+// and from the ages of the pending machines.
+func (a *Autoscaler) updateBootTimes(demand scheduler.Demand) {
+	pendingAges := map[forecast.TypeZone][]float64{}
+	for _, pending := range a.pending {
+		typeZone := typeZoneOf(pending.group)
+		pendingAges[typeZone] = append(pendingAges[typeZone], time.Since(pending.requestedAt).Seconds())
+	}
+	a.expectedBootSeconds = map[forecast.TypeZone]float64{}
+	longest := map[string]float64{}
+	for typeName, machineType := range a.machineTypes {
+		initial := machineType.StartupS
+		if recorded, ok := demand.BootSeconds[typeName]; ok && !a.bootTimes.HasSamples(typeName) {
+			initial = recorded // learned by another controller
+		}
+		for _, zone := range machineType.Zones {
+			typeZone := forecast.TypeZone{MachineType: typeName, Zone: zone}
+			a.expectedBootSeconds[typeZone] = a.bootTimes.ExpectedSeconds(typeZone, initial, pendingAges[typeZone], time.Now())
+			longest[typeName] = max(longest[typeName], a.expectedBootSeconds[typeZone])
+		}
+	}
+	a.controller.SetBootTimes(longest)
+}
+
+// bootSeconds is the expected boot time of a group, as stated by the cloud if nothing was
+// learned.
+func (a *Autoscaler) bootSeconds(group capacity.Group) float64 {
+	if seconds, ok := a.expectedBootSeconds[typeZoneOf(group)]; ok {
+		return seconds
+	}
+	return a.machineTypes[group.MachineType].StartupS
+}
+
+// bootTimeoutSeconds is the age at which a machine that still boots is released: later if other
+// machines of the group boot slowly, too.
+func (a *Autoscaler) bootTimeoutSeconds(group capacity.Group) float64 {
+	stated := a.machineTypes[group.MachineType].StartupS
+	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), stated), tuning.MaxBootTimeoutFactor*stated)
+}
+
+// pendingWeight is the fraction, 0 to 1, as which a pending machine counts: less the longer it
+// is overdue.
+func (a *Autoscaler) pendingWeight(pending *pendingMachine) float64 {
+	return forecast.PendingWeight(time.Since(pending.requestedAt).Seconds(), a.bootSeconds(pending.group))
+}
+
+// expectedMachines is the number of pending machines that are likely to boot soon, by group.
+func (a *Autoscaler) expectedMachines() map[capacity.Group]int {
+	weights := map[capacity.Group]float64{}
+	for _, pending := range a.pending {
+		weights[pending.group] += a.pendingWeight(pending)
+	}
+	counts := map[capacity.Group]int{}
+	for group, weight := range weights {
+		counts[group] = int(math.Round(weight))
+	}
+	return counts
+}
--- /dev/null
+++ b/internal/autoscaler/choose.go
@@ -0,0 +1,80 @@
+package autoscaler
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/cloud"
+	"cherrywall/internal/scheduler"
+	"cherrywall/internal/tuning"
+)
+
+// zones returns all zones in which the cloud offers machines.
+func (a *Autoscaler) zones() map[string]bool {
+	zones := map[string]bool{}
+	for _, machineType := range a.machineTypes {
+		for _, zone := range machineType.Zones {
+			zones[zone] = true
+		}
+	}
+	return zones
+}
+
+// fits reports whether a task of the job can run on a machine of the group.
+func (a *Autoscaler) fits(job scheduler.PendingJob, group capacity.Group) bool {
+	machineType, ok := a.machineTypes[group.MachineType]
+	return ok && job.Record.Allows(group) && slices.Contains(machineType.Zones, group.Zone) &&
+		capacity.FitCount(machineType.Total(), job.Need) > 0
+}
+
+// chooseGroup returns the group with the lowest price per task, in the given zone only if it is
+// not "". Among similar prices a job that must stay in one zone prefers the zone with the most
+// machines, any other job the one with the fewest. ok is false if no machine can be had.
+func (a *Autoscaler) chooseGroup(job scheduler.PendingJob, spotAllowed bool, machinesInZone map[string]int, onlyZone string, tasks int) (best capacity.Group, ok bool) {
+	lowestCost := 0.0
+	for typeName, machineType := range a.machineTypes {
+		for _, zone := range machineType.Zones {
+			if onlyZone != "" && zone != onlyZone {
+				continue
+			}
+			for _, spot := range []bool{true, false} {
+				group := capacity.Group{Zone: zone, MachineType: typeName, Spot: spot}
+				if !a.canRequest(job, group, spotAllowed) {
+					continue
+				}
+				cost := groupCost(job, machineType, spot, tasks, machinesInZone[zone])
+				if !ok || cost < lowestCost || cost == lowestCost && fmt.Sprint(group) < fmt.Sprint(best) {
+					best, lowestCost, ok = group, cost, true
+				}
+			}
+		}
+	}
+	return best, ok
+}
+
+// canRequest reports whether a machine of the group may be requested for the job: spot machines
+// if the operators allow them, on-demand machines if the job is worth one, and neither shortly
+// after the cloud had no capacity.
+func (a *Autoscaler) canRequest(job scheduler.PendingJob, group capacity.Group, spotAllowed bool) bool {
+	if group.Spot && !spotAllowed || !group.Spot && job.Leftover {
+		return false
+	}
+	return a.fits(job, group) && time.Since(a.refusedAt[group]) >= tuning.CapacityRefusalBackoff
+}
+
+// groupCost is the hourly price per task that a machine holds, weighted a little by the number
+// of machines in its zone.
+func groupCost(job scheduler.PendingJob, machineType cloud.MachineType, spot bool, tasks, machinesInZone int) float64 {
+	price := machineType.HourlyPrice
+	if spot {
+		price = machineType.SpotHourlyPrice
+	}
+	tasksPerMachine := min(tasks, capacity.FitCount(machineType.Total(), job.Need))
+	cost := price / float64(tasksPerMachine)
+	if job.Record.OneZone {
+		return cost * (1 - tuning.TieBreakWeight*float64(machinesInZone))
+	}
+	return cost * (1 + tuning.TieBreakWeight*float64(machinesInZone))
+}
--- /dev/null
+++ b/internal/autoscaler/lease.go
@@ -0,0 +1,75 @@
+package autoscaler
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// ownerKey is the record that names the controller which scales out. It is bound to that
+// controller's lease and disappears with it.
+const ownerKey = jobs.Prefix + "fleet/holder"
+
+// leaseRenewalsPerTTL is how many times the lease is renewed before it would expire.
+const leaseRenewalsPerTTL = 3
+
+// ensureLease renews the autoscaler lease or tries to acquire it, and reports whether this
+// controller holds it.
+func (a *Autoscaler) ensureLease(ctx context.Context) bool {
+	if a.leaseID != 0 {
+		return a.renewLease(ctx)
+	}
+	return a.acquireLease(ctx)
+}
+
+// renewLease renews the lease when that is due. After an error other than the lease's expiry,
+// the lease is kept and renewed again at the next call.
+func (a *Autoscaler) renewLease(ctx context.Context) bool {
+	now := time.Now()
+	if now.Sub(a.leaseRenewedAt) < tuning.AutoscalerLeaseTTL/leaseRenewalsPerTTL {
+		return true
+	}
+	err := a.store.KeepAlive(ctx, a.leaseID)
+	if err == nil {
+		a.leaseRenewedAt = now
+		return true
+	}
+	if errors.Is(err, kvstore.ErrExpired) {
+		a.leaseID = 0
+	}
+	return false
+}
+
+// acquireLease creates the owner record under a new lease, on the precondition that no other
+// controller has one. Pending machines and the machine list are learned anew.
+func (a *Autoscaler) acquireLease(ctx context.Context) bool {
+	now := time.Now()
+	if _, found, _, err := a.store.Get(ctx, kvstore.Background, ownerKey); err != nil || found {
+		return false
+	}
+	leaseID, err := a.store.GrantLease(ctx, tuning.AutoscalerLeaseTTL)
+	if err != nil {
+		return false
+	}
+	value, err := json.Marshal(a.node)
+	if err != nil {
+		return false
+	}
+	result, err := a.store.Commit(ctx, kvstore.Normal, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: ownerKey}},
+		Writes:     []kvstore.Write{{Key: ownerKey, Value: value, LeaseID: leaseID}},
+	})
+	if err != nil || !result.Succeeded {
+		return false
+	}
+	a.log.Info("autoscaler lease acquired")
+	a.leaseID, a.leaseRenewedAt = leaseID, now
+	a.pending = map[string]*pendingMachine{}
+	a.listedAt = time.Time{}
+	return true
+}
--- /dev/null
+++ b/internal/autoscaler/listing.go
@@ -0,0 +1,114 @@
+package autoscaler
+
+import (
+	"context"
+	"time"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/cloud"
+	"cherrywall/internal/scheduler"
+	"cherrywall/internal/tuning"
+)
+
+// Statuses in the cloud's machine list; any other means that the machine runs.
+const (
+	listedAsFailed  = "failed"
+	listedAsBooting = "booting"
+)
+
+// refreshListing reads the machine list and reviews it. After an error it is read again in the
+// next cycle.
+func (a *Autoscaler) refreshListing(ctx context.Context, demand scheduler.Demand) {
+	listing, err := a.provider.List(ctx)
+	if err != nil {
+		a.log.Info("reading machine list failed", "error", err)
+		return
+	}
+	a.listedAt = time.Now()
+	a.updateBootTimes(demand)
+	a.reviewListing(ctx, listing, demand)
+}
+
+// reviewListing releases machines that failed, that do not boot, and that run without ever
+// sending a heartbeat, and adds unknown booting machines to the pending ones.
+func (a *Autoscaler) reviewListing(ctx context.Context, listing []cloud.Machine, demand scheduler.Demand) {
+	now := time.Now()
+	var unusable []string
+	listed := map[string]bool{}
+	for _, machine := range listing {
+		listed[machine.Host] = true
+		if a.reviewMachine(machine, demand, now) {
+			unusable = append(unusable, machine.Host)
+		}
+	}
+	a.forgetUnlisted(listed, demand, now)
+	a.releaseUnusable(ctx, unusable)
+}
+
+// reviewMachine updates what is known of a listed machine. It reports whether the machine is
+// unusable and must be released.
+func (a *Autoscaler) reviewMachine(machine cloud.Machine, demand scheduler.Demand, now time.Time) (unusable bool) {
+	host := machine.Host
+	_, isLive := demand.LiveMachines[host]
+	bootTimeout := a.bootTimeoutSeconds(capacity.Group{MachineType: machine.MachineType, Zone: machine.Zone})
+	switch {
+	case machine.Status == listedAsFailed:
+		return true
+	case isLive || demand.RecordedMachines[host]:
+		delete(a.unreportedSince, host)
+	case machine.Status == listedAsBooting && machine.AgeS > bootTimeout:
+		return true
+	case a.hasReported[host]:
+		// It has sent heartbeats and was released since: the list lags behind.
+	case machine.Status == listedAsBooting:
+		if a.pending[host] == nil {
+			age := time.Duration(machine.AgeS * float64(time.Second))
+			group := capacity.Group{Zone: machine.Zone, MachineType: machine.MachineType, Spot: machine.Spot}
+			a.pending[host] = &pendingMachine{group: group, requestedAt: now.Add(-age)}
+		}
+	case a.unreportedSince[host].IsZero():
+		// It runs, but its worker has sent no heartbeat yet.
+		a.unreportedSince[host] = now
+	default:
+		return now.Sub(a.unreportedSince[host]).Seconds() > bootTimeout
+	}
+	return false
+}
+
+// forgetUnlisted forgets machines that the cloud no longer lists.
+func (a *Autoscaler) forgetUnlisted(listed map[string]bool, demand scheduler.Demand, now time.Time) {
+	for host := range a.unreportedSince {
+		if !listed[host] {
+			delete(a.unreportedSince, host)
+		}
+	}
+	for host := range a.hasReported {
+		if !listed[host] && !demand.RecordedMachines[host] {
+			delete(a.hasReported, host)
+		}
+	}
+	for host, pending := range a.pending {
+		// It was preempted or released before it ever sent a heartbeat.
+		if !listed[host] && now.Sub(pending.requestedAt) > 2*a.listLag+tuning.ListAbsenceMargin {
+			delete(a.pending, host)
+		}
+	}
+}
+
+// releaseUnusable releases unusable machines, as many as one request may name. The others are
+// found again in the next list.
+func (a *Autoscaler) releaseUnusable(ctx context.Context, hosts []string) {
+	if len(hosts) == 0 {
+		return
+	}
+	hosts = hosts[:min(len(hosts), tuning.MaxScaleInPerRequest)]
+	a.log.Info("releasing unusable machines", "workers", hosts)
+	if err := a.provider.Release(ctx, hosts); err != nil {
+		a.log.Info("machine release failed", "workers", hosts, "error", err)
+		return
+	}
+	for _, host := range hosts {
+		delete(a.pending, host)
+		delete(a.unreportedSince, host)
+	}
+}
