--- a/internal/forecast/load.go
+++ b/internal/forecast/load.go
@@ -1,6 +1,6 @@
-// Package forecast tells what is likely to come from what was seen: the load
-// of a class of jobs, and when rented machines will be up. Pure functions and
-// small records; whoever owns them passes the time.
+// Package forecast estimates the near future from recent observations: the load of a class of
+// jobs, and the boot times of requested machines. It has no clock and no locks; callers pass the
+// time.
 package forecast
 
 import (
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Arrival is one job of a class: when it came and how much it was.
+// Arrival is the submission of one job.
 type Arrival struct {
 	ArrivedAt  time.Time
-	CPUSeconds float64 // CPU seconds, as expected
+	CPUSeconds float64 // expected work of the whole job
 }
 
-// ExpectedLoad is how many CPUs a class is likely to use at once: the mean of what came
-// within the window, and one deviation of it. Each job counts as spread over
-// horizon, the time (seconds) it may take, so a class of few large urgent jobs
-// deviates more than one of many small patient ones.
-func ExpectedLoad(seen []Arrival, now time.Time, window time.Duration, horizon float64) float64 {
+// ExpectedLoad returns the number of CPUs that a class of jobs is likely to use at once: the mean
+// of the arrivals within the window plus one standard deviation. Each job counts as spread over
+// the horizon, the time in seconds that it may take, so a class of few large urgent jobs deviates
+// more than one of many small jobs with late deadlines.
+func ExpectedLoad(arrivals []Arrival, now time.Time, window time.Duration, horizon float64) float64 {
 	var first time.Time
-	sum, squares := 0.0, 0.0
-	for _, arrival := range seen {
+	sum, sumOfSquares := 0.0, 0.0
+	for _, arrival := range arrivals {
 		if now.Sub(arrival.ArrivedAt) > window {
 			continue
 		}
@@ -29,12 +29,12 @@
 			first = arrival.ArrivedAt
 		}
 		sum += arrival.CPUSeconds
-		squares += arrival.CPUSeconds * arrival.CPUSeconds
+		sumOfSquares += arrival.CPUSeconds * arrival.CPUSeconds
 	}
 	if first.IsZero() || horizon <= 0 {
 		return 0
 	}
-	// A class seen for less than its horizon tells nothing of its rate yet.
-	span := max(now.Sub(first).Seconds(), horizon)
-	return sum/span + math.Sqrt(squares/(horizon*span))
+	// A class observed for less than its horizon says nothing about its rate yet.
+	observed := max(now.Sub(first).Seconds(), horizon)
+	return sum/observed + math.Sqrt(sumOfSquares/(horizon*observed))
 }
