--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,5 +1,5 @@
-// Package order tells by when waiting jobs should start: it is what they are ordered
-// by inside a priority.
+// Package deadline computes by when a waiting job should start so that its deadline and the
+// objectives of its class are met. Jobs of the same priority are queued by this time.
 package deadline
 
 import (
@@ -11,21 +11,21 @@
 	"cherrywall/internal/tuning"
 )
 
-// Job is what the order of a job depends on.
+// Job is what the latest start of a job depends on.
 type Job struct {
-	Record *jobs.JobRecord
-	// RunnableSinceMS is the time of day (Unix ms) from which on it could have run.
-	RunnableSinceMS   int64
-	RunSeconds        float64 // expected run time of a task, seconds
-	CompletionSeconds float64 // expected time to its end for the sake of jobs behind it, seconds
-	// DeadlinesMS are times (Unix ms) by which it should be done, see depend.Node: of its own
-	// deadline, or one that a job behind it has. depend.Never: none.
+	Record            *jobs.JobRecord
+	RunnableSinceMS   int64   // time of day (Unix ms) since which it could have run
+	RunSeconds        float64 // expected run time of a task
+	CompletionSeconds float64 // expected time until jobs that depend on it can start
+	// DeadlinesMS are the times of day (Unix ms) by which it should be finished, for its own
+	// deadline and for those of the jobs that depend on it; jobdag.NoDeadline for none.
 	DeadlinesMS [2]int64
 }
 
-// StartByMS is the time (Unix ms) by which a job should start: for a service its arrival, for an array the deadline, or the
-// aim of its class, less the run time. An array that is too late for one aim is held to
-// the next, and at last comes after those that can still be in time. Gangs: see gang.
+// StartByMS is the time of day (Unix ms) by which a job should start: for a service its arrival; for
+// an array its next deadline or objective, less the run time. An array that is too late for one
+// objective is held to the next one, and if there is none left it comes after those that can still
+// meet theirs. For gangs see gangStartByMS.
 func StartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	switch job.Record.Kind {
 	case jobs.Gang:
@@ -33,62 +33,68 @@
 	case jobs.Service:
 		return job.Record.AcceptedAtMS
 	}
-	if by, ok := nextObjectiveStartMS(job, objectives, now); ok {
-		return by
+	if startByMS, ok := nextObjectiveStartMS(job, objectives, now); ok {
+		return startByMS
 	}
 	return job.RunnableSinceMS + tuning.AgingPeriod.Milliseconds()
 }
 
-// IsObjectiveAtRisk tells whether an aim that a job can still meet is lost soon.
+// IsObjectiveAtRisk reports whether a job has to start within DeadlineAtRiskMargin to meet a
+// deadline or objective that it can still meet.
 func IsObjectiveAtRisk(job Job, objectives []config.Objective, now time.Time) bool {
-	by, ok := nextObjectiveStartMS(job, objectives, now)
-	return ok && by < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli()
+	startByMS, ok := nextObjectiveStartMS(job, objectives, now)
+	return ok && isAtRisk(startByMS, now)
 }
 
-// nextObjectiveStartMS is the latest start (Unix ms) with which the first aim that the job can
-// still meet is met; ok is false if there is none left.
-func nextObjectiveStartMS(job Job, objectives []config.Objective, now time.Time) (by int64, ok bool) {
-	consider := func(t int64) {
-		if t >= now.UnixMilli() && (!ok || t < by) {
-			by, ok = t, true
+func isAtRisk(startByMS int64, now time.Time) bool {
+	return startByMS < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli()
+}
+
+// nextObjectiveStartMS is the latest start (Unix ms) that meets the first deadline or objective that
+// the job can still meet; ok is false if there is none left.
+func nextObjectiveStartMS(job Job, objectives []config.Objective, now time.Time) (startByMS int64, ok bool) {
+	consider := func(latestStartMS int64) {
+		if latestStartMS >= now.UnixMilli() && (!ok || latestStartMS < startByMS) {
+			startByMS, ok = latestStartMS, true
 		}
 	}
-	for _, t := range job.DeadlinesMS {
-		if t != jobdag.NoDeadline {
-			consider(t - int64(max(job.RunSeconds, job.CompletionSeconds)*1000))
+	for _, deadlineMS := range job.DeadlinesMS {
+		if deadlineMS != jobdag.NoDeadline {
+			consider(deadlineMS - milliseconds(max(job.RunSeconds, job.CompletionSeconds)))
 		}
 	}
-	for _, o := range objectives {
+	for _, objective := range objectives {
 		switch {
-		case o.Class != job.Record.Class:
-		case o.Kind == config.ObjectiveFinished:
-			consider(job.RunnableSinceMS + int64((o.WithinSeconds-job.RunSeconds)*1000))
-		case o.Kind == config.ObjectiveStarted && job.Record.Kind == jobs.Gang:
-			consider(job.RunnableSinceMS + int64(o.WithinSeconds*1000))
+		case objective.Class != job.Record.Class:
+		case objective.Kind == config.ObjectiveFinished:
+			consider(job.RunnableSinceMS + milliseconds(objective.WithinSeconds-job.RunSeconds))
+		case objective.Kind == config.ObjectiveStarted && job.Record.Kind == jobs.Gang:
+			consider(job.RunnableSinceMS + milliseconds(objective.WithinSeconds))
 		}
 	}
-	return by, ok
+	return startByMS, ok
 }
 
-// gangStartByMS orders waiting gangs. With room for all of them any order would do. In
-// an overload, by arrival, everybody was late: of a minute with three times the
-// usual gangs those that came long after it still waited behind it. So the
-// gangs whose next aim is at stake go first, then those that can wait for
-// theirs, then those too late for any, each time the shortest first: most of them
-// are in time then. Who has waited for LateAfter goes before all, so nobody is
-// starved.
+func milliseconds(seconds float64) int64 { return int64(seconds * 1000) }
+
+// gangStartByMS orders waiting gangs. If all of them fit, any order would do. In an overload, when
+// they were ordered by arrival, every gang was late: after a minute with three times the usual
+// gangs, those that arrived long after it still waited behind it. Therefore gangs whose next
+// objective is at risk go first, then those that can still wait, then those that are too late for
+// all, each time the shortest first, so that most of them are in time. To starve none, a gang that
+// has waited for AgingPeriod goes before all others.
 func gangStartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	age := time.Duration(now.UnixMilli()-job.RunnableSinceMS) * time.Millisecond
 	if age > tuning.AgingPeriod || len(objectives) == 0 {
 		return job.RunnableSinceMS
 	}
-	by, inTime := nextObjectiveStartMS(job, objectives, now)
-	shortest := int64(job.RunSeconds * 1000)
+	startByMS, isInTime := nextObjectiveStartMS(job, objectives, now)
+	runMS := milliseconds(job.RunSeconds)
 	switch {
-	case inTime && by < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli():
-		return now.UnixMilli() + shortest
-	case inTime:
-		return now.Add(tuning.AgingPeriod).UnixMilli() + shortest
+	case isInTime && isAtRisk(startByMS, now):
+		return now.UnixMilli() + runMS
+	case isInTime:
+		return now.Add(tuning.AgingPeriod).UnixMilli() + runMS
 	}
-	return now.Add(2*tuning.AgingPeriod).UnixMilli() + shortest
+	return now.Add(2*tuning.AgingPeriod).UnixMilli() + runMS
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,61 +10,86 @@
 	"cherrywall/internal/jobs"
 )
 
-func sortedByStart(recs map[string]*jobs.JobRecord, objectives []config.Objective, now time.Time) []string {
+// sortedByStart returns the names of jobs in the order of the times by which they should start.
+func sortedByStart(records map[string]*jobs.JobRecord, objectives []config.Objective, now time.Time) []string {
 	var names []string
-	for n := range recs {
-		names = append(names, n)
+	for name := range records {
+		names = append(names, name)
 	}
-	by := func(n string) int64 {
-		rec := recs[n]
-		return StartByMS(Job{rec, rec.AcceptedAtMS, rec.EstimatedRunSeconds, 0, jobdag.OwnDeadlinesMS(rec, func(string) float64 { return 1 })}, objectives, now)
+	startByMS := func(name string) int64 {
+		record := records[name]
+		return StartByMS(Job{
+			Record:          record,
+			RunnableSinceMS: record.AcceptedAtMS,
+			RunSeconds:      record.EstimatedRunSeconds,
+			DeadlinesMS:     jobdag.OwnDeadlinesMS(record, func(string) float64 { return 1 }),
+		}, objectives, now)
 	}
-	slices.SortFunc(names, func(x, y string) int { return int(by(x) - by(y)) })
+	slices.SortFunc(names, func(x, y string) int { return int(startByMS(x) - startByMS(y)) })
 	return names
 }
 
-// By arrival everybody was late for minutes after a burst. What is at stake goes
-// first, the shortest of it before the others; nobody waits for ever.
-func TestGangsGoByWhatCanStillBeMet(t *testing.T) {
+// When gangs were queued by arrival, all of them were late for minutes after a burst. Those with an
+// objective at risk go first, the shortest before the others, and none starves.
+func TestGangsAreOrderedByObjectivesAtRisk(t *testing.T) {
 	now := time.Now()
-	objectives := []config.Objective{{Kind: config.ObjectiveStarted, Class: "sync", WithinSeconds: 15}, {Kind: config.ObjectiveFinished, Class: "sync", WithinSeconds: 200}}
-	gang := func(age time.Duration, estimate float64) *jobs.JobRecord {
-		return &jobs.JobRecord{Spec: jobs.Spec{Class: "sync", Kind: jobs.Gang, EstimatedRunSeconds: estimate}, AcceptedAtMS: now.Add(-age).UnixMilli()}
+	objectives := []config.Objective{
+		{Kind: config.ObjectiveStarted, Class: "sync", WithinSeconds: 15},
+		{Kind: config.ObjectiveFinished, Class: "sync", WithinSeconds: 200},
 	}
-	queue := map[string]*jobs.JobRecord{
-		"hopeless":    gang(199*time.Second, 60),
-		"patient":     gang(30*time.Second, 60),
-		"fresh-long":  gang(2*time.Second, 120),
-		"fresh-short": gang(time.Second, 20),
-		"last-moment": gang(130*time.Second, 60),
-		"forgotten":   gang(6*time.Minute, 500),
+	gang := func(age time.Duration, runSeconds float64) *jobs.JobRecord {
+		return &jobs.JobRecord{
+			Spec:         jobs.Spec{Class: "sync", Kind: jobs.Gang, EstimatedRunSeconds: runSeconds},
+			AcceptedAtMS: now.Add(-age).UnixMilli(),
+		}
 	}
-	want := []string{"forgotten", "fresh-short", "last-moment", "fresh-long", "patient", "hopeless"}
-	if got := sortedByStart(queue, objectives, now); !slices.Equal(got, want) {
-		t.Error(got, "want", want)
+	queue := map[string]*jobs.JobRecord{
+		"too late":      gang(199*time.Second, 60),
+		"not at risk":   gang(30*time.Second, 60),
+		"new and long":  gang(2*time.Second, 120),
+		"new and short": gang(time.Second, 20),
+		"at risk":       gang(130*time.Second, 60),
+		"aged":          gang(6*time.Minute, 500),
 	}
-	want = []string{"forgotten", "hopeless", "last-moment", "patient", "fresh-long", "fresh-short"}
-	if got := sortedByStart(queue, nil, now); !slices.Equal(got, want) {
-		t.Error("without aims:", got, "want the order of arrival", want)
+	for _, c := range []struct {
+		name       string
+		objectives []config.Objective
+		want       []string
+	}{
+		{"by objectives", objectives, []string{"aged", "new and short", "at risk", "new and long", "not at risk", "too late"}},
+		{"by arrival without objectives", nil, []string{"aged", "too late", "at risk", "not at risk", "new and long", "new and short"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := sortedByStart(queue, c.objectives, now); !slices.Equal(got, c.want) {
+				t.Errorf("order %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-func TestArraysGoByTheirNextAim(t *testing.T) {
+func TestArraysAreOrderedByNextObjective(t *testing.T) {
 	now := time.Now()
-	objectives := []config.Objective{{Kind: config.ObjectiveStarted, Class: "scan", WithinSeconds: 1}, {Kind: config.ObjectiveFinished, Class: "scan", WithinSeconds: 100},
-		{Kind: config.ObjectiveFinished, Class: "scan", WithinSeconds: 200}}
-	due := 40.0
-	array := func(age time.Duration, runs float64, due *float64) *jobs.JobRecord {
-		return &jobs.JobRecord{Spec: jobs.Spec{Class: "scan", Kind: jobs.Array, EstimatedRunSeconds: runs, DeadlineSeconds: due}, AcceptedAtMS: now.Add(-age).UnixMilli()}
+	objectives := []config.Objective{
+		{Kind: config.ObjectiveStarted, Class: "scan", WithinSeconds: 1},
+		{Kind: config.ObjectiveFinished, Class: "scan", WithinSeconds: 100},
+		{Kind: config.ObjectiveFinished, Class: "scan", WithinSeconds: 200},
+	}
+	deadlineSeconds := 40.0
+	array := func(age time.Duration, runSeconds float64, deadlineSeconds *float64) *jobs.JobRecord {
+		return &jobs.JobRecord{
+			Spec: jobs.Spec{Class: "scan", Kind: jobs.Array, EstimatedRunSeconds: runSeconds,
+				DeadlineSeconds: deadlineSeconds},
+			AcceptedAtMS: now.Add(-age).UnixMilli(),
+		}
 	}
 	queue := map[string]*jobs.JobRecord{
-		"deadline":  array(0, 10, &due),              // by 30 s
-		"first aim": array(10*time.Second, 20, nil),  // by 70 s
-		"second":    array(110*time.Second, 20, nil), // by 70 s of the second: 200-20-110
-		"late":      array(250*time.Second, 20, nil), // for all: 50 s from now
+		"deadline":         array(0, 10, &deadlineSeconds),  // by 30 s
+		"first objective":  array(10*time.Second, 20, nil),  // by 70 s
+		"second objective": array(110*time.Second, 20, nil), // by 70 s of the second: 200-20-110
+		"late":             array(250*time.Second, 20, nil), // for all: 50 s from now
 	}
-	want := []string{"deadline", "late", "first aim", "second"}
+	want := []string{"deadline", "late", "first objective", "second objective"}
 	if got := sortedByStart(queue, objectives, now); got[0] != want[0] || got[1] != want[1] {
-		t.Error(got, "want", want)
+		t.Errorf("order %v, want %v", got, want)
 	}
 }
