--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -1,5 +1,5 @@
-// Package packing finds places for the tasks of a gang: on which machines, and which
-// tasks have to leave for them, at the least loss of work.
+// Package binpacking plans on which machines the tasks of a job run, and which tasks are preempted
+// there, at the least loss of work.
 package binpacking
 
 import (
@@ -10,85 +10,106 @@
 	"cherrywall/internal/tuning"
 )
 
-// Victim is a task that may be stopped, and the work (CPU seconds) that is lost by it.
+// Victim is a task that may be preempted, and the work (CPU seconds) that is lost by it.
 type Victim struct {
 	Name           string
 	Need           capacity.Resources
 	LostCPUSeconds float64
 }
 
-// Machine is a machine in which a plan may look for room.
+// Machine is a machine that a plan may use.
 type Machine struct {
 	Zone    string
 	Free    capacity.Resources
-	Victims []Victim
-	// ImageCost is what it costs to fetch the image, in CPU seconds for which the room
-	// stands idle.
+	Victims []Victim // Plan sorts them
+	// ImageCost is the cost of fetching the image: the CPU seconds for which the task's resources
+	// are idle meanwhile.
 	ImageCost float64
 }
 
-// Placement is room for one task: in which pool, by its index, and which of its prey leave.
+// Placement is the machine of one task, by its index, and the tasks that are preempted for it.
 type Placement struct {
 	Machine int
 	Victims []Victim
 }
 
-// candidate is a Pool while a plan is made; prey is what is left, the least loss first.
+// candidate is a machine while a plan is made.
 type candidate struct {
 	*Machine
 	free    capacity.Resources
-	victims []Victim
-	// The next task's price, and how many of prey it takes; none if it does not fit.
-	fits        bool
-	cost        float64
-	victimCount int
+	victims []Victim // that are left, the least loss first
+
+	fits        bool    // whether one more task fits
+	cost        float64 // of that task
+	victimCount int     // how many of victims are preempted for it
+}
+
+func newCandidate(machine *Machine, need capacity.Resources) candidate {
+	slices.SortFunc(machine.Victims, func(x, y Victim) int {
+		return cmp.Or(cmp.Compare(x.LostCPUSeconds, y.LostCPUSeconds), cmp.Compare(x.Name, y.Name))
+	})
+	c := candidate{Machine: machine, free: machine.Free, victims: machine.Victims}
+	c.evaluate(need)
+	return c
 }
 
-func (p *candidate) evaluate(need capacity.Resources) {
-	room, cost, k := p.free, 0.0, 0
-	for !room.Covers(need) && k < len(p.victims) {
-		room = room.Add(p.victims[k].Need)
-		cost += 1 + p.victims[k].LostCPUSeconds
-		k++
+// evaluate computes whether one more task fits, and at what cost.
+func (c *candidate) evaluate(need capacity.Resources) {
+	free, cost, victimCount := c.free, 0.0, 0
+	for !free.Covers(need) && victimCount < len(c.victims) {
+		free = free.Add(c.victims[victimCount].Need)
+		cost += 1 + c.victims[victimCount].LostCPUSeconds
+		victimCount++
 	}
-	// Among equals the fuller machine is taken.
-	p.fits, p.cost, p.victimCount = room.Covers(need), cost+p.ImageCost+tuning.TieBreakWeight*room.CPU, k
+	c.fits = free.Covers(need)
+	// Among machines of equal cost the fuller one is preferred.
+	c.cost = cost + c.ImageCost + tuning.TieBreakWeight*free.CPU
+	c.victimCount = victimCount
 }
 
-// Plan finds places for n tasks of a need, at most so many in a zone; ok is false if
-// there are not enough.
-func Plan(from []Machine, need capacity.Resources, n, perZone int) (steps []Placement, cost float64, ok bool) {
-	candidates := make([]candidate, len(from))
-	for i := range from {
-		p := &candidates[i]
-		p.Machine, p.free, p.victims = &from[i], from[i].Free, from[i].Victims
-		slices.SortFunc(p.victims, func(x, y Victim) int {
-			return cmp.Or(cmp.Compare(x.LostCPUSeconds, y.LostCPUSeconds), cmp.Compare(x.Name, y.Name))
-		})
-		p.evaluate(need)
+// place preempts the victims of the next task, gives the task its resources and returns the victims.
+func (c *candidate) place(need capacity.Resources) []Victim {
+	victims := slices.Clone(c.victims[:c.victimCount])
+	for _, victim := range victims {
+		c.free = c.free.Add(victim.Need)
 	}
-	inZone := map[string]int{}
-	for range n {
-		best := -1
-		for i := range candidates {
-			p := &candidates[i]
-			if p.fits && (best < 0 || p.cost < candidates[best].cost) && inZone[p.Zone] < perZone {
-				best = i
-			}
-		}
+	c.free = c.free.Sub(need)
+	c.victims = c.victims[c.victimCount:]
+	c.evaluate(need)
+	return victims
+}
+
+// Plan finds machines for so many tasks of a need, with at most maxPerZone of them in a zone, and
+// returns the sum of their costs (CPU seconds, with a small amount added to break ties). It places
+// one task after another, each at the least cost. ok is false if there are not enough machines.
+func Plan(machines []Machine, need capacity.Resources, tasks, maxPerZone int) (placements []Placement, cost float64, ok bool) {
+	candidates := make([]candidate, len(machines))
+	for i := range machines {
+		candidates[i] = newCandidate(&machines[i], need)
+	}
+	tasksInZone := map[string]int{}
+	for range tasks {
+		best := cheapest(candidates, func(zone string) bool { return tasksInZone[zone] < maxPerZone })
 		if best < 0 {
 			return nil, 0, false
 		}
-		p := &candidates[best]
-		steps = append(steps, Placement{best, slices.Clone(p.victims[:p.victimCount])})
-		cost += p.cost
-		for _, v := range p.victims[:p.victimCount] {
-			p.free = p.free.Add(v.Need)
+		chosen := &candidates[best]
+		cost += chosen.cost
+		placements = append(placements, Placement{Machine: best, Victims: chosen.place(need)})
+		tasksInZone[chosen.Zone]++
+	}
+	return placements, cost, true
+}
+
+// cheapest returns the index of the candidate of the least cost that fits one more task, -1 for
+// none.
+func cheapest(candidates []candidate, allowsZone func(zone string) bool) int {
+	best := -1
+	for i := range candidates {
+		c := &candidates[i]
+		if c.fits && (best < 0 || c.cost < candidates[best].cost) && allowsZone(c.Zone) {
+			best = i
 		}
-		p.free = p.free.Sub(need)
-		p.victims = p.victims[p.victimCount:]
-		p.evaluate(need)
-		inZone[p.Zone]++
 	}
-	return steps, cost, true
+	return best
 }
--- a/internal/binpacking/binpacking_test.go
+++ b/internal/binpacking/binpacking_test.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/capacity"
 )
 
-func TestTheLeastLossIsChosen(t *testing.T) {
+func TestPlanMinimizesLostWork(t *testing.T) {
 	need := capacity.Resources{CPU: 7, MemGB: 20}
 	cpu := func(n float64) capacity.Resources { return capacity.Resources{CPU: n, MemGB: 100} }
 	machines := []Machine{
@@ -15,23 +15,24 @@
 		{Zone: "b", Free: cpu(7)},
 		{Zone: "b", Free: cpu(7), ImageCost: 30},
 	}
-	steps, _, ok := Plan(machines, need, 4, 4)
-	if !ok || len(steps) != 4 {
-		t.Fatalf("%+v, %v", steps, ok)
+	placements, _, ok := Plan(machines, need, 4, 4)
+	if !ok || len(placements) != 4 {
+		t.Fatalf("%+v, %v", placements, ok)
 	}
-	// The exact room first, then the larger, at last the young task leaves.
+	// The machine that the task fits exactly first, then the larger one, at last the victim with the
+	// least lost work.
 	for i, want := range []int{2, 1, 1, 0} {
-		if steps[i].Machine != want {
-			t.Errorf("step %d in pool %d, want %d", i, steps[i].Machine, want)
+		if placements[i].Machine != want {
+			t.Errorf("placement %d on machine %d, want %d", i, placements[i].Machine, want)
 		}
 	}
-	if l := steps[3].Victims; len(l) != 1 || l[0].Name != "young" {
-		t.Errorf("%+v leave", l)
+	if victims := placements[3].Victims; len(victims) != 1 || victims[0].Name != "young" {
+		t.Errorf("victims %+v, want young", victims)
 	}
-	if steps, _, ok = Plan(machines, need, 5, 3); !ok || steps[4].Machine != 3 {
-		t.Errorf("at most three in zone a: %+v, %v", steps, ok)
+	if placements, _, ok = Plan(machines, need, 5, 3); !ok || placements[4].Machine != 3 {
+		t.Errorf("at most three tasks in a zone: %+v, %v", placements, ok)
 	}
 	if _, _, ok = Plan(machines, need, 6, 2); ok {
-		t.Error("six tasks with two in a zone at the most")
+		t.Error("a plan for six tasks in two zones with at most two tasks in each")
 	}
 }
