--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -16,142 +16,206 @@
 	"cherrywall/internal/pipeline"
 )
 
-// The state service lowers its limits in the middle of everything, to values of 2 KiB, 5
-// changes a transaction and 35 a second, with records beyond them from before. Every writer
-// goes on, none is refused for its size, and what no value holds any more is written in
-// parts, by controllers that have never seen it as well.
-func TestLimitsAreLoweredWhileAllGoesOn(t *testing.T) {
+var controllers = []string{"n0", "n1", "n2"}
+
+// limitsScenario is a cluster whose store lowers its limits while jobs are submitted.
+type limitsScenario struct {
+	t       *testing.T
+	cluster *fake.Cluster
+	refs    []string // of the submitted small jobs
+}
+
+// The store lowers its limits while everything is in use, to values of 2 KiB, 5 writes a
+// transaction and 35 writes a second, with records beyond them from before. Every writer goes on,
+// none is rejected for its size, and what no value holds any more is written in chunks, by
+// controllers that have never seen it as well.
+func TestLimitsAreLoweredWhileInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		names := []string{"n0", "n1", "n2"}
-		cluster := fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(cluster *fake.Cluster) {
-			cluster.Cfg.Cluster.State.Next = config.StateLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}
-			cluster.RunPipelines = true
-			old(t, cluster)
-		})
-		time.Sleep(3 * time.Second)
-		for i := range 24 {
-			cluster.AddMachine([]string{"a", "b", "b"}[i%3], false)
-		}
-		time.Sleep(5 * time.Second)
-		if err := cluster.ChangeSettings("n0", func(s *admin.Settings) { s.SpareMachines = 30 }); err != nil {
+		s := &limitsScenario{t: t}
+		s.startCluster(ctx)
+		s.addMachines()
+		if err := s.cluster.ChangeSettings("n0", func(settings *admin.Settings) { settings.SpareMachines = 30 }); err != nil {
 			t.Fatal(err)
 		}
-		submit := func(s jobs.Spec, run time.Duration) {
-			t.Helper()
-			for end := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
-				r := cluster.Submit(names[len(s.Ref)%3], s, run)
-				if r.Code == 201 || r.Code == 200 {
-					return
-				}
-				if time.Now().After(end) {
-					t.Fatalf("%s: %+v", s.Ref, r)
-				}
-			}
-		}
-		var refs []string
-		wave := func(n int) {
-			for i := range 12 {
-				for k, s := range []jobs.Spec{
-					fake.JobSpec(fmt.Sprintf("wk-%d", n*1000+10*i), jobs.Array, 2, 0.2),                     // small, packs
-					fake.JobSpec(fmt.Sprintf("wk-%d", n*1000+10*i+1), jobs.Array, 60, 0.3),                  // ranges, folds
-					fake.JobSpec(fmt.Sprintf("wk-%d", n*1000+10*i+2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // marks, moves of machines
-					fake.JobSpec(fmt.Sprintf("wk-%d", n*1000+10*i+3), jobs.Array, 4, 0.5),                   // an allocation
-				} {
-					if k == 3 {
-						s.Team = "capped"
-					}
-					if i > 4 && k == 1 {
-						s.DependsOn = []string{fmt.Sprintf("wk-%d", n*1000+10*(i-4)), fmt.Sprintf("wk-%d", n*1000+10*(i-4)+2)}
-					}
-					submit(s, 3*time.Second)
-					refs = append(refs, s.Ref)
-				}
-				time.Sleep(300 * time.Millisecond)
-			}
-		}
-		wave(1)
-		big := fake.JobSpec("wk-9000", jobs.Array, 40, 0.2)
-		big.Class = strings.Repeat("c", 5<<10)
-		submit(big, 2*time.Second)
-		cluster.Store.SetMaxValueBytes(2 << 10)
-		cluster.Store.SetMaxTxnOps(5)
-		cluster.Store.SetMaxWriteRate(35)
-		wave(2)
-		big.Ref = "wk-9001"
-		submit(big, 2*time.Second)
+		s.submitWave(1)
+		large := largeJob("wk-9000")
+		s.submit(large, 2*time.Second)
+		s.lowerLimits()
+		s.submitWave(2)
+		large.Ref = "wk-9001"
+		s.submit(large, 2*time.Second)
 		for i := range 400 {
-			big.DependsOn = append(big.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // in the old pack
+			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // in the old completion batch
 		}
-		big.Ref, big.DependsOn = "wk-9002", append(big.DependsOn, refs[len(refs)-40:]...)
-		submit(big, 2*time.Second)
-		if err := cluster.ChangeSettings("n2", func(s *admin.Settings) {
-			for i := range 300 {
-				s.Drain = append(s.Drain, fmt.Sprintf("i-%06d", 500000+i))
-			}
-		}); err != nil {
-			t.Errorf("a large change of the settings: %v", err)
+		large.Ref, large.DependsOn = "wk-9002", append(large.DependsOn, s.refs[len(s.refs)-40:]...)
+		s.submit(large, 2*time.Second)
+		s.drainManyMachines()
+		s.startLargePipeline()
+		for _, node := range controllers {
+			s.cluster.CrashController(node)
+			s.cluster.StartController(node)
 		}
-		file := "default: {cluster: {class: c, team: ops, image: img, cpus: 0.2, memory_gb: 0.1, estimate_s: 3}}\nstages: [one]\n"
-		for i := range 300 {
-			file += fmt.Sprintf("street-%d: {stage: one, needs: [], cluster: {tasks: %d, estimate_s: %d.%d}}\n", i*7919%1000003, 1+i%3, 1+i%5, i*37%100)
+		time.Sleep(5 * time.Second)
+		s.waitForJobs(append(s.refs, "wk-1", "wk-9000", "wk-9001", "wk-9002"))
+		s.waitForPipeline()
+		s.checkRecords()
+		stop()
+		synctest.Wait()
+	})
+}
+
+func (s *limitsScenario) startCluster(ctx context.Context) {
+	s.t.Helper()
+	s.cluster = fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(cluster *fake.Cluster) {
+		cluster.Cfg.Cluster.State.Next = config.StateLimits{WriteRPS: 35, ValueKB: 2, TxnOps: 5}
+		cluster.RunPipelines = true
+		putOldRecords(s.t, cluster)
+	})
+	time.Sleep(3 * time.Second)
+}
+
+func (s *limitsScenario) addMachines() {
+	for i := range 24 {
+		s.cluster.AddMachine([]string{"a", "b", "b"}[i%3], false)
+	}
+	time.Sleep(5 * time.Second)
+}
+
+func (s *limitsScenario) lowerLimits() {
+	s.cluster.Store.SetMaxValueBytes(2 << 10)
+	s.cluster.Store.SetMaxTxnOps(5)
+	s.cluster.Store.SetMaxWriteRate(35)
+}
+
+// submit submits a job, for up to a minute until it is accepted.
+func (s *limitsScenario) submit(spec jobs.Spec, runTime time.Duration) {
+	s.t.Helper()
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
+		response := s.cluster.Submit(controllers[len(spec.Ref)%3], spec, runTime)
+		if response.Code == 201 || response.Code == 200 {
+			return
 		}
-		plan, _, err := pipeline.Parse([]byte(file), nil, nil)
-		if err != nil {
-			t.Fatal(err)
+		if time.Now().After(deadline) {
+			s.t.Fatalf("%s: %+v", spec.Ref, response)
 		}
-		for end := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
-			if r := cluster.Nodes["n1"].PipelineLeader.Create("run-1", "streets", []byte(file), plan); r.Code == 201 || r.Code == 200 {
-				break
-			} else if time.Now().After(end) {
-				t.Fatalf("a large file: %+v", r)
+	}
+}
+
+// submitWave submits jobs of which each kind makes the controllers write other records.
+func (s *limitsScenario) submitWave(wave int) {
+	s.t.Helper()
+	for i := range 12 {
+		ref := func(k int) string { return fmt.Sprintf("wk-%d", wave*1000+10*i+k) }
+		for k, spec := range []jobs.Spec{
+			fake.JobSpec(ref(0), jobs.Array, 2, 0.2),                   // small: completion batches
+			fake.JobSpec(ref(1), jobs.Array, 60, 0.3),                  // task ranges, compaction
+			fake.JobSpec(ref(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, moves of machines
+			fake.JobSpec(ref(3), jobs.Array, 4, 0.5),                   // a quota allocation
+		} {
+			if k == 3 {
+				spec.Team = "capped"
+			}
+			if i > 4 && k == 1 {
+				spec.DependsOn = []string{fmt.Sprintf("wk-%d", wave*1000+10*(i-4)), fmt.Sprintf("wk-%d", wave*1000+10*(i-4)+2)}
 			}
+			s.submit(spec, 3*time.Second)
+			s.refs = append(s.refs, spec.Ref)
 		}
-		for _, n := range names {
-			cluster.CrashController(n)
-			cluster.StartController(n)
+		time.Sleep(300 * time.Millisecond)
+	}
+}
+
+// largeJob is a job whose record is larger than one value.
+func largeJob(ref string) jobs.Spec {
+	spec := fake.JobSpec(ref, jobs.Array, 40, 0.2)
+	spec.Class = strings.Repeat("c", 5<<10)
+	return spec
+}
+
+func (s *limitsScenario) drainManyMachines() {
+	s.t.Helper()
+	err := s.cluster.ChangeSettings("n2", func(settings *admin.Settings) {
+		for i := range 300 {
+			settings.Drain = append(settings.Drain, fmt.Sprintf("i-%06d", 500000+i))
 		}
-		time.Sleep(5 * time.Second)
-		for _, ref := range append(refs, "wk-1", "wk-9000", "wk-9001", "wk-9002") {
-			if !cluster.WaitForStatus("n0", ref, jobs.Done, 6*time.Minute) {
-				t.Fatalf("%s: %+v", ref, cluster.Poll("n0", ref))
-			}
+	})
+	if err != nil {
+		s.t.Errorf("a large change of the settings: %v", err)
+	}
+}
+
+func (s *limitsScenario) startLargePipeline() {
+	s.t.Helper()
+	file := "default: {cluster: {class: c, team: ops, image: img, cpus: 0.2, memory_gb: 0.1, estimate_s: 3}}\nstages: [one]\n"
+	for i := range 300 {
+		file += fmt.Sprintf("street-%d: {stage: one, needs: [], cluster: {tasks: %d, estimate_s: %d.%d}}\n", i*7919%1000003, 1+i%3, 1+i%5, i*37%100)
+	}
+	plan, _, err := pipeline.Parse([]byte(file), nil, nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
+		response := s.cluster.Nodes["n1"].PipelineLeader.Create("run-1", "streets", []byte(file), plan)
+		if response.Code == 201 || response.Code == 200 {
+			return
 		}
-		for end := time.Now().Add(8 * time.Minute); ; time.Sleep(time.Second) {
-			if r := cluster.Nodes["n2"].PipelineLeader.Get("run-1"); r.Run != nil && r.Run.IsFinished {
-				break
-			} else if time.Now().After(end) {
-				t.Fatalf("the run is not over: %+v", r)
-			}
+		if time.Now().After(deadline) {
+			s.t.Fatalf("a large file: %+v", response)
 		}
-		if keys := cluster.Store.OversizedWrites(); len(keys) > 0 {
-			t.Errorf("%d writes beyond the limits, %v", len(keys), keys[:min(8, len(keys))])
+	}
+}
+
+func (s *limitsScenario) waitForJobs(refs []string) {
+	s.t.Helper()
+	for _, ref := range refs {
+		if !s.cluster.WaitForStatus("n0", ref, jobs.Done, 6*time.Minute) {
+			s.t.Fatalf("%s: %+v", ref, s.cluster.Poll("n0", ref))
 		}
-		if s, _, ok := cluster.Nodes["n1"].Controller.Settings(); !ok || len(s.Drain) != 300 {
-			t.Errorf("of the settings %d names are known", len(s.Drain))
+	}
+}
+
+func (s *limitsScenario) waitForPipeline() {
+	s.t.Helper()
+	for deadline := time.Now().Add(8 * time.Minute); ; time.Sleep(time.Second) {
+		response := s.cluster.Nodes["n2"].PipelineLeader.Get("run-1")
+		if response.Run != nil && response.Run.IsFinished {
+			return
 		}
-		for _, b := range cluster.Violations() {
-			t.Error("broken rule:", b)
+		if time.Now().After(deadline) {
+			s.t.Fatalf("the run is not finished: %+v", response)
 		}
-		stop()
-		synctest.Wait()
-	})
+	}
+}
+
+func (s *limitsScenario) checkRecords() {
+	s.t.Helper()
+	if keys := s.cluster.Store.OversizedWrites(); len(keys) > 0 {
+		s.t.Errorf("%d writes beyond the limits, %v", len(keys), keys[:min(8, len(keys))])
+	}
+	if settings, _, ok := s.cluster.Nodes["n1"].Controller.Settings(); !ok || len(settings.Drain) != 300 {
+		s.t.Errorf("%d names of the settings are known", len(settings.Drain))
+	}
+	for _, violation := range s.cluster.Violations() {
+		s.t.Error("invariant violated:", violation)
+	}
 }
 
-// old are records that were written under the limits before: a scattered array, and a pack.
-func old(t *testing.T, cluster *fake.Cluster) {
+// putOldRecords puts records that were written under the limits before: an array with many
+// intervals of unclaimed tasks, and a completion batch.
+func putOldRecords(t *testing.T, cluster *fake.Cluster) {
 	t.Helper()
-	rec := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 700, 0.2), AcceptedAtMS: time.Now().UnixMilli(), AcceptedBy: "n0", Completed: 350}
+	record := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 700, 0.2), AcceptedAtMS: time.Now().UnixMilli(), AcceptedBy: "n0", Completed: 350}
 	for i := range 350 {
-		rec.Unclaimed = append(rec.Unclaimed, jobs.TaskInterval{First: 2 * i, Count: 1})
+		record.Unclaimed = append(record.Unclaimed, jobs.TaskInterval{First: 2 * i, Count: 1})
 	}
-	var names []string
+	var entries []string
 	for i := range 400 {
-		names = append(names, jobs.BatchEntry(fmt.Sprintf("wk-%d", 700000+i), 2))
+		entries = append(entries, jobs.BatchEntry(fmt.Sprintf("wk-%d", 700000+i), 2))
 	}
-	for key, v := range map[string]any{jobs.JobKey("wk-1"): rec, jobs.CompletionBatchPrefix + "n1/3": names} {
-		raw, err := json.Marshal(v)
+	for key, value := range map[string]any{jobs.JobKey("wk-1"): record, jobs.CompletionBatchPrefix + "n1/3": entries} {
+		raw, err := json.Marshal(value)
 		if err != nil || len(raw) < 5<<10 {
 			t.Fatalf("%s: %d bytes, %v", key, len(raw), err)
 		}
--- /dev/null
+++ b/internal/chunkedstore/read.go
@@ -0,0 +1,164 @@
+package chunkedstore
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/tuning"
+)
+
+// errChunkMissing means that chunks were deleted: their record was written anew, or deleted.
+var errChunkMissing = errors.New("a chunk is missing")
+
+// chunkValues are the stored values of chunks that were read already, by key.
+type chunkValues map[string]json.RawMessage
+
+// Get reads a key: see kvstore.Service.
+func (s *Store) Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error) {
+	row, found, revision, err := s.Service.Get(ctx, priority, key)
+	if err != nil || !found {
+		return row, found, revision, err
+	}
+	row, found, err = s.assembleRecord(ctx, priority, row, nil)
+	return row, found, revision, err
+}
+
+// List reads all keys with a prefix: see kvstore.Service. Records that are deleted while their
+// chunks are read are left out.
+func (s *Store) List(ctx context.Context, prefix string) ([]kvstore.KeyValue, uint64, error) {
+	rows, revision, err := s.Service.List(ctx, prefix)
+	if err != nil {
+		return nil, 0, err
+	}
+	var known chunkValues
+	records := rows[:0]
+	for _, row := range rows {
+		ref := chunkRefOf(row.Value)
+		if ref == nil {
+			records = append(records, row)
+			continue
+		}
+		if known == nil && !s.recordCache.Contains(ref.ID) {
+			// One listing of all chunks instead of a read of each.
+			if known, err = s.listChunks(ctx); err != nil {
+				return nil, 0, err
+			}
+		}
+		record, found, err := s.assembleRecord(ctx, kvstore.Normal, row, known)
+		if err != nil {
+			return nil, 0, err
+		}
+		if found {
+			records = append(records, record)
+		}
+	}
+	return records, revision, nil
+}
+
+func (s *Store) listChunks(ctx context.Context) (chunkValues, error) {
+	rows, _, err := s.Service.List(ctx, jobs.ChunkPrefix)
+	if err != nil {
+		return nil, err
+	}
+	values := make(chunkValues, len(rows))
+	for _, row := range rows {
+		values[row.Key] = row.Value
+	}
+	return values, nil
+}
+
+// Watch waits for changes after a revision: see kvstore.Service. A record that has changed again
+// since may be delivered as it is by then. Changes of chunks are not delivered.
+func (s *Store) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
+	events, revision, err := s.Service.Watch(ctx, prefix, from)
+	if err != nil {
+		return nil, 0, err
+	}
+	known := chunkValues{}
+	delivered := events[:0]
+	for _, event := range events {
+		switch {
+		case strings.HasPrefix(event.Key, jobs.ChunkPrefix):
+			known[event.Key] = event.Value // written before the record that names it
+		case strings.HasPrefix(event.DeletedKey, jobs.ChunkPrefix):
+			// of no use to anybody but the garbage collector
+		case chunkRefOf(event.Value) == nil:
+			delivered = append(delivered, event)
+		default:
+			row := kvstore.KeyValue{Key: event.Key, Value: event.Value, Revision: event.Revision}
+			row, found, err := s.assembleRecord(ctx, kvstore.Urgent, row, known)
+			if err != nil {
+				return nil, 0, err
+			}
+			if found {
+				delivered = append(delivered, kvstore.Event{Key: row.Key, Value: row.Value, Revision: row.Revision})
+			}
+		}
+	}
+	return delivered, revision, nil
+}
+
+// assembleRecord replaces a pointer that was read by its record. If chunks are missing, the record
+// has changed since, and is read as it is now; found is false if it was deleted.
+func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, known chunkValues) (_ kvstore.KeyValue, found bool, err error) {
+	for range tuning.RateLimitedAttempts {
+		ref := chunkRefOf(row.Value)
+		if ref == nil {
+			return row, true, nil
+		}
+		value, err := s.readChunks(ctx, priority, row.Key, ref, known)
+		if err == nil {
+			row.Value = value
+			return row, true, nil
+		}
+		if !errors.Is(err, errChunkMissing) {
+			return kvstore.KeyValue{}, false, err
+		}
+		row, found, _, err = s.Service.Get(ctx, priority, row.Key)
+		if err != nil || !found {
+			return kvstore.KeyValue{}, false, err
+		}
+	}
+	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s changes too often", kvstore.ErrUnavailable, row.Key)
+}
+
+// readChunks reads and joins a record's chunks, of which some may be known.
+func (s *Store) readChunks(ctx context.Context, priority kvstore.Priority, key string, ref *chunkRef, known chunkValues) (json.RawMessage, error) {
+	if value, ok := s.recordCache.Get(ref.ID); ok {
+		return value, nil
+	}
+	var value []byte
+	for number := range ref.Count {
+		chunk, err := s.readChunk(ctx, priority, chunkKey(ref.ID, number, key), known)
+		if err != nil {
+			return nil, err
+		}
+		value = append(value, chunk...)
+	}
+	s.recordCache.Add(ref.ID, value)
+	return value, nil
+}
+
+func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, known chunkValues) ([]byte, error) {
+	raw, ok := known[key]
+	if !ok {
+		row, found, _, err := s.Service.Get(ctx, priority, key)
+		if err != nil {
+			return nil, err
+		}
+		if !found {
+			return nil, errChunkMissing
+		}
+		raw = row.Value
+	}
+	var chunk []byte
+	if err := json.Unmarshal(raw, &chunk); err != nil {
+		return nil, fmt.Errorf("chunk %s: %w", key, err)
+	}
+	return chunk, nil
+}
