--- /dev/null
+++ b/internal/readbarrier/queue_test.go
@@ -0,0 +1,74 @@
+package readbarrier
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// counter counts what waiting callers were notified of.
+type counter struct{ served, failed int }
+
+func (c *counter) done(ok bool) {
+	if ok {
+		c.served++
+	} else {
+		c.failed++
+	}
+}
+
+// Many callers share a read, are served once the cache has reached its revision, and never by one
+// that was started before they asked.
+func TestWaitersShareReadsAndAreServedWhenCacheIsCurrent(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var reads []time.Time
+		wakeups := 0
+		q := New(func(startedAt time.Time) { reads = append(reads, startedAt) }, func() { wakeups++ })
+		callers := &counter{}
+		time.Sleep(time.Hour)
+		q.Wait(time.Now(), false, callers.done)
+		q.Wait(time.Now(), false, callers.done) // while the first read is in flight
+		if len(reads) != 1 {
+			t.Fatalf("%d reads", len(reads))
+		}
+		time.Sleep(5 * time.Millisecond)
+		q.CompleteRead(time.Now(), reads[0], 7, nil)
+		q.StartIfDue(time.Now())
+		if consistentAsOf, serve := q.Advance(time.Now(), 6, true); !consistentAsOf.IsZero() || callers.served > 0 {
+			t.Error("served before the cache has reached the revision")
+		} else {
+			serve()
+		}
+		consistentAsOf, serve := q.Advance(time.Now(), 7, true)
+		serve()
+		if !consistentAsOf.Equal(reads[0]) || callers.served != 1 || q.NewestRevision() != 7 {
+			t.Errorf("%d served, consistent as of %v", callers.served, consistentAsOf)
+		}
+		time.Sleep(tuning.MinPollRevisionReadGap)
+		synctest.Wait()
+		if wakeups != 1 {
+			t.Fatalf("woken %d times", wakeups)
+		}
+		q.HandleTimer(time.Now())
+		if len(reads) != 2 {
+			t.Fatalf("%d reads for the second caller", len(reads))
+		}
+		q.CompleteRead(time.Now(), reads[1], 0, errors.New("unavailable"))
+		if callers.failed != 1 {
+			t.Error("the caller of a failed read was not notified")
+		}
+		q.Wait(time.Now(), true, callers.done)
+		time.Sleep(tuning.MinRevisionReadGap)
+		synctest.Wait()
+		q.HandleTimer(time.Now())
+		q.CompleteRead(time.Now(), reads[2], 9, nil)
+		time.Sleep(2 * tuning.StoreRequestTimeout) // the cache does not reach the revision
+		q.Advance(time.Now(), 8, true)
+		if callers.failed != 2 {
+			t.Error("the caller whose deadline has passed was not notified")
+		}
+	})
+}
