--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -184,7 +184,7 @@
 			return
 		}
 		c.dequeueProbe()
-		c.sendProbe(machine, max(shard.Epoch(), machine.Revision()))
+		c.sendProbe(machine, FencingToken(shard, machine))
 	}
 }
 
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -5,9 +5,16 @@
 	"time"
 
 	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/membership"
 	"cherrywall/internal/tuning"
 )
 
+// FencingToken returns the fencing token for a worker of a shard: the shard's epoch, or the revision of the
+// worker's record if that is newer, because the worker has come from another shard since.
+func FencingToken(shard *membership.Shard, machine *clusterstate.Machine) uint64 {
+	return max(shard.Epoch(), machine.Revision())
+}
+
 // Stage is how far the recovery of a shard is.
 type Stage int
 
--- /dev/null
+++ b/internal/workersession/cancellation_test.go
@@ -0,0 +1,251 @@
+package workersession_test
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/workersession"
+)
+
+// clusterViolations runs a scenario on three controllers that exchange peer messages, and some machines. It
+// returns the rules that were broken.
+func clusterViolations(t *testing.T, machineCount int, scenario func(cluster *fake.Cluster)) (violations []string) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		defer stop()
+		zones := map[string]string{"n0": "a", "n1": "b", "n2": "b"}
+		cluster := fake.NewClusterWith(ctx, zones, func(cluster *fake.Cluster) { cluster.ConnectPeers = true })
+		time.Sleep(3 * time.Second)
+		for i := range machineCount {
+			cluster.AddMachine([]string{"a", "b"}[i%2], false)
+		}
+		time.Sleep(5 * time.Second)
+		scenario(cluster)
+		violations = cluster.Violations()
+		stop()
+		synctest.Wait()
+	})
+	return violations
+}
+
+// runScenario is clusterViolations for scenarios in which no rule may be broken.
+func runScenario(t *testing.T, machineCount int, scenario func(cluster *fake.Cluster)) {
+	t.Helper()
+	for _, violation := range clusterViolations(t, machineCount, scenario) {
+		t.Error("broken rule:", violation)
+	}
+}
+
+func submit(t *testing.T, cluster *fake.Cluster, node string, spec jobs.Spec, runTime time.Duration) {
+	t.Helper()
+	if response := cluster.Submit(node, spec, runTime); response.Code != 201 {
+		t.Fatalf("%s: submission answered %+v", spec.Ref, response)
+	}
+}
+
+func randomDuration(rnd *rand.Rand, minimumMS, rangeMS int) time.Duration {
+	return time.Duration(minimumMS+rnd.IntN(rangeMS)) * time.Millisecond
+}
+
+// lateStarts records the tasks that start after the cancellation of their job was confirmed.
+type lateStarts struct {
+	mu          sync.Mutex
+	confirmedAt map[string]time.Time // by job
+	started     []string             // tasks that started after the confirmation
+	commanded   []string             // those of them whose start was also sent after it
+}
+
+func recordLateStarts(cluster *fake.Cluster) *lateStarts {
+	s := &lateStarts{confirmedAt: map[string]time.Time{}}
+	cluster.OnTaskStart(func(task, host string, commandedAt time.Time) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		ref, _, _ := jobs.ParseTask(task)
+		confirmedAt, isConfirmed := s.confirmedAt[ref]
+		if !isConfirmed {
+			return
+		}
+		s.started = append(s.started, fmt.Sprintf("%s on %s after %v", task, host, time.Since(confirmedAt)))
+		if commandedAt.After(confirmedAt) {
+			s.commanded = append(s.commanded, task)
+		}
+	})
+	return s
+}
+
+// cancel cancels jobs within a fifth of a second, each at the controller that nodeOf names, and waits for
+// the confirmations.
+func (s *lateStarts) cancel(t *testing.T, cluster *fake.Cluster, nodeOf func(index int) string, refs ...string) {
+	t.Helper()
+	var cancellations sync.WaitGroup
+	for index, ref := range refs {
+		time.Sleep(200 * time.Millisecond / time.Duration(len(refs)))
+		cancellations.Add(1)
+		go func() {
+			defer cancellations.Done()
+			if response := cluster.Cancel(nodeOf(index), ref); response.Status != jobs.Cancelled {
+				t.Errorf("%s: %+v", ref, response)
+			}
+			s.mu.Lock()
+			s.confirmedAt[ref] = time.Now()
+			s.mu.Unlock()
+		}()
+	}
+	cancellations.Wait()
+}
+
+// Jobs are cancelled while their tasks fetch their image, or while their starts are being sent: none of
+// their tasks starts once the cancellation is confirmed.
+func TestNoTaskStartsAfterConfirmedCancellation(t *testing.T) {
+	for _, freeze := range []bool{false, true} {
+		for seed := range uint64(6) {
+			t.Run(fmt.Sprint("freeze ", freeze, " seed ", seed), func(t *testing.T) {
+				runScenario(t, 12, func(cluster *fake.Cluster) { cancelDuringStart(t, cluster, freeze, seed) })
+			})
+		}
+	}
+}
+
+func cancelDuringStart(t *testing.T, cluster *fake.Cluster, freeze bool, seed uint64) {
+	t.Helper()
+	rnd := rand.New(rand.NewPCG(seed, 9))
+	cluster.SetImageFetchTime(randomDuration(rnd, 1500, 5000))
+	var refs []string
+	for i := range 6 {
+		ref := fmt.Sprintf("wk-%d", i+1)
+		refs = append(refs, ref)
+		kind, tasks := jobs.Array, 9
+		if i%2 == 1 {
+			kind, tasks = jobs.Gang, 4
+		}
+		submit(t, cluster, fmt.Sprintf("n%d", i%3), fake.JobSpec(ref, kind, tasks, 1), 40*time.Second)
+	}
+	time.Sleep(randomDuration(rnd, 0, 3000))
+	starts := recordLateStarts(cluster)
+	if freeze { // some within the lease of 10 s, some longer
+		for _, host := range cluster.Hosts()[:5] {
+			cluster.FreezeMachine(host, true)
+			time.AfterFunc(randomDuration(rnd, 500, 14000), func() { cluster.FreezeMachine(host, false) })
+		}
+	}
+	nodeOf := func(index int) string { return fmt.Sprintf("n%d", (index+int(seed))%3) }
+	starts.cancel(t, cluster, nodeOf, refs...)
+	time.Sleep(25 * time.Second)
+	if len(starts.started) > 0 {
+		t.Error(starts.started)
+	}
+	for _, ref := range refs {
+		for index := range 9 {
+			task := jobs.TaskName(ref, index)
+			if hosts := cluster.RunningOn(task); len(hosts) > 0 {
+				t.Errorf("%s is on %v", task, hosts)
+			}
+		}
+	}
+}
+
+// The key-value store refuses one owner alone, which hears its peers or nobody at all, and goes on sending
+// starts of what it knows: none of a job whose cancellation is confirmed.
+func TestOwnerCutOffFromStoreSendsNoStartAfterCancellation(t *testing.T) {
+	for _, isolated := range []bool{false, true} {
+		for seed := range uint64(4) {
+			if tasks := startsSentAfterCancellation(t, isolated, seed); len(tasks) > 0 {
+				t.Errorf("isolated from peers: %v, seed %d: starts sent after the confirmation: %v", isolated, seed, tasks)
+			}
+		}
+	}
+}
+
+// Without the bound on the age of what is known, such starts are sent.
+func TestMutationStartsWithoutReadBarrierIsDetected(t *testing.T) {
+	defer workersession.StartWithoutReadBarrier()()
+	for seed := range uint64(20) {
+		if len(startsSentAfterCancellation(t, true, seed)) > 0 {
+			return
+		}
+	}
+	t.Error("20 scenarios of the mutation kept the rule")
+}
+
+func startsSentAfterCancellation(t *testing.T, isolated bool, seed uint64) (tasks []string) {
+	t.Helper()
+	rnd := rand.New(rand.NewPCG(seed, 10))
+	runScenario(t, 6, func(cluster *fake.Cluster) {
+		// More tasks than there are resources for: those that are claimed ahead start one after the other.
+		submit(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 90, 1), randomDuration(rnd, 6000, 3000))
+		time.Sleep(randomDuration(rnd, 2000, 2000))
+		starts := recordLateStarts(cluster)
+		cluster.Store.RefuseNode("n0", true)
+		if isolated {
+			cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		}
+		confirmed := make(chan struct{})
+		go func() {
+			starts.cancel(t, cluster, func(int) string { return "n2" }, "wk-1")
+			close(confirmed)
+		}()
+		for !cluster.IsCancelled("wk-1") {
+			time.Sleep(time.Millisecond)
+		}
+		cluster.Store.SetOutage(true) // before anybody acquires the shard of the refused owner
+		<-confirmed
+		time.Sleep(15 * time.Second)
+		cluster.Store.SetOutage(false)
+		cluster.Store.RefuseNode("n0", false)
+		cluster.SetPeerLink(fake.PeerLink{})
+		time.Sleep(10 * time.Second)
+		tasks = slices.Clone(starts.commanded)
+	})
+	return tasks
+}
+
+// Responses take almost as long as workers wait for them, heartbeats are close together, and machines reach
+// no controller for a moment: a start that is in flight does not count as lost.
+func TestStartInFlightIsNotTakenForLost(t *testing.T) {
+	for seed := range uint64(8) {
+		for _, violation := range violationsWithDelayedResponses(t, seed) {
+			t.Errorf("seed %d: %s", seed, violation)
+		}
+	}
+}
+
+// Asked a moment after their last heartbeat, workers do not list the tasks whose start is in flight.
+func TestMutationTrustingEveryDirectHeartbeatIsDetected(t *testing.T) {
+	defer workersession.TrustEveryDirectHeartbeat()()
+	for seed := range uint64(30) {
+		if len(violationsWithDelayedResponses(t, seed)) > 0 {
+			return
+		}
+	}
+	t.Error("30 scenarios of the mutation kept the rule")
+}
+
+func violationsWithDelayedResponses(t *testing.T, seed uint64) []string {
+	t.Helper()
+	rnd := rand.New(rand.NewPCG(seed, 16))
+	return clusterViolations(t, 9, func(cluster *fake.Cluster) {
+		for i := range 12 {
+			for _, host := range cluster.Hosts() {
+				cluster.BlockOutbound(host, false)
+				cluster.DelayInbound(host, randomDuration(rnd, 3300, 650))
+			}
+			spec := fake.JobSpec(fmt.Sprintf("wk-%d", i+1), jobs.Array, 6, 1)
+			cluster.Submit(fmt.Sprintf("n%d", i%3), spec, 12*time.Second)
+			time.Sleep(randomDuration(rnd, 500, 2500))
+			for _, host := range cluster.Hosts() { // responses in flight stay delayed
+				cluster.DelayInbound(host, 0)
+				cluster.BlockOutbound(host, true)
+			}
+			time.Sleep(randomDuration(rnd, 2500, 3000))
+		}
+	})
+}
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -4,264 +4,270 @@
 	"time"
 
 	"cherrywall/internal/clusterstate"
-	"cherrywall/internal/config"
 	"cherrywall/internal/jobs"
+	"cherrywall/internal/reconciliation"
 	"cherrywall/internal/tuning"
 	"cherrywall/internal/workerapi"
 
 	"golang.org/x/time/rate"
 )
 
-// What is said to workers at their own addresses because their next report would be too late,
-// or does not come: tasks of cancelled jobs are stopped before they begin, and a worker that can
-// open no connection is asked what became of its tasks. It renews no lease, and orders no start.
+// Direct exchanges send commands to a worker's own address when its next heartbeat would be too late or
+// does not come: tasks of cancelled jobs are stopped before they begin, and a worker that cannot open a
+// connection is asked for the state of its tasks. They renew no lease and start no task.
 
-// directExchanges are the exchanges under way and those that wait for their turn.
+// directExchanges are the workers that wait for an exchange, and how many exchanges are in flight.
 type directExchanges struct {
 	limiter  *rate.Limiter
 	queue    []*clusterstate.Machine
 	inFlight int
-	// isReadBarrierPending is whether newer knowledge was asked for, see wantFresh.
-	isReadBarrierPending bool
 }
 
-// Reset forgets who was to be spoken to. Exchanges under way still end.
-func (d *directExchanges) Reset() { d.queue, d.isReadBarrierPending = nil, false }
-
-// directExchange is what is known of the exchanges with a worker.
+// directExchange is the state of the exchanges with one worker.
 type directExchange struct {
 	isQueued    bool
 	isInFlight  bool
-	sentAt      time.Time // the last exchange began
-	answeredAt  time.Time // the last answer came
-	resendUntil time.Time // as long it is told again to stop what was called off
+	sentAt      time.Time // of the last request
+	answeredAt  time.Time // of the last answer
+	resendUntil time.Time // until then the stops of cancelled tasks are repeated
 }
 
-// SendCancellations tells workers at once of tasks that are stopped for good and have perhaps not begun:
-// with the next report they would begin in between, up to a report interval after their user was
-// told that the job is cancelled. The worker that waits for an answer is told by that.
-func (k *Manager) SendCancellations(now time.Time) {
-	for _, machine := range k.State.TakeUrgentStops() {
-		if !k.State.IsCurrentMachine(machine) || k.State.OwnedShard(machine) == nil {
+// SendCancellations tells workers at once to stop tasks of ended jobs that have perhaps not begun. With the
+// next heartbeat they would begin in between, up to a heartbeat interval after their user was told that the
+// job is cancelled. A worker whose heartbeat is pending is told by the response.
+func (m *Manager) SendCancellations(now time.Time) {
+	for _, machine := range m.State.TakeUrgentStops() {
+		if !m.isOwned(machine) {
 			continue
 		}
-		session := k.sessionOf(machine)
+		session := m.sessionOf(machine)
 		session.exchange.resendUntil = now.Add(tuning.HeartbeatAnswerLifetime)
-		if session.pending != nil {
-			if k.respondOrDelay(machine, session); session.pending == nil {
-				k.enqueueExchangeAfter(machine, session, tuning.DirectRequestInterval) // should the answer be lost
-				continue
-			}
+		if m.respondIfPending(machine, session) {
+			m.enqueueExchangeAfter(machine, session, tuning.DirectRequestInterval) // the response may be lost
+			continue
 		}
-		k.enqueueExchange(machine, session)
+		m.enqueueExchange(machine, session)
 	}
 }
 
-// contactOverdue asks those that should have reported for what became of their tasks, in turn. Not where
-// nobody may be answered: their reports are refused, and all of them would be asked.
-func (k *Manager) contactOverdue(now time.Time) {
-	if k.workers == nil || !k.Cache.MayRenewWorkerLeases(now) {
-		return
+// respondIfPending answers a worker's pending heartbeat, and reports whether it did.
+func (m *Manager) respondIfPending(machine *clusterstate.Machine, session *agentSession) bool {
+	if session.pending == nil {
+		return false
 	}
-	for _, machine := range k.State.OwnedMachines() {
+	m.respondOrDelay(machine, session)
+	return session.pending == nil
+}
 
+// contactOverdue asks the workers whose heartbeat is overdue for the state of their tasks, in turn. It does
+// so only while heartbeats may be answered: otherwise they are refused, and all workers would be asked.
+func (m *Manager) contactOverdue(now time.Time) {
+	if m.workers == nil || !m.Cache.MayRenewWorkerLeases(now) {
+		return
+	}
+	for _, machine := range m.State.OwnedMachines() {
 		if !machine.HeartbeatOverdue() || !machine.HasReported() || machine.IsReleasing() || machine.IsReleased() {
 			continue
 		}
-		if session := k.sessionOf(machine); now.Sub(session.exchange.sentAt) >= tuning.DirectRequestInterval {
-			k.enqueueExchange(machine, session)
+		session := m.sessionOf(machine)
+		if now.Sub(session.exchange.sentAt) >= tuning.DirectRequestInterval {
+			m.enqueueExchange(machine, session)
 		}
 	}
 }
 
-// ReachableByCommand tells whether a worker that does not report has answered at its own address a
-// moment ago: it is well, and reaches no controller.
-func (k *Manager) ReachableByCommand(machine *clusterstate.Machine, now time.Time) bool {
-	session := k.sessions[machine]
-	return session != nil && !session.exchange.answeredAt.IsZero() && now.Sub(session.exchange.answeredAt) < tuning.DirectAnswerValidity
+// ReachableByCommand reports whether a worker has answered a direct exchange a moment ago. If it sends no
+// heartbeats, it works and cannot reach a controller.
+func (m *Manager) ReachableByCommand(machine *clusterstate.Machine, now time.Time) bool {
+	session := m.sessions[machine]
+	return session != nil && !session.exchange.answeredAt.IsZero() &&
+		now.Sub(session.exchange.answeredAt) < tuning.DirectAnswerValidity
 }
 
-// enqueueExchange has a worker spoken to when its turn comes.
-func (k *Manager) enqueueExchange(machine *clusterstate.Machine, s *agentSession) {
-	if k.workers == nil || s.exchange.isQueued || s.exchange.isInFlight || machine.Record().Addr == "" {
+// enqueueExchange starts an exchange with a worker when its turn comes.
+func (m *Manager) enqueueExchange(machine *clusterstate.Machine, session *agentSession) {
+	if m.workers == nil || session.exchange.isQueued || session.exchange.isInFlight || machine.Record().Addr == "" {
 		return
 	}
-	s.exchange.isQueued = true
-	k.exchanges.queue = append(k.exchanges.queue, machine)
-	k.runExchanges()
+	session.exchange.isQueued = true
+	m.exchanges.queue = append(m.exchanges.queue, machine)
+	m.runExchanges()
+}
+
+// enqueueExchangeAfter repeats the stops of cancelled tasks after a time, if that is still worth it.
+func (m *Manager) enqueueExchangeAfter(machine *clusterstate.Machine, session *agentSession, delay time.Duration) {
+	m.mailbox.SendAfter(delay, func() {
+		if m.sessions[machine] != session || !m.State.IsCurrentMachine(machine) {
+			return
+		}
+		if time.Now().Before(session.exchange.resendUntil) {
+			m.enqueueExchange(machine, session)
+		}
+	})
 }
 
-// runExchanges speaks to those whose turn it is.
-func (k *Manager) runExchanges() {
-	d := &k.exchanges
-	for len(d.queue) > 0 && d.inFlight < tuning.MaxConcurrentDirectCommands {
-		reservation := d.limiter.Reserve()
+// runExchanges starts the exchanges that the rate limit and the limit of concurrent ones allow.
+func (m *Manager) runExchanges() {
+	exchanges := &m.exchanges
+	for len(exchanges.queue) > 0 && exchanges.inFlight < tuning.MaxConcurrentDirectCommands {
+		reservation := exchanges.limiter.Reserve()
 		if wait := reservation.Delay(); wait > 0 {
 			reservation.Cancel()
-			k.mailbox.SendAfter(wait, k.runExchanges)
+			m.mailbox.SendAfter(wait, m.runExchanges)
 			return
 		}
-		machine := d.queue[0]
-		d.queue = d.queue[1:]
-		if session := k.sessions[machine]; session != nil {
-			session.exchange.isQueued = false
-			if shard := k.State.OwnedShard(machine); shard != nil && k.State.IsCurrentMachine(machine) {
-				k.sendCommands(machine, session, max(shard.Epoch(), machine.Revision()))
-			}
+		machine := exchanges.queue[0]
+		exchanges.queue = exchanges.queue[1:]
+		session := m.sessions[machine]
+		if session == nil {
+			continue
+		}
+		session.exchange.isQueued = false
+		if m.isOwned(machine) {
+			m.startExchange(machine, session)
 		}
 	}
 }
 
-// sendCommands tells a worker to stop what was called off, and takes its answer.
-func (k *Manager) sendCommands(machine *clusterstate.Machine, s *agentSession, fencingToken uint64) {
-	request := workerapi.CommandRequest{FencingToken: fencingToken, AgentEpoch: max(1, k.lastHeartbeats[machine.Host()].agentEpoch), Commands: []workerapi.Command{}}
-	for assignment := range machine.Assignments() {
-		if assignment.Status().Stopping && assignment.Status().StartSent && assignment.Job() == nil && len(request.Commands) < tuning.MaxCommandsPerDirectRequest {
-			leeway := 0.0 // nobody wants what a job does that is over
-			request.Commands = append(request.Commands, workerapi.Command{Verb: workerapi.VerbStop, Task: assignment.Name(), Attempt: assignment.Attempt(), GracePeriodS: &leeway})
-		}
+// startExchange sends a worker the stops of its cancelled tasks. Without any there is an exchange only if the
+// worker's heartbeat is overdue. The goroutine ends with the mailbox's context at the latest.
+func (m *Manager) startExchange(machine *clusterstate.Machine, session *agentSession) {
+	request := workerapi.CommandRequest{
+		FencingToken: reconciliation.FencingToken(m.State.OwnedShard(machine), machine),
+		AgentEpoch:   max(1, m.AgentEpoch(machine)),
+		Commands:     cancellations(machine),
 	}
 	if len(request.Commands) == 0 && !machine.HeartbeatOverdue() {
-		s.exchange.resendUntil = time.Time{}
+		session.exchange.resendUntil = time.Time{}
 		return
 	}
-	s.exchange.isInFlight, s.exchange.sentAt = true, time.Now()
-	k.exchanges.inFlight++
-	reported, addr := machine.LastHeartbeatAt(), machine.Record().Addr
+	session.exchange.isInFlight, session.exchange.sentAt = true, time.Now()
+	m.exchanges.inFlight++
+	lastHeartbeatAt, addr := machine.LastHeartbeatAt(), machine.Record().Addr
 	go func() {
-		heartbeat, done, err := k.workers.Execute(k.mailbox.Context(), addr, request)
-		k.mailbox.Send(func() {
-			k.exchanges.inFlight--
-			s.exchange.isInFlight = false
+		heartbeat, done, err := m.workers.Execute(m.mailbox.Context(), addr, request)
+		m.mailbox.Send(func() {
+			m.exchanges.inFlight--
+			session.exchange.isInFlight = false
 			if err == nil && heartbeat.Host == machine.Host() {
-				s.exchange.answeredAt = time.Now()
-				if k.sessions[machine] == s && machine.LastHeartbeatAt().Equal(reported) && responsesExpired(s.exchange.sentAt.Sub(reported)) {
-					k.applyDirectHeartbeat(machine, s, heartbeat, fencingToken)
+				session.exchange.answeredAt = time.Now()
+				if m.isConclusive(machine, session, lastHeartbeatAt) {
+					m.applyDirectHeartbeat(machine, session, heartbeat, request.FencingToken)
 				}
 			}
-			k.retryExchange(machine, s, heartbeat, err == nil && done)
-			k.runExchanges()
+			m.retryExchange(machine, session, heartbeat, err == nil && done)
+			m.runExchanges()
 		})
 	}()
 }
 
-// retryExchange has a worker told once more that did not answer, or to which an order to start what was
-// called off may still be on its way: it drops answers that are older than AnswerDead.
-func (k *Manager) retryExchange(machine *clusterstate.Machine, s *agentSession, heartbeat *workerapi.Heartbeat, done bool) {
-	wait := tuning.DirectRequestRetryDelay
-	if !done {
-		wait = tuning.DirectRequestInterval
-	} else if !k.startMayBeInFlight(machine, heartbeat) {
-		return
+// cancellations returns the stops of the cancelled tasks of a worker, tuning.MaxCommandsPerDirectRequest at
+// most.
+func cancellations(machine *clusterstate.Machine) []workerapi.Command {
+	commands := []workerapi.Command{} // encoded as an empty list, not as null
+	for assignment := range machine.Assignments() {
+		if isCancelled(assignment) && len(commands) < tuning.MaxCommandsPerDirectRequest {
+			commands = append(commands, stopCommand(assignment, 0)) // nobody needs its checkpoint
+		}
 	}
-	k.enqueueExchangeAfter(machine, s, wait)
+	return commands
 }
 
-func (k *Manager) enqueueExchangeAfter(machine *clusterstate.Machine, s *agentSession, wait time.Duration) {
-	k.mailbox.SendAfter(wait, func() {
-		if k.sessions[machine] == s && k.State.IsCurrentMachine(machine) && time.Now().Before(s.exchange.resendUntil) {
-			k.enqueueExchange(machine, s)
-		}
-	})
+// isCancelled reports whether a worker may run a task that no job has any more.
+func isCancelled(assignment *clusterstate.Assignment) bool {
+	status := assignment.Status()
+	return status.Stopping && status.StartSent && assignment.Job() == nil
+}
+
+// retryExchange repeats an exchange that was not answered, or after which a start of a cancelled task may
+// still be in flight to the worker: the worker drops responses older than tuning.HeartbeatAnswerLifetime.
+func (m *Manager) retryExchange(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, done bool) {
+	switch {
+	case !done:
+		m.enqueueExchangeAfter(machine, session, tuning.DirectRequestInterval)
+	case startMayBeInFlight(machine, heartbeat):
+		m.enqueueExchangeAfter(machine, session, tuning.DirectRequestRetryDelay)
+	}
 }
 
-// startMayBeInFlight tells whether a task that was called off is not in a worker's report, and may still come.
-func (k *Manager) startMayBeInFlight(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) bool {
+// startMayBeInFlight reports whether a cancelled task is not in a worker's heartbeat, and may still start.
+func startMayBeInFlight(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) bool {
 	listed := map[string]bool{}
-	for _, status := range heartbeat.Tasks {
-		listed[status.Task] = true
+	for _, task := range heartbeat.Tasks {
+		listed[task.Task] = true
 	}
 	for assignment := range machine.Assignments() {
-		if assignment.Status().Stopping && assignment.Status().StartSent && assignment.Job() == nil && !listed[assignment.Name()] {
+		if isCancelled(assignment) && !listed[assignment.Name()] {
 			return true
 		}
 	}
 	return false
 }
 
-// responsesExpired tells whether a worker that was silent for so long when it was asked can be reached by no
-// answer of ours any more: it drops those that are older than AnswerDead. Overdue alone does not say
-// so where reports are close together: an order that was still on its way counted as lost, and its task
-// was started elsewhere (ran_twice on a drawn night, docs/incidents/2026-12-night-852.md). Other than
-// so in the tests' broken variant.
-var responsesExpired = func(silent time.Duration) bool { return silent >= tuning.HeartbeatAnswerLifetime }
+// isConclusive reports whether the answer to an exchange shows what the worker runs: the session is still the
+// same, no heartbeat was applied since the request, and no response of ours can reach the worker any more.
+func (m *Manager) isConclusive(machine *clusterstate.Machine, session *agentSession, lastHeartbeatAt time.Time) bool {
+	return m.sessions[machine] == session && machine.LastHeartbeatAt().Equal(lastHeartbeatAt) &&
+		responsesExpired(session.exchange.sentAt.Sub(lastHeartbeatAt))
+}
+
+// responsesExpired reports whether no response can reach a worker any more that had sent no heartbeat for a
+// time when it was asked: it drops responses older than tuning.HeartbeatAnswerLifetime. That its heartbeat is
+// overdue does not say so if the heartbeat interval is short: a start that was still in flight counted as
+// lost, and its task was started elsewhere (rule ran_twice, docs/incidents/2026-12-night-852.md). It is a
+// variable so that a mutation test can replace it.
+var responsesExpired = func(sinceLastHeartbeat time.Duration) bool {
+	return sinceLastHeartbeat >= tuning.HeartbeatAnswerLifetime
+}
 
-// applyDirectHeartbeat takes in what a worker answers at its own address that should have reported and has
-// not. No answer of ours can reach it any more (silentFor), and it has sent no report that was taken
-// in since it was asked. So what it does not list is not there. In a later session than that of its
-// last report nothing of before is left.
-func (k *Manager) applyDirectHeartbeat(machine *clusterstate.Machine, s *agentSession, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
-	shard := k.State.OwnedShard(machine)
-	at := heartbeatID{heartbeat.AgentEpoch, heartbeat.Sequence}
-	last := k.lastHeartbeats[machine.Host()]
-	if shard == nil || !k.State.IsCurrentMachine(machine) || !machine.HeartbeatOverdue() || !machine.HasReported() || machine.IsLost() || s.pending != nil || max(shard.Epoch(), machine.Revision()) != fencingToken ||
-		heartbeat.FencingToken != fencingToken || heartbeat.AgentEpoch <= s.closedEpoch || at.notAfter(last) {
+// applyDirectHeartbeat applies a conclusive answer of a worker whose heartbeat is overdue: a task that it does
+// not list is not there. In a later agent epoch than that of its last heartbeat nothing is left of the tasks
+// before.
+func (m *Manager) applyDirectHeartbeat(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
+	if !machine.HeartbeatOverdue() || !machine.HasReported() || session.pending != nil {
 		return
 	}
-	k.lastHeartbeats[machine.Host()] = at
-	if heartbeat.AgentEpoch > last.agentEpoch {
-		k.log.Info("worker that reaches no controller has lost its lease", "worker", machine.Host(), "tasks", machine.AssignmentCount())
-		k.applyCompletions(machine, heartbeat) // those that it has done are done
-		s.closedEpoch = heartbeat.AgentEpoch - 1
-		k.State.MarkLost(machine)
+	if !m.isCurrentAnswer(machine, heartbeat, fencingToken) {
 		return
 	}
-	if quiet, _ := k.applyTasks(machine, heartbeat, false); !quiet {
-		k.State.MarkHeartbeatOverdue(machine) // an order that never arrived goes elsewhere
-		k.State.MarkDirty()
+	lastAgentEpoch := m.AgentEpoch(machine)
+	m.lastHeartbeats[machine.Host()] = idOf(heartbeat)
+	if heartbeat.AgentEpoch > lastAgentEpoch {
+		m.log.Info("lease of unreachable worker expired", "worker", machine.Host(), "tasks", machine.AssignmentCount())
+		m.applyCompletions(machine, heartbeat) // the tasks that are done stay done
+		session.closedEpoch = heartbeat.AgentEpoch - 1
+		m.State.MarkLost(machine)
+		return
 	}
-}
-
-// applyCompletions takes in what a report lists as done.
-func (k *Manager) applyCompletions(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) {
-	for _, status := range heartbeat.Tasks {
-		if status.Status == workerapi.StatusEnded && status.Cause == workerapi.CauseDone {
-			assignment := machine.Assignment(status.Task)
-			if assignment != nil && assignment.Attempt() != status.Attempt {
-				assignment = nil
-			}
-			k.taskEnded(machine, assignment, status)
-		}
+	if changes := m.applyTasks(machine, heartbeat, false); !changes.isQuiet {
+		m.State.MarkHeartbeatOverdue(machine) // tasks whose start never arrived go elsewhere
+		m.State.MarkDirty()
 	}
 }
 
-// mayStartTasks tells whether tasks may be ordered to start: what is known of cancellations is
-// younger than tuning.StartsFor, so that no job is started that was confirmed to be cancelled
-// (docs/recovery.md, "No start after a cancellation"). Longer, if all others say that nobody has
-// reached the state service: then nobody can have confirmed one.
-func (k *Manager) mayStartTasks(now time.Time) bool {
-	return cancellationsKnown(k.cfg, now, k.Cache.ConsistentAsOf()) || k.Peers.NoPeerReachesStore(now, tuning.MaxStartKnowledgeAge/2)
-}
-
-// cancellationsKnown is so but in the tests' broken variant.
-var cancellationsKnown = (*config.Config).MayStartTasks
-
-// requestReadBarrier has the state service asked when starts wait for newer knowledge.
-func (k *Manager) requestReadBarrier(now time.Time) {
-	if k.exchanges.isReadBarrierPending || now.Sub(k.Cache.ConsistentAsOf()) < tuning.MaxStartKnowledgeAge/2 {
-		return
-	}
-	k.exchanges.isReadBarrierPending = true
-	k.Cache.ReadBarrier(true, func(ok bool) {
-		k.exchanges.isReadBarrierPending = false
-		if ok {
-			k.SendResponses()
+// HasUnconfirmedStop reports whether a task of a cancelled job may be on a worker of this controller and has
+// perhaps not begun, so that it could still start.
+func (m *Manager) HasUnconfirmedStop(ref string) bool {
+	now := time.Now()
+	for machine, session := range m.sessions {
+		if now.Before(session.exchange.resendUntil) && hasUnstartedStop(machine, ref) {
+			return true
 		}
-	})
+	}
+	return false
 }
 
-// HasUnconfirmedStop tells whether a task of a job that is over may be on a worker of ours and has perhaps not
-// begun.
-func (k *Manager) HasUnconfirmedStop(ref string) bool {
-	now := time.Now()
-	for machine, session := range k.sessions {
-		if !now.Before(session.exchange.resendUntil) {
+// hasUnstartedStop reports whether a task of a job is to be stopped on a worker that has not begun it, as far
+// as is known.
+func hasUnstartedStop(machine *clusterstate.Machine, ref string) bool {
+	for assignment := range machine.Assignments() {
+		taskRef, _, ok := jobs.ParseTask(assignment.Name())
+		if !ok || taskRef != ref {
 			continue
 		}
-		for assignment := range machine.Assignments() {
-			if at, _, ok := jobs.ParseTask(assignment.Name()); ok && at == ref && assignment.Status().Stopping && assignment.Status().StartSent && !assignment.Status().HasStarted() {
-				return true
-			}
+		status := assignment.Status()
+		if status.Stopping && status.StartSent && !status.HasStarted() {
+			return true
 		}
 	}
 	return false
--- /dev/null
+++ b/internal/workersession/faults.go
@@ -0,0 +1,80 @@
+package workersession
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/faultattribution"
+	"cherrywall/internal/workerapi"
+)
+
+// taskFailed has the failure of a task attributed to its job or to the machine.
+func (m *Manager) taskFailed(machine *clusterstate.Machine, assignment *clusterstate.Assignment) {
+	now, ref := time.Now(), assignment.Job().Ref()
+	var ranFor time.Duration
+	if since := assignment.Status().RunningSince; !since.IsZero() {
+		ranFor = now.Sub(since)
+	}
+	pause, isMachineFaulty := m.Faults.RecordFailure(ref, machine.Host(), ranFor, now, m.faultThresholds())
+	if pause > 0 {
+		m.log.Info("job fails on several machines", "job", ref, "pause_s", pause.Seconds())
+	}
+	if isMachineFaulty {
+		m.quarantine(machine.Host())
+	}
+}
+
+// recordSuccess notes that a task of a job works on a machine, and quarantines the machines that are at fault
+// by this: the job fails there.
+func (m *Manager) recordSuccess(ref string, machine *clusterstate.Machine) {
+	m.quarantine(m.Faults.RecordSuccess(ref, machine.Host(), m.faultThresholds())...)
+}
+
+// clearSuspectedJobs looks for jobs that failed on some machine and run elsewhere for much longer than until
+// that failure: then the machine is at fault.
+func (m *Manager) clearSuspectedJobs(now time.Time) {
+	for ref, minimumRunTime := range m.Faults.UnprovenJobs() {
+		job := m.State.Job(ref)
+		if job == nil || job.HasEnded() {
+			m.Faults.ForgetJob(ref)
+			continue
+		}
+		for taskRange := range job.TaskRanges() {
+			m.recordLongRuns(ref, taskRange, minimumRunTime, now)
+		}
+	}
+}
+
+// recordLongRuns counts the tasks of a range as successes that run for longer than a minimum.
+func (m *Manager) recordLongRuns(ref string, taskRange *clusterstate.TaskRange, minimumRunTime time.Duration, now time.Time) {
+	for index := range taskRange.Len() {
+		assignment := taskRange.Assignment(index)
+		if assignment == nil {
+			continue
+		}
+		status := assignment.Status()
+		if status.WorkerStatus != workerapi.StatusRunning || status.RunningSince.IsZero() {
+			continue
+		}
+		if now.Sub(status.RunningSince) > minimumRunTime {
+			m.recordSuccess(ref, assignment.Machine())
+		}
+	}
+}
+
+func (m *Manager) faultThresholds() faultattribution.Thresholds {
+	settings, _ := m.Cache.Settings()
+	return faultattribution.Thresholds{MachineFailures: settings.QuarantineErrors, JobMachines: settings.JobErrorHosts}
+}
+
+// quarantine cordons machines on which tasks fail that work elsewhere.
+func (m *Manager) quarantine(hosts ...string) {
+	for _, host := range hosts {
+		machine := m.State.Machine(host)
+		if machine == nil || machine.IsCordoned() {
+			continue
+		}
+		m.State.Drain(machine)
+		m.log.Info("machine quarantined", "worker", host, "failures", m.Faults.FailureCount(host))
+	}
+}
--- /dev/null
+++ b/internal/workersession/registration.go
@@ -0,0 +1,113 @@
+package workersession
+
+import (
+	"slices"
+	"time"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/workerapi"
+)
+
+// registrations are the workers whose records are being written.
+type registrations struct {
+	hosts map[string]bool
+	count map[shardAndType]int
+}
+
+// shardAndType is a shard and a machine type.
+type shardAndType struct{ shardID, machineType string }
+
+func newRegistrations() registrations {
+	return registrations{hosts: map[string]bool{}, count: map[shardAndType]int{}}
+}
+
+// register assigns an unknown worker to a shard, durably, before its heartbeat is answered.
+func (m *Manager) register(pending *pendingHeartbeat) {
+	heartbeat := pending.heartbeat
+	shardID := m.leastLoadedShard(heartbeat.Zone, heartbeat.MachineType)
+	shard := m.Membership.Shard(shardID)
+	if m.Cache.IsStale(time.Now()) || m.registrations.hosts[heartbeat.Host] || shard == nil {
+		pending.refuse()
+		return
+	}
+	target := shardAndType{shardID, heartbeat.MachineType}
+	m.registrations.hosts[heartbeat.Host] = true
+	m.registrations.count[target]++
+	key := jobs.WorkerPrefix + heartbeat.Host
+	record := workerapi.Record{
+		Shard:          shardID,
+		Addr:           heartbeat.Addr,
+		MachineType:    heartbeat.MachineType,
+		Zone:           heartbeat.Zone,
+		Spot:           heartbeat.Spot,
+		RegisteredAtMS: time.Now().UnixMilli(),
+	}
+	txn := kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: key}, {Key: jobs.ShardPrefix + shardID, Revision: shard.Epoch()}},
+		Writes:     []kvstore.Write{{Key: key, Value: kvstore.Encode(record)}},
+	}
+	m.Cache.Commit(kvstore.Normal, txn, func(kvstore.TxnResult, error) {
+		delete(m.registrations.hosts, heartbeat.Host)
+		m.registrations.count[target]--
+		m.registered(pending)
+	})
+}
+
+// registered continues with a worker's heartbeat after its record was written, by this controller or by
+// another one.
+func (m *Manager) registered(pending *pendingHeartbeat) {
+	heartbeat := pending.heartbeat
+	machine := m.State.Machine(heartbeat.Host)
+	if machine == nil {
+		pending.refuse()
+		return
+	}
+	m.Reconciler.WorkerRegistered(machine, time.Now())
+	m.log.Info("worker registered", "worker", heartbeat.Host, "shard", machine.Record().Shard,
+		"machine_type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+	m.process(pending)
+}
+
+// leastLoadedShard chooses the shard of a new worker: among those whose home is in the worker's zone the
+// one with the fewest workers of the machine type.
+func (m *Manager) leastLoadedShard(zone, machineType string) string {
+	leastLoaded, leastCount := "", 0
+	for _, shardID := range m.shardsNear(zone) {
+		// Workers that are being registered count, so that many new machines are spread.
+		count := m.registrations.count[shardAndType{shardID, machineType}] + m.countWorkers(shardID, machineType)
+		if leastLoaded == "" || count < leastCount {
+			leastLoaded, leastCount = shardID, count
+		}
+	}
+	return leastLoaded
+}
+
+// shardsNear returns, in order, the shards whose home is in a zone, or all shards if there are none. A
+// shard has the name of its home controller.
+func (m *Manager) shardsNear(zone string) []string {
+	var local, all []string
+	for _, member := range m.cfg.Members() {
+		all = append(all, member.Node)
+		if member.Zone == zone {
+			local = append(local, member.Node)
+		}
+	}
+	shardIDs := local
+	if len(local) == 0 {
+		shardIDs = all
+	}
+	slices.Sort(shardIDs)
+	return shardIDs
+}
+
+func (m *Manager) countWorkers(shardID, machineType string) int {
+	count := 0
+	for machine := range m.State.Machines() {
+		record := machine.Record()
+		if record.Shard == shardID && record.MachineType == machineType && !machine.IsLost() {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/workersession/response.go
@@ -0,0 +1,127 @@
+package workersession
+
+import (
+	"net/http"
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/tuning"
+	"cherrywall/internal/workerapi"
+)
+
+// HeartbeatReply is the reply to a heartbeat.
+type HeartbeatReply struct {
+	StatusCode int                         // of HTTP
+	OwnerNode  string                      // the owner of the worker's shard, with http.StatusMisdirectedRequest; may be empty
+	Response   workerapi.HeartbeatResponse // with http.StatusOK
+}
+
+func unavailableReply() HeartbeatReply {
+	return HeartbeatReply{StatusCode: http.StatusServiceUnavailable}
+}
+
+func okReply(fencingToken uint64, commands []workerapi.Command) HeartbeatReply {
+	return HeartbeatReply{
+		StatusCode: http.StatusOK,
+		Response:   workerapi.HeartbeatResponse{FencingToken: fencingToken, Commands: commands},
+	}
+}
+
+// respondWithToken answers a worker with the fencing token and no command.
+func (m *Manager) respondWithToken(pending *pendingHeartbeat, machine *clusterstate.Machine) {
+	session := m.sessionOf(machine)
+	fencingToken, refusal := m.authorize(pending, machine, session)
+	switch {
+	case !m.State.IsCurrentMachine(machine) || pending.isExpired():
+		pending.refuse()
+	case refusal != nil:
+		pending.reply <- *refusal
+	default:
+		session.unconfirmedResponses++
+		pending.reply <- okReply(fencingToken, []workerapi.Command{})
+	}
+}
+
+// respondOrDelay answers a worker's pending heartbeat, or delays the response a moment if there is no
+// command: a start that is decided meanwhile then needs no further heartbeat. The delay is no longer than
+// the worker would send nothing anyway (it reports a change half a second after its last heartbeat at the
+// earliest), or, for a worker without tasks, than a part of its heartbeat interval.
+func (m *Manager) respondOrDelay(machine *clusterstate.Machine, session *agentSession) {
+	pending := session.pending
+	if pending == nil {
+		return
+	}
+	if !m.State.IsCurrentMachine(machine) {
+		session.refusePending()
+		return
+	}
+	fencingToken, refusal := m.authorize(pending, machine, session)
+	if refusal != nil {
+		session.pending = nil
+		pending.reply <- *refusal
+		return
+	}
+	isIdle := machine.AssignmentCount() == 0 && len(pending.heartbeat.Tasks) == 0
+	delay := m.MaxResponseDelay(isIdle) - time.Since(pending.receivedAt)
+	knowsToken := pending.heartbeat.FencingToken == fencingToken
+	if delay <= 0 || !knowsToken || !m.State.IsUsable(machine) || m.hasCommands(machine) {
+		m.respond(machine, session)
+		return
+	}
+	if pending.isDelayed {
+		return
+	}
+	pending.isDelayed = true
+	m.mailbox.SendAfter(delay, func() {
+		if session.pending == pending {
+			m.respondOrDelay(machine, session)
+		}
+	})
+}
+
+// MaxResponseDelay returns how long a heartbeat may wait for commands, longer if the worker is idle.
+func (m *Manager) MaxResponseDelay(isIdle bool) time.Duration {
+	if !isIdle {
+		return tuning.BusyHeartbeatAnswerDelay
+	}
+	halfInterval := config.Seconds(m.cfg.Cluster.Workers.ReportS / 2)
+	return max(tuning.BusyHeartbeatAnswerDelay, min(tuning.IdleHeartbeatAnswerDelay, halfInterval))
+}
+
+// respond answers a worker's pending heartbeat with all commands for the worker.
+func (m *Manager) respond(machine *clusterstate.Machine, session *agentSession) {
+	pending := session.pending
+	session.pending = nil
+	fencingToken, refusal := m.authorize(pending, machine, session)
+	if refusal != nil {
+		pending.reply <- *refusal
+		return
+	}
+	commands := m.commands(machine, pending.heartbeat)
+	m.Reconciler.CommandsSent(machine, commands, time.Now())
+	pending.reply <- okReply(fencingToken, commands)
+}
+
+// SendResponses answers the pending heartbeats for which there are commands by now.
+func (m *Manager) SendResponses() {
+	m.requestReadBarrier(time.Now())
+	for _, machine := range m.State.OwnedMachines() {
+		session := m.sessions[machine]
+		if session != nil && session.pending != nil && m.hasCommands(machine) {
+			m.respondOrDelay(machine, session)
+		}
+	}
+}
+
+// FlushResponses answers the pending heartbeats of a shard's workers. It is called before the shard is
+// transferred, since nobody is answered afterwards.
+func (m *Manager) FlushResponses(shard *membership.Shard) {
+	for machine := range m.State.OwnedMachinesIn(shard.ID()) {
+		session := m.sessions[machine]
+		if session != nil && session.pending != nil {
+			m.respond(machine, session)
+		}
+	}
+}
--- /dev/null
+++ b/internal/workersession/tasks.go
@@ -0,0 +1,181 @@
+package workersession
+
+import (
+	"time"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/reconciliation"
+	"cherrywall/internal/workerapi"
+)
+
+// taskChanges is what a heartbeat changes in the state of a worker's tasks.
+type taskChanges struct {
+	isQuiet  bool // it says nothing new of tasks or of a preemption
+	delivery commandDelivery
+}
+
+// commandDelivery is what a heartbeat shows of the last start commands.
+type commandDelivery int
+
+const (
+	noCommands        commandDelivery = iota // there were none
+	commandsDelivered                        // at least one arrived
+	commandsMissed                           // none arrived
+)
+
+// applyTasks applies the tasks of a heartbeat: what it lists is on the worker, and what was sent to the worker
+// and is not listed is not there.
+func (m *Manager) applyTasks(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, isNewSession bool) taskChanges {
+	now := time.Now()
+	changes := taskChanges{isQuiet: true}
+	if heartbeat.PreemptionInS != nil && !machine.IsPreempted() {
+		m.log.Info("machine preempted by the cloud", "worker", machine.Host(), "in_s", *heartbeat.PreemptionInS)
+		m.State.MarkPreempted(machine)
+		m.evacuate(machine, *heartbeat.PreemptionInS)
+		changes.isQuiet = false
+	}
+	if isNewSession {
+		machine.ResetImages()
+	}
+	listed := map[string]bool{}
+	for _, task := range heartbeat.Tasks {
+		if m.applyTask(machine, task, now, &changes) {
+			listed[task.Task] = true
+		}
+	}
+	m.applyUnlisted(machine, listed, isNewSession, &changes)
+	return changes
+}
+
+// applyTask applies one task of a heartbeat, and reports whether the task is on the worker.
+func (m *Manager) applyTask(machine *clusterstate.Machine, task workerapi.TaskStatus, now time.Time, changes *taskChanges) bool {
+	assignment := machine.Assignment(task.Task)
+	if assignment != nil && assignment.Attempt() != task.Attempt {
+		if task.Status == workerapi.StatusEnded {
+			return false // left over from an older attempt; it is acknowledged with the response
+		}
+		// Another attempt is on the worker, so the planned one is not.
+		m.State.Unplace(assignment)
+		assignment, changes.isQuiet = nil, false
+	}
+	if task.Status == workerapi.StatusEnded {
+		m.taskEnded(machine, assignment, task)
+		if assignment != nil {
+			changes.isQuiet = false
+		}
+		return false
+	}
+	if assignment == nil {
+		lookup := m.State.LookupTask(machine, task)
+		m.Reconciler.CountDiscrepancy(machine, reconciliation.Classify(lookup))
+		assignment = m.State.Adopt(machine, task, reconciliation.KeepsRunning(lookup))
+		changes.isQuiet = false
+	}
+	if status := assignment.Status(); status.StartSent && !status.Reported {
+		changes.delivery = commandsDelivered
+	}
+	if isKnown := m.State.UpdateStatus(assignment, task.Status, now); !isKnown {
+		changes.isQuiet = false
+	}
+	return true
+}
+
+// applyUnlisted frees the tasks that are not on the worker although it was told to start them.
+func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewSession bool, changes *taskChanges) {
+	for assignment := range machine.Assignments() {
+		status := assignment.Status()
+		if listed[assignment.Name()] || !status.StartSent {
+			continue
+		}
+		changes.isQuiet = false
+		if status.Reported || status.Stopping {
+			m.State.Unplace(assignment)
+			continue
+		}
+		// The start never arrived, or the worker's agent epoch had ended: send it again.
+		m.State.ClearStartSent(assignment)
+		if changes.delivery == noCommands && !isNewSession {
+			changes.delivery = commandsMissed
+		}
+	}
+}
+
+// evacuate saves what can be saved before the cloud takes a machine back.
+func (m *Manager) evacuate(machine *clusterstate.Machine, remainingS float64) {
+	for assignment := range machine.Assignments() {
+		job := assignment.Job()
+		if job == nil || assignment.Status().Stopping {
+			continue
+		}
+		record := job.Record()
+		switch {
+		case assignment.Status().IsPlanned():
+			m.State.Unplace(assignment)
+		case record.Kind == jobs.Gang:
+			m.State.StopGang(job)
+		case record.CheckpointIntervalSeconds > 0 && remainingS > record.CheckpointSaveSeconds:
+			m.State.Stop(assignment, remainingS)
+		case record.Kind == jobs.Service:
+			m.State.Stop(assignment, 0)
+		}
+	}
+}
+
+// applyCompletions applies only the completions of a heartbeat.
+func (m *Manager) applyCompletions(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) {
+	for _, task := range heartbeat.Tasks {
+		if task.Status != workerapi.StatusEnded || task.Cause != workerapi.CauseDone {
+			continue
+		}
+		assignment := machine.Assignment(task.Task)
+		if assignment != nil && assignment.Attempt() != task.Attempt {
+			assignment = nil
+		}
+		m.taskEnded(machine, assignment, task)
+	}
+}
+
+// taskEnded applies the end of a task. assignment is nil if the task is not assigned to the worker.
+func (m *Manager) taskEnded(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus) {
+	ref, index, ok := jobs.ParseTask(task.Task)
+	if !ok {
+		return
+	}
+	if task.Cause == workerapi.CauseDone {
+		m.taskDone(machine, assignment, task, ref, index)
+		return
+	}
+	if assignment == nil {
+		return
+	}
+	if hasJob := assignment.Job() != nil; hasJob {
+		if task.Cause == workerapi.CauseError {
+			m.taskFailed(machine, assignment)
+		}
+		if task.Cause != workerapi.CauseStopped {
+			m.log.Info("task ended", "task", task.Task, "worker", machine.Host(), "attempt", task.Attempt, "cause", task.Cause)
+		}
+	}
+	m.State.Unplace(assignment)
+}
+
+// taskDone applies the completion of a task. A worker repeats it until it is acknowledged: then the task is
+// not assigned to the worker any more, and only the first report counts as a success.
+func (m *Manager) taskDone(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus, ref string, index int) {
+	if assignment != nil {
+		m.recordSuccess(ref, machine)
+		if since := assignment.Status().RunningSince; !since.IsZero() && assignment.Job() != nil {
+			m.ClassStats.RecordRunTime(assignment.Job().Record(), time.Since(since).Seconds())
+		}
+		m.State.RemoveExited(assignment)
+	}
+	taskRange, at := m.State.FindTask(ref, index)
+	if taskRange == nil {
+		return
+	}
+	if reconciliation.Classify(m.State.LookupTask(machine, task)) == reconciliation.CompletionUnrecorded {
+		m.Reconciler.CountDiscrepancy(machine, reconciliation.CompletionUnrecorded)
+	}
+	m.State.MarkDone(taskRange, at, assignment)
+}
