--- a/internal/workersession/faults.go
+++ b/internal/workersession/faults.go
@@ -15,11 +15,11 @@
 	if since := assignment.Status().RunningSince; !since.IsZero() {
 		ranFor = now.Sub(since)
 	}
-	pause, isMachineFaulty := m.Faults.RecordFailure(ref, machine.Host(), ranFor, now, m.faultThresholds())
-	if pause > 0 {
-		m.log.Info("job fails on several machines", "job", ref, "pause_s", pause.Seconds())
+	attribution := m.Faults.RecordFailure(ref, machine.Host(), ranFor, now, m.faultThresholds())
+	if attribution.JobPause > 0 {
+		m.log.Info("job fails on several machines", "job", ref, "pause_s", attribution.JobPause.Seconds())
 	}
-	if isMachineFaulty {
+	if attribution.MachineFaulty {
 		m.quarantine(machine.Host())
 	}
 }
