--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -28,7 +28,7 @@
 }
 
 // FirstContact makes the first exchange with each worker of a shard that has a new owner: either
-// the response to the worker's first heartbeat, which tells it the new fencing token, or a probe.
+// the response to the worker's first heartbeat, which carries the new fencing token, or a probe.
 // Each exchange costs processor time and makes the worker send one more heartbeat, and after a
 // start of all controllers all workers come within the same second. So the exchanges are limited
 // to a rate that follows from the processor limit. Responses go first, since the leases of those
@@ -194,7 +194,7 @@
 }
 
 // heartbeatWait returns how long a worker is still left to send its next heartbeat by itself,
-// because it was told the fencing token a moment ago.
+// because it was sent the fencing token a moment ago.
 func (c *FirstContact) heartbeatWait(machine *clusterstate.Machine) time.Duration {
 	return tuning.HeartbeatAfterTokenDelay - time.Since(c.tokenSentAt[machine])
 }
--- a/internal/reconciliation/gang_workers_test.go
+++ b/internal/reconciliation/gang_workers_test.go
@@ -1,7 +1,6 @@
 package reconciliation_test
 
 import (
-	"encoding/json"
 	"testing"
 	"time"
 
@@ -33,7 +32,7 @@
 	onUnconfirmed := addGang(h, "wk-2", "n1", 5, "i-2", "i-3")
 	onAny := addGang(h, "wk-3", "n1", 6)
 	h.Cache.ApplyEvents(nil, 9)
-	h.WriteRecord(jobs.ShardPrefix+"n1", json.RawMessage(membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now())), 10)
+	h.WriteRecord(jobs.ShardPrefix+"n1", membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now()), 10)
 	h.SyncCache(10)
 	h.Reconciler.Check(time.Now())
 	if n := onConfirmed.CountTasks(clusterstate.TaskReady); n != 0 {
@@ -66,7 +65,7 @@
 	if !taskRange.MayBeOn("i-2") {
 		t.Error("trusted under an owner that records no gang workers")
 	}
-	h.WriteRecord(jobs.ShardPrefix+"n1", json.RawMessage(membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now())), 8)
+	h.WriteRecord(jobs.ShardPrefix+"n1", membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now()), 8)
 	late := addGang(h, "wk-2", "n1", 9, "i-1")
 	if !taskRange.MayBeOn("i-2") || late.MayBeOn("i-2") {
 		t.Errorf("may run on another worker: claimed before %v, claimed after %v", taskRange.MayBeOn("i-2"), late.MayBeOn("i-2"))
--- a/internal/workersession/cancellation_test.go
+++ b/internal/workersession/cancellation_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// The key-value store refuses one owner alone, which hears its peers or nobody at all, and goes on sending
+// The key-value store refuses one owner alone, which reaches its peers or nobody at all, and goes on sending
 // starts of what it knows: none of a job whose cancellation is confirmed.
 func TestOwnerCutOffFromStoreSendsNoStartAfterCancellation(t *testing.T) {
 	for _, isolated := range []bool{false, true} {
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -32,9 +32,9 @@
 	resendUntil time.Time // until then the stops of cancelled tasks are repeated
 }
 
-// SendCancellations tells workers at once to stop tasks of ended jobs that have perhaps not begun. With the
-// next heartbeat they would begin in between, up to a heartbeat interval after their user was told that the
-// job is cancelled. A worker whose heartbeat is pending is told by the response.
+// SendCancellations sends workers at once the stops of tasks of ended jobs that have perhaps not begun. With
+// the next heartbeat they would begin in between, up to a heartbeat interval after the cancellation was
+// confirmed to the user. A worker whose heartbeat is pending gets them with the response.
 func (m *Manager) SendCancellations(now time.Time) {
 	for _, machine := range m.State.TakeUrgentStops() {
 		if !m.isOwned(machine) {
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -127,7 +127,7 @@
 
 // announceToken answers a heartbeat that was sent before the worker knew the present fencing token. A
 // network partition may have held it up for minutes, and the previous owner may have moved its tasks
-// since: it counts for nothing but to tell the worker the token. The same holds while task ranges of
+// since: it counts for nothing, and is answered only to send the worker the token. The same holds while task ranges of
 // the shard may still be unknown here, see Cache.HasReachedEpoch.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
--- a/internal/workersession/tasks.go
+++ b/internal/workersession/tasks.go
@@ -81,7 +81,7 @@
 	return true
 }
 
-// applyUnlisted frees the tasks that are not on the worker although it was told to start them.
+// applyUnlisted frees the tasks that are not on the worker although their start was sent.
 func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewSession bool, changes *taskChanges) {
 	for assignment := range machine.Assignments() {
 		status := assignment.Status()
