--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Drain cordons a machine: it gets no more tasks.
-func (s *State) Drain(machine *Machine) {
+// Cordon has a machine get no more tasks; those that run there go on.
+func (s *State) Cordon(machine *Machine) {
 	s.setFlag(machine, &entity.Flags(machine).Cordoned, true)
 }
 
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -234,7 +234,7 @@
 		c.State.MarkPreempted(machine)
 	}
 	if snapshot.Drained {
-		c.State.Drain(machine)
+		c.State.Cordon(machine)
 	}
 	// The old owner has not responded to the worker since it sent the snapshot, which was before
 	// this controller acquired the shard. So no lease that it renewed lasts longer than one that
--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -72,7 +72,7 @@
 		return
 	}
 	m.log.Info("surplus machine drained for consolidation", "worker", emptiest.Host(), "tasks", emptiest.AssignmentCount())
-	m.State.Drain(emptiest)
+	m.State.Cordon(emptiest)
 }
 
 // emptiestMovable returns the surplus machine with the lowest CPU use whose tasks can all be
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -64,7 +64,7 @@
 	m.releaseIfUnreachable(machine, now)
 	if slices.Contains(drainedHosts, machine.Host()) && !machine.IsCordoned() {
 		m.log.Info("machine drained by operators", "worker", machine.Host())
-		m.State.Drain(machine)
+		m.State.Cordon(machine)
 	}
 	if machine.IsCordoned() && !machine.IsReleasing() && m.evictTasks(machine) {
 		m.release(machine)
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -84,7 +84,7 @@
 		if machine.AssignmentCount() > 0 {
 			// Best-effort tasks save a checkpoint and go on elsewhere.
 			m.log.Info("surplus machine drained of best-effort tasks", "worker", machine.Host(), "tasks", machine.AssignmentCount())
-			m.State.Drain(machine)
+			m.State.Cordon(machine)
 			continue
 		}
 		m.release(machine)
--- a/internal/workersession/orders.go
+++ b/internal/workersession/orders.go
@@ -183,7 +183,7 @@
 func (k *Manager) quarantine(hosts ...string) {
 	for _, h := range hosts {
 		if machine := k.State.Machine(h); machine != nil && !machine.IsCordoned() {
-			k.State.Drain(machine)
+			k.State.Cordon(machine)
 			k.log.Info("machine quarantined", "worker", h, "errors", k.Faults.FailureCount(h))
 		}
 	}
