--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -27,12 +27,12 @@
 	changesShard := machine.Record().Shard != record.Shard
 	if changesShard {
 		s.forgetTasks(machine)
-		flags := entity.Flags(machine)
+		flags := entity.MutableFlags(machine)
 		flags.Reported, flags.Lost = false, false
 	}
 	entity.SetMachineRecord(machine, record, revision)
 	s.machinesChanged()
-	entity.Times(machine).JoinedShardAt = time.Now()
+	entity.MutableTimes(machine).JoinedShardAt = time.Now()
 	s.markChanged(machine)
 	return machine, changesShard && !isNew
 }
@@ -44,11 +44,11 @@
 		entity.ReleaseTask(assignment, TaskUnknown)
 	}
 	entity.ClearAssignments(machine)
-	flags := entity.Flags(machine)
+	flags := entity.MutableFlags(machine)
 	flags.Releasing, flags.Moving = false, false
 	flags.ReportedEmpty, flags.ProbeUnanswered = false, false
 	flags.NoInbound, flags.HeartbeatOverdue = false, false
-	entity.Times(machine).IdleSince = time.Time{}
+	entity.MutableTimes(machine).IdleSince = time.Time{}
 	s.markChanged(machine)
 }
 
@@ -93,7 +93,7 @@
 			continue
 		}
 		s.forgetTasks(machine)
-		flags := entity.Flags(machine)
+		flags := entity.MutableFlags(machine)
 		flags.Reported, flags.Lost = false, flags.Released
 		if !flags.Released {
 			remaining = append(remaining, machine)
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -67,7 +67,7 @@
 // Stop notes that an assignment is to be stopped, with so many seconds for a checkpoint. A task
 // that is stopping already never gets more time than before.
 func (s *State) Stop(assignment *Assignment, graceS float64) {
-	status := entity.Status(assignment)
+	status := entity.MutableStatus(assignment)
 	if status.Stopping && graceS >= status.GraceS {
 		return
 	}
@@ -113,25 +113,25 @@
 
 // MarkStartSent notes that a start command was sent.
 func (s *State) MarkStartSent(assignment *Assignment) {
-	entity.Status(assignment).StartSent = true
+	entity.MutableStatus(assignment).StartSent = true
 	entity.MarkUsageStale(assignment.Machine())
 }
 
 // MarkStopSent notes that a stop command was sent.
 func (s *State) MarkStopSent(assignment *Assignment) {
-	entity.Status(assignment).StopSent = true
+	entity.MutableStatus(assignment).StopSent = true
 	entity.MarkUsageStale(assignment.Machine())
 }
 
 // ClearStartSent notes that a start command never arrived, or that its agent session is over.
 func (s *State) ClearStartSent(assignment *Assignment) {
-	entity.Status(assignment).StartSent = false
+	entity.MutableStatus(assignment).StartSent = false
 }
 
 // UpdateStatus notes a task's status as reported by its worker. It reports whether that was known
 // already.
 func (s *State) UpdateStatus(assignment *Assignment, workerStatus string, now time.Time) (unchanged bool) {
-	status := entity.Status(assignment)
+	status := entity.MutableStatus(assignment)
 	unchanged = status.Reported && status.WorkerStatus == workerStatus
 	if workerStatus == workerapi.StatusRunning && status.WorkerStatus != workerapi.StatusRunning {
 		status.RunningSince = now
@@ -152,7 +152,7 @@
 // RemoveExited removes the assignment of a task that is done from its machine. Until MarkDone, the
 // task is on no machine and not ready.
 func (s *State) RemoveExited(assignment *Assignment) {
-	entity.Status(assignment).Reported = true
+	entity.MutableStatus(assignment).Reported = true
 	entity.RemoveAssignment(assignment)
 	s.markChanged(assignment.Machine())
 }
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -18,35 +18,35 @@
 
 // Cordon has a machine get no more tasks; those that run there go on.
 func (s *State) Cordon(machine *Machine) {
-	s.setFlag(machine, &entity.Flags(machine).Cordoned, true)
+	s.setFlag(machine, &entity.MutableFlags(machine).Cordoned, true)
 }
 
 // SetSuspected notes whether several jobs failed on a machine.
 func (s *State) SetSuspected(machine *Machine, suspected bool) {
-	s.setFlag(machine, &entity.Flags(machine).Suspected, suspected)
+	s.setFlag(machine, &entity.MutableFlags(machine).Suspected, suspected)
 }
 
 // SetSurplus notes whether an ordinary machine is to be drained and released.
 func (s *State) SetSurplus(machine *Machine, surplus bool) {
-	s.setFlag(machine, &entity.Flags(machine).Surplus, surplus)
+	s.setFlag(machine, &entity.MutableFlags(machine).Surplus, surplus)
 }
 
 // SetMoving notes whether a write that assigns a machine to another shard is in flight.
 func (s *State) SetMoving(machine *Machine, moving bool) {
-	s.setFlag(machine, &entity.Flags(machine).Moving, moving)
+	s.setFlag(machine, &entity.MutableFlags(machine).Moving, moving)
 }
 
 // SetReleasing notes whether a request to release a machine is under way.
 func (s *State) SetReleasing(machine *Machine, releasing bool) {
-	s.setFlag(machine, &entity.Flags(machine).Releasing, releasing)
+	s.setFlag(machine, &entity.MutableFlags(machine).Releasing, releasing)
 }
 
 // MarkPreempted notes that the cloud has given notice that it takes a machine back.
-func (s *State) MarkPreempted(machine *Machine) { entity.Flags(machine).Preempted = true }
+func (s *State) MarkPreempted(machine *Machine) { entity.MutableFlags(machine).Preempted = true }
 
 // MarkReleased notes that the cloud has confirmed the release of a machine: its tasks are gone.
 func (s *State) MarkReleased(machine *Machine) {
-	entity.Flags(machine).Released = true
+	entity.MutableFlags(machine).Released = true
 	s.machineCounts = nil
 	s.MarkLost(machine)
 }
@@ -55,7 +55,7 @@
 // stays lost: the heartbeat may be a late copy.
 func (s *State) RecordContact(machine *Machine, at time.Time) {
 	if !machine.IsLost() {
-		entity.Times(machine).LastHeartbeatAt = at
+		entity.MutableTimes(machine).LastHeartbeatAt = at
 	}
 }
 
@@ -65,8 +65,8 @@
 	if machine.HasNoInbound() == noInbound {
 		return
 	}
-	entity.Times(machine).NoInboundChangedAt = now
-	s.setFlag(machine, &entity.Flags(machine).NoInbound, noInbound)
+	entity.MutableTimes(machine).NoInboundChangedAt = now
+	s.setFlag(machine, &entity.MutableFlags(machine).NoInbound, noInbound)
 	if noInbound {
 		s.unplacePlanned(machine)
 	}
@@ -76,7 +76,7 @@
 // planned there are placed elsewhere, and nothing is planned there until it reports: tasks waited
 // there for as long as the lease, 28 s, while other machines had free capacity.
 func (s *State) MarkHeartbeatOverdue(machine *Machine) {
-	s.setFlag(machine, &entity.Flags(machine).HeartbeatOverdue, true)
+	s.setFlag(machine, &entity.MutableFlags(machine).HeartbeatOverdue, true)
 	s.unplacePlanned(machine)
 }
 
@@ -92,7 +92,7 @@
 // BeginHeartbeat notes a heartbeat under the present fencing token, before the tasks that it lists
 // are processed. It reports whether the machine counted as lost until now.
 func (s *State) BeginHeartbeat(machine *Machine, at time.Time) (wasLost bool) {
-	flags, times := entity.Flags(machine), entity.Times(machine)
+	flags, times := entity.MutableFlags(machine), entity.MutableTimes(machine)
 	wasLost = flags.Lost
 	if flags.Lost || !flags.Reported {
 		// The machine was empty because it was unreachable, not for lack of work. With the idle
@@ -109,7 +109,7 @@
 // listed none, unchanged whether it said nothing new, as most do: no decision follows from it
 // then. It reports whether this is the machine's first heartbeat under the present fencing token.
 func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
-	flags := entity.Flags(machine)
+	flags := entity.MutableFlags(machine)
 	first = !flags.Reported
 	flags.Reported, flags.ReportedEmpty = true, empty
 	if first || !unchanged {
@@ -120,12 +120,12 @@
 
 // MarkProbeUnanswered notes that a machine did not answer a probe.
 func (s *State) MarkProbeUnanswered(machine *Machine) {
-	entity.Flags(machine).ProbeUnanswered = !machine.HasReported()
+	entity.MutableFlags(machine).ProbeUnanswered = !machine.HasReported()
 }
 
 // AssumeLost notes that a machine did not report in time after its shard was acquired.
 func (s *State) AssumeLost(machine *Machine, now time.Time) {
-	entity.Flags(machine).Lost, entity.Times(machine).LostAt = true, now
+	entity.MutableFlags(machine).Lost, entity.MutableTimes(machine).LostAt = true, now
 }
 
 // MarkLost removes all tasks of a machine that is provably gone.
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -12,7 +12,7 @@
 func (s *State) BeginGangAttempt(job *Job, attempt uint64) { entity.BeginGangAttempt(job, attempt) }
 
 // ResetGangAttempt forgets a gang's attempt: its tasks are given back, or their state is unknown.
-func (s *State) ResetGangAttempt(job *Job) { *entity.Gang(job) = entity.GangAttempt{} }
+func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
 // adoptGangAttempt follows a task that a worker reports to run under an attempt, if its job is a
 // gang.
@@ -20,7 +20,7 @@
 	if !job.IsGang() {
 		return
 	}
-	gang := entity.Gang(job)
+	gang := entity.MutableGang(job)
 	switch {
 	case gang.Attempt == 0 || !gang.Started:
 		*gang = entity.GangAttempt{Attempt: attempt, Started: true}
@@ -35,7 +35,7 @@
 	if !job.IsGang() {
 		return
 	}
-	if gang := entity.Gang(job); gang.Started && assignment.Attempt() == gang.Attempt {
+	if gang := entity.MutableGang(job); gang.Started && assignment.Attempt() == gang.Attempt {
 		gang.Failed = true
 	}
 }
@@ -43,7 +43,7 @@
 // StartGang notes that a start command is sent for a task of a gang, and reports whether it is the
 // first.
 func (s *State) StartGang(job *Job) (first bool) {
-	gang := entity.Gang(job)
+	gang := entity.MutableGang(job)
 	first = !gang.Started
 	gang.Started = true
 	return first
@@ -51,7 +51,7 @@
 
 // StopGang stops all tasks of a gang with time for a checkpoint.
 func (s *State) StopGang(job *Job) {
-	entity.Gang(job).Failed = true
+	entity.MutableGang(job).Failed = true
 	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
 }
 
@@ -80,7 +80,7 @@
 // GangCanStart reports whether a gang's tasks may be started: all of them are placed on
 // machines where they fit within one scheduling cycle.
 func (s *State) GangCanStart(job *Job) bool {
-	gang := entity.Gang(job)
+	gang := entity.MutableGang(job)
 	if gang.Failed {
 		return false
 	}
@@ -124,7 +124,7 @@
 	if !job.IsGang() {
 		return
 	}
-	gang := entity.Gang(job)
+	gang := entity.MutableGang(job)
 	placed, ready, unknown := countTasks(job, TaskPlaced), countTasks(job, TaskReady), countTasks(job, TaskUnknown)
 	if placed == 0 {
 		if unknown == 0 {
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -112,8 +112,8 @@
 	return job != nil && (job.record.Kind != jobs.Array || !job.record.Spot)
 }
 
-// Status returns an assignment's status, to be changed.
-func Status(a *Assignment) *AssignmentStatus { return &a.status }
+// MutableStatus returns an assignment's status, to be changed.
+func MutableStatus(a *Assignment) *AssignmentStatus { return &a.status }
 
 // SetJobNeeds sets what an assignment takes by its job.
 func SetJobNeeds(a *Assignment, job *Job) {
--- /dev/null
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -0,0 +1,204 @@
+package entity
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"cherrywall/internal/capacity"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/workerapi"
+)
+
+func newTestJob(kind string, tasks int) *Job {
+	job := NewJob("wk-1")
+	record := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wk-1", Kind: kind, Urgency: "normal", Tasks: tasks, CPU: 4, MemGB: 8}}
+	SetSpec(job, record, job.ownDeadlines, false, false)
+	return job
+}
+
+// newTestRange returns a range of ready tasks, as if the shard were owned here.
+func newTestRange(job *Job, first, count int) *TaskRange {
+	r := NewTaskRange(job, first, jobs.RangeRecord{Shard: "n0", Count: count}, 5)
+	ResetTasks(r, true, TaskReady)
+	AddTaskRange(r)
+	return r
+}
+
+// place assigns a task of a range to a machine.
+func place(r *TaskRange, index int, machine *Machine, attempt uint64) *Assignment {
+	a := NewAssignment(machine, jobs.TaskName(r.job.ref, r.first+index), attempt, AssignmentStatus{})
+	SetJobNeeds(a, r.job)
+	AddAssignment(a)
+	AssignTask(a, r, index)
+	return a
+}
+
+// states returns the states of a range's tasks, and fails the test if the counts differ from them.
+func states(t *testing.T, r *TaskRange) []TaskState {
+	t.Helper()
+	var list []TaskState
+	counts := [taskStateCount]int{}
+	for i := range r.Len() {
+		list = append(list, r.TaskState(i))
+		counts[r.TaskState(i)]++
+	}
+	if counts != r.taskCounts {
+		t.Errorf("counts %v of states %v", r.taskCounts, list)
+	}
+	return list
+}
+
+func TestResetTasksFollowsRecord(t *testing.T) {
+	record := jobs.RangeRecord{Shard: "n0", Count: 3}
+	record.Done = record.Done.With(1)
+	r := NewTaskRange(newTestJob(jobs.Array, 3), 0, record, 5)
+	ResetTasks(r, true, TaskUnknown)
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTasks() != 1 {
+		t.Errorf("owned: %v, %d done", got, r.DoneTasks())
+	}
+	r.MarkUnknownReady()
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskFinished, TaskReady}) {
+		t.Errorf("unknown tasks are on no machine: %v", got)
+	}
+	ResetTasks(r, false, TaskUnknown)
+	if r.IsOwned() || r.Len() != 0 || r.DoneTasks() != 1 {
+		t.Errorf("not owned: %d tasks, %d done", r.Len(), r.DoneTasks())
+	}
+}
+
+func TestSplitMovesTasksBehindUnclaimed(t *testing.T) {
+	job := newTestJob(jobs.Array, 6)
+	r, machine := newTestRange(job, 10, 6), NewMachine("i-1")
+	a := place(r, 4, machine, 7)
+	MarkTaskDone(r, 5)
+	r.BeginUnclaim(1, 2)
+	for _, test := range []struct {
+		name     string
+		first    int
+		count    int
+		revision uint64
+		want     bool
+	}{
+		{"record of what is before", 10, 1, 6, true},
+		{"record of what is behind", 13, 3, 6, true},
+		{"of another length", 10, 2, 6, false},
+		{"of another beginning", 12, 4, 6, false},
+		{"not newer", 10, 1, 5, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			record := jobs.RangeRecord{Shard: "n0", Count: test.count}
+			if got := IsSplitBy(r, test.first, record, test.revision); got != test.want {
+				t.Errorf("it shows the split: %v, want %v", got, test.want)
+			}
+		})
+	}
+	Split(r)
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady}) || r.record.Count != 1 {
+		t.Errorf("before: %v, recorded %d", got, r.record.Count)
+	}
+	behind := job.TaskRange(13)
+	if got := states(t, behind); !slices.Equal(got, []TaskState{TaskReady, TaskPlaced, TaskFinished}) {
+		t.Errorf("behind: %v", got)
+	}
+	if behind.Assignment(1) != a || a.taskRange != behind || a.index != 1 {
+		t.Error("the assignment does not follow its task")
+	}
+	if r.DoneTasks() != 0 || behind.DoneTasks() != 1 || !slices.Equal(behind.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
+		t.Errorf("done: %d before, %d behind, %v", r.DoneTasks(), behind.DoneTasks(), behind.UnrecordedDoneTasks())
+	}
+}
+
+func TestCancelUnclaim(t *testing.T) {
+	r := newTestRange(newTestJob(jobs.Array, 3), 0, 3)
+	r.BeginUnclaim(1, 2)
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskUnclaiming, TaskUnclaiming}) {
+		t.Fatalf("begun: %v", got)
+	}
+	r.CancelUnclaim(1, 2)
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskReady, TaskReady}) {
+		t.Errorf("cancelled: %v", got)
+	}
+	r.BeginUnclaim(1, 2)
+	ResetTasks(r, true, TaskUnknown) // the shard was lost and acquired again
+	r.CancelUnclaim(1, 2)
+	if got := states(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskUnknown, TaskUnknown}) {
+		t.Errorf("cancelled after the shard was acquired again: %v", got)
+	}
+}
+
+func TestNeedsHostsWrite(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		recorded   []string
+		prepare    func(r *TaskRange)
+		wantsWrite bool
+	}{
+		{"planned as recorded", []string{"i-0", "i-1"}, func(*TaskRange) {}, false},
+		{"planned elsewhere", []string{"i-0", "i-9"}, func(*TaskRange) {}, true},
+		{"none recorded", nil, func(*TaskRange) {}, false},
+		{"started already", []string{"i-9"}, func(r *TaskRange) { MutableGang(r.job).Started = true }, false},
+		{"not all planned", []string{"i-9"}, func(r *TaskRange) { ReleaseTask(r.Assignment(1), TaskReady) }, false},
+		{"claim not durable", []string{"i-9"}, func(r *TaskRange) { r.tentative = true }, false},
+		{"last write unanswered", []string{"i-0", "i-1"}, func(r *TaskRange) { r.EndHostsWrite(false) }, true},
+		{"record new since an unanswered write", []string{"i-0", "i-1"}, func(r *TaskRange) {
+			r.EndHostsWrite(false)
+			SetRangeRevision(r, 6)
+		}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r := newTestRange(newTestJob(jobs.Gang, 2), 0, 2)
+			for i := range 2 {
+				place(r, i, NewMachine(fmt.Sprintf("i-%d", i)), 1)
+			}
+			r.record.GangWorkers = test.recorded
+			test.prepare(r)
+			if got := r.NeedsHostsWrite(); got != test.wantsWrite {
+				t.Errorf("needs a write: %v, want %v", got, test.wantsWrite)
+			}
+		})
+	}
+}
+
+// What a machine's assignments add up to in each phase of a task.
+func TestComputeUsage(t *testing.T) {
+	total := capacity.Resources{CPU: 16, MemGB: 64}
+	running := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
+	for _, test := range []struct {
+		name            string
+		status          AssignmentStatus
+		checkpointS     float64
+		freeCPU         float64
+		pendingCommands int
+		occupiesNow     bool
+	}{
+		{"planned", AssignmentStatus{}, 0, 12, 1, false},
+		{"start sent", AssignmentStatus{StartSent: true}, 0, 12, 0, true},
+		{"running", running, 0, 12, 0, true},
+		{"to be stopped", withStop(running, 5, false), 0, 16, 1, false},
+		{"to be stopped with a checkpoint", withStop(running, 5, false), 30, 16, 1, true},
+		{"to be stopped at once", withStop(running, 0, false), 30, 16, 1, false},
+		{"stop sent", withStop(running, 5, true), 30, 16, 0, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			machine := NewMachine("i-1")
+			a := place(newTestRange(newTestJob(jobs.Array, 1), 0, 1), 0, machine, 1)
+			a.status, a.checkpointS = test.status, test.checkpointS
+			usage := ComputeUsage(machine, total)
+			if usage.Free.CPU != test.freeCPU || usage.PendingCommands != test.pendingCommands {
+				t.Errorf("%v free, %d pending commands", usage.Free, usage.PendingCommands)
+			}
+			if usage.FreeBelow[jobs.PriorityCount-1] != total || usage.FreeBelow[0] != usage.Free {
+				t.Errorf("free below: %v", usage.FreeBelow)
+			}
+			if a.OccupiesNow() != test.occupiesNow {
+				t.Errorf("occupies now: %v", a.OccupiesNow())
+			}
+		})
+	}
+}
+
+func withStop(status AssignmentStatus, graceS float64, sent bool) AssignmentStatus {
+	status.Stopping, status.GraceS, status.StopSent = true, graceS, sent
+	return status
+}
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -263,8 +263,8 @@
 	return true
 }
 
-// Gang returns a job's present gang attempt, to be changed.
-func Gang(j *Job) *GangAttempt { return &j.gang }
+// MutableGang returns a job's present gang attempt, to be changed.
+func MutableGang(j *Job) *GangAttempt { return &j.gang }
 
 // BeginGangAttempt begins an attempt to place a gang.
 func BeginGangAttempt(j *Job, attempt uint64) {
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -186,11 +186,11 @@
 // ResetImages notes that the agent's session is new: the machine has no images.
 func (m *Machine) ResetImages() { m.images = map[string]bool{} }
 
-// Flags returns a machine's flags, to be changed.
-func Flags(m *Machine) *MachineFlags { return &m.flags }
+// MutableFlags returns a machine's flags, to be changed.
+func MutableFlags(m *Machine) *MachineFlags { return &m.flags }
 
-// Times returns a machine's times, to be changed.
-func Times(m *Machine) *MachineTimes { return &m.times }
+// MutableTimes returns a machine's times, to be changed.
+func MutableTimes(m *Machine) *MachineTimes { return &m.times }
 
 // SetMachineRecord sets a machine's record.
 func SetMachineRecord(m *Machine, record workerapi.Record, revision uint64) {
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -51,7 +51,7 @@
 	taskRange, index := s.FindTask(ref, task)
 	if taskRange == nil || !keepsRunning {
 		s.logDuplicate(assignment, taskRange, index)
-		entity.Status(assignment).Stopping = true
+		entity.MutableStatus(assignment).Stopping = true
 		return assignment
 	}
 	entity.AssignTask(assignment, taskRange, index)
@@ -83,7 +83,7 @@
 		return // no command for it was ever sent: the worker could not stop it, and it would never leave
 	}
 	assignment := s.Adopt(machine, previous.TaskStatus, keepsRunning)
-	status := entity.Status(assignment)
+	status := entity.MutableStatus(assignment)
 	mustStop := status.Stopping
 	*status = previous.Progress
 	if mustStop && !status.Stopping {
