--- a/internal/workersession/faults.go
+++ b/internal/workersession/faults.go
@@ -74,7 +74,7 @@
 		if machine == nil || machine.IsCordoned() {
 			continue
 		}
-		m.State.Drain(machine)
+		m.State.Cordon(machine)
 		m.log.Info("machine quarantined", "worker", host, "failures", m.Faults.FailureCount(host))
 	}
 }
