--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admission judges whether a job could ever run.
+// Package admission decides whether a job could ever run.
 package admission
 
 import (
@@ -15,54 +15,84 @@
 // ErrUnsatisfiable means that a job can never run as it was submitted.
 var ErrUnsatisfiable = errors.New("can never run")
 
-// Check tells whether a job could ever run on the given machine types; an error names
-// the field and is an ErrNever. known is false as long as the types are not.
-func Check(spec *jobs.Spec, team func(name string) (config.Team, bool), types map[string]cloud.MachineType) (known bool, err error) {
-	t, ok := team(spec.Team)
+// roundingTolerance is by how much a sum of CPUs or GPUs may exceed a limit, for the rounding
+// of floating point numbers.
+const roundingTolerance = 1e-9
+
+// unsatisfiable returns an error that names the field and wraps ErrUnsatisfiable.
+func unsatisfiable(field, format string, args ...any) error {
+	reason := fmt.Sprintf("%v: %s", ErrUnsatisfiable, fmt.Sprintf(format, args...))
+	return &jobs.ValidationError{Field: field, Reason: reason, Err: ErrUnsatisfiable}
+}
+
+// Check returns an error if a job could never run on the given machine types, whatever becomes
+// free. It wraps ErrUnsatisfiable and is a *jobs.ValidationError that names the field. known is
+// false if that cannot be decided because there are no machine types yet.
+func Check(spec *jobs.Spec, teamByName func(name string) (config.Team, bool), types map[string]cloud.MachineType) (known bool, err error) {
+	team, ok := teamByName(spec.Team)
 	if !ok {
-		return true, fmt.Errorf("crew: %w: unknown team %q", ErrUnsatisfiable, spec.Team)
+		return true, unsatisfiable("crew", "unknown team %q", spec.Team)
 	}
 	if len(types) == 0 {
 		return false, nil
 	}
-	need := spec.Need()
+	if err := checkPlacement(spec, types); err != nil {
+		return true, err
+	}
+	return true, checkQuota(spec, team)
+}
+
+// checkPlacement returns an error if the tasks fit no machines that the job allows.
+func checkPlacement(spec *jobs.Spec, types map[string]cloud.MachineType) error {
 	fits := false
-	zones := map[string]bool{}
-	for typeName, machineType := range types {
-		if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, typeName) || spec.Zone != nil && !slices.Contains(machineType.Zones, *spec.Zone) {
-			continue
-		}
-		if capacity.FitCount(machineType.Total(), need) == 0 {
+	zones := map[string]bool{} // allowed zones with machines for the job
+	for name, machineType := range types {
+		if !allowsType(spec, name, machineType) || capacity.FitCount(machineType.Total(), spec.Need()) == 0 {
 			continue
 		}
 		fits = true
-		for _, z := range machineType.Zones {
-			if spec.Zone == nil || *spec.Zone == z {
-				zones[z] = true
+		for _, zone := range machineType.Zones {
+			if spec.Zone == nil || *spec.Zone == zone {
+				zones[zone] = true
 			}
 		}
 	}
 	if !fits {
-		return true, fmt.Errorf("vcpus: %w: a task fits no allowed machine type", ErrUnsatisfiable)
+		return unsatisfiable("vcpus", "a task fits no allowed machine type")
 	}
-	// At most half of the tasks, rounded up, may be in one zone: one of one, one of two.
-	if spec.Spread && spec.Tasks > 1 {
-		switch {
-		case spec.OneZone:
-			return true, fmt.Errorf("spread: %w: all tasks in one zone, and at most half of them", ErrUnsatisfiable)
-		case len(zones) < 2:
-			return true, fmt.Errorf("spread: %w: only one zone is allowed and has machines for it", ErrUnsatisfiable)
-		}
+	// At most half of a spread job's tasks, rounded up, may run in one zone: one of one, one of
+	// two.
+	if !spec.Spread || spec.Tasks <= 1 {
+		return nil
+	}
+	switch {
+	case spec.OneZone:
+		return unsatisfiable("spread", "all tasks in one zone, and at most half of them")
+	case len(zones) < 2:
+		return unsatisfiable("spread", "only one zone is allowed and has machines for it")
 	}
-	n := 1.0
+	return nil
+}
+
+func allowsType(spec *jobs.Spec, name string, machineType cloud.MachineType) bool {
+	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, name) {
+		return false
+	}
+	return spec.Zone == nil || slices.Contains(machineType.Zones, *spec.Zone)
+}
+
+// checkQuota returns an error if the tasks that have to run at the same time exceed the team's
+// quota.
+func checkQuota(spec *jobs.Spec, team config.Team) error {
+	concurrent := 1.0
 	if spec.Kind != jobs.Array {
-		n = float64(spec.Tasks)
+		concurrent = float64(spec.Tasks)
 	}
-	if t.MaxCPUs > 0 && n*spec.CPU > t.MaxCPUs+1e-9 {
-		return true, fmt.Errorf("vcpus: %w: more than the team's cap", ErrUnsatisfiable)
+	if team.MaxCPUs > 0 && concurrent*spec.CPU > team.MaxCPUs+roundingTolerance {
+		return unsatisfiable("vcpus", "more than the team's cap")
 	}
-	if t.MaxGPUs > 0 && n*spec.GPU > t.MaxGPUs+1e-9 {
-		return true, fmt.Errorf("cards: %w: more than the team's cap", ErrUnsatisfiable)
+	if team.MaxGPUs > 0 && concurrent*spec.GPU > team.MaxGPUs+roundingTolerance {
+		return unsatisfiable("cards", "more than the team's cap")
 	}
-	return true, nil
+	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/jobs"
 )
 
-func TestWhatCanNeverRunIsToldByItsField(t *testing.T) {
+func TestUnsatisfiableJobNamesField(t *testing.T) {
 	team := func(name string) (config.Team, bool) {
 		return config.Team{Name: name, MaxCPUs: 40, MaxGPUs: 2}, name == "ops"
 	}
@@ -42,19 +42,29 @@
 		"service over the cap":        {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Service, 6 }, "vcpus"},
 		"cards over the cap":          {func(spec *jobs.Spec) { spec.Kind, spec.Tasks, spec.CPU, spec.GPU = jobs.Gang, 3, 1, 1 }, "cards"},
 	} {
-		spec := jobs.Spec{Team: "ops", Kind: jobs.Array, Tasks: 2, CPU: 7, MemGB: 8, MachineTypes: []string{"m16"}}
-		c.change(&spec)
-		known, err := Check(&spec, team, types)
-		switch {
-		case !known:
-			t.Errorf("%s: not known", name)
-		case c.field == "" && err != nil:
-			t.Errorf("%s: %v", name, err)
-		case c.field != "" && (!errors.Is(err, ErrUnsatisfiable) || !strings.HasPrefix(err.Error(), c.field+":")):
-			t.Errorf("%s: %v, want %s", name, err, c.field)
-		}
+		t.Run(name, func(t *testing.T) {
+			spec := jobs.Spec{Team: "ops", Kind: jobs.Array, Tasks: 2, CPU: 7, MemGB: 8, MachineTypes: []string{"m16"}}
+			c.change(&spec)
+			known, err := Check(&spec, team, types)
+			switch {
+			case !known:
+				t.Error("not known")
+			case c.field == "" && err != nil:
+				t.Error(err)
+			case c.field != "" && (!errors.Is(err, ErrUnsatisfiable) || !strings.HasPrefix(err.Error(), c.field+":")):
+				t.Errorf("%v, want %s", err, c.field)
+			}
+			var invalid *jobs.ValidationError
+			if c.field != "" && (!errors.As(err, &invalid) || invalid.Field != c.field) {
+				t.Errorf("field of %#v, want %s", err, c.field)
+			}
+		})
 	}
+}
+
+func TestCheckWithoutMachineTypes(t *testing.T) {
+	team := func(name string) (config.Team, bool) { return config.Team{Name: name}, true }
 	if known, _ := Check(&jobs.Spec{Team: "ops"}, team, nil); known {
-		t.Error("judged without machine types")
+		t.Error("decided without machine types")
 	}
 }
