--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 node = "n0"
 zone = "a"
 listen = "127.0.0.1:1"
@@ -41,6 +41,7 @@
 mem_mb = 125.0
 `
 
+// load loads settings from a temporary file.
 func load(t *testing.T, text string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
@@ -51,8 +52,8 @@
 	return err
 }
 
-func TestBadSettingsNameTheField(t *testing.T) {
-	if err := load(t, good); err != nil {
+func TestInvalidSettingsNameField(t *testing.T) {
+	if err := load(t, validSettings); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, field string }{
@@ -61,12 +62,12 @@
 		{`node = "n1"`, `node = "n0"`, "others[0].node"}, {`txn_ops = 40`, `txn_ops = "x"`, "txn_ops"},
 		{`[outside]`, `[outside`, ""},
 	} {
-		err := load(t, strings.Replace(good, c.from, c.to, 1))
+		err := load(t, strings.Replace(validSettings, c.from, c.to, 1))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%q -> %q: %v", c.from, c.to, err)
 		}
 	}
 	if _, err := Load("/nowhere/x.toml"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("a missing file was loaded")
 	}
 }
--- /dev/null
+++ b/internal/config/objectives.go
@@ -0,0 +1,64 @@
+package config
+
+import "cherrywall/internal/tuning"
+
+// Kinds of objectives that are about single jobs.
+const (
+	// ObjectiveStarted: a job's tasks have started within a time.
+	ObjectiveStarted = "wait"
+	// ObjectiveFinished: a job is done within a time.
+	ObjectiveFinished = "finished"
+	// ObjectiveDeadline: a job is done within a multiple of its own deadline.
+	ObjectiveDeadline = "deadline"
+)
+
+// Objective is a service-level objective of the users.
+type Objective struct {
+	Kind          string  `toml:"kind"`
+	Class         string  `toml:"class"`
+	WithinSeconds float64 `toml:"within_s"`
+	Fraction      float64 `toml:"share"` // of the jobs that must meet it
+	// DeadlineMultiple is for ObjectiveDeadline; 0 means 1.
+	DeadlineMultiple float64 `toml:"times"`
+}
+
+// HasObjective reports whether the objectives name a class. If none names any class, all
+// classes count as named.
+func (c *Config) HasObjective(class string) bool {
+	namesAnyClass := false
+	for _, objective := range c.Cluster.Objectives {
+		if objective.Class != "" && objective.Class == class {
+			return true
+		}
+		namesAnyClass = namesAnyClass || objective.Class != ""
+	}
+	return !namesAnyClass
+}
+
+// DeadlineMultiple returns the largest multiple of its deadline within which a job of a class
+// should be done, at least 1.
+func (c *Config) DeadlineMultiple(class string) float64 {
+	largest := 1.0
+	for _, objective := range c.Cluster.Objectives {
+		if objective.Kind == ObjectiveDeadline && objective.Class == class {
+			largest = max(largest, objective.DeadlineMultiple)
+		}
+	}
+	return largest
+}
+
+// TargetSeconds returns the time (s) in which a job of a class should be done: its deadline, or
+// the objective of its class if that is less. Without a deadline it follows from
+// tuning.WorkHorizon.
+func TargetSeconds(objectives []Objective, class string, deadline *float64) float64 {
+	within := tuning.WorkHorizon.Seconds() / tuning.DeadlineTargetFraction
+	if deadline != nil {
+		within = *deadline
+	}
+	for _, objective := range objectives {
+		if objective.Kind == ObjectiveFinished && objective.Class == class {
+			return min(within, objective.WithinSeconds)
+		}
+	}
+	return within
+}
