--- /dev/null
+++ b/internal/tuning/store.go
@@ -0,0 +1,115 @@
+package tuning
+
+import "time"
+
+// Liveness and knowledge of the key-value store.
+const (
+	// ControllerLeaseTTL is the time to live of a controller's lease in the key-value store:
+	// how long a controller may be silent before its shards fail over. It is shorter than a
+	// restart, so that a crash does not leave workers unanswered for the whole of it, and
+	// longer than a slow answer of the store.
+	ControllerLeaseTTL = 4 * time.Second
+	// ControllerLeaseRenewInterval is how often that lease is renewed: three attempts fit into
+	// one ControllerLeaseTTL.
+	ControllerLeaseRenewInterval = 1200 * time.Millisecond
+	// RevisionReadInterval is how often the store's revision is read when no poll causes a
+	// read. The answer dates the knowledge on which a controller answers workers.
+	RevisionReadInterval = time.Second
+	// MinRevisionReadGap is the least time between two reads of the revision, so that a burst
+	// of polls shares one read.
+	MinRevisionReadGap = 20 * time.Millisecond
+	// MinPollRevisionReadGap replaces MinRevisionReadGap when only polls wait. Users give a
+	// poll up after 2 s, and all controllers together may make 150 requests a second.
+	MinPollRevisionReadGap = 100 * time.Millisecond
+)
+
+// Requests to the key-value store.
+const (
+	// StoreRequestTimeout ends a request to the store. Answers take under 10 ms and
+	// occasionally a few hundred.
+	StoreRequestTimeout = 1500 * time.Millisecond
+	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s;
+	// this is short enough that a watch on a dead connection is noticed.
+	WatchRequestWait = 10 * time.Second
+	// WatchStuckAfter restarts a watch that has been behind a known revision for so long.
+	WatchStuckAfter = 1200 * time.Millisecond
+	// MinWatchRequestGap is the least time between two watch requests. With many changes the
+	// watches of all controllers would use up the request budget otherwise.
+	MinWatchRequestGap = 100 * time.Millisecond
+	// WatchTimeoutMargin is how much longer than WatchRequestWait a watch may take to answer.
+	WatchTimeoutMargin = 5 * time.Second
+	// MinRetryDelay is the first pause after a failed request.
+	MinRetryDelay = 200 * time.Millisecond
+	// MaxRetryDelay bounds the pause after failed requests.
+	MaxRetryDelay = 2 * time.Second
+	// IdleConnectionTimeout ends connections that are not used.
+	IdleConnectionTimeout = 30 * time.Second
+	// DialTimeout ends an attempt to connect. A host that drops packets gives no error.
+	DialTimeout = time.Second
+	// ListPageRows is the number of rows read in one request. The store allows 1,000.
+	ListPageRows = 500
+)
+
+// The rate limits of the key-value store, as shared by the controllers.
+const (
+	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller
+	// allows itself. It is above 1/controllers, since the others are rarely all busy.
+	ControllerBudgetFraction = 0.5
+	// EvenBudgetFraction times 1/controllers is what a controller's fraction falls to while the
+	// store refuses requests. The rest absorbs how the store counts bursts.
+	EvenBudgetFraction = 0.95
+	// BusyControllerBudgetFraction is the most that one controller takes while its peers report
+	// that they use little. All of them may start at once, and a peer heartbeat reports that
+	// half a second later.
+	BusyControllerBudgetFraction = 0.6
+	// ReportedBudgetFactor times the limits is divided by the usage that controllers report to
+	// each other. It is above one: a refusal costs a few tens of milliseconds, and waiting for
+	// budget that a peer does not use after all may cost more.
+	ReportedBudgetFactor = 1.25
+	// BudgetUsageSmoothingPeriod is the time constant of the usage that is reported to peers.
+	BudgetUsageSmoothingPeriod = 500 * time.Millisecond
+	// BudgetBackoffFactor multiplies a controller's fraction at each refusal.
+	BudgetBackoffFactor = 0.85
+	// BudgetRecoveryInterval is the time without a refusal after which the fraction rises by
+	// the same factor.
+	BudgetRecoveryInterval = 2 * time.Second
+	// RateLimitedAttempts is how many times in all a request is made that the store refuses
+	// for its rate limits.
+	RateLimitedAttempts = 4
+	// RateLimitedRetryDelay is the first pause between these attempts: a budget of 50 changes a
+	// second has regained a few by the last.
+	RateLimitedRetryDelay = 30 * time.Millisecond
+	// BudgetPollInterval is how often a caller that leaves budget to more urgent ones checks
+	// again.
+	BudgetPollInterval = 20 * time.Millisecond
+)
+
+// Sizes of records in the key-value store.
+const (
+	// RecordValueFraction is the fraction of the largest value that a job's record may use. The
+	// rest is for the store's own counting of bytes and for fields to come.
+	RecordValueFraction = 0.8
+	// ValueMarginBytes is left free in every value, should the store count slightly more than
+	// the value.
+	ValueMarginBytes = 16
+	// MaxTxnBytes bounds what one transaction writes. The store accepts 64 KiB, including keys
+	// and preconditions.
+	MaxTxnBytes = 48 << 10
+	// MaxChunkedRecordBytes bounds a record that is stored in chunks: the largest user request
+	// and half as much again for what accompanies it.
+	MaxChunkedRecordBytes = 96 << 10
+	// MaxCachedChunkedRecords is how many records stored in chunks are cached whole (entries).
+	// There are few.
+	MaxCachedChunkedRecords = 64
+	// MaxChunkPointerBytes is more than any record takes that names chunks.
+	MaxChunkPointerBytes = 128
+	// ChunkCleanupInterval is how often chunks without a record are looked for. What is being
+	// written has its record long before a second look.
+	ChunkCleanupInterval = time.Minute
+	// MinValueKB is the least value size limit (KiB) with which the program can work: that of a
+	// job of usual size.
+	MinValueKB = 1.0
+	// MinTxnOps is the least number of changes a transaction must allow: the end of a job with
+	// one task range.
+	MinTxnOps = 4
+)
