--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,7 +1,7 @@
-// Package gate tells whether all controllers run a program that knows what this one knows.
-// Until each of them, the dead ones too, has said so in a durable record, nothing may be
-// written that the version before could not carry. It is no question of who lives: a dead
-// controller may come back as it was.
+// Package featuregate tells whether all controllers run a program that can read what this one
+// writes. Until each of them has recorded its version durably, nothing may be written that the
+// previous version could not read. Which controllers are live does not matter: one that is down
+// may come back with its old program.
 package featuregate
 
 import (
@@ -12,36 +12,43 @@
 	"cherrywall/internal/kvstore"
 )
 
-// Version is what this program can read and write: 2 knows dependent jobs and records in
-// parts. The programs before it leave no mark.
-const Version = 2
+const (
+	// Version is the version of what this program reads and writes: 2 knows jobs with
+	// dependencies and records in chunks.
+	Version = 2
 
-// Gate has no locks: one actor owns it.
+	// unrecordedVersion is that of the programs before, which leave no version record.
+	unrecordedVersion = 1
+)
+
+// Gate holds the versions of all controllers. It has no locks: all methods are called by the actor
+// that owns it.
 type Gate struct {
 	self        string
-	controllers []string
+	controllers []string // sorted
 	records     map[string]versionRecord
 }
 
+// versionRecord is a controller's version as it is stored, and the record's revision.
 type versionRecord struct {
 	Version  int `json:"v"`
 	revision uint64
 }
 
-// EncodeVersionRecord is what a controller writes of itself.
+// EncodeVersionRecord returns the version record that this program writes.
 func EncodeVersionRecord() json.RawMessage { return kvstore.Encode(versionRecord{Version: Version}) }
 
-// New makes a gate of a controller among all of them.
-func New(self string, names []string) *Gate {
-	g := &Gate{self: self, controllers: slices.Sorted(slices.Values(names))}
+// New makes the gate of the controller self, one of the given controllers.
+func New(self string, controllers []string) *Gate {
+	g := &Gate{self: self, controllers: slices.Sorted(slices.Values(controllers))}
 	g.Reset()
 	return g
 }
 
-// Reset forgets all records, to be read anew.
+// Reset removes all records before they are loaded anew.
 func (g *Gate) Reset() { g.records = map[string]versionRecord{} }
 
-// ApplyRecord follows a controller's mark.
+// ApplyRecord applies a controller's version record of a revision; older ones are ignored.
 func (g *Gate) ApplyRecord(node string, value json.RawMessage, revision uint64) error {
 	if g.records[node].revision >= revision {
 		return nil
@@ -54,25 +61,26 @@
 	return nil
 }
 
-// RecordDue tells whether this controller's mark is still to be written, and its stamp.
+// RecordDue reports whether this controller's version is still to be recorded, and the revision
+// of its record (0: it has none).
 func (g *Gate) RecordDue() (revision uint64, due bool) {
 	record := g.records[g.self]
 	return record.revision, record.Version < Version
 }
 
-// IsOpen tells whether every controller has said that it knows what this one knows.
+// IsOpen reports whether all controllers have recorded this program's version or a later one.
 func (g *Gate) IsOpen() bool { return len(g.PendingControllers()) == 0 }
 
-// PendingControllers are the controllers that have not.
+// PendingControllers are the controllers that have not, in the order of their names.
 func (g *Gate) PendingControllers() []string {
-	var out []string
-	for _, n := range g.controllers {
-		if g.records[n].Version < Version {
-			out = append(out, n)
+	var pending []string
+	for _, node := range g.controllers {
+		if g.records[node].Version < Version {
+			pending = append(pending, node)
 		}
 	}
-	return out
+	return pending
 }
 
-// VersionOf is a controller's, 1 if it left no mark.
-func (g *Gate) VersionOf(node string) int { return max(1, g.records[node].Version) }
+// VersionOf returns the version of a controller's program.
+func (g *Gate) VersionOf(node string) int { return max(unrecordedVersion, g.records[node].Version) }
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -21,19 +21,20 @@
 // The records and frames under testdata/production were written by the program of the
 // commit that deploy/service.toml names.
 
-func runScenario(t *testing.T, set func(cluster *fake.Cluster), tale func(cluster *fake.Cluster)) {
+// runScenario runs a cluster of three controllers; configure changes it before the start.
+func runScenario(t *testing.T, configure, scenario func(cluster *fake.Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		cluster := fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(cluster *fake.Cluster) {
 			cluster.OfferedTypes[0].CPU, cluster.OfferedTypes[0].MemGB = 8, 32
-			set(cluster)
+			configure(cluster)
 		})
 		time.Sleep(5 * time.Second)
-		tale(cluster)
-		for _, b := range cluster.Violations() {
-			t.Error("broken rule:", b)
+		scenario(cluster)
+		for _, violation := range cluster.Violations() {
+			t.Error("invariant violated:", violation)
 		}
 		stop()
 		synctest.Wait()
@@ -53,13 +54,13 @@
 	return rows
 }
 
-// Controllers that have never seen them take production's records over, answer for all of
-// their jobs, and bring those to their end that can have one.
-func TestProductionsRecordsAreTakenOver(t *testing.T) {
+// Controllers that have never seen them load production's records, answer for all of their jobs,
+// and bring those to their end that can have one.
+func TestProductionRecordsAreLoaded(t *testing.T) {
 	rows := productionRecords(t)
 	runScenario(t, func(cluster *fake.Cluster) {
 		for key, value := range rows {
-			if !strings.HasPrefix(key, jobs.LivenessPrefix) { // their grants have ended
+			if !strings.HasPrefix(key, jobs.LivenessPrefix) { // their leases have expired
 				cluster.Store.Put(key, value)
 			}
 		}
@@ -67,41 +68,49 @@
 		for i := range 5 {
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
-		// The old machines never come back; the last is silent for as long as anybody may
-		// have kept it alive.
+		// The old machines never come back; the last one counts as running for as long as any
+		// controller may have renewed its lease.
 		time.Sleep(90 * time.Second)
-		jobsKnown := 0
+		jobCount := 0
 		for key := range rows {
-			ref, ok := strings.CutPrefix(key, jobs.JobPrefix)
+			ref, ok := refOfKey(key)
 			if !ok {
-				if ref, ok = strings.CutPrefix(key, jobs.FinalPrefix); !ok {
-					continue
-				}
+				continue
 			}
-			jobsKnown++
-			want := jobs.Queued
-			switch {
-			case ref == "wk-604":
-				want = jobs.Cancelled
-			case strings.HasPrefix(ref, "wk-50"):
-				want = jobs.Done
-			case ref == "wk-602" || ref == "wk-603" || ref == "wk-601": // too large for these machines, or without an end
-				want = ""
-			default:
-				want = jobs.Done
-			}
-			if want != "" && !cluster.WaitForStatus("n1", ref, want, 200*time.Second) || cluster.Poll("n2", ref).Code != 200 {
-				t.Errorf("%s: %+v, want %s", ref, cluster.Poll("n1", ref), want)
+			jobCount++
+			status := expectedStatus(ref)
+			if status != "" && !cluster.WaitForStatus("n1", ref, status, 200*time.Second) || cluster.Poll("n2", ref).Code != 200 {
+				t.Errorf("%s: %+v, want %s", ref, cluster.Poll("n1", ref), status)
 			}
 		}
-		if jobsKnown < 15 {
-			t.Errorf("the fixture has only %d jobs", jobsKnown)
+		if jobCount < 15 {
+			t.Errorf("the fixture has only %d jobs", jobCount)
 		}
 	})
 }
 
-// What controllers say to one another is as it was, both ways.
-func TestProductionsFramesAreReadAndWrittenAlike(t *testing.T) {
+// refOfKey returns the job of a job's record or final state.
+func refOfKey(key string) (ref string, ok bool) {
+	if ref, ok = strings.CutPrefix(key, jobs.JobPrefix); ok {
+		return ref, true
+	}
+	return strings.CutPrefix(key, jobs.FinalPrefix)
+}
+
+// expectedStatus is how one of production's jobs is to end; empty: it does not.
+func expectedStatus(ref string) string {
+	switch ref {
+	case "wk-604":
+		return jobs.Cancelled
+	case "wk-601", "wk-602", "wk-603": // too large for these machines, or without an end
+		return ""
+	default:
+		return jobs.Done
+	}
+}
+
+// Messages between controllers are as they were, both ways.
+func TestProductionFramesAreReadAndWrittenUnchanged(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production/frames.json")
 	if err != nil {
 		t.Fatal(err)
@@ -110,29 +119,29 @@
 	if err := json.Unmarshal(raw, &frames); err != nil {
 		t.Fatal(err)
 	}
-	pieces, counts := 0, 0
-	for _, f := range frames {
-		b, err := peer.ReadFrame(bytes.NewReader(f))
+	machines, capacities := 0, 0
+	for _, frame := range frames {
+		heartbeat, err := peer.ReadFrame(bytes.NewReader(frame))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b.TransferChunk != nil {
-			pieces += len(b.TransferChunk.Machines)
+		if heartbeat.TransferChunk != nil {
+			machines += len(heartbeat.TransferChunk.Machines)
 		}
-		counts += len(b.Capacities)
-		if !bytes.Equal(peer.Encode(b), f) {
-			t.Errorf("the frame of %s is written otherwise", b.Node)
+		capacities += len(heartbeat.Capacities)
+		if !bytes.Equal(peer.Encode(heartbeat), frame) {
+			t.Errorf("the frame of %s is written otherwise", heartbeat.Node)
 		}
 	}
-	if pieces < 2 || counts < 3 {
-		t.Errorf("the fixture tells little: %d machines, %d counts", pieces, counts)
+	if machines < 2 || capacities < 3 {
+		t.Errorf("the fixture has little: %d machines, %d capacities", machines, capacities)
 	}
 }
 
-// Production's records as its program had them, frozen: what it does not know is lost when
-// it writes a record again.
+// Production's records as its program had them, frozen: that program loses the fields it does not
+// know when it writes a record again.
 type (
-	oldSpan struct {
+	oldInterval struct {
 		First int `json:"f"`
 		N     int `json:"n"`
 	}
@@ -159,19 +168,19 @@
 		DueS        *float64       `json:"dueS"`
 		AcceptedMS  int64          `json:"at"`
 		By          string         `json:"by"`
-		Free        []oldSpan      `json:"free"`
+		Free        []oldInterval  `json:"free"`
 		Completed   int            `json:"d,omitempty"`
-		Own         *oldOwn        `json:"own,omitempty"`
+		Own         *oldOwner      `json:"own,omitempty"`
 		Sole        bool           `json:"sole,omitempty"`
 		PerZone     map[string]int `json:"pz,omitempty"`
 	}
-	oldOwn struct {
-		Share  string `json:"share"`
-		Tenure uint64 `json:"tenure"`
-		N      int    `json:"n"`
+	oldOwner struct {
+		Shard string `json:"share"`
+		Epoch uint64 `json:"tenure"`
+		N     int    `json:"n"`
 	}
 	oldRange struct {
-		Share string   `json:"share"`
+		Shard string   `json:"share"`
 		N     int      `json:"n"`
 		Done  []byte   `json:"done,omitempty"`
 		Zone  string   `json:"zone,omitempty"`
@@ -181,14 +190,14 @@
 		Status string `json:"s"`
 		Tasks  int    `json:"n"`
 	}
-	oldShare struct {
-		Holder  string  `json:"holder"`
+	oldShard struct {
+		Owner   string  `json:"holder"`
 		Boot    uint64  `json:"boot"`
 		Takings []int64 `json:"takings,omitempty"`
 		Marks   *uint64 `json:"marks,omitempty"`
 	}
 	oldWorker struct {
-		Share   string `json:"share"`
+		Shard   string `json:"share"`
 		Addr    string `json:"addr"`
 		Build   string `json:"build"`
 		Zone    string `json:"zone"`
@@ -197,128 +206,145 @@
 	}
 )
 
-var oldShapes = []struct {
+var oldRecordTypes = []struct {
 	prefix string
-	make   func() any
+	newOf  func() any
 }{
 	{jobs.JobPrefix, func() any { return new(oldJob) }},
 	{jobs.RangePrefix, func() any { return new(oldRange) }},
 	{jobs.FinalPrefix, func() any { return new(oldFinal) }},
-	{jobs.ShardPrefix, func() any { return new(oldShare) }},
+	{jobs.ShardPrefix, func() any { return new(oldShard) }},
 	{jobs.WorkerPrefix, func() any { return new(oldWorker) }},
 	{jobs.CompletionBatchPrefix, func() any { return new([]string) }},
 }
 
-// carries tells whether production's program would write a record again as it is.
-func carries(key string, value json.RawMessage) (known bool, err error) {
-	for _, s := range oldShapes {
-		if !strings.HasPrefix(key, s.prefix) {
+// checkOldProgramCarries checks that production's program would write a record again as it is;
+// known is false if it has no such records.
+func checkOldProgramCarries(key string, value json.RawMessage) (known bool, err error) {
+	for _, recordType := range oldRecordTypes {
+		if !strings.HasPrefix(key, recordType.prefix) {
 			continue
 		}
-		into := s.make()
-		dec := json.NewDecoder(bytes.NewReader(value))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(into); err != nil {
+		record := recordType.newOf()
+		decoder := json.NewDecoder(bytes.NewReader(value))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(record); err != nil {
 			return true, fmt.Errorf("%s: production can't carry %s: %w", key, value, err)
 		}
-		again, err := json.Marshal(into)
-		var x, y any
-		if err != nil || json.Unmarshal(again, &x) != nil || json.Unmarshal(value, &y) != nil || !reflect.DeepEqual(x, y) {
-			return true, fmt.Errorf("%s: %s becomes %s", key, value, again)
+		rewritten, err := json.Marshal(record)
+		if err != nil {
+			return true, fmt.Errorf("%s: %w", key, err)
+		}
+		var before, after any
+		if json.Unmarshal(rewritten, &after) != nil || json.Unmarshal(value, &before) != nil || !reflect.DeepEqual(before, after) {
+			return true, fmt.Errorf("%s: %s becomes %s", key, value, rewritten)
 		}
 		return true, nil
 	}
 	return false, nil
 }
 
-func TestTheFrozenShapesAreProductions(t *testing.T) {
-	known := 0
+func TestFrozenRecordTypesAreThoseOfProduction(t *testing.T) {
+	knownCount := 0
 	for key, value := range productionRecords(t) {
-		k, err := carries(key, value)
+		known, err := checkOldProgramCarries(key, value)
 		if err != nil {
 			t.Error(err)
 		}
-		if k {
-			known++
+		if known {
+			knownCount++
 		}
 	}
-	if known < 40 {
-		t.Errorf("%d records are of known shapes", known)
+	if knownCount < 40 {
+		t.Errorf("%d records are of known types", knownCount)
+	}
+	record := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 1, 1)}
+	record.DependsOn = []string{"wk-2"}
+	if raw, _ := json.Marshal(record); raw != nil {
+		if _, err := checkOldProgramCarries(jobs.JobKey("wk-1"), raw); err == nil {
+			t.Error("production would carry dependencies: the types prove nothing")
+		}
 	}
-	rec := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 1, 1)}
-	rec.DependsOn = []string{"wk-2"}
-	if raw, _ := json.Marshal(rec); raw != nil {
-		if _, err := carries(jobs.JobKey("wk-1"), raw); err == nil {
-			t.Error("production would carry awaits: the shapes tell nothing")
+}
+
+// checkStoredRecords checks that production's program would carry all records in the store, and
+// returns how many of them it knows.
+func checkStoredRecords(t *testing.T, cluster *fake.Cluster) int {
+	t.Helper()
+	knownCount := 0
+	for _, key := range cluster.Store.Keys(jobs.Prefix) {
+		value, _ := cluster.Store.Value(key)
+		known, err := checkOldProgramCarries(key, json.RawMessage(value))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if known {
+			knownCount++
 		}
 	}
+	return knownCount
 }
 
-// Until the last controller has said that it is new, dead or not, whatever is written can
-// be carried by the version before, nothing is in parts, and awaits is answered with when to
-// come back. After that it is taken.
-func TestNothingNewIsWrittenBeforeAllAreNew(t *testing.T) {
+// Until the last controller has recorded the new version, live or not, whatever is written can be
+// carried by the version before, nothing is in chunks, and dependencies are answered with when to
+// come back. After that they are accepted.
+func TestNothingNewIsWrittenBeforeAllControllersAreUpgraded(t *testing.T) {
 	runScenario(t, func(cluster *fake.Cluster) {
-		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down since long ago
+		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down for long
 	}, func(cluster *fake.Cluster) {
 		for i := range 8 {
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
 		time.Sleep(5 * time.Second)
-		looked := 0
-		look := func() {
-			for _, key := range cluster.Store.Keys(jobs.Prefix) {
-				value, _ := cluster.Store.Value(key)
-				known, err := carries(key, json.RawMessage(value))
-				if err != nil {
-					t.Fatal(err)
-				}
-				if known {
-					looked++
-				}
-			}
-		}
-		for i := range 40 {
-			s := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []string{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
-			s.Spread = i%5 == 0
-			if r := cluster.Submit(fmt.Sprintf("n%d", i%3), s, 3*time.Second); r.Code != 201 {
-				t.Fatalf("%+v", r)
-			}
-			if i%9 == 4 {
-				cluster.Cancel("n1", s.Ref)
-			}
-			if i == 20 {
-				cluster.CrashController("n0")
-				cluster.StartController("n0")
-				time.Sleep(2 * time.Second)
-			}
-			look()
-			time.Sleep(300 * time.Millisecond)
-		}
-		next := fake.JobSpec("wk-900", jobs.Array, 2, 1)
-		next.DependsOn = []string{"wk-101"}
-		if r := cluster.Submit("n1", next, time.Second); r.Code != 503 || !strings.Contains(r.Error, "n3") {
-			t.Errorf("with one controller old: %+v", r)
+		checked := runJobsBeforeUpgrade(t, cluster)
+		dependent := fake.JobSpec("wk-900", jobs.Array, 2, 1)
+		dependent.DependsOn = []string{"wk-101"}
+		if response := cluster.Submit("n1", dependent, time.Second); response.Code != 503 || !strings.Contains(response.Error, "n3") {
+			t.Errorf("with one old controller: %+v", response)
 		}
-		big := fake.JobSpec("wk-901", jobs.Array, 2, 1)
-		big.Class = strings.Repeat("c", 20<<10)
-		if r := cluster.Submit("n1", big, time.Second); r.Code != 503 {
-			t.Errorf("larger than a value: %+v", r)
+		large := fake.JobSpec("wk-901", jobs.Array, 2, 1)
+		large.Class = strings.Repeat("c", 20<<10)
+		if response := cluster.Submit("n1", large, time.Second); response.Code != 503 {
+			t.Errorf("larger than a value: %+v", response)
 		}
-		look()
-		if looked < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
-			t.Errorf("%d records were looked at; parts: %v", looked, cluster.Store.Keys(jobs.ChunkPrefix))
+		checked += checkStoredRecords(t, cluster)
+		if checked < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
+			t.Errorf("%d records were checked; chunks: %v", checked, cluster.Store.Keys(jobs.ChunkPrefix))
 		}
 		cluster.StartController("n3")
 		time.Sleep(3 * time.Second)
-		cluster.CrashController("n3") // it has said so, that is enough
-		for _, s := range []jobs.Spec{next, big} {
-			if r := cluster.Submit("n2", s, time.Second); r.Code != 201 {
-				t.Errorf("%s with all new: %+v", s.Ref, r)
+		cluster.CrashController("n3") // it has recorded its version, that is enough
+		for _, spec := range []jobs.Spec{dependent, large} {
+			if response := cluster.Submit("n2", spec, time.Second); response.Code != 201 {
+				t.Errorf("%s with all upgraded: %+v", spec.Ref, response)
 			}
-			if !cluster.WaitForStatus("n0", s.Ref, jobs.Done, 60*time.Second) {
-				t.Errorf("%s: %+v", s.Ref, cluster.Poll("n0", s.Ref))
+			if !cluster.WaitForStatus("n0", spec.Ref, jobs.Done, 60*time.Second) {
+				t.Errorf("%s: %+v", spec.Ref, cluster.Poll("n0", spec.Ref))
 			}
 		}
 	})
 }
+
+// runJobsBeforeUpgrade submits jobs, cancels some, restarts a controller, and checks the stored
+// records after each step. It returns how many were checked.
+func runJobsBeforeUpgrade(t *testing.T, cluster *fake.Cluster) (checked int) {
+	t.Helper()
+	for i := range 40 {
+		spec := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []string{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
+		spec.Spread = i%5 == 0
+		if response := cluster.Submit(fmt.Sprintf("n%d", i%3), spec, 3*time.Second); response.Code != 201 {
+			t.Fatalf("%+v", response)
+		}
+		if i%9 == 4 {
+			cluster.Cancel("n1", spec.Ref)
+		}
+		if i == 20 {
+			cluster.CrashController("n0")
+			cluster.StartController("n0")
+			time.Sleep(2 * time.Second)
+		}
+		checked += checkStoredRecords(t, cluster)
+		time.Sleep(300 * time.Millisecond)
+	}
+	return checked
+}
