--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -17,9 +17,9 @@
 	RunnableSinceMS   int64   // time of day (Unix ms) since which it could have run
 	RunSeconds        float64 // expected run time of a task
 	CompletionSeconds float64 // expected time until jobs that depend on it can start
-	// DeadlinesMS are the times of day (Unix ms) by which it should be finished, for its own
+	// Deadlines are the times of day (Unix ms) by which it should be finished, for its own
 	// deadline and for those of the jobs that depend on it; jobdag.NoDeadline for none.
-	DeadlinesMS [2]int64
+	Deadlines jobdag.Deadlines
 }
 
 // StartByMS is the time of day (Unix ms) by which a job should start: for a service its arrival; for
@@ -58,7 +58,7 @@
 			startByMS, ok = latestStartMS, true
 		}
 	}
-	for _, deadlineMS := range job.DeadlinesMS {
+	for _, deadlineMS := range [2]int64{job.Deadlines.DueMS, job.Deadlines.LastUsefulMS} {
 		if deadlineMS != jobdag.NoDeadline {
 			consider(deadlineMS - milliseconds(max(job.RunSeconds, job.CompletionSeconds)))
 		}
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -22,7 +22,7 @@
 			Record:          record,
 			RunnableSinceMS: record.AcceptedAtMS,
 			RunSeconds:      record.EstimatedRunSeconds,
-			DeadlinesMS:     jobdag.OwnDeadlinesMS(record, func(string) float64 { return 1 }),
+			Deadlines:       jobdag.OwnDeadlines(record, func(string) float64 { return 1 }),
 		}, objectives, now)
 	}
 	slices.SortFunc(names, func(x, y string) int { return int(startByMS(x) - startByMS(y)) })
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -142,7 +142,7 @@
 			continue
 		}
 		record := *job.Record()
-		if deadlineMS := job.DeadlinesMS()[0]; deadlineMS != jobdag.NoDeadline {
+		if deadlineMS := job.Deadlines().DueMS; deadlineMS != jobdag.NoDeadline {
 			// This includes the deadlines of jobs that depend on it.
 			deadlineSeconds := float64(deadlineMS-job.RunnableSinceMS()) / 1000
 			record.DeadlineSeconds = &deadlineSeconds
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -87,7 +87,7 @@
 		Record:            job.Record(),
 		RunnableSinceMS:   job.RunnableSinceMS(),
 		RunSeconds:        s.ExpectedRunSeconds(job.Record()),
-		CompletionSeconds: job.DependencyNode().ExpectedRunS(),
-		DeadlinesMS:       job.DeadlinesMS(),
+		CompletionSeconds: job.DependencyNode().ExpectedRunSeconds(),
+		Deadlines:         job.Deadlines(),
 	}
 }
