--- /dev/null
+++ b/internal/httpapi/jobs.go
@@ -0,0 +1,95 @@
+package httpapi
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"cherrywall/internal/admin"
+	"cherrywall/internal/controller"
+	"cherrywall/internal/jobs"
+
+	"github.com/julienschmidt/httprouter"
+)
+
+// The kinds of user requests, a label of the metrics.
+const (
+	kindSubmit = "submit"
+	kindPoll   = "poll"
+	kindCancel = "withdraw"
+)
+
+// jobStatus is a job in the protocol.
+type jobStatus struct {
+	Ref    string `json:"ref"`
+	Status string `json:"status"`
+	Done   int    `json:"done"`
+	Active int    `json:"running"`
+}
+
+func respond(w http.ResponseWriter, response controller.Response) {
+	if response.Error != "" {
+		admin.WriteError(w, response.Code, response.Error)
+		return
+	}
+	admin.WriteJSON(w, response.Code, jobStatus{response.Ref, response.Status, response.DoneTasks, response.ActiveTasks})
+}
+
+// awaitResponse sends the controller's response to the client, unless the client goes away
+// first.
+func (h *handler) awaitResponse(w http.ResponseWriter, r *http.Request, kind string, reply chan controller.Response) {
+	start := time.Now()
+	select {
+	case response := <-reply:
+		h.metrics.UserRequestSeconds.WithLabelValues(kind, strconv.Itoa(response.Code)).Observe(time.Since(start).Seconds())
+		respond(w, response)
+	case <-r.Context().Done():
+	}
+}
+
+func (h *handler) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	body, ok := readBody(w, r)
+	if !ok {
+		return
+	}
+	spec, invalid := jobs.ParseSpec(body)
+	ref := ""
+	if invalid == nil {
+		ref = spec.Ref
+	} else if ref, ok = jobs.ParseRef(body); !ok {
+		admin.WriteError(w, http.StatusBadRequest, invalid.Error())
+		return
+	}
+	// An invalid job with a reference is passed on, too: a job of that reference may exist, and
+	// then its status is the answer.
+	reply := make(chan controller.Response, 1)
+	h.backend.Submit(ref, spec, invalid, reply)
+	h.awaitResponse(w, r, kindSubmit, reply)
+}
+
+func (h *handler) poll(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	select {
+	case h.pollSemaphore <- struct{}{}:
+		defer func() { <-h.pollSemaphore }()
+		h.askByID(w, r, params, kindPoll, h.backend.Poll)
+	default:
+		h.metrics.UserRequestSeconds.WithLabelValues(kindPoll, strconv.Itoa(http.StatusServiceUnavailable)).Observe(0)
+		admin.WriteError(w, http.StatusServiceUnavailable, "too many polls at once")
+	}
+}
+
+func (h *handler) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	h.askByID(w, r, params, kindCancel, h.backend.Cancel)
+}
+
+// askByID asks the controller about the job that the path names.
+func (h *handler) askByID(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind string, ask func(ref string, reply chan controller.Response)) {
+	ref := params.ByName("id")
+	if !jobs.ValidRef(ref) {
+		admin.WriteError(w, http.StatusNotFound, "no such job")
+		return
+	}
+	reply := make(chan controller.Response, 1)
+	ask(ref, reply)
+	h.awaitResponse(w, r, kind, reply)
+}
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -15,16 +15,25 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// JobValidator tells what the cluster makes of jobs, and what the operators allow.
+// JobValidator checks the jobs of a pipeline against the cluster.
 type JobValidator interface {
+	// Check returns what is wrong with a job. known is false while too little is known of the
+	// cluster to tell.
 	Check(spec *jobs.Spec) (known bool, err error)
-	Settings() (admin.Settings, uint64, bool)
+	// Settings returns the operators' settings, their version, and whether they have been read.
+	Settings() (settings admin.Settings, version uint64, synced bool)
 }
 
-// RegisterPipelines adds the interface for pipeline files to a router. It is our own and not part
-// of the platform's protocol.
+// pipelineHandler serves pipeline files, runs and schedules.
+type pipelineHandler struct {
+	leader    *pipelinerun.Leader
+	validator JobValidator
+}
+
+// RegisterPipelines adds the routes for pipeline files to a router. They are an addition of
+// cherrywall's own and not part of the platform's protocol.
 func RegisterPipelines(router *httprouter.Router, leader *pipelinerun.Leader, validator JobValidator) {
-	h := &pipelineHandler{leader, validator}
+	h := &pipelineHandler{leader: leader, validator: validator}
 	router.POST("/pipelines", h.create)
 	router.GET("/pipelines", h.list)
 	router.GET("/pipelines/:id", h.get)
@@ -34,20 +43,7 @@
 	router.PUT("/schedules/:name", h.setSchedule)
 	router.DELETE("/schedules/:name", h.removeSchedule)
 	router.POST("/check/pipeline", h.check)
-	router.GET("/check/schema", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		raw, err := pipeline.Schema()
-		if err != nil {
-			admin.WriteError(w, http.StatusInternalServerError, err.Error())
-			return
-		}
-		w.Header().Set("Content-Type", "application/schema+json")
-		_, _ = w.Write(raw) // a client that went away asks again
-	})
-}
-
-type pipelineHandler struct {
-	leader    *pipelinerun.Leader
-	validator JobValidator
+	router.GET("/check/schema", h.schema)
 }
 
 // checkResult is the answer to a check, and to a file that is refused.
@@ -57,45 +53,63 @@
 	Jobs    int               `json:"jobs"`
 }
 
-// readPlan reads the file in a request against what the cluster takes; it answers the request
-// itself on failure.
-func (h *pipelineHandler) readPlan(w http.ResponseWriter, r *http.Request) (file []byte, p *pipeline.Plan, notices pipeline.Problems, ok bool) {
-	file, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxPipelineFileBytes))
+// pipelineFile is the valid pipeline file of a request.
+type pipelineFile struct {
+	content []byte
+	plan    *pipeline.Plan
+	notices pipeline.Problems
+}
+
+// readFile reads the pipeline file in a request and checks it against the cluster. After a
+// failure it has answered the request.
+func (h *pipelineHandler) readFile(w http.ResponseWriter, r *http.Request) (file pipelineFile, ok bool) {
+	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxPipelineFileBytes))
 	if err != nil {
 		admin.WriteError(w, http.StatusBadRequest, "file: too long or not received")
-		return nil, nil, nil, false
+		return pipelineFile{}, false
 	}
-	settings, _, synced := h.validator.Settings()
-	known := synced
-	p, notices, err = pipeline.Parse(file, func(class string) (jobs.ClassLimits, bool) {
-		l, limited := settings.ClassLimits[class]
-		return l, limited
-	}, func(spec *jobs.Spec) error {
-		ok, err := h.validator.Check(spec)
-		if !ok {
+	settings, _, known := h.validator.Settings()
+	limitsOf := func(class string) (jobs.ClassLimits, bool) {
+		limits, limited := settings.ClassLimits[class]
+		return limits, limited
+	}
+	check := func(spec *jobs.Spec) error {
+		jobKnown, err := h.validator.Check(spec)
+		if !jobKnown {
 			known = false
 			return nil
 		}
 		return err
-	})
-	var bad pipeline.Problems
+	}
+	plan, notices, err := pipeline.Parse(content, limitsOf, check)
+	var problems pipeline.Problems
 	switch {
-	case errors.As(err, &bad):
-		admin.WriteJSON(w, http.StatusBadRequest, checkResult{Errors: bad, Notices: notices})
+	case errors.As(err, &problems):
+		admin.WriteJSON(w, http.StatusBadRequest, checkResult{Errors: problems, Notices: notices})
 	case err != nil:
 		admin.WriteError(w, http.StatusBadRequest, err.Error())
 	case !known:
 		admin.WriteError(w, http.StatusServiceUnavailable, "too little is known of the cluster yet")
 	default:
-		return file, p, notices, true
+		return pipelineFile{content: content, plan: plan, notices: notices}, true
 	}
-	return nil, nil, nil, false
+	return pipelineFile{}, false
 }
 
 func (h *pipelineHandler) check(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	if _, p, notices, ok := h.readPlan(w, r); ok {
-		admin.WriteJSON(w, http.StatusOK, checkResult{Errors: pipeline.Problems{}, Notices: notices, Jobs: len(p.Jobs)})
+	if file, ok := h.readFile(w, r); ok {
+		admin.WriteJSON(w, http.StatusOK, checkResult{Errors: pipeline.Problems{}, Notices: file.notices, Jobs: len(file.plan.Jobs)})
+	}
+}
+
+func (h *pipelineHandler) schema(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	schema, err := pipeline.Schema()
+	if err != nil {
+		admin.WriteError(w, http.StatusInternalServerError, err.Error())
+		return
 	}
+	w.Header().Set("Content-Type", "application/schema+json")
+	_, _ = w.Write(schema) // a client that went away asks again
 }
 
 func (h *pipelineHandler) create(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -108,88 +122,59 @@
 		admin.WriteError(w, http.StatusBadRequest, "name: too long")
 		return
 	}
-	if file, p, _, ok := h.readPlan(w, r); ok {
-		h.respond(w, h.leader.Create(id, name, file, p))
+	if file, ok := h.readFile(w, r); ok {
+		respondWithRun(w, h.leader.Create(id, name, file.content, file.plan))
 	}
 }
 
-func (h *pipelineHandler) respond(w http.ResponseWriter, r pipelinerun.Response) {
-	if r.Error != "" {
-		admin.WriteError(w, r.Code, r.Error)
+func respondWithRun(w http.ResponseWriter, response pipelinerun.Response) {
+	if response.Error != "" {
+		admin.WriteError(w, response.Code, response.Error)
 		return
 	}
-	admin.WriteJSON(w, r.Code, r.Run)
+	admin.WriteJSON(w, response.Code, response.Run)
 }
 
-// parseRunID answers a request for an id that none can have.
-func parseRunID(w http.ResponseWriter, p httprouter.Params) (id string, ok bool) {
-	if id = p.ByName("id"); !pipelinerun.ValidID(id) {
+// parseRunID returns the run that the path names. It has answered the request if no run can have
+// that id.
+func parseRunID(w http.ResponseWriter, params httprouter.Params) (id string, ok bool) {
+	id = params.ByName("id")
+	if !pipelinerun.ValidID(id) {
 		admin.WriteError(w, http.StatusNotFound, "no such run")
 		return "", false
 	}
 	return id, true
 }
 
-func (h *pipelineHandler) get(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
-	if id, ok := parseRunID(w, p); ok {
-		h.respond(w, h.leader.Get(id))
+func (h *pipelineHandler) get(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
+	if id, ok := parseRunID(w, params); ok {
+		respondWithRun(w, h.leader.Get(id))
 	}
 }
 
 func (h *pipelineHandler) list(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	runs, ok := h.leader.List()
-	if !ok {
+	runs, synced := h.leader.List()
+	if !synced {
 		admin.WriteError(w, http.StatusServiceUnavailable, "state not read yet")
 		return
 	}
 	admin.WriteJSON(w, http.StatusOK, map[string]any{"runs": runs})
 }
 
-func (h *pipelineHandler) schedules(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	all, ok := h.leader.Schedules()
-	if !ok {
-		admin.WriteError(w, http.StatusServiceUnavailable, "state not read yet")
-		return
-	}
-	admin.WriteJSON(w, http.StatusOK, map[string]any{"schedules": all})
-}
-
-func (h *pipelineHandler) setSchedule(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	file, plan, _, ok := h.readPlan(w, r)
-	if !ok {
-		return
-	}
-	q := r.URL.Query()
-	v, reply := h.leader.Schedule(p.ByName("name"), q.Get("cron"), q.Get("zone"), file, plan)
-	if reply.Error != "" {
-		admin.WriteError(w, reply.Code, reply.Error)
-		return
-	}
-	admin.WriteJSON(w, reply.Code, v)
-}
-
-func (h *pipelineHandler) removeSchedule(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
-	if r := h.leader.RemoveSchedule(p.ByName("name")); r.Error != "" {
-		admin.WriteError(w, r.Code, r.Error)
-		return
-	}
-	admin.WriteJSON(w, http.StatusOK, map[string]bool{"ended": true})
-}
-
-func (h *pipelineHandler) cancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	id, ok := parseRunID(w, p)
+func (h *pipelineHandler) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	id, ok := parseRunID(w, params)
 	if !ok {
 		return
 	}
-	how := pipelineexec.CancelNow
+	mode := pipelineexec.CancelNow
 	if r.URL.Query().Get("drain") == "1" {
-		how = pipelineexec.CancelDrain
+		mode = pipelineexec.CancelDrain
 	}
-	h.respond(w, h.leader.Cancel(id, how))
+	respondWithRun(w, h.leader.Cancel(id, mode))
 }
 
-func (h *pipelineHandler) play(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	if id, ok := parseRunID(w, p); ok {
-		h.respond(w, h.leader.StartManualJob(id, r.URL.Query().Get("job")))
+func (h *pipelineHandler) play(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	if id, ok := parseRunID(w, params); ok {
+		respondWithRun(w, h.leader.StartManualJob(id, r.URL.Query().Get("job")))
 	}
 }
