--- a/internal/jobs/parse_test.go
+++ b/internal/jobs/parse_test.go
@@ -103,11 +103,11 @@
 func TestEachSubmissionFieldIsValidated(t *testing.T) {
 	values := invalidValues()
 	for _, name := range slices.Concat(requiredFields, optionalFields) {
-		untested := len(values[name])
+		count := len(values[name])
 		if slices.Contains(requiredFields, name) {
-			untested -= 2 // null and missing
+			count -= 2 // null and missing
 		}
-		if untested <= 0 {
+		if count <= 0 {
 			t.Errorf("%s: no invalid values to test", name)
 		}
 		for _, value := range values[name] {
