--- /dev/null
+++ b/internal/pipelinerun/jobs.go
@@ -0,0 +1,185 @@
+package pipelinerun
+
+import (
+	"net/http"
+	"time"
+
+	"cherrywall/internal/controller"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/pipelineexec"
+	"cherrywall/internal/tuning"
+)
+
+// observe returns what is known of a job's current attempt.
+func (l *Leader) observe(run *runState, job int, local controller.LocalState) pipelineexec.Observation {
+	ref := run.jobRef(job)
+	_, cached := local.Jobs[ref]
+	observation, answered := run.observations[ref]
+	if cached || !answered && !l.callsInFlight[ref] {
+		if localObservation, known := l.observeLocally(run, job, ref, local); known {
+			delete(run.observations, ref)
+			return localObservation
+		}
+	}
+	if answered {
+		return observation
+	}
+	return pipelineexec.Observation{IsUnknown: !l.callsInFlight[ref]}
+}
+
+// observeLocally returns what this controller has cached of a job's attempt; known is false if
+// that is nothing, or another user's job. A job that became active in this very step is not in the
+// local state yet and is looked up now: a new leader gets to where the run stood at once, and not
+// one stage later with each tick.
+func (l *Leader) observeLocally(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
+	localJob, cached := local.Jobs[ref]
+	if !cached {
+		current, _ := l.controller.LocalState([]string{ref})
+		localJob = current.Jobs[ref]
+		if local.Jobs != nil {
+			local.Jobs[ref] = localJob
+		}
+	}
+	observation = pipelineexec.Observation{
+		IsUnfinished: localJob.IsUnfinished,
+		IsDone:       localJob.FinalStatus == jobs.Done,
+		IsCancelled:  localJob.FinalStatus == jobs.Cancelled,
+		IsFaulty:     localJob.IsFaulty,
+		AcceptedAtMS: localJob.AcceptedMS,
+		DoneTasks:    localJob.DoneTasks,
+		RunningTasks: localJob.ActiveTasks,
+	}
+	known = observation.IsUnfinished || observation.IsDone || observation.IsCancelled
+	return observation, known && run.matchesSpec(job, localJob)
+}
+
+// findSubmittedJobs finds out which jobs of a cancelled run were submitted by an earlier leader:
+// the controller is asked for each that could have been. The actions are those of a step in which
+// the run is not cancelled yet.
+func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
+	remaining := false
+	for _, action := range actions {
+		if !action.Submit || run.notSubmitted[action.Job] {
+			continue // cancellations wait until all are found
+		}
+		remaining = true
+		ref := run.jobRef(action.Job)
+		if !l.callsInFlight[ref] && len(l.callsInFlight) < tuning.MaxConcurrentRunRequests {
+			l.findSubmittedJob(run, action.Job, ref)
+		}
+	}
+	if remaining {
+		return
+	}
+	states := run.execution.JobStates
+	for job := range states {
+		if run.notSubmitted[job] && states[job].Status == pipelineexec.Active {
+			states[job].Status = pipelineexec.Waiting
+		}
+	}
+	run.findingSubmitted, run.notSubmitted, run.execution.CancelMode = false, nil, run.record.CancelMode
+}
+
+func (l *Leader) findSubmittedJob(run *runState, job int, ref string) {
+	reply := make(chan controller.Response, 1)
+	l.controller.Poll(ref, reply)
+	l.awaitResponse(run, ref, reply, func(response controller.Response) {
+		switch {
+		case response.Code != http.StatusNotFound:
+			run.recordResponse(ref, response)
+		case run.findingSubmitted && run.jobRef(job) == ref:
+			run.notSubmitted[job] = true
+		}
+	})
+}
+
+// submitJob submits a job's current attempt, provided that the run's record is the one that is
+// known here: after a cancellation, or by a former leader, nothing starts.
+func (l *Leader) submitJob(run *runState, job int) {
+	state := run.execution.JobStates[job]
+	ref := run.jobRef(job)
+	if l.callsInFlight[ref] {
+		return
+	}
+	spec := run.execution.Plan.Jobs[job].Spec
+	spec.Ref = ref
+	reply := make(chan controller.Response, 1)
+	l.controller.SubmitIf(&spec, run.unchanged(), reply)
+	l.metrics.submissions.Inc()
+	l.awaitResponse(run, ref, reply, func(response controller.Response) {
+		if run.execution.JobStates[job] == state {
+			l.handleSubmission(run, job, ref, response)
+		}
+	})
+}
+
+func (l *Leader) handleSubmission(run *runState, job int, ref string, response controller.Response) {
+	switch response.Code {
+	case http.StatusOK:
+		l.verifySubmission(run, job, ref, response)
+	case http.StatusCreated:
+		run.recordResponse(ref, response)
+	case http.StatusBadRequest, http.StatusUnprocessableEntity:
+		l.log.Info("job of a run rejected", "run", run.id, "job", run.jobName(job), "error", response.Error)
+		state := &run.execution.JobStates[job]
+		state.Status, state.Cause = pipelineexec.Failed, pipelineexec.CauseRejected
+	case http.StatusConflict:
+		run.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay) // as when a write's conditions fail
+	}
+}
+
+// verifySubmission checks whether a job that was already known is this run's: submitted by this
+// leader in a call that was not answered, or by an earlier leader. Another user's job has another
+// spec, and the attempt gets another id.
+func (l *Leader) verifySubmission(run *runState, job int, ref string, response controller.Response) {
+	local, ok := l.controller.LocalState([]string{ref})
+	if localJob, known := local.Jobs[ref]; ok && known && !run.matchesSpec(job, localJob) {
+		l.log.Info("job id taken by another job", "run", run.id, "job", run.jobName(job), "ref", ref)
+		run.execution.JobStates[job].Salt++
+		return
+	}
+	run.recordResponse(ref, response)
+}
+
+// cancelJob cancels a job's current attempt.
+func (l *Leader) cancelJob(run *runState, job int) {
+	ref := run.jobRef(job)
+	if l.callsInFlight[ref] {
+		return
+	}
+	reply := make(chan controller.Response, 1)
+	l.controller.Cancel(ref, reply)
+	l.awaitResponse(run, ref, reply, func(response controller.Response) {
+		switch response.Code {
+		case http.StatusNotFound: // never submitted
+			run.observations[ref] = pipelineexec.Observation{IsCancelled: true}
+		case http.StatusOK:
+			if response.Status == jobs.Done || response.Status == jobs.Cancelled {
+				run.recordResponse(ref, response)
+			}
+		}
+	})
+}
+
+// awaitResponse waits for the controller's response to a call for an attempt, and passes it to
+// handle on the actor, if the run is still known.
+func (l *Leader) awaitResponse(run *runState, ref string, reply <-chan controller.Response, handle func(response controller.Response)) {
+	l.callsInFlight[ref] = true
+	go func() {
+		var response controller.Response
+		select {
+		case response = <-reply:
+		case <-l.mailbox.Context().Done():
+			return
+		}
+		l.mailbox.Send(func() {
+			delete(l.callsInFlight, ref)
+			if response.Code == http.StatusServiceUnavailable {
+				run.pausedUntil = time.Now().Add(tuning.MinRetryDelay)
+			}
+			if l.runs[run.id] == run && run.execution != nil {
+				handle(response)
+			}
+		})
+	}()
+}
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -11,51 +11,72 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What is kept in the state service, apart from the core's records.
+// The keys of the records in the key-value store. The state cache passes their changes on without
+// reading them.
 const (
-	prefix      = jobs.OpaquePrefix
-	runPrefix   = prefix + "run/"
-	planPrefix  = prefix + "plan/"
-	finalPrefix = prefix + "final/"
-	groupPrefix = prefix + "group/"
+	prefix         = jobs.OpaquePrefix
+	runPrefix      = prefix + "run/"
+	planPrefix     = prefix + "plan/"
+	finalPrefix    = prefix + "final/"
+	groupPrefix    = prefix + "group/"
+	schedulePrefix = prefix + "sched/"
 )
 
-func runKey(id string) string         { return runPrefix + id }
-func finalKey(id string) string       { return finalPrefix + id }
-func planKey(id string, k int) string { return planPrefix + id + "/" + strconv.Itoa(k) }
-func groupKey(name string) string     { return groupPrefix + hex.EncodeToString([]byte(name)) }
+func runKey(id string) string        { return runPrefix + id }
+func finalKey(id string) string      { return finalPrefix + id }
+func groupKey(name string) string    { return groupPrefix + hex.EncodeToString([]byte(name)) }
+func scheduleKey(name string) string { return schedulePrefix + hex.EncodeToString([]byte(name)) }
 
-var runIDPattern = regexp.MustCompile(`^run-[0-9]{1,18}$`)
+// planKey is the key of a chunk of a plan.
+func planKey(chunksID string, number int) string {
+	return planPrefix + chunksID + "/" + strconv.Itoa(number)
+}
+
+var (
+	runIDPattern        = regexp.MustCompile(`^run-[0-9]{1,18}$`)
+	scheduleNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+)
 
-// ValidID tells whether a run's id has its form.
+// ValidID reports whether a run's id has the required form: "run-" and up to 18 digits.
 func ValidID(id string) bool { return runIDPattern.MatchString(id) }
 
 // runRecord is a run's record, unfinished or final.
 type runRecord struct {
 	Name         string `json:"name"`
 	Digest       string `json:"digest"` // of the file: a repeated request has the same
-	AcceptedAtMS int64  `json:"at"`     // Unix ms of its acceptance
-	// Plan is the packed plan, or its beginning: Parts are how many further records
-	// hold the rest. A plan is kept as it was understood, so that another version of
-	// the program goes on with the same.
+	AcceptedAtMS int64  `json:"at"`     // Unix ms
+	// Plan is the compressed plan, or its beginning: PlanChunks further records contain the rest.
+	// The plan is kept as it was parsed, so that another version of the program goes on with the
+	// same.
 	Plan         []byte                `json:"plan"`
 	PlanChunks   int                   `json:"parts,omitempty"`
-	PlanChunksID string                `json:"plan_id,omitempty"` // whose parts they are: its own, or a schedule's
+	PlanChunksID string                `json:"plan_id,omitempty"` // of the run, or of its schedule
 	Progress     pipelineexec.Progress `json:"p"`
 	CancelMode   string                `json:"cancel,omitempty"`
-	// HomeShard is the share whose holder leads the run, and Tenure the stamp of that
-	// share's record under which this was last written by a leader, or accepted by one.
+	// HomeShard is the shard whose owner leads the run, and Epoch that shard's epoch under which
+	// this was last written by a leader, or accepted by one.
 	HomeShard string `json:"home"`
 	Epoch     uint64 `json:"tenure,omitempty"`
-	// Status and EndMS are set when it is over.
+	// Status and EndedAtMS (Unix ms) are set when the run has finished.
 	Status    string `json:"status,omitempty"`
 	EndedAtMS int64  `json:"end,omitempty"`
 }
 
-// groupOwner is who holds a resource group.
+// groupOwner is the record of a resource group: the job that owns it.
 type groupOwner struct {
 	Run string `json:"run"`
 	Job int    `json:"job"`
 }
 
+// scheduleRecord is a schedule's record.
+type scheduleRecord struct {
+	Name     string `json:"name"`
+	Cron     string `json:"cron"`
+	Zone     string `json:"zone"`
+	NextAtMS int64  `json:"next"` // Unix ms
+	LastRun  string `json:"last,omitempty"`
+	// Template is the record with which its runs begin.
+	Template runRecord `json:"begin"`
+}
+
 func fileDigest(file []byte) string { return strconv.FormatUint(xxhash.Sum64(file), 16) }
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/hex"
 	"encoding/json"
-	"regexp"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -19,173 +19,156 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Schedules: runs begun by the calendar. One is led like a run, by the holder of a share;
-// each time is one transaction that begins the run and moves the schedule on.
-
-const schedulePrefix = prefix + "sched/"
-
-func scheduleKey(name string) string { return schedulePrefix + hex.EncodeToString([]byte(name)) }
-
-var scheduleNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
-
-// scheduleRecord is a schedule's record.
-type scheduleRecord struct {
-	Name     string `json:"name"`
-	Cron     string `json:"cron"`
-	Zone     string `json:"zone"`
-	NextAtMS int64  `json:"next"` // Unix ms
-	LastRun  string `json:"last,omitempty"`
-	// Template is what its runs begin as.
-	Template runRecord `json:"begin"`
-}
+// A schedule is led like a run, by the owner of its home shard. Each time it is due, one
+// transaction begins a run and sets the schedule's next time.
 
+// scheduleState is a schedule as this controller knows it.
 type scheduleState struct {
 	scheduleRecord
-	revision      uint64
+	revision      uint64 // of the record
 	writeInFlight bool
 	pausedUntil   time.Time
 }
 
-// ScheduleView is a schedule as users see it.
-type ScheduleView struct {
-	Name     string `json:"name"`
-	Cron     string `json:"cron"`
-	Zone     string `json:"zone"`
-	NextAtMS int64  `json:"next_ms"`
-	LastRun  string `json:"last_run,omitempty"`
-	Jobs     int    `json:"jobs,omitempty"`
-}
-
-func (s scheduleRecord) view() ScheduleView {
-	return ScheduleView{Name: s.Name, Cron: s.Cron, Zone: s.Zone, NextAtMS: s.NextAtMS, LastRun: s.LastRun}
-}
-
 func (l *Leader) applyScheduleRecord(key string, value json.RawMessage, revision uint64) error {
-	if old := l.schedules[key]; old != nil && old.revision >= revision {
+	if known := l.schedules[key]; known != nil && known.revision >= revision {
 		return nil
 	}
-	var s scheduleRecord
-	if err := json.Unmarshal(value, &s); err != nil {
+	var record scheduleRecord
+	if err := json.Unmarshal(value, &record); err != nil {
 		return err
 	}
-	l.schedules[key] = &scheduleState{scheduleRecord: s, revision: revision}
+	l.schedules[key] = &scheduleState{scheduleRecord: record, revision: revision}
 	return nil
 }
 
 // startDueSchedules begins the runs of the schedules led here whose time has come.
-func (l *Leader) startDueSchedules(peek controller.LocalState, now time.Time) {
-	for key, entry := range l.schedules {
-		epoch := peek.Shards[entry.Template.HomeShard]
-		if epoch == 0 || entry.writeInFlight || now.UnixMilli() < entry.NextAtMS || now.Before(entry.pausedUntil) {
+func (l *Leader) startDueSchedules(local controller.LocalState, now time.Time) {
+	for key, schedule := range l.schedules {
+		epoch := local.Shards[schedule.Template.HomeShard]
+		if epoch == 0 || schedule.writeInFlight || now.UnixMilli() < schedule.NextAtMS || now.Before(schedule.pausedUntil) {
 			continue
 		}
-		schedule, err := cronschedule.Parse(entry.Cron, entry.Zone)
+		times, err := cronschedule.Parse(schedule.Cron, schedule.Zone)
 		if err != nil {
-			l.log.Error("schedule not understood", "schedule", entry.Name, "error", err)
-			entry.pausedUntil = now.Add(time.Minute)
+			l.log.Error("schedule cannot be read", "schedule", schedule.Name, "error", err)
+			schedule.pausedUntil = now.Add(unreadableRunDelay)
 			continue
 		}
-		l.startScheduledRun(key, entry, schedule, epoch, now)
+		l.startScheduledRun(key, schedule, times, epoch, now)
 	}
 }
 
-// startScheduledRun begins a schedule's run. After an outage it is one run, for the last time that was
-// missed.
-func (l *Leader) startScheduledRun(key string, entry *scheduleState, schedule *cronschedule.Schedule, epoch uint64, now time.Time) {
-	last, then := schedule.Due(time.UnixMilli(entry.NextAtMS), now)
-	id := jobs.NumberedRef("run", xxhash.Sum64String(entry.Name+"@"+last.UTC().Format(time.RFC3339)))
-	rec := entry.Template
-	rec.AcceptedAtMS, rec.Epoch = now.UnixMilli(), epoch
-	next := entry.scheduleRecord
-	next.LastRun, next.NextAtMS = id, then.UnixMilli()
-	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: entry.revision}, {Key: runKey(id)}, {Key: finalKey(id)}, {Key: jobs.ShardPrefix + rec.HomeShard, Revision: epoch}},
-		Writes: []kvstore.Write{{Key: key, Value: kvstore.Encode(next)}, {Key: runKey(id), Value: kvstore.Encode(rec)}}}
-	entry.writeInFlight = true
+// startScheduledRun begins a schedule's run. After an outage it is one run, for the last time that
+// was missed.
+func (l *Leader) startScheduledRun(key string, schedule *scheduleState, times *cronschedule.Schedule, epoch uint64, now time.Time) {
+	dueAt, nextAt := times.Due(time.UnixMilli(schedule.NextAtMS), now)
+	id := jobs.NumberedRef("run", xxhash.Sum64String(schedule.Name+"@"+dueAt.UTC().Format(time.RFC3339)))
+	record := schedule.Template
+	record.AcceptedAtMS, record.Epoch = now.UnixMilli(), epoch
+	next := schedule.scheduleRecord
+	next.LastRun, next.NextAtMS = id, nextAt.UnixMilli()
+	txn := kvstore.Txn{
+		Conditions: []kvstore.Condition{
+			{Key: key, Revision: schedule.revision},
+			{Key: runKey(id)},
+			{Key: finalKey(id)},
+			{Key: jobs.ShardPrefix + record.HomeShard, Revision: epoch},
+		},
+		Writes: []kvstore.Write{
+			{Key: key, Value: kvstore.Encode(next)},
+			{Key: runKey(id), Value: kvstore.Encode(record)},
+		},
+	}
+	schedule.writeInFlight = true
 	l.commit(kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
-		entry.writeInFlight, entry.pausedUntil = false, time.Now().Add(tuning.RunWriteRetryDelay)
+		schedule.writeInFlight = false
+		schedule.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay)
 		if err != nil || !result.Succeeded {
-			return // the watch tells, should it have been made after all
+			return // the watch delivers the writes if they were executed after all
 		}
-		for _, w := range txn.Writes {
-			l.applyWrite(w.Key, w.Value, result.Revision)
+		for _, write := range txn.Writes {
+			l.applyWrite(write.Key, write.Value, result.Revision)
 		}
-		l.log.Info("run begun by schedule", "schedule", entry.Name, "run", id, "due", last, "late_s", now.Sub(last).Seconds())
+		l.log.Info("run started by schedule", "schedule", schedule.Name, "run", id, "due", dueAt, "late_s", now.Sub(dueAt).Seconds())
 	})
 }
 
-// Schedule keeps a file that is run by the calendar; one of the same name is replaced. Its
-// first time is the next one from now on.
-func (l *Leader) Schedule(name, expr, zone string, file []byte, plan *pipeline.Plan) (ScheduleView, Response) {
+// Schedule stores a schedule for a pipeline file: a cron expression in a time zone. It replaces
+// one of the same name. Its first time is the next one from now on.
+func (l *Leader) Schedule(name, expression, zone string, file []byte, plan *pipeline.Plan) (ScheduleView, Response) {
 	if !scheduleNamePattern.MatchString(name) {
-		return ScheduleView{}, errorResponse(400, "name: must be 1 to 64 letters, digits, dots, dashes and underscores")
+		return ScheduleView{}, errorResponse(http.StatusBadRequest, "name: must be 1 to 64 letters, digits, dots, dashes and underscores")
 	}
-	schedule, err := cronschedule.Parse(expr, zone)
+	times, err := cronschedule.Parse(expression, zone)
 	if err != nil {
-		return ScheduleView{}, errorResponse(400, err.Error())
+		return ScheduleView{}, errorResponse(http.StatusBadRequest, err.Error())
 	}
-	rec, parts, err := l.newRunRecord(name, file, plan, "sched-"+hex.EncodeToString([]byte(name)))
+	template, chunks, err := l.newRunRecord(name, file, plan, "sched-"+hex.EncodeToString([]byte(name)))
 	if err != nil {
-		return ScheduleView{}, errorResponse(400, err.Error())
+		return ScheduleView{}, errorResponse(http.StatusBadRequest, err.Error())
 	}
-	rec.Epoch = 0
-	s := scheduleRecord{Name: name, Cron: expr, Zone: zone, NextAtMS: schedule.Next(time.Now()).UnixMilli(), Template: rec}
-	v := s.view()
-	v.Jobs = len(plan.Jobs)
-	return v, l.ask(func(reply func(Response)) {
+	template.Epoch = 0
+	record := scheduleRecord{Name: name, Cron: expression, Zone: zone, NextAtMS: times.Next(time.Now()).UnixMilli(), Template: template}
+	view := record.view()
+	view.Jobs = len(plan.Jobs)
+	return view, l.ask(func(reply func(Response)) {
 		key := scheduleKey(name)
 		revision := uint64(0)
-		if old := l.schedules[key]; old != nil {
-			revision = old.revision
+		if known := l.schedules[key]; known != nil {
+			revision = known.revision
 		}
-		l.commitSchedule(key, revision, parts, kvstore.Write{Key: key, Value: kvstore.Encode(s)}, reply)
+		l.commitSchedule(key, revision, chunks, kvstore.Write{Key: key, Value: kvstore.Encode(record)}, reply)
 	})
 }
 
-// RemoveSchedule ends a schedule; runs that it has begun go on.
+// RemoveSchedule removes a schedule; runs that it has begun go on.
 func (l *Leader) RemoveSchedule(name string) Response {
 	return l.ask(func(reply func(Response)) {
 		key := scheduleKey(name)
 		if l.schedules[key] == nil {
-			reply(errorResponse(404, "no such schedule"))
+			reply(errorResponse(http.StatusNotFound, "no such schedule"))
 			return
 		}
 		l.commitSchedule(key, l.schedules[key].revision, nil, kvstore.Write{DeleteKey: key}, reply)
 	})
 }
 
-// commitSchedule changes a schedule's record if it has a stamp, after the parts of its plan.
-func (l *Leader) commitSchedule(key string, revision uint64, parts []kvstore.Write, last kvstore.Write, reply func(Response)) {
+// commitSchedule writes a schedule's record, provided that it has the given revision, after the
+// chunks of its plan.
+func (l *Leader) commitSchedule(key string, revision uint64, chunks []kvstore.Write, write kvstore.Write, reply func(Response)) {
 	if !l.synced {
 		reply(retryLater("state not read yet"))
 		return
 	}
-	l.commitAfter(parts, kvstore.Normal, kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: revision}}, Writes: []kvstore.Write{last}}, func(result kvstore.TxnResult, err error) {
+	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: revision}}, Writes: []kvstore.Write{write}}
+	l.commitAfter(chunks, kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		switch {
-		case err != nil || !result.Succeeded: // it has just begun a run, or somebody else changes it
+		case err != nil || !result.Succeeded: // it has just begun a run, or another user changes it
 			reply(retryLater("busy"))
 			return
-		case last.DeleteKey != "":
+		case write.DeleteKey != "":
 			l.applyDelete(key, result.Revision)
 		default:
-			l.applyWrite(key, last.Value, result.Revision)
+			l.applyWrite(key, write.Value, result.Revision)
 		}
-		reply(Response{Code: 200})
+		reply(Response{Code: http.StatusOK})
 	})
 }
 
-// Schedules tells all schedules, by name.
-func (l *Leader) Schedules() ([]ScheduleView, bool) {
+// Schedules returns all schedules by name; ok is false while they are not known.
+func (l *Leader) Schedules() (schedules []ScheduleView, ok bool) {
 	type answer struct {
-		all []ScheduleView
-		ok  bool
+		schedules []ScheduleView
+		synced    bool
 	}
-	r, _ := actor.Ask(l.mailbox, func() (a answer) {
-		a.all, a.ok = []ScheduleView{}, l.synced
-		for _, entry := range l.schedules {
-			a.all = append(a.all, entry.view())
+	all, _ := actor.Ask(l.mailbox, func() answer {
+		a := answer{schedules: []ScheduleView{}, synced: l.synced}
+		for _, schedule := range l.schedules {
+			a.schedules = append(a.schedules, schedule.view())
 		}
 		return a
 	})
-	slices.SortFunc(r.all, func(x, y ScheduleView) int { return strings.Compare(x.Name, y.Name) })
-	return r.all, r.ok
+	slices.SortFunc(all.schedules, func(x, y ScheduleView) int { return strings.Compare(x.Name, y.Name) })
+	return all.schedules, all.synced
 }
--- /dev/null
+++ b/internal/pipelinerun/sync.go
@@ -0,0 +1,164 @@
+package pipelinerun
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+
+	"cherrywall/internal/actor"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/pipelineexec"
+	"cherrywall/internal/tuning"
+)
+
+// loadedPrefixes are what a load lists. Groups come after the runs that own them: a group whose
+// run is not known is free, see acquireGroup.
+var loadedPrefixes = []string{runPrefix, groupPrefix, schedulePrefix}
+
+// handleEvents takes what the controller's watch has delivered of the run records.
+func (l *Leader) handleEvents(events []kvstore.Event, reload bool) {
+	if reload {
+		l.reloads++
+		if !l.loading {
+			l.loading = true
+			go l.load(l.mailbox.Context())
+		}
+	}
+	l.pendingEvents = append(l.pendingEvents, events...)
+	if l.loading {
+		return // the listing may be older than these events
+	}
+	l.applyPendingEvents()
+}
+
+func (l *Leader) applyPendingEvents() {
+	for _, event := range l.pendingEvents {
+		if event.DeletedKey != "" {
+			l.applyDelete(event.DeletedKey, event.Revision)
+		} else {
+			l.applyWrite(event.Key, event.Value, event.Revision)
+		}
+	}
+	l.pendingEvents = nil
+}
+
+// load lists all unfinished runs, groups and schedules, until it succeeds or the context ends. It
+// lists them again if events were missed meanwhile.
+func (l *Leader) load(ctx context.Context) {
+	for ctx.Err() == nil {
+		reloads, _ := actor.Ask(l.mailbox, func() int { return l.reloads })
+		rows, err := l.list(ctx)
+		if err != nil {
+			if kvstore.Pause(ctx, tuning.MaxRetryDelay) != nil {
+				return
+			}
+			continue
+		}
+		applied, _ := actor.Ask(l.mailbox, func() bool {
+			if l.reloads != reloads {
+				return false
+			}
+			l.applyListing(rows)
+			return true
+		})
+		if applied {
+			return
+		}
+	}
+}
+
+func (l *Leader) list(ctx context.Context) ([]kvstore.KeyValue, error) {
+	var all []kvstore.KeyValue
+	for _, prefix := range loadedPrefixes {
+		rows, _, err := l.store.List(ctx, prefix)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, rows...)
+	}
+	return all, nil
+}
+
+func (l *Leader) applyListing(rows []kvstore.KeyValue) {
+	l.runs = map[string]*runState{}
+	l.resourceGroups = map[string]resourceGroup{}
+	l.schedules = map[string]*scheduleState{}
+	for _, row := range rows {
+		l.applyWrite(row.Key, row.Value, row.Revision)
+	}
+	l.applyPendingEvents()
+	l.synced, l.loading = true, false
+}
+
+// applyWrite applies a record that was written at a revision. One that cannot be read is skipped.
+func (l *Leader) applyWrite(key string, value json.RawMessage, revision uint64) {
+	var err error
+	switch {
+	case strings.HasPrefix(key, runPrefix):
+		var record runRecord
+		if err = json.Unmarshal(value, &record); err == nil {
+			l.applyRunRecord(key[len(runPrefix):], record, revision)
+		}
+	case strings.HasPrefix(key, finalPrefix):
+		var record runRecord
+		if err = json.Unmarshal(value, &record); err == nil {
+			l.finalRuns.Add(key[len(finalPrefix):], record)
+		}
+	case strings.HasPrefix(key, groupPrefix):
+		var owner groupOwner
+		if err = json.Unmarshal(value, &owner); err == nil && l.resourceGroups[key].revision < revision {
+			l.resourceGroups[key] = resourceGroup{groupOwner: owner, revision: revision}
+		}
+	case strings.HasPrefix(key, schedulePrefix):
+		err = l.applyScheduleRecord(key, value, revision)
+	}
+	if err != nil {
+		l.log.Error("record cannot be read", "key", key, "error", err)
+	}
+}
+
+// applyDelete applies the deletion of a record at a revision.
+func (l *Leader) applyDelete(key string, revision uint64) {
+	switch {
+	case strings.HasPrefix(key, runPrefix):
+		id := key[len(runPrefix):]
+		if run := l.runs[id]; run != nil && run.revision <= revision {
+			delete(l.runs, id)
+		}
+	case strings.HasPrefix(key, groupPrefix):
+		if l.resourceGroups[key].revision <= revision {
+			delete(l.resourceGroups, key)
+		}
+	case strings.HasPrefix(key, schedulePrefix):
+		if schedule := l.schedules[key]; schedule != nil && schedule.revision <= revision {
+			delete(l.schedules, key)
+		}
+	}
+}
+
+// applyRunRecord applies an unfinished run's record. Of a run that is led here, the progress in
+// memory is newer than any record, but for what users have requested: that may come through any
+// controller.
+func (l *Leader) applyRunRecord(id string, record runRecord, revision uint64) {
+	run := l.runs[id]
+	if run == nil {
+		run = &runState{id: id, observations: map[string]pipelineexec.Observation{}}
+		l.runs[id] = run
+	}
+	if run.revision >= revision {
+		return
+	}
+	run.record, run.revision = record, revision
+	switch {
+	case run.execution == nil:
+	case run.epoch == 0:
+		run.execution = nil // read again from the record when needed
+	default:
+		if !run.findingSubmitted {
+			run.execution.CancelMode = record.CancelMode
+		}
+		for _, job := range record.Progress.ManuallyStarted {
+			run.execution.JobStates[job].ManuallyStarted = true
+		}
+	}
+}
