--- /dev/null
+++ b/internal/pipelinerun/failover_test.go
@@ -0,0 +1,186 @@
+package pipelinerun_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrywall/internal/controller"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/pipelineexec"
+)
+
+// The leading controller crashes after each write to the store in turn: every job is done in the
+// end, and no task runs twice.
+func TestLeaderCrashAfterEachWrite(t *testing.T) {
+	for step := range 16 {
+		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
+			runScenario(t, func(t *testing.T, c *testCluster) { crashLeaderAfterWrite(t, c, step) })
+		})
+	}
+}
+
+func crashLeaderAfterWrite(t *testing.T, c *testCluster, step int) {
+	t.Helper()
+	countWrites := func() int {
+		return c.Store.WriteCountOf(jobs.OpaquePrefix, jobs.JobPrefix, jobs.FinalPrefix, jobs.RangePrefix, jobs.CompletionBatchPrefix)
+	}
+	before := countWrites()
+	c.create("n1", "run-9", diamond)
+	leading := c.leadingController("run-9")
+	for deadline := time.Now().Add(40 * time.Second); countWrites()-before <= step && time.Now().Before(deadline); {
+		time.Sleep(time.Millisecond)
+	}
+	c.CrashController(leading)
+	time.Sleep(3 * time.Second)
+	c.StartController(leading)
+	run := c.awaitSuccess("n2", "run-9", 90*time.Second)
+	time.Sleep(5 * time.Second)
+	for _, node := range controllers {
+		if response := c.leader(node).Get("run-9"); response.Run == nil || response.Run.Status != run.Status || response.Run.EndedAtMS != run.EndedAtMS {
+			t.Errorf("%s reports another end: %+v", node, response.Run)
+		}
+	}
+	for i, job := range parsePlan(t, diamond).Jobs {
+		if response := c.Poll("n0", firstRef("run-9", i)); response.Status != jobs.Done {
+			t.Errorf("%s is %+v", job.Name, response)
+		}
+	}
+	c.checkStartedOnce()
+}
+
+// cancellationOrder is when, from about the same moment, a run is cancelled, its leader crashes,
+// and its last job ends (ms).
+type cancellationOrder struct{ cancel, crash, end time.Duration }
+
+// A run is cancelled while a stage drains, its leader crashes, and the last job ends, all within a
+// second of each other and in every order: all controllers report the same end, and nothing starts
+// after the cancellation was answered.
+func TestCancellationLeaderCrashAndLastCompletionTogether(t *testing.T) {
+	for i, order := range []cancellationOrder{{0, 0, 0}, {0, 500, 900}, {900, 500, 0}, {500, 0, 900}, {500, 900, 0}, {0, 100, 0}} {
+		mode := []string{pipelineexec.CancelDrain, pipelineexec.CancelNow}[i%2]
+		t.Run(fmt.Sprint(order), func(t *testing.T) {
+			runScenario(t, func(t *testing.T, c *testCluster) { cancelDuringFailover(t, c, order, mode) })
+		})
+	}
+}
+
+func cancelDuringFailover(t *testing.T, c *testCluster, order cancellationOrder, mode string) {
+	t.Helper()
+	const file = head + `
+quick: {stage: one, interruptible: true, cluster: {estimate_s: 30, checkpoint_s: 5, save_s: 2}}
+slow: {stage: one}
+next: {stage: two, when: always}
+`
+	c.create("n0", "run-3", file)
+	leading := c.leadingController("run-3")
+	other := "n1"
+	if leading == other {
+		other = "n2"
+	}
+	time.Sleep(3*time.Second + order.end*time.Millisecond - 900*time.Millisecond) // slow ends at about 3 s
+	leader, answered := c.leader(other), make(chan bool)
+	go func() {
+		time.Sleep(order.cancel * time.Millisecond)
+		for leader.Cancel("run-3", mode).Code != 200 {
+			time.Sleep(time.Second)
+		}
+		close(answered)
+	}()
+	time.Sleep(order.crash * time.Millisecond)
+	c.CrashController(leading)
+	<-answered
+	before := len(c.StartCounts())
+	run := c.awaitFinished(other, "run-3", 60*time.Second)
+	if started := len(c.StartCounts()); started != before {
+		t.Errorf("%d tasks started after the cancellation was answered", started-before)
+	}
+	c.StartController(leading)
+	time.Sleep(10 * time.Second)
+	for node := range c.Nodes {
+		if reported := c.leader(node).Get("run-3").Run; reported == nil || describeJobs(reported) != describeJobs(run) || reported.Status != run.Status {
+			t.Errorf("%s reports %+v", node, reported)
+		}
+	}
+	if !strings.Contains(describeJobs(run), "quick canceled") || run.Status != pipelineexec.RunCancelled {
+		t.Errorf("%s: %s", run.Status, describeJobs(run))
+	}
+	for job := range 3 {
+		if response := c.Poll("n0", firstRef("run-3", job)); response.Status == jobs.Running || response.Status == jobs.Queued {
+			t.Errorf("job %d goes on: %+v", job, response)
+		}
+	}
+}
+
+// What a crashed leader has in flight must not take effect after the next leader's steps: its
+// submissions have the precondition of a record that the next leader has written anew.
+func TestLateSubmissionOfFormerLeaderIsRejected(t *testing.T) {
+	runScenario(t, func(t *testing.T, c *testCluster) {
+		c.create("n0", "run-2", diamond)
+		leading := c.leadingController("run-2")
+		other := nextController[leading]
+		row, _, _, err := c.Nodes[other].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
+		if err != nil {
+			t.Fatal(err)
+		}
+		submit := func(ref string) int {
+			spec := parsePlan(t, diamond).Jobs[3].Spec
+			spec.Ref = ref
+			reply := make(chan controller.Response, 1)
+			c.Nodes[other].Controller.SubmitIf(&spec, kvstore.Condition{Key: row.Key, Revision: row.Revision}, reply)
+			return (<-reply).Code
+		}
+		if code := submit("pl-1"); code != 201 {
+			t.Errorf("under the current record: %d", code)
+		}
+		c.CrashController(leading)
+		time.Sleep(8 * time.Second)
+		if _, found := c.Store.Value(jobs.OpaquePrefix + "run/run-2"); !found {
+			t.Fatal("the run is finished already")
+		}
+		if code := submit("pl-2"); code != 409 {
+			t.Errorf("under the record of the crashed leader: %d", code)
+		}
+		c.awaitFinished(other, "run-2", 60*time.Second)
+	})
+}
+
+// A controller that was partitioned from the store goes on leading a run that another one leads
+// by now: the other one's steps stand.
+func TestPartitionedLeaderCannotUndoSuccessor(t *testing.T) {
+	runScenario(t, func(t *testing.T, c *testCluster) {
+		c.create("n0", "run-4", diamond)
+		leading := c.leadingController("run-4")
+		other := nextController[leading]
+		c.Store.RefuseNode(leading, true)
+		time.Sleep(8 * time.Second) // its shard has another owner
+		if c.OwnerOf(leading) == leading {
+			t.Fatal("no controller has acquired its shard")
+		}
+		if response := c.leader(other).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
+			t.Fatalf("%+v", response)
+		}
+		c.Store.RefuseNode(leading, false)
+		before := len(c.StartCounts())
+		run := c.awaitFinished(other, "run-4", 60*time.Second)
+		if started := len(c.StartCounts()); run.Status != pipelineexec.RunCancelled || started != before {
+			t.Errorf("%s, %d tasks started after the cancellation", run.Status, started-before)
+		}
+	})
+}
+
+// The store is down while the jobs of a run are submitted and end.
+func TestStoreOutageDuringRun(t *testing.T) {
+	for _, after := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
+		runScenario(t, func(_ *testing.T, c *testCluster) {
+			c.create("n0", "run-6", diamond)
+			time.Sleep(after * time.Millisecond)
+			c.Store.SetOutage(true)
+			time.Sleep(12 * time.Second)
+			c.Store.SetOutage(false)
+			c.awaitSuccess("n1", "run-6", 90*time.Second)
+		})
+	}
+}
--- /dev/null
+++ b/internal/pipelinerun/load_test.go
@@ -0,0 +1,124 @@
+package pipelinerun_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+// Five hundred jobs in one file, and the writes to the store that they and small runs take.
+func TestManyJobsAndManyRuns(t *testing.T) {
+	var file strings.Builder
+	file.WriteString(head)
+	for i := range 500 {
+		fmt.Fprintf(&file, "street-%d: {stage: one, cluster: {cpus: 0.2, memory_gb: 0.1}}\n", i)
+	}
+	runScenario(t, func(t *testing.T, c *testCluster) {
+		before := c.Store.WriteCountOf(jobs.OpaquePrefix)
+		c.create("n0", "run-1", file.String())
+		if run := c.awaitSuccess("n1", "run-1", 6*time.Minute); run.Ended != 500 {
+			t.Errorf("%s, %d jobs ended", run.Status, run.Ended)
+		}
+		t.Logf("500 jobs: %d writes beside the jobs' own", c.Store.WriteCountOf(jobs.OpaquePrefix)-before)
+
+		before = c.Store.WriteCountOf(jobs.OpaquePrefix)
+		for i := range 40 {
+			c.create(controllers[i%3], fmt.Sprintf("run-%d", 100+i), diamond)
+		}
+		for i := range 40 {
+			c.awaitFinished("n2", fmt.Sprintf("run-%d", 100+i), 4*time.Minute)
+		}
+		if perRun := float64(c.Store.WriteCountOf(jobs.OpaquePrefix)-before) / 40; perRun > 3.5 {
+			t.Errorf("%.2f writes for each run", perRun)
+		}
+	})
+}
+
+// Runs of ten jobs, created at two hundred a minute, take less than a quarter of the writes that
+// the smaller deployment's store allows (50 a second), and a user's own requests are answered as
+// fast as ever.
+func TestTwoHundredRunsAMinute(t *testing.T) {
+	const runCount = 60
+	file := head + "a: {stage: one, parallel: 4, cluster: {cpus: 0.2, memory_gb: 0.1}}\nb: {stage: two, parallel: 5, cluster: {cpus: 0.2, memory_gb: 0.1}}\nc: {stage: three}\n"
+	runScenario(t, func(t *testing.T, c *testCluster) {
+		before := c.Store.WriteCountOf(jobs.OpaquePrefix)
+		longest := time.Duration(0)
+		for i := range runCount {
+			c.create(controllers[i%3], fmt.Sprintf("run-%d", i+1), file)
+			if i%20 == 10 {
+				longest = max(longest, c.measureUserRequests(fmt.Sprintf("wk-%d", i)))
+			}
+			time.Sleep(300 * time.Millisecond)
+		}
+		for i := range runCount {
+			c.awaitSuccess("n2", fmt.Sprintf("run-%d", i+1), 10*time.Minute)
+		}
+		writes := c.Store.WriteCountOf(jobs.OpaquePrefix) - before
+		t.Logf("%.2f writes for each run of 10 jobs, users waited for %v at the most", float64(writes)/runCount, longest)
+		if float64(writes) > 50*runCount*0.3/4 || longest > 300*time.Millisecond {
+			t.Errorf("%d writes for %d runs, a user waited for %v", writes, runCount, longest)
+		}
+		c.checkStartedOnce()
+	})
+}
+
+// measureUserRequests submits and polls a job, and returns the longer of both times.
+func (c *testCluster) measureUserRequests(ref string) time.Duration {
+	c.t.Helper()
+	start := time.Now()
+	if response := c.Submit("n1", fake.JobSpec(ref, jobs.Array, 1, 0.1), time.Second); response.Code != 201 {
+		c.t.Errorf("response to a user's submission: %+v", response)
+	}
+	submission := time.Since(start)
+	// A poll waits until the cache is current: the records of runs must not delay that.
+	start = time.Now()
+	if response := c.Poll("n2", ref); response.Code != 200 {
+		c.t.Errorf("response to a user's poll: %+v", response)
+	}
+	return max(submission, time.Since(start))
+}
+
+// What a run adds to the time between the end of one job and the start of the next: ten jobs in a
+// row as a pipeline, and ten submitted singly as soon as a poll, ten times a second, reports the
+// end of the one before.
+func TestDelayBetweenJobs(t *testing.T) {
+	file := head
+	for i := range 10 {
+		needs := ""
+		if i > 0 {
+			needs = fmt.Sprintf("j%d", i-1)
+		}
+		file += fmt.Sprintf("j%d: {stage: one, needs: [%s]}\n", i, needs)
+	}
+	var pipelined, single time.Duration
+	runSingleController(t, func(_ *testing.T, c *testCluster) {
+		start := time.Now()
+		c.create("n0", "run-1", file)
+		leader := c.leader("n0")
+		for response := leader.Get("run-1"); response.Run == nil || !response.Run.IsFinished; response = leader.Get("run-1") {
+			time.Sleep(100 * time.Millisecond)
+		}
+		pipelined = time.Since(start)
+	})
+	runSingleController(t, func(t *testing.T, c *testCluster) {
+		start := time.Now()
+		for i := range 10 {
+			spec := parsePlan(t, file).Jobs[i].Spec
+			spec.Ref = fmt.Sprintf("wk-%d", i)
+			c.Submit("n0", spec, 3*time.Second)
+			for c.Poll("n0", spec.Ref).Status != jobs.Done {
+				time.Sleep(100 * time.Millisecond)
+			}
+		}
+		single = time.Since(start)
+	})
+	added := (pipelined - single) / 10
+	t.Logf("ten jobs in a row: %v as a pipeline, %v singly: %v for each step", pipelined, single, added)
+	if added > 400*time.Millisecond {
+		t.Errorf("each step takes %v more than singly", added)
+	}
+}
--- /dev/null
+++ b/internal/pipelinerun/step_bench_test.go
@@ -0,0 +1,71 @@
+package pipelinerun
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"testing"
+
+	"cherrywall/internal/pipeline"
+	"cherrywall/internal/pipelineexec"
+)
+
+// BenchmarkIdleStep measures what a leader keeps in memory for its runs, in bytes for each job, in
+// one run of 500 jobs and in 200 runs of ten, and the time of a step in which nothing is new.
+func BenchmarkIdleStep(b *testing.B) {
+	for _, size := range []struct{ runs, jobs int }{{1, 500}, {200, 10}} {
+		b.Run(fmt.Sprintf("runs=%d/jobs=%d", size.runs, size.jobs), func(b *testing.B) {
+			file := idleFile(size.jobs)
+			var before, after runtime.MemStats
+			runtime.GC()
+			runtime.ReadMemStats(&before)
+			var runs []*runState
+			for i := range size.runs {
+				runs = append(runs, newIdleRun(b, fmt.Sprintf("run-%d", i), file))
+			}
+			runtime.GC()
+			runtime.ReadMemStats(&after)
+			bytesPerJob := float64(after.HeapAlloc-before.HeapAlloc) / float64(size.runs*size.jobs)
+			observe := func(int) pipelineexec.Observation { return pipelineexec.Observation{IsUnfinished: true} }
+			for b.Loop() {
+				for _, run := range runs {
+					run.execution.Step(1, observe)
+				}
+			}
+			b.ReportMetric(bytesPerJob, "held-B/job")
+			runtime.KeepAlive(runs)
+		})
+	}
+}
+
+// idleFile is a file of jobs that do not depend on each other.
+func idleFile(jobCount int) string {
+	var file strings.Builder
+	file.WriteString("default: {cluster: {class: c, team: t, image: i, cpus: 1}}\n")
+	for i := range jobCount {
+		fmt.Fprintf(&file, "street-%d: {stage: test, needs: []}\n", i)
+	}
+	return file.String()
+}
+
+// newIdleRun makes a run as it is when it was read from its record.
+func newIdleRun(b *testing.B, id, file string) *runState {
+	b.Helper()
+	plan, _, err := pipeline.Parse([]byte(file), nil, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	compressed, err := plan.Compress()
+	if err != nil {
+		b.Fatal(err)
+	}
+	if plan, err = pipeline.DecompressPlan(compressed); err != nil {
+		b.Fatal(err)
+	}
+	return &runState{
+		id:           id,
+		observations: map[string]pipelineexec.Observation{},
+		record:       runRecord{Plan: compressed},
+		execution:    &pipelineexec.Execution{Plan: plan, JobStates: pipelineexec.NewJobStates(len(plan.Jobs))},
+	}
+}
