--- /dev/null
+++ b/internal/pipelineexec/execution.go
@@ -0,0 +1,236 @@
+// Package pipelineexec decides how a run of a pipeline file proceeds: a deterministic function of
+// its plan, of the states of its jobs, and of what is observed of them. It performs no actions
+// itself.
+package pipelineexec
+
+import (
+	"slices"
+
+	"cherrywall/internal/pipeline"
+)
+
+// Execution is a run in memory. It has no locks.
+type Execution struct {
+	Plan       *pipeline.Plan
+	JobStates  []JobState // in the order of the plan's jobs
+	CancelMode string     // "", CancelNow or CancelDrain
+}
+
+// Observation is what the controller knows of an attempt.
+type Observation struct {
+	IsUnknown    bool // the controller was asked and does not know it
+	IsUnfinished bool // it is known and has not ended
+	IsDone       bool
+	IsCancelled  bool
+	IsFaulty     bool  // it fails on several machines where other jobs work
+	AcceptedAtMS int64 // Unix ms
+	DoneTasks    int
+	RunningTasks int
+}
+
+// ObserveFunc returns what is known of the current attempt of a job.
+type ObserveFunc func(job int) Observation
+
+// Action is to be performed once the states that it rests on are recorded.
+type Action struct {
+	Job           int
+	Submit        bool // cancel otherwise
+	RequiresGroup bool // submit only while the job owns its resource group
+}
+
+// Step advances the run as far as the observations allow, and returns the actions that are due.
+// It is deterministic: a controller that takes over the run with the same record and the same
+// observations comes to the same states.
+func (e *Execution) Step(nowMS int64, observe ObserveFunc) []Action {
+	for {
+		var actions []Action
+		before := slices.Clone(e.JobStates)
+		for job := range e.JobStates {
+			if action, due := e.stepJob(job, nowMS, observe); due {
+				actions = append(actions, action)
+			}
+		}
+		if slices.Equal(before, e.JobStates) {
+			return actions
+		}
+	}
+}
+
+// stepJob advances one job; due is whether there is an action.
+func (e *Execution) stepJob(job int, nowMS int64, observe ObserveFunc) (action Action, due bool) {
+	switch e.JobStates[job].Status {
+	case Active:
+		return e.stepActive(job, nowMS, observe(job))
+	case Stopping:
+		return e.stepStopping(job, observe(job))
+	case Waiting:
+		e.stepWaiting(job, nowMS)
+	case Manual:
+		e.stepHeld(job, e.JobStates[job].ManuallyStarted)
+	case Delayed:
+		e.stepHeld(job, nowMS >= e.JobStates[job].DelayedUntilMS)
+	}
+	return Action{}, false
+}
+
+// stepActive advances a job that was submitted, or is to be.
+func (e *Execution) stepActive(index int, nowMS int64, observed Observation) (action Action, due bool) {
+	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
+	switch {
+	case observed.IsDone:
+		state.Status, state.Cause = Succeeded, ""
+	case observed.IsCancelled:
+		state.Status, state.Cause = Failed, CauseJobCancelled
+	case e.CancelMode == CancelNow || e.CancelMode == CancelDrain && job.Interruptible:
+		state.Status, state.Cause = Stopping, CauseRunCancelled
+	case observed.IsUnfinished && observed.IsFaulty:
+		state.Status, state.Cause = Stopping, pipeline.CauseScriptFailure
+	case observed.IsUnfinished && timedOut(job, nowMS-observed.AcceptedAtMS):
+		state.Status, state.Cause = Stopping, pipeline.CauseTimeout
+	case observed.IsUnknown && !observed.IsUnfinished:
+		return Action{Job: index, Submit: true, RequiresGroup: job.Group != ""}, true
+	}
+	return Action{}, false
+}
+
+func timedOut(job *pipeline.Job, elapsedMS int64) bool {
+	return job.TimeoutS > 0 && float64(elapsedMS) > job.TimeoutS*1000
+}
+
+// stepStopping advances a job that is being cancelled.
+func (e *Execution) stepStopping(index int, observed Observation) (action Action, due bool) {
+	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
+	switch {
+	case observed.IsDone: // at the same moment
+		state.Status, state.Cause = Succeeded, ""
+	case !observed.IsCancelled: // the cancellation also finds out that a job was never submitted
+		return Action{Job: index}, true
+	case state.Cause == CauseRunCancelled || e.CancelMode != "":
+		state.Status, state.Cause = Cancelled, CauseRunCancelled
+	case state.Attempt < job.Retries && slices.Contains(job.RetryOn, state.Cause):
+		*state = JobState{Status: Active, Attempt: state.Attempt + 1, ManuallyStarted: state.ManuallyStarted}
+	default:
+		state.Status = Failed
+	}
+	return Action{}, false
+}
+
+// stepHeld starts a job that waits for a user or for its time, if that has come.
+func (e *Execution) stepHeld(job int, start bool) {
+	if !e.cancelUnstarted(job) && start {
+		e.JobStates[job].Status = Active
+	}
+}
+
+// stepWaiting starts, holds or skips a job whose dependencies have ended.
+func (e *Execution) stepWaiting(index int, nowMS int64) {
+	if e.cancelUnstarted(index) {
+		return
+	}
+	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
+	dependencies := e.dependencies(job)
+	switch {
+	case dependencies.unfinished:
+	case job.When == pipeline.Always:
+		state.Status = Active
+	case job.When == pipeline.OnFailure:
+		state.Status = Skipped
+		if dependencies.failed {
+			state.Status = Active
+		}
+	case dependencies.failed || dependencies.missing:
+		state.Status = Skipped
+	case job.When == pipeline.Manual:
+		state.Status = Manual
+	case job.When == pipeline.Delayed:
+		state.Status, state.DelayedUntilMS = Delayed, nowMS+int64(job.StartInS*1000)
+	default:
+		state.Status = Active
+	}
+}
+
+// cancelUnstarted cancels a job that was not submitted if the run is cancelled.
+func (e *Execution) cancelUnstarted(job int) bool {
+	if e.CancelMode == "" {
+		return false
+	}
+	state := &e.JobStates[job]
+	state.Status, state.Cause = Cancelled, CauseRunCancelled
+	return true
+}
+
+// dependencyState summarizes the jobs that a job depends on.
+type dependencyState struct {
+	unfinished bool // one has not ended
+	failed     bool // one has failed whose failure is not allowed
+	missing    bool // one that the job needs by name is not run
+}
+
+func (e *Execution) dependencies(job *pipeline.Job) dependencyState {
+	var summary dependencyState
+	if !job.Staged {
+		for _, needed := range job.Needs {
+			e.addDependency(&summary, job, needed)
+		}
+		return summary
+	}
+	for other := range e.Plan.Jobs {
+		if e.Plan.Jobs[other].Stage < job.Stage {
+			e.addDependency(&summary, job, other)
+		}
+	}
+	return summary
+}
+
+func (e *Execution) addDependency(summary *dependencyState, job *pipeline.Job, dependency int) {
+	status, failureAllowed := e.JobStates[dependency].Status, e.Plan.Jobs[dependency].AllowFailure
+	switch {
+	case status == Manual && failureAllowed: // nobody has to wait for it
+		summary.missing = summary.missing || !job.Staged
+	case !status.IsFinal():
+		summary.unfinished = true
+	case status == Failed || status == Cancelled:
+		summary.failed = summary.failed || !failureAllowed
+	case status == Skipped:
+		summary.missing = summary.missing || !job.Staged
+	}
+}
+
+// Status returns the run's status, and whether it is final. Jobs that wait for a user and that no
+// other job has to wait for do not count.
+func (e *Execution) Status() (status string, final bool) {
+	count := map[Status]int{}
+	failed := false
+	for i, state := range e.JobStates {
+		failureAllowed := e.Plan.Jobs[i].AllowFailure
+		if state.Status == Manual && failureAllowed {
+			continue
+		}
+		count[state.Status]++
+		failed = failed || state.Status == Failed && !failureAllowed
+	}
+	inProgress := count[Delayed] + count[Active] + count[Stopping]
+	unfinished := count[Waiting] + inProgress
+	switch {
+	case e.CancelMode != "" && unfinished+count[Manual] > 0:
+		return RunStopping, false
+	case inProgress == 0 && count[Manual] > 0:
+		return RunManual, false
+	case unfinished > 0:
+		return RunRunning, false
+	case count[Cancelled] > 0:
+		return RunCancelled, true
+	case failed:
+		return RunFailed, true
+	}
+	return RunSucceeded, true
+}
+
+// SkipOptional skips the jobs that no user has started before the run ended.
+func (e *Execution) SkipOptional() {
+	for i := range e.JobStates {
+		if e.JobStates[i].Status == Manual {
+			e.JobStates[i].Status = Skipped
+		}
+	}
+}
--- /dev/null
+++ b/internal/pipelineexec/progress.go
@@ -0,0 +1,105 @@
+package pipelineexec
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/pipeline"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// JobState is the state of a job of a run.
+type JobState struct {
+	Status          Status
+	Attempt         int                   // from 0
+	Salt            int                   // how many ids of the attempt were taken by other jobs
+	DelayedUntilMS  int64                 // Unix ms, for Delayed
+	Cause           pipeline.FailureCause // for Stopping and Failed
+	ManuallyStarted bool
+}
+
+// NewJobStates returns the states of the jobs of a run that begins.
+func NewJobStates(count int) []JobState {
+	states := make([]JobState, count)
+	for i := range states {
+		states[i].Status = Waiting
+	}
+	return states
+}
+
+// Progress is the recorded form of job states: a letter for each job, and by job what differs from
+// the usual.
+type Progress struct {
+	Status          string                        `json:"st"`
+	Attempts        map[int]int                   `json:"try,omitempty"`
+	Salts           map[int]int                   `json:"salt,omitempty"`
+	DelayedUntilMS  map[int]int64                 `json:"at,omitempty"`
+	Causes          map[int]pipeline.FailureCause `json:"why,omitempty"`
+	ManuallyStarted []int                         `json:"played,omitempty"`
+}
+
+// EncodeProgress returns the recorded form of job states.
+func EncodeProgress(states []JobState) Progress {
+	progress := Progress{
+		Attempts:       map[int]int{},
+		Salts:          map[int]int{},
+		DelayedUntilMS: map[int]int64{},
+		Causes:         map[int]pipeline.FailureCause{},
+	}
+	letters := make([]byte, len(states))
+	for job, state := range states {
+		letters[job] = byte(state.Status)
+		if state.Attempt > 0 {
+			progress.Attempts[job] = state.Attempt
+		}
+		if state.Salt > 0 {
+			progress.Salts[job] = state.Salt
+		}
+		if state.DelayedUntilMS > 0 {
+			progress.DelayedUntilMS[job] = state.DelayedUntilMS
+		}
+		if state.Cause != "" {
+			progress.Causes[job] = state.Cause
+		}
+		if state.ManuallyStarted {
+			progress.ManuallyStarted = append(progress.ManuallyStarted, job)
+		}
+	}
+	progress.Status = string(letters)
+	return progress
+}
+
+// JobStates returns the job states that were recorded. It is an error if they are not of so many
+// jobs, or have a status that this version does not know.
+func (p Progress) JobStates(count int) ([]JobState, error) {
+	if len(p.Status) != count {
+		return nil, fmt.Errorf("states of %d jobs, not %d", len(p.Status), count)
+	}
+	states := make([]JobState, count)
+	for job := range states {
+		status := Status(p.Status[job])
+		if statusNames[status] == "" {
+			return nil, fmt.Errorf("unknown state %q of job %d", p.Status[job], job)
+		}
+		states[job] = JobState{
+			Status:          status,
+			Attempt:         p.Attempts[job],
+			Salt:            p.Salts[job],
+			DelayedUntilMS:  p.DelayedUntilMS[job],
+			Cause:           p.Causes[job],
+			ManuallyStarted: slices.Contains(p.ManuallyStarted, job),
+		}
+	}
+	return states, nil
+}
+
+// JobRef is the id under which an attempt of a job is submitted. It is the same for all
+// controllers that ever lead the run, so that a step made twice submits once. The platform's
+// protocol prescribes the prefix and the form.
+func JobRef(run string, job int, state JobState) string {
+	attempt := run + "/" + strconv.Itoa(job) + "/" + strconv.Itoa(state.Attempt) + "/" + strconv.Itoa(state.Salt)
+	return jobs.NumberedRef("pl", xxhash.Sum64String(attempt))
+}
