--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -89,7 +89,7 @@
 		return
 	}
 	for _, command := range commands {
-		recovery.commandsSent[command.Verb]++
+		recovery.commandsSent[string(command.Verb)]++
 	}
 }
 
--- /dev/null
+++ b/internal/workerapi/command_client.go
@@ -0,0 +1,160 @@
+package workerapi
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// The paths of the requests to workers.
+const (
+	commandPath = "/do"
+	inspectPath = "/inspect"
+)
+
+// Errors of a probe.
+var (
+	// ErrStaleToken means that the worker has seen a higher fencing token.
+	ErrStaleToken = errors.New("worker has seen a higher fencing token")
+	// ErrEpochChanges means that the worker's agent epoch changed with each request.
+	ErrEpochChanges = errors.New("agent epoch keeps changing")
+)
+
+// StatusError means that a worker answered with an unexpected status code.
+type StatusError struct{ Code int }
+
+// Error names the status code.
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
+
+// DialFunc opens a connection, like net.Dialer.DialContext.
+type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// CommandClient sends requests to workers at their own addresses. After a failover hundreds of workers are
+// contacted within a second, each once. So a connection is opened, used for one request and closed, without
+// what the client of net/http sets up to keep it. It may be used by several goroutines.
+type CommandClient struct {
+	dial DialFunc
+}
+
+// NewCommandClient returns a client that opens its connections by dial.
+func NewCommandClient(dial DialFunc) *CommandClient {
+	return &CommandClient{dial}
+}
+
+// Probe shows a worker a fencing token without any command and returns the worker's present heartbeat: from
+// then on the worker obeys no lower token. agentEpoch is the agent epoch in which the worker is believed to
+// be; if it is in another one, it is asked once more. The error is or wraps ErrStaleToken or ErrEpochChanges,
+// or tells what failed.
+func (c *CommandClient) Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*Heartbeat, error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
+	defer cancel()
+	for range 2 {
+		request := CommandRequest{FencingToken: fencingToken, AgentEpoch: agentEpoch, Commands: []Command{}}
+		heartbeat, done, err := c.send(ctx, addr, request)
+		if err != nil {
+			return nil, fmt.Errorf("probe: %w", err)
+		}
+		if done {
+			return heartbeat, nil
+		}
+		if heartbeat.FencingToken > fencingToken {
+			return nil, ErrStaleToken
+		}
+		agentEpoch = heartbeat.AgentEpoch
+	}
+	return nil, fmt.Errorf("probe: %w", ErrEpochChanges)
+}
+
+// Execute sends a worker commands. It returns the worker's present heartbeat, and whether the worker has
+// executed the commands: it has not if it is in another agent epoch or has seen a higher fencing token.
+func (c *CommandClient) Execute(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, done bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
+	defer cancel()
+	if heartbeat, done, err = c.send(ctx, addr, request); err != nil {
+		return nil, false, fmt.Errorf("command: %w", err)
+	}
+	return heartbeat, done, nil
+}
+
+// Inspect asks a worker for its heartbeat only to see whether the worker can be reached.
+func (c *CommandClient) Inspect(ctx context.Context, addr string) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
+	defer cancel()
+	status, _, err := c.roundTrip(ctx, http.MethodGet, addr, inspectPath, nil)
+	if err != nil {
+		return fmt.Errorf("inspect: %w", err)
+	}
+	if status != http.StatusOK {
+		return fmt.Errorf("inspect: %w", &StatusError{status})
+	}
+	return nil
+}
+
+// send sends a command request. A worker that does not execute it answers with its heartbeat, too.
+func (c *CommandClient) send(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, done bool, err error) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return nil, false, fmt.Errorf("encode request: %w", err)
+	}
+	status, answer, err := c.roundTrip(ctx, http.MethodPost, addr, commandPath, body)
+	if err != nil {
+		return nil, false, err
+	}
+	if status != http.StatusOK && status != http.StatusConflict {
+		return nil, false, &StatusError{status}
+	}
+	if heartbeat, err = ParseHeartbeat(answer); err != nil {
+		return nil, false, fmt.Errorf("heartbeat: %w", err)
+	}
+	return heartbeat, status == http.StatusOK, nil
+}
+
+var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+
+// roundTrip makes one request over a connection of its own and reads the whole answer.
+func (c *CommandClient) roundTrip(ctx context.Context, method, addr, path string, body []byte) (status int, answer []byte, err error) {
+	conn, err := c.dial(ctx, "tcp", addr)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer func() { _ = conn.Close() }()
+	// A deadline in the past ends a call that hangs when the context ends.
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	defer stop()
+	if _, err := conn.Write(encodeRequest(method, addr, path, body)); err != nil {
+		return 0, nil, err
+	}
+	reader := readerPool.Get().(*bufio.Reader)
+	defer readerPool.Put(reader)
+	reader.Reset(conn)
+	response, err := http.ReadResponse(reader, nil) //nolint:bodyclose // closing it would read an oversized answer to its end; the connection is closed
+	if err != nil {
+		return 0, nil, err
+	}
+	answer, err = io.ReadAll(io.LimitReader(response.Body, tuning.MaxDirectHeartbeatBytes))
+	return response.StatusCode, answer, err
+}
+
+// encodeRequest returns an HTTP request in its wire form; body is JSON or nil.
+func encodeRequest(method, addr, path string, body []byte) []byte {
+	const headersSize = 256
+	request := make([]byte, 0, headersSize+len(body))
+	request = append(request, method+" "+path+" HTTP/1.1\r\nHost: "+addr+"\r\nConnection: close\r\n"...)
+	if body != nil {
+		request = append(request, "Content-Type: application/json\r\nContent-Length: "...)
+		request = strconv.AppendInt(request, int64(len(body)), 10)
+		request = append(request, "\r\n"...)
+	}
+	request = append(request, "\r\n"...)
+	return append(request, body...)
+}
