--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -10,12 +10,6 @@
 	"cherrywall/internal/tuning"
 )
 
-// Statuses in the cloud's machine list; any other means that the machine runs.
-const (
-	listedAsFailed  = "failed"
-	listedAsBooting = "booting"
-)
-
 // refreshListing reads the machine list and reviews it. After an error it is read again in the
 // next cycle.
 func (a *Autoscaler) refreshListing(ctx context.Context, demand scheduler.Demand) {
@@ -52,15 +46,15 @@
 	_, isLive := demand.LiveMachines[host]
 	bootTimeout := a.bootTimeoutSeconds(capacity.Group{MachineType: machine.MachineType, Zone: machine.Zone})
 	switch {
-	case machine.Status == listedAsFailed:
+	case machine.Status == cloud.StatusFailed:
 		return true
 	case isLive || demand.RecordedMachines[host]:
 		delete(a.unreportedSince, host)
-	case machine.Status == listedAsBooting && machine.AgeS > bootTimeout:
+	case machine.Status == cloud.StatusBooting && machine.AgeS > bootTimeout:
 		return true
 	case a.hasReported[host]:
 		// It has sent heartbeats and was released since: the list lags behind.
-	case machine.Status == listedAsBooting:
+	case machine.Status == cloud.StatusBooting:
 		if a.pending[host] == nil {
 			age := time.Duration(machine.AgeS * float64(time.Second))
 			group := capacity.Group{Zone: machine.Zone, MachineType: machine.MachineType, Spot: machine.Spot}
--- a/internal/machinelifecycle/listing.go
+++ b/internal/machinelifecycle/listing.go
@@ -8,9 +8,6 @@
 	"cherrywall/internal/tuning"
 )
 
-// listedAsFailed is the status of a machine in the cloud's list that will not come back.
-const listedAsFailed = "failed"
-
 // checkCloudListing reads the cloud's machine list while a worker misses heartbeats: a machine
 // that is listed as failed or no longer listed is gone, and its tasks need not wait for the
 // expiry of its lease.
@@ -44,7 +41,7 @@
 	for _, machine := range m.State.OwnedMachines() {
 		status, isListed := statusByHost[machine.Host()]
 		mustBeListed := machine.EnrolledFor(requestedAt) > lag+tuning.ListAbsenceMargin
-		if m.isSuspect(machine, now) && (status == listedAsFailed || !isListed && mustBeListed) {
+		if m.isSuspect(machine, now) && (status == cloud.StatusFailed || !isListed && mustBeListed) {
 			m.log.Info("machine terminated by cloud", "worker", machine.Host(), "status", status, "tasks", machine.AssignmentCount())
 			m.markTerminated(machine)
 		}
