--- /dev/null
+++ b/cmd/cherrywall/daemon.go
@@ -0,0 +1,226 @@
+package main
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"cherrywall/internal/admin"
+	"cherrywall/internal/autoscaler"
+	"cherrywall/internal/chunkedstore"
+	"cherrywall/internal/cloud"
+	"cherrywall/internal/config"
+	"cherrywall/internal/controller"
+	"cherrywall/internal/httpapi"
+	"cherrywall/internal/kvstore"
+	"cherrywall/internal/peer"
+	"cherrywall/internal/pipelinerun"
+	"cherrywall/internal/tracing"
+	"cherrywall/internal/tuning"
+	"cherrywall/internal/workerapi"
+
+	"github.com/julienschmidt/httprouter"
+)
+
+// runCmd is the daemon.
+type runCmd struct{}
+
+// Run runs the daemon until it is told to end by a signal. At the first signal it transfers its
+// shards before it ends, at the second it ends at once.
+func (runCmd) Run(ctx context.Context, commands *cli) error {
+	if commands.Config == "" {
+		return &usageError{errors.New("--config FILE is needed to run; see --help")}
+	}
+	cfg, err := config.Load(commands.Config)
+	if err != nil {
+		return &usageError{err}
+	}
+	initialLevel := os.Getenv("LOG_LEVEL")
+	level := new(slog.LevelVar)
+	if !setLevel(level, initialLevel) {
+		return &usageError{fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", initialLevel)}
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.Node)
+	shutdownRequested, stopSignals := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stopSignals()
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	tracer, closeTracer, err := openTracer(ctx, commands.Trace, cfg.Node, log)
+	if err != nil {
+		return err
+	}
+	defer closeTracer()
+	d := &daemon{
+		cfg:       cfg,
+		log:       log,
+		tracer:    tracer,
+		pipelines: commands.Pipelines,
+		setLogLevel: func(name string) {
+			if name == "" {
+				name = initialLevel
+			}
+			setLevel(level, name)
+		},
+		awaitShutdown: func(ctrl *controller.Controller) {
+			<-shutdownRequested.Done()
+			stopSignals() // the next signal ends the process
+			ctrl.Leave()  //nolint:contextcheck // the controller keeps the context of controller.New
+			stop()
+		},
+	}
+	return d.serve(ctx)
+}
+
+// setLevel sets a log level by its name; "" is info. It reports whether the name is known.
+func setLevel(level *slog.LevelVar, name string) (ok bool) {
+	levels := map[string]slog.Level{"": slog.LevelInfo, "info": slog.LevelInfo, "error": slog.LevelError, "debug": slog.LevelDebug}
+	newLevel, ok := levels[name]
+	if ok {
+		level.Set(newLevel)
+	}
+	return ok
+}
+
+// openTracer returns a tracer that appends to a file, and a function that writes its last spans
+// and closes the file. Without a file name it does nothing.
+func openTracer(ctx context.Context, fileName, node string, log *slog.Logger) (tracer *tracing.Tracer, closeTracer func(), err error) {
+	if fileName == "" {
+		return tracing.NewNoopTracer(), func() {}, nil
+	}
+	file, err := os.OpenFile(fileName, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, nil, &usageError{fmt.Errorf("trace: %w", err)}
+	}
+	tracer, flush, err := tracing.NewTracer(file, node)
+	if err != nil {
+		_ = file.Close() // nothing was written
+		return nil, nil, err
+	}
+	return tracer, func() {
+		if err := flush(context.WithoutCancel(ctx)); err != nil {
+			log.Error("writing last spans failed", "error", err)
+		}
+		_ = file.Close() // each write went to the file at once
+	}, nil
+}
+
+// daemon is a controller process.
+type daemon struct {
+	cfg         *config.Config
+	log         *slog.Logger
+	tracer      *tracing.Tracer
+	pipelines   bool         // run pipeline files
+	setLogLevel func(string) // by name, "" for the initial level
+	// awaitShutdown waits until the process is told to end, and lets the controller leave.
+	awaitShutdown func(*controller.Controller)
+}
+
+// serve starts all parts of the process and serves users and workers until ctx ends.
+func (d *daemon) serve(ctx context.Context) error {
+	d.limitResources()
+	incarnation, err := newIncarnation()
+	if err != nil {
+		return err
+	}
+	dialer := &net.Dialer{Timeout: tuning.DialTimeout}
+	limits := d.cfg.EffectiveStateLimits()
+	client := kvstore.New(d.cfg.Endpoints.State, limits.RPS, limits.WriteRPS, len(d.cfg.Members()), dialer.DialContext)
+	store := chunkedstore.New(client, incarnation, d.cfg.MaxValueBytes(), limits.TxnOps, d.log)
+	provider := cloud.New(d.cfg.Endpoints.Cloud, d.cfg.Cluster.Cloud.RPS, dialer.DialContext)
+	ctrl := controller.New(ctx, d.cfg, store, provider, workerapi.NewCommandClient(dialer.DialContext), incarnation, d.setLogLevel, d.log)
+	listener, err := net.Listen("tcp", d.cfg.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	peerListener, err := net.Listen("tcp", d.cfg.PeerListen)
+	if err != nil {
+		return fmt.Errorf("peer_listen: %w", err)
+	}
+	outbox := peer.NewOutbox(d.peers()...)
+	ctrl.SetPeerSender(outbox.Enqueue)
+	ctrl.OnFeatureGateOpen(store.EnableChunking)
+	ctrl.Start() //nolint:contextcheck // the controller keeps the context of controller.New
+	go store.RunGarbageCollector(ctx, ctrl.IsFirstLiveMember)
+	go d.awaitShutdown(ctrl)
+	d.connectPeers(ctx, peerListener, outbox, peer.RateSharing{Controller: ctrl, Meter: client, Peers: map[string]bool{}})
+	go autoscaler.New(d.cfg.Node, incarnation, d.cfg, store, provider, ctrl, d.log).Run(ctx)
+	return d.serveHTTP(ctx, listener, d.handler(ctx, ctrl, store))
+}
+
+// limitResources adapts the Go runtime to the limits of the deployment.
+func (d *daemon) limitResources() {
+	runtime.GOMAXPROCS(1)
+	debug.SetGCPercent(tuning.GCPercent)
+	debug.SetMemoryLimit(int64(d.cfg.Cluster.Limits.MemMB * tuning.HeapLimitFraction * (1 << 20)))
+}
+
+// newIncarnation returns a random number that tells this process from earlier ones of the node.
+func newIncarnation() (uint64, error) {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return 0, fmt.Errorf("random mark: %w", err)
+	}
+	return binary.BigEndian.Uint64(random[:]) >> 12, nil // below 2^53: exact in JSON
+}
+
+// peers returns the names of the other controllers.
+func (d *daemon) peers() []string {
+	var names []string
+	for _, other := range d.cfg.Peers {
+		names = append(names, other.Node)
+	}
+	return names
+}
+
+// connectPeers receives the heartbeats of the other controllers and sends them ours.
+func (d *daemon) connectPeers(ctx context.Context, listener net.Listener, outbox peer.Outbox, sharing peer.RateSharing) {
+	for _, other := range d.cfg.Peers {
+		sharing.Peers[other.Node] = true
+	}
+	go peer.Listen(ctx, listener, sharing, d.log)
+	for _, other := range d.cfg.Peers {
+		go peer.SendHeartbeats(ctx, other.Addr, outbox[other.Node], sharing)
+	}
+}
+
+// handler returns the handler of the listen address. It starts the actor of pipeline runs if the
+// daemon runs pipeline files.
+func (d *daemon) handler(ctx context.Context, ctrl *controller.Controller, store *chunkedstore.Store) http.Handler {
+	metrics := admin.NewMetrics()
+	addRoutes := []func(*httprouter.Router){func(router *httprouter.Router) {
+		admin.RegisterRoutes(router, ctrl)
+		metrics.RegisterRoutes(router, ctrl.Gauges)
+	}}
+	if d.pipelines {
+		leader := pipelinerun.New(ctx, d.cfg, store, ctrl, d.tracer, d.log)
+		leader.Start() //nolint:contextcheck // the leader keeps the context of pipelinerun.New
+		metrics.AddCollectors(leader.Collectors()...)
+		addRoutes = append(addRoutes, func(router *httprouter.Router) { httpapi.RegisterPipelines(router, leader, ctrl) })
+	}
+	return httpapi.NewHandler(ctrl, metrics, addRoutes...)
+}
+
+// serveHTTP serves the listen address until ctx ends.
+func (d *daemon) serveHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: tuning.ReadHeaderTimeout,
+		IdleTimeout: tuning.UserConnectionIdleTimeout, ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelDebug)}
+	go func() {
+		<-ctx.Done()
+		_ = server.Close() // ends Serve; no request needs a graceful end
+	}()
+	d.log.Info("serving", "listen", d.cfg.Listen, "zone", d.cfg.Zone, "version", version)
+	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/cherrywall/doctor.go
@@ -0,0 +1,64 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+
+	"cherrywall/internal/apiclient"
+	"cherrywall/internal/controller"
+	"cherrywall/internal/tuning"
+)
+
+type doctorCmd struct {
+	controllerFlags
+	JSON bool `help:"Print JSON."`
+}
+
+// Run asks every given controller, since each knows its own machines and connections best. The
+// exit status is exitFailed if there is any finding.
+func (c doctorCmd) Run(ctx context.Context) error {
+	findings := map[string][]controller.Finding{}
+	hasFindings := false
+	for _, address := range c.Addr {
+		findings[address] = askDoctor(ctx, address)
+		hasFindings = hasFindings || len(findings[address]) > 0
+	}
+	if c.JSON {
+		if err := printJSON(findings); err != nil {
+			return err
+		}
+	} else {
+		c.print(findings)
+	}
+	if hasFindings {
+		return &exitError{exitFailed}
+	}
+	return nil
+}
+
+// askDoctor returns the findings of a controller. That it cannot be asked is a finding, too.
+func askDoctor(ctx context.Context, address string) []controller.Finding {
+	ctx, cancel := context.WithTimeout(ctx, tuning.CLIRequestTimeout)
+	defer cancel()
+	var findings []controller.Finding
+	if _, err := apiclient.New(address).Call(ctx, http.MethodGet, "/admin/v1/doctor", nil, &findings); err != nil {
+		return []controller.Finding{{Problem: err.Error(), Action: "see whether the controller runs"}}
+	}
+	return findings
+}
+
+// print prints the findings, in the order of the addresses.
+func (c doctorCmd) print(findings map[string][]controller.Finding) {
+	actions := 0
+	for _, address := range c.Addr {
+		for _, finding := range findings[address] {
+			fmt.Printf("%s: %s\n", address, finding.Problem)
+			if finding.Action != "" {
+				fmt.Printf("    to do: %s\n", finding.Action)
+				actions++
+			}
+		}
+	}
+	fmt.Printf("%d controllers asked, %d things for a person to do\n", len(c.Addr), actions)
+}
--- /dev/null
+++ b/cmd/cherrywall/output.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"encoding/json"
+	"io"
+	"os"
+	"text/tabwriter"
+)
+
+// isTerminal reports whether the standard output is a terminal.
+func isTerminal() bool {
+	info, err := os.Stdout.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
+}
+
+// printJSON prints indented JSON.
+func printJSON(value any) error {
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
+
+// printJSONLine prints JSON in one line, for programs that read one value after the other.
+func printJSONLine(value any) error { return json.NewEncoder(os.Stdout).Encode(value) }
+
+// printTable prints lines with cells that are separated by tabs as a table.
+func printTable(lines string) error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(w, lines); err != nil {
+		return err
+	}
+	return w.Flush()
+}
--- /dev/null
+++ b/cmd/cherrywall/status.go
@@ -0,0 +1,124 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+type statusCmd struct {
+	controllerFlags
+	What  string `arg:"" optional:"" default:"shares" enum:"shares,members,handovers,start,workers,counts,jobs,fleet,upgrade,troubles" help:"shares, members (controllers), handovers, start (how far shares are that changed hands), workers, counts, jobs, fleet, upgrade (versions, and limits in force) or troubles (machines that do not hear, controllers that are cut off, jobs that wait longest)."`
+	Watch bool   `help:"Show it again and again."`
+	JSON  bool   `help:"Print JSON; so it is anyway where no terminal reads it."`
+}
+
+// Run shows a view once, or again and again with --watch.
+func (c statusCmd) Run(ctx context.Context) error {
+	for {
+		var view any
+		if err := c.call(ctx, http.MethodGet, "/admin/v1/"+c.What, nil, &view); err != nil {
+			return err
+		}
+		if c.Watch && isTerminal() {
+			fmt.Print("\x1b[H\x1b[2J") // clear the screen
+		}
+		if err := c.print(view); err != nil || !c.Watch {
+			return err
+		}
+		time.Sleep(tuning.CLIPollInterval)
+	}
+}
+
+// print prints a view, as a table for people and as JSON for programs.
+func (c statusCmd) print(view any) error {
+	if c.JSON || !isTerminal() {
+		return printJSON(view)
+	}
+	return printTable(formatView(c.What, view))
+}
+
+// viewColumns are the keys of a view that its table shows, in this order.
+var viewColumns = map[string][]string{
+	"shares":    {"share", "holder", "live", "settled", "baton", "workers"},
+	"upgrade":   {"controller", "version", "knows_awaits"},
+	"troubles":  {"kind", "name", "since_s", "why"},
+	"members":   {"controller", "state", "beat_s", "state_silent_s", "holds", "held_s"},
+	"handovers": {"share", "to", "outcome", "took_s", "ago_s"},
+	"start":     {"share", "stage", "since_s", "settled_s", "machines", "heard", "waits_for", "within_s", "unaccounted", "outcomes", "orders"},
+	"workers":   {"worker", "share", "build", "zone", "spot", "state", "free", "tasks", "errors"},
+	"counts":    {"shape", "zone", "fit", "allocable"},
+	"jobs":      {"job", "class", "team", "priority", "tasks", "done", "running", "unclaimed", "effective", "due_in_s", "why"},
+}
+
+// formatView returns a view of the administration API as lines of cells.
+func formatView(what string, view any) string {
+	var lines strings.Builder
+	if object, ok := view.(map[string]any); ok {
+		if what == "upgrade" {
+			fmt.Fprintf(&lines, "open\t%v\nlimits\t%v\n\n", object["open"], object["limits"])
+		}
+		// The upgrade view is printed as if it were the fleet view, too: without its controllers
+		// and with an empty cost.
+		lines.WriteString(formatFleet(object))
+		return lines.String()
+	}
+	rows, _ := view.([]any)
+	fmt.Fprintln(&lines, strings.ToUpper(strings.Join(viewColumns[what], "\t")))
+	for _, row := range rows {
+		values, _ := row.(map[string]any)
+		var cells []string
+		for _, key := range viewColumns[what] {
+			cells = append(cells, formatCell(key, values[key]))
+		}
+		fmt.Fprintln(&lines, strings.Join(cells, "\t"))
+	}
+	return lines.String()
+}
+
+// formatFleet returns the number of machines by kind, and their cost.
+func formatFleet(fleet map[string]any) string {
+	var lines strings.Builder
+	machines, _ := fleet["machines"].(map[string]any)
+	for _, kind := range slices.Sorted(maps.Keys(machines)) {
+		fmt.Fprintf(&lines, "%s\t%v\n", kind, machines[kind])
+	}
+	fmt.Fprintf(&lines, "cost an hour\t%v\n", fleet["cost_per_hour"])
+	return lines.String()
+}
+
+// formatCell returns a value as a cell: of most lists only the length.
+func formatCell(key string, value any) string {
+	switch value := value.(type) {
+	case nil:
+		return ""
+	case []any:
+		if key == "holds" {
+			return strings.Trim(fmt.Sprint(value), "[]")
+		}
+		return strconv.Itoa(len(value))
+	case map[string]any:
+		if key == "outcomes" || key == "orders" {
+			return formatCounts(value)
+		}
+		return fmt.Sprintf("%v cpu %v gpu %v gb", value["cpu"], value["gpu"], value["mem"])
+	default:
+		return fmt.Sprint(value)
+	}
+}
+
+// formatCounts returns counts by name as a cell.
+func formatCounts(counts map[string]any) string {
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s %v", name, counts[name]))
+	}
+	return strings.Join(parts, ", ")
+}
