--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -154,11 +154,16 @@
 
 func (h *pipelineHandler) list(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	runs, synced := h.leader.List()
+	respondWithList(w, "runs", runs, synced)
+}
+
+// respondWithList sends a list under its key, or an error if the records have not been read yet.
+func respondWithList(w http.ResponseWriter, key string, list any, synced bool) {
 	if !synced {
 		admin.WriteError(w, http.StatusServiceUnavailable, "state not read yet")
 		return
 	}
-	admin.WriteJSON(w, http.StatusOK, map[string]any{"runs": runs})
+	admin.WriteJSON(w, http.StatusOK, map[string]any{key: list})
 }
 
 func (h *pipelineHandler) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
--- a/internal/httpapi/schedules.go
+++ b/internal/httpapi/schedules.go
@@ -10,11 +10,7 @@
 
 func (h *pipelineHandler) schedules(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	schedules, synced := h.leader.Schedules()
-	if !synced {
-		admin.WriteError(w, http.StatusServiceUnavailable, "state not read yet")
-		return
-	}
-	admin.WriteJSON(w, http.StatusOK, map[string]any{"schedules": schedules})
+	respondWithList(w, "schedules", schedules, synced)
 }
 
 func (h *pipelineHandler) setSchedule(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -14,7 +14,8 @@
 )
 
 // markSurplus marks the on-demand machines that neither run tasks bound to them nor are needed
-// for the growth buffers. Lent to arrays for ever, they would never become empty.
+// for the growth buffers. If arrays could use them for ever, they would never
+// become empty.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
 	shardCount := float64(m.Membership.Size())
 	kept := map[string][]int{} // by shard, the tasks of each buffer that fit on the machines kept
