--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -120,10 +120,10 @@
 func (c *Controller) checkClassLimit(spec *jobs.Spec) error {
 	settings, _ := c.cache.Settings()
 	limit := settings.ClassLimits[spec.Class] // the zero value limits nothing
-	switch tooManyTasks, tooLong := limit.Exceeded(spec); {
-	case tooManyTasks:
+	switch {
+	case limit.ExceededByTasks(spec):
 		return fmt.Errorf("%w: %d tasks, but class %s allows %d", admission.ErrUnsatisfiable, spec.Tasks, spec.Class, limit.MaxTasks)
-	case tooLong:
+	case limit.ExceededByRunTime(spec):
 		return fmt.Errorf("%w: an estimate of %g s, but class %s allows %g", admission.ErrUnsatisfiable, spec.EstimatedRunSeconds, spec.Class, limit.MaxRunSeconds)
 	}
 	return nil
