--- /dev/null
+++ b/internal/controller/http_bench_test.go
@@ -0,0 +1,91 @@
+package controller_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"syscall"
+	"testing"
+
+	"cherrywall/internal/admin"
+	"cherrywall/internal/controller"
+	"cherrywall/internal/httpapi"
+	"cherrywall/internal/workerapi"
+)
+
+// BenchmarkIdleHeartbeatOverHTTP measures heartbeats without news from the socket to the answer, the
+// client's part included. Answers are delayed for a moment, so that many requests are sent at the
+// same time, and what counts is the processor time (cpu-ns/op), not the elapsed time.
+func BenchmarkIdleHeartbeatOverHTTP(b *testing.B) {
+	c, heartbeats := controller.NewBenchController(b, 1000, 100_000, 50)
+	go c.Run()
+	server := httptest.NewServer(httpapi.NewHandler(c, admin.NewMetrics()))
+	defer server.Close()
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: len(heartbeats)}}
+	idle := make(chan *workerapi.Heartbeat, len(heartbeats))
+	for _, heartbeat := range heartbeats {
+		idle <- heartbeat
+	}
+	b.SetParallelism(len(heartbeats))
+	b.ReportAllocs()
+	before := processorTimeNS(b)
+	b.RunParallel(func(pb *testing.PB) {
+		for pb.Next() {
+			heartbeat := <-idle
+			heartbeat.Sequence++
+			raw, err := json.Marshal(heartbeat)
+			if err != nil {
+				b.Error(err)
+				return
+			}
+			response, err := client.Post(server.URL+"/hello", "application/json", bytes.NewReader(raw))
+			if err != nil {
+				b.Error(err)
+				return
+			}
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
+			if response.StatusCode != http.StatusOK {
+				b.Error(response.Status)
+			}
+			idle <- heartbeat
+		}
+	})
+	b.ReportMetric(float64(processorTimeNS(b)-before)/float64(b.N), "cpu-ns/op")
+}
+
+// processorTimeNS returns the processor time that this process has used, in nanoseconds.
+func processorTimeNS(b testing.TB) int64 {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
+	}
+	return usage.Utime.Nano() + usage.Stime.Nano()
+}
+
+// BenchmarkPollOverHTTP measures polls by many users from the socket to the answer, the client's
+// part included.
+func BenchmarkPollOverHTTP(b *testing.B) {
+	c, _ := controller.NewBenchController(b, 100, 100_000, 50)
+	go c.Run()
+	server := httptest.NewServer(httpapi.NewHandler(c, admin.NewMetrics()))
+	defer server.Close()
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+	b.SetParallelism(64)
+	b.ReportAllocs()
+	before := processorTimeNS(b)
+	b.RunParallel(func(pb *testing.PB) {
+		for pb.Next() {
+			response, err := client.Get(server.URL + "/submissions/wk-1")
+			if err != nil {
+				b.Error(err)
+				return
+			}
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
+		}
+	})
+	b.ReportMetric(float64(processorTimeNS(b)-before)/float64(b.N), "cpu-ns/op")
+}
--- /dev/null
+++ b/internal/controller/partition_test.go
@@ -0,0 +1,289 @@
+package controller_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+// A machine's heartbeats arrive, but nothing that is sent to it. It used to be taken for healthy,
+// and tasks were started there for ever.
+func TestMachineWithNoInboundDoesNotBlockJobs(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 4)
+		setSpareMachines(t, cluster, "n0", 9)
+		hosts := cluster.Hosts()
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 16, 1), 25*time.Second)
+		time.Sleep(4 * time.Second)
+		cluster.BlockInbound(hosts[0], true)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 3, 3), 10*time.Second) // one on each of the others
+		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 12, 1), 5*time.Second)
+		time.Sleep(30 * time.Second)
+		cluster.BlockInbound(hosts[0], false)
+		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
+			requireDone(t, cluster, "n1", ref, 90*time.Second)
+		}
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-4", jobs.Gang, 4, 3), 5*time.Second) // all four are in use again
+		requireDone(t, cluster, "n0", "wk-4", 40*time.Second)
+		cluster.BlockInbound(hosts[1], true)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-5", jobs.Array, 20, 1), 5*time.Second)
+		time.Sleep(3 * time.Minute)
+		if cluster.IsUp(hosts[1]) {
+			t.Error("a machine that receives nothing is not released")
+		}
+		requireDone(t, cluster, "n0", "wk-5", time.Second)
+	})
+}
+
+// All controllers restart while a machine receives nothing, so that no new owner reaches it. What
+// it ran used to be waited for as long as its heartbeats arrived.
+func TestMachineWithNoInboundDoesNotBlockReconciliation(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 4)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 16, 1), 40*time.Second)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 3, 1), 15*time.Second)
+		time.Sleep(5 * time.Second)
+		cluster.BlockInbound(cluster.Hosts()[0], true)
+		cluster.BlockInbound(cluster.Hosts()[1], true)
+		restartControllers(cluster, 100*time.Millisecond)
+		for _, ref := range []string{"wk-1", "wk-2"} {
+			requireDone(t, cluster, "n2", ref, 180*time.Second)
+		}
+	})
+}
+
+// Some machines reach no controller, while commands reach them: no more tasks are started there,
+// completions are known soon, cancelled tasks are stopped, and what ran is started elsewhere only
+// when their leases have expired. A minute of it is no reason to release them.
+func TestMachinesWithNoOutbound(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 4)
+		setSpareMachines(t, cluster, "n0", 9)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 6, 1), 8*time.Second)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Array, 4, 1), time.Minute)
+		time.Sleep(3 * time.Second)
+		hosts := cluster.Hosts()
+		blockOutbound(cluster, hosts, true)
+		addMachines(cluster, 4) // takes 5 s
+		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 8, 1), 2*time.Second)
+		requireDone(t, cluster, "n2", "wk-3", 6*time.Second) // before any lease expires
+		if response := cluster.Poll("n1", "wk-1"); response.Status != jobs.Done {
+			t.Errorf("done on machines whose heartbeats are lost, and called %+v", response)
+		}
+		requireCancelled(t, cluster, "n0", "wk-2")
+		time.Sleep(2500 * time.Millisecond)
+		checkNotRunning(t, cluster, "wk-2", 4)
+		time.Sleep(45 * time.Second)
+		for _, host := range hosts {
+			if !cluster.IsUp(host) {
+				t.Fatalf("%s was released after a minute", host)
+			}
+		}
+		blockOutbound(cluster, hosts, false)
+		time.Sleep(5 * time.Second)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-4", jobs.Array, 32, 1), 2*time.Second) // on all machines at once
+		requireDone(t, cluster, "n0", "wk-4", 8*time.Second)
+		blockOutbound(cluster, hosts[:2], true)
+		time.Sleep(3 * time.Minute)
+		if cluster.IsUp(hosts[0]) || cluster.IsUp(hosts[1]) {
+			t.Error("machines that reach no controller for minutes are not released")
+		}
+	})
+}
+
+func blockOutbound(cluster *fake.Cluster, hosts []string, isBlocked bool) {
+	for _, host := range hosts {
+		cluster.BlockOutbound(host, isBlocked)
+	}
+}
+
+// A task on a machine that reaches no controller starts elsewhere when the worker's lease has
+// expired, and not before. In a later agent epoch nothing of it is left on the machine, and the
+// new owner asks for that.
+func TestTasksOnMachinesWithNoOutbound(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 3)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 12, 1), 40*time.Second)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 4, 3), 40*time.Second)
+		time.Sleep(4 * time.Second)
+		blockOutbound(cluster, cluster.Hosts()[:2], true)
+		addMachines(cluster, 6)
+		time.Sleep(8 * time.Second) // their leases of 10 s expire soon
+		for _, ref := range []string{"wk-1", "wk-2"} {
+			requireDone(t, cluster, "n2", ref, 60*time.Second)
+		}
+	})
+}
+
+// A controller loses the store and its peers, but not its workers. It may go on renewing their
+// leases only as long as no other controller relies on their expiry.
+func TestControllerIsolatedWithItsWorkers(t *testing.T) {
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 9)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 30, 1), 50*time.Second)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 4, 1), 40*time.Second)
+		time.Sleep(5 * time.Second)
+		cluster.Store.RefuseNode("n0", true)
+		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		time.Sleep(10 * time.Second)
+		if owner := cluster.OwnerOf("n0"); owner == "n0" {
+			t.Error("its shard was not acquired")
+		}
+		if cluster.Nodes["n0"].Controller.Healthy() || !cluster.Nodes["n1"].Controller.Healthy() {
+			t.Error("users are kept at it, or sent away from the others")
+		}
+		requireCancelled(t, cluster, "n1", "wk-2")
+		requireAccepted(t, cluster, "n2", dependentJob("wk-3", 6), 5*time.Second)
+		time.Sleep(time.Duration(cluster.Cfg.Cluster.Workers.CancelS * float64(time.Second)))
+		checkNotRunning(t, cluster, "wk-2", 1)
+		cluster.Store.RefuseNode("n0", false)
+		cluster.SetPeerLink(fake.PeerLink{})
+		requireDone(t, cluster, "n0", "wk-1", 90*time.Second)
+		requireDone(t, cluster, "n0", "wk-3", 60*time.Second)
+		for task, count := range cluster.StartCounts() {
+			if ref, _, _ := jobs.ParseTask(task); ref == "wk-1" && count != 1 {
+				t.Errorf("%s started %d times", task, count)
+			}
+		}
+	})
+}
+
+// A zone with workers and a controller is partitioned for longer than a worker lease, with packets
+// held or connections refused; users are outside and cancel and submit jobs there. Workers inside
+// may be kept running as long as the rules allow, and no task runs in both places.
+func TestZonePartitionWithController(t *testing.T) {
+	for _, holdsPackets := range []bool{false, true} {
+		t.Run(fmt.Sprint("packets held ", holdsPackets), func(t *testing.T) {
+			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { partitionZone(t, cluster, holdsPackets) })
+		})
+	}
+}
+
+func partitionZone(t *testing.T, cluster *fake.Cluster, holdsPackets bool) {
+	addMachines(cluster, 10)
+	for i := range 6 {
+		requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(i+1), arrayOrGang(i), []int{12, 3}[i%2], 1), 50*time.Second)
+	}
+	time.Sleep(4 * time.Second)
+	hosts := cluster.HostsInZone("a")
+	setZonePartition(cluster, hosts, holdsPackets, true)
+	for range 8 { // room for what runs in the zone, should it be taken for lost
+		cluster.AddMachine("b", false)
+	}
+	time.Sleep(2 * time.Second)
+	requireCancelled(t, cluster, "n1", "wk-1")
+	cancelledAt := time.Now()
+	requireAccepted(t, cluster, "n2", fake.JobSpec("wk-7", jobs.Array, 4, 1), 5*time.Second)
+	requireDone(t, cluster, "n1", "wk-7", 60*time.Second)
+	cancelLimit := time.Duration(cluster.Cfg.Cluster.Workers.CancelS * float64(time.Second))
+	time.Sleep(time.Until(cancelledAt.Add(cancelLimit)))
+	checkNotRunning(t, cluster, "wk-1", 12)
+	setZonePartition(cluster, hosts, holdsPackets, false)
+	addMachines(cluster, 3)
+	for i := 1; i < 6; i++ {
+		requireDone(t, cluster, "n0", jobRef(i+1), 200*time.Second)
+	}
+	if owner := cluster.OwnerOf("n0"); owner != "n0" {
+		t.Errorf("the shard of the zone's controller is owned by %q", owner)
+	}
+}
+
+// setZonePartition separates n0 and the hosts of its zone from all else, or ends the partition.
+func setZonePartition(cluster *fake.Cluster, hosts []string, holdsPackets, isPartitioned bool) {
+	for _, host := range hosts {
+		cutLinks(cluster, host, isPartitioned, "n1", "n2")
+		if holdsPackets {
+			cluster.HoldHeartbeats(host, isPartitioned)
+		}
+	}
+	cluster.Store.RefuseNode("n0", isPartitioned)
+	link := fake.PeerLink{}
+	if isPartitioned {
+		link.Isolated = "n0"
+	}
+	cluster.SetPeerLink(link)
+}
+
+// Copies of heartbeats arrive late, by seconds to well over a lease, at any controller, while
+// controllers crash and a machine goes.
+func TestDelayedDuplicateHeartbeatsAreIgnored(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+				duplicateHeartbeats(t, cluster, rand.New(rand.NewPCG(seed, 3)))
+			})
+		})
+	}
+}
+
+func duplicateHeartbeats(t *testing.T, cluster *fake.Cluster, rnd *rand.Rand) {
+	cluster.DuplicateHeartbeats(rnd, 35*time.Second)
+	addMachines(cluster, 8)
+	for i := range 12 {
+		requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(i+1), arrayOrGang(i), 4, 1), 12*time.Second)
+		time.Sleep(2 * time.Second)
+		if i%4 == 1 {
+			cluster.CrashController(controllerName(i))
+			time.Sleep(200 * time.Millisecond)
+			cluster.StartController(controllerName(i))
+		}
+	}
+	released := cluster.Hosts()[0]
+	if err := cluster.Release(t.Context(), []string{released}); err != nil {
+		t.Fatal(err)
+	}
+	for i := range 12 {
+		requireDone(t, cluster, "n1", jobRef(i+1), 120*time.Second)
+	}
+	time.Sleep(2 * time.Minute)
+	if keys := cluster.Store.Keys(jobs.WorkerPrefix + released); len(keys) > 0 {
+		t.Errorf("a released machine has a record: %v", keys)
+	}
+}
+
+// Commands and their answers are delayed by seconds, machines freeze and resume just before their
+// leases expire, while shards change owners.
+func TestDelayedCommandsAndFrozenMachines(t *testing.T) {
+	for seed := range uint64(6) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+				delayCommandsAndFreeze(t, cluster, rand.New(rand.NewPCG(seed, 7)))
+			})
+		})
+	}
+}
+
+func delayCommandsAndFreeze(t *testing.T, cluster *fake.Cluster, rnd *rand.Rand) {
+	addMachines(cluster, 9)
+	for i := range 8 {
+		requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(i+1), arrayOrGang(i), 3, 1), 30*time.Second)
+	}
+	lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseS * float64(time.Second))
+	for range 5 {
+		hosts := cluster.Hosts()
+		for _, host := range hosts {
+			cluster.DelayInbound(host, time.Duration(rnd.IntN(2)*(500+rnd.IntN(4500)))*time.Millisecond)
+			cluster.FreezeMachine(host, rnd.IntN(3) == 0)
+		}
+		node := controllerName(rnd.IntN(3))
+		cluster.CrashController(node)
+		time.Sleep(time.Duration(200+rnd.IntN(3000)) * time.Millisecond)
+		cluster.StartController(node)
+		time.Sleep(time.Duration(rnd.Int64N(int64(lease))))
+		for _, host := range hosts {
+			cluster.FreezeMachine(host, false)
+		}
+		time.Sleep(time.Duration(rnd.IntN(4000)) * time.Millisecond)
+	}
+	for _, host := range cluster.Hosts() {
+		cluster.DelayInbound(host, 0)
+	}
+	addMachines(cluster, 3)
+	for i := range 8 {
+		requireDone(t, cluster, "n1", jobRef(i+1), 150*time.Second)
+	}
+}
