--- /dev/null
+++ b/internal/controller/inputs.go
@@ -0,0 +1,41 @@
+package controller
+
+import (
+	"time"
+
+	"cherrywall/internal/actor"
+	"cherrywall/internal/cloud"
+	"cherrywall/internal/scheduler"
+	"cherrywall/internal/workerapi"
+	"cherrywall/internal/workersession"
+)
+
+// What workers and the autoscaler send to the controller and ask it.
+
+// HandleHeartbeat passes on a worker's heartbeat. The answer is sent to reply, which must have
+// room for it.
+func (c *Controller) HandleHeartbeat(heartbeat *workerapi.Heartbeat, reply chan workersession.HeartbeatReply) {
+	receivedAt := time.Now()
+	c.mailbox.Send(func() { c.sessions.HandleHeartbeat(heartbeat, receivedAt, reply) })
+}
+
+// SetMachineTypes sets the machine types that the cloud offers.
+func (c *Controller) SetMachineTypes(types []cloud.MachineType) {
+	c.mailbox.Send(func() {
+		c.machineTypes.SetFromCloud(types)
+		c.state.RecountAllMachines()
+	})
+}
+
+// SetBootTimes sets the usual boot times that the autoscaler has observed, in seconds by machine
+// type.
+func (c *Controller) SetBootTimes(seconds map[string]float64) {
+	c.mailbox.Send(func() { c.machineTypes.LearnBootTimes(seconds, time.Now()) })
+}
+
+// Demand returns what waits for machines, for the autoscaler. It is empty if the controller has
+// ended.
+func (c *Controller) Demand() scheduler.Demand {
+	demand, _ := actor.Ask(c.mailbox, func() scheduler.Demand { return c.scheduler.Demand(time.Now(), c.incarnation) })
+	return demand
+}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -19,6 +19,9 @@
 // decision and the transaction. A user who is answered 503 after that comes back by himself.
 const maxSubmitRetries = 3
 
+// errRecordTooLarge refuses a job whose record does not fit into the key-value store.
+var errRecordTooLarge = errors.New("body: too large to be kept")
+
 // submission is a job that is being submitted.
 type submission struct {
 	ref  string
@@ -108,7 +111,7 @@
 func (c *Controller) validate(spec *jobs.Spec) (isDecided bool, err error) {
 	if record := (jobs.JobRecord{Spec: *spec}); !c.claims.FitsStore(record) {
 		// Such a record is stored in chunks once all controllers can read them.
-		return c.gate.IsOpen(), errors.New("body: too large to be kept")
+		return c.gate.IsOpen(), errRecordTooLarge
 	}
 	if isDecided, err = admission.Check(spec, c.cfg.Team, c.machineTypes.All()); !isDecided || err != nil {
 		return isDecided, err
