--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -125,20 +125,20 @@
 		return
 	}
 	gang := entity.MutableGang(job)
-	placed, ready, unknown := countTasks(job, TaskPlaced), countTasks(job, TaskReady), countTasks(job, TaskUnknown)
-	if placed == 0 {
-		if unknown == 0 {
+	tasks := countGangTasks(job)
+	if tasks.placed == 0 {
+		if tasks.unknown == 0 {
 			s.ResetGangAttempt(job)
 		}
 		return
 	}
-	if ready > 0 {
+	if tasks.ready > 0 {
 		// Some tasks are placed and some are not, since a machine was lost. A gang that still
 		// waited for free resources was once left as it was then: it never started, and kept the
 		// places of its other tasks forever.
 		gang.Failed = true
 	}
-	if !gang.Started && ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
+	if !gang.Started && tasks.ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
 		gang.Failed = true // the resources that it waited for did not become free
 	}
 	if gang.Failed {
@@ -146,11 +146,16 @@
 	}
 }
 
-// countTasks returns how many tasks of a job are in a state, of shards owned here.
-func countTasks(job *Job, state TaskState) int {
-	count := 0
+// gangTaskCounts are the numbers of a gang's tasks by state, of shards owned here.
+type gangTaskCounts struct{ placed, ready, unknown int }
+
+// countGangTasks counts in one pass: every waiting gang is looked at in each scheduling cycle.
+func countGangTasks(job *Job) gangTaskCounts {
+	var counts gangTaskCounts
 	for taskRange := range job.TaskRanges() {
-		count += taskRange.CountTasks(state)
+		counts.placed += taskRange.CountTasks(TaskPlaced)
+		counts.ready += taskRange.CountTasks(TaskReady)
+		counts.unknown += taskRange.CountTasks(TaskUnknown)
 	}
-	return count
+	return counts
 }
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -124,7 +124,7 @@
 // remainingRate is what the usage of the peers leaves of one of the service's limits.
 func (b *budget) remainingRate(total, used float64) float64 {
 	usable := tuning.ReportedBudgetFactor * total
-	return min(max(usable-used, usable*b.minFraction), tuning.BusyControllerBudgetFraction*total)
+	return min(max(usable-used, tuning.ReportedBudgetFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
 }
 
 // recordPeerUsage notes the requests and writes per second of another controller.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -64,13 +64,15 @@
 	if x.isBackground != y.isBackground {
 		return trueFirst(y.isBackground)
 	}
-	return cmp.Or(
+	if x.teamCPU != y.teamCPU {
 		// The teams share the capacity that is left for background work: one that submits a
 		// great many jobs does not starve the others.
-		cmp.Compare(x.teamCPU, y.teamCPU),
-		cmp.Compare(x.startByMS, y.startByMS),
-		strings.Compare(x.job.Ref(), y.job.Ref()),
-	)
+		return cmp.Compare(x.teamCPU, y.teamCPU)
+	}
+	if x.startByMS != y.startByMS {
+		return cmp.Compare(x.startByMS, y.startByMS)
+	}
+	return strings.Compare(x.job.Ref(), y.job.Ref())
 }
 
 // trueFirst is the result of a comparison of two different booleans of which the first is x.
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -162,19 +162,25 @@
 	if owner, isNewer := m.Peers.NewerOwner(shard.ID(), shard.Epoch()); isNewer {
 		return 0, &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest, OwnerNode: owner}
 	}
-	unavailable := unavailableReply()
 	// A shard that was transferred may have its new owner already, which relies on it that nobody
 	// here answers the workers any more.
 	if shard.IsTransferred() || !m.Cache.MayRenewWorkerLeases(time.Now()) {
-		return 0, &unavailable
+		return 0, refuseAsUnavailable()
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
 	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.closedEpoch {
-		return 0, &unavailable
+		return 0, refuseAsUnavailable()
 	}
 	return fencingToken, nil
 }
 
+// refuseAsUnavailable makes a reply only where a heartbeat is refused: authorize is called several
+// times for each heartbeat.
+func refuseAsUnavailable() *HeartbeatReply {
+	reply := unavailableReply()
+	return &reply
+}
+
 // redirect refuses a heartbeat of a worker whose shard is not local, and names the owner if it lives.
 func (m *Manager) redirect(shardID string) *HeartbeatReply {
 	reply := &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest}
