--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -11,6 +11,7 @@
 	"cherrywall/internal/reconciliation"
 	"cherrywall/internal/tuning"
 	"cherrywall/internal/workerapi"
+	"cherrywall/internal/workersession"
 )
 
 // payload is what the owner of a shard knew of it under an epoch when it stopped responding to the
@@ -218,7 +219,11 @@
 
 // applySnapshot applies what the old owner knew of a machine.
 func (c *Coordinator) applySnapshot(machine *clusterstate.Machine, snapshot peer.MachineSnapshot, now time.Time) {
-	c.Sessions.RestoreSession(machine, snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch)
+	c.Sessions.RestoreSession(machine, workersession.SessionState{
+		AgentEpoch:      snapshot.AgentEpoch,
+		Sequence:        snapshot.HeartbeatSeq,
+		EndedAgentEpoch: snapshot.EndedAgentEpoch,
+	})
 	if snapshot.AwaitingHeartbeat {
 		c.Reconciler.ExemptWorker(machine)
 		return
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -72,7 +72,8 @@
 		Empty:             machine.ReportedEmpty(),
 		AwaitingHeartbeat: !machine.HasReported() && !machine.IsLost(),
 	}
-	snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch = c.Sessions.LastHeartbeat(machine)
+	session := c.Sessions.SessionState(machine)
+	snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch = session.AgentEpoch, session.Sequence, session.EndedAgentEpoch
 	for assignment := range machine.Assignments() {
 		if assignment.Status().IsPlanned() && !gangStarted(assignment.Job()) {
 			continue
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -235,7 +235,7 @@
 	if heartbeat.AgentEpoch > lastAgentEpoch {
 		m.log.Info("lease of unreachable worker expired", "worker", machine.Host(), "tasks", machine.AssignmentCount())
 		m.applyCompletions(machine, heartbeat) // the tasks that are done stay done
-		session.closedEpoch = heartbeat.AgentEpoch - 1
+		session.endedEpoch = heartbeat.AgentEpoch - 1
 		m.State.MarkLost(machine)
 		return
 	}
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -169,7 +169,7 @@
 		return 0, &unavailable
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
-	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.closedEpoch {
+	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.endedEpoch {
 		return 0, &unavailable
 	}
 	return fencingToken, nil
@@ -228,7 +228,7 @@
 	if fencingToken != current || heartbeat.FencingToken != current {
 		return false
 	}
-	return heartbeat.AgentEpoch > m.sessionOf(machine).closedEpoch &&
+	return heartbeat.AgentEpoch > m.sessionOf(machine).endedEpoch &&
 		!idOf(heartbeat).notAfter(m.lastHeartbeats[machine.Host()])
 }
 
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -11,7 +11,7 @@
 // agentSession is what the manager knows of the communication with a worker.
 type agentSession struct {
 	pending              *pendingHeartbeat // the heartbeat that is not answered yet
-	closedEpoch          uint64            // heartbeats up to this agent epoch no longer count
+	endedEpoch           uint64            // heartbeats up to this agent epoch no longer count
 	unconfirmedResponses int               // responses with the present token since the last heartbeat that showed it
 	missedCommands       int               // see trackCommandDelivery
 	exchange             directExchange
@@ -60,38 +60,46 @@
 	return m.lastHeartbeats[machine.Host()].agentEpoch
 }
 
-// OwnerChanged notes that a worker's shard has a new owner. Closed agent epochs count again: an owner
+// OwnerChanged notes that a worker's shard has a new owner. Ended agent epochs count again: an owner
 // that was partitioned may have taken the worker for lost while another owner kept it alive.
 func (m *Manager) OwnerChanged(machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
-	session.closedEpoch, session.unconfirmedResponses = 0, 0
+	session.endedEpoch, session.unconfirmedResponses = 0, 0
 	m.firstContact.EnqueueProbe(machine)
 }
 
 // CloseSession ends a worker's present agent epoch, because its lease has expired: heartbeats of this
 // and earlier epochs no longer count.
 func (m *Manager) CloseSession(machine *clusterstate.Machine) {
-	m.sessionOf(machine).closedEpoch = m.AgentEpoch(machine)
+	m.sessionOf(machine).endedEpoch = m.AgentEpoch(machine)
 }
 
 // CloseAllSessions ends all agent epochs of a worker, also future ones.
 func (m *Manager) CloseAllSessions(machine *clusterstate.Machine) {
-	m.sessionOf(machine).closedEpoch = math.MaxUint64
+	m.sessionOf(machine).endedEpoch = math.MaxUint64
 }
 
-// LastHeartbeat returns the position of a worker's last heartbeat, and up to which agent epoch
-// heartbeats no longer count.
-func (m *Manager) LastHeartbeat(machine *clusterstate.Machine) (agentEpoch, sequence, closedEpoch uint64) {
+// SessionState is what a new owner needs to know of a worker's session.
+type SessionState struct {
+	AgentEpoch, Sequence uint64 // of the last heartbeat
+	EndedAgentEpoch      uint64 // heartbeats up to this agent epoch no longer count
+}
+
+// SessionState returns the state of a worker's session.
+func (m *Manager) SessionState(machine *clusterstate.Machine) SessionState {
 	last := m.lastHeartbeats[machine.Host()]
-	return last.agentEpoch, last.sequence, m.sessionOf(machine).closedEpoch
+	return SessionState{
+		AgentEpoch:      last.agentEpoch,
+		Sequence:        last.sequence,
+		EndedAgentEpoch: m.sessionOf(machine).endedEpoch,
+	}
 }
 
-// RestoreSession applies what the previous owner's snapshot says of a worker's session, in the terms of
-// LastHeartbeat.
-func (m *Manager) RestoreSession(machine *clusterstate.Machine, agentEpoch, sequence, closedEpoch uint64) {
-	id := heartbeatID{agentEpoch, sequence}
+// RestoreSession applies what the previous owner's snapshot says of a worker's session.
+func (m *Manager) RestoreSession(machine *clusterstate.Machine, state SessionState) {
+	id := heartbeatID{state.AgentEpoch, state.Sequence}
 	if !id.notAfter(m.lastHeartbeats[machine.Host()]) {
 		m.lastHeartbeats[machine.Host()] = id
 	}
-	m.sessionOf(machine).closedEpoch = closedEpoch
+	m.sessionOf(machine).endedEpoch = state.EndedAgentEpoch
 }
