--- a/cmd/cherrywall/doctor.go
+++ b/cmd/cherrywall/doctor.go
@@ -6,7 +6,7 @@
 	"net/http"
 
 	"cherrywall/internal/apiclient"
-	"cherrywall/internal/controller"
+	"cherrywall/internal/diagnostics"
 	"cherrywall/internal/tuning"
 )
 
@@ -18,7 +18,7 @@
 // Run asks every given controller, since each knows its own machines and connections best. The
 // exit status is exitFailed if there is any finding.
 func (c doctorCmd) Run(ctx context.Context) error {
-	findings := map[string][]controller.Finding{}
+	findings := map[string][]diagnostics.Finding{}
 	hasFindings := false
 	for _, address := range c.Addr {
 		findings[address] = askDoctor(ctx, address)
@@ -38,18 +38,18 @@
 }
 
 // askDoctor returns the findings of a controller. That it cannot be asked is a finding, too.
-func askDoctor(ctx context.Context, address string) []controller.Finding {
+func askDoctor(ctx context.Context, address string) []diagnostics.Finding {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CLIRequestTimeout)
 	defer cancel()
-	var findings []controller.Finding
+	var findings []diagnostics.Finding
 	if _, err := apiclient.New(address).Call(ctx, http.MethodGet, "/admin/v1/doctor", nil, &findings); err != nil {
-		return []controller.Finding{{Problem: err.Error(), Action: "see whether the controller runs"}}
+		return []diagnostics.Finding{{Problem: err.Error(), Action: "see whether the controller runs"}}
 	}
 	return findings
 }
 
 // print prints the findings, in the order of the addresses.
-func (c doctorCmd) print(findings map[string][]controller.Finding) {
+func (c doctorCmd) print(findings map[string][]diagnostics.Finding) {
 	actions := 0
 	for _, address := range c.Addr {
 		for _, finding := range findings[address] {
--- a/cmd/cherrywall/jobs.go
+++ b/cmd/cherrywall/jobs.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cherrywall/internal/apiclient"
-	"cherrywall/internal/controller"
+	"cherrywall/internal/diagnostics"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/tuning"
 )
@@ -111,7 +111,7 @@
 
 // Run lists the unfinished jobs.
 func (c jobsCmd) Run(ctx context.Context) error {
-	var unfinished []controller.JobView
+	var unfinished []diagnostics.JobView
 	if err := c.call(ctx, http.MethodGet, "/admin/v1/jobs", nil, &unfinished); err != nil {
 		return err
 	}
--- a/cmd/cherrywall/main_test.go
+++ b/cmd/cherrywall/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"cherrywall/examples"
-	"cherrywall/internal/controller"
+	"cherrywall/internal/diagnostics"
 	"cherrywall/internal/pipeline"
 	"cherrywall/internal/pipelinerun"
 )
@@ -78,7 +78,7 @@
 	if table != "WORKER\tSHARE\tBUILD\tZONE\tSPOT\tSTATE\tFREE\tTASKS\tERRORS\ni-1\tn0\t\t\t\t\t4 cpu 0 gpu 16 gb\t2\t\n" {
 		t.Errorf("%q", table)
 	}
-	encoded, err := json.Marshal(controller.JobView{WaitReason: "x"})
+	encoded, err := json.Marshal(diagnostics.JobView{WaitReason: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
