--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -19,7 +19,7 @@
 	isDelayed  bool // a timer will answer it
 }
 
-func (p *pendingHeartbeat) refuse() { p.reply <- unavailableReply() }
+func (p *pendingHeartbeat) refuse() { p.reply <- *unavailableReply() }
 
 // isExpired reports whether the heartbeat is so old that the worker has given up waiting.
 func (p *pendingHeartbeat) isExpired() bool {
@@ -127,8 +127,8 @@
 
 // announceToken answers a heartbeat that was sent before the worker knew the present fencing token. A
 // network partition may have held it up for minutes, and the previous owner may have moved its tasks
-// since: it counts for nothing, and is answered only to send the worker the token. The same holds while task ranges of
-// the shard may still be unknown here, see Cache.HasReachedEpoch.
+// since: it counts for nothing, and is answered only to send the worker the token. The same holds while
+// task ranges of the shard may still be unknown here, see Cache.HasReachedEpoch.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
 		session.unconfirmedResponses = 0
@@ -165,22 +165,15 @@
 	// A shard that was transferred may have its new owner already, which relies on it that nobody
 	// here answers the workers any more.
 	if shard.IsTransferred() || !m.Cache.MayRenewWorkerLeases(time.Now()) {
-		return 0, refuseAsUnavailable()
+		return 0, unavailableReply()
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
-	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.closedEpoch {
-		return 0, refuseAsUnavailable()
+	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.endedEpoch {
+		return 0, unavailableReply()
 	}
 	return fencingToken, nil
 }
 
-// refuseAsUnavailable makes a reply only where a heartbeat is refused: authorize is called several
-// times for each heartbeat.
-func refuseAsUnavailable() *HeartbeatReply {
-	reply := unavailableReply()
-	return &reply
-}
-
 // redirect refuses a heartbeat of a worker whose shard is not local, and names the owner if it lives.
 func (m *Manager) redirect(shardID string) *HeartbeatReply {
 	reply := &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest}
@@ -234,7 +227,7 @@
 	if fencingToken != current || heartbeat.FencingToken != current {
 		return false
 	}
-	return heartbeat.AgentEpoch > m.sessionOf(machine).closedEpoch &&
+	return heartbeat.AgentEpoch > m.sessionOf(machine).endedEpoch &&
 		!idOf(heartbeat).notAfter(m.lastHeartbeats[machine.Host()])
 }
 
