--- a/internal/pipeline/types.go
+++ b/internal/pipeline/keys.go
@@ -1,13 +1,12 @@
-// Package pipeline reads pipeline files: jobs in stages, in the format of GitLab's CI
-// files as far as it has meaning for a cluster. It tells everything that is wrong with a
-// file at once, each with its place, and makes a plan of what is right. It knows nothing
-// of runs.
 package pipeline
 
 import (
 	"go.yaml.in/yaml/v3"
 )
 
+// The types below are the keys of a file: the JSON schema of files is made from them, so that their
+// tags and descriptions are published. Keys that have several forms implement yaml.Unmarshaler.
+
 // file is the top of a file. Every other key there is a job.
 type file struct {
 	Stages    []string          `json:"stages,omitempty" jsonschema:"description=Stages in order; without it: build and test and deploy."`
@@ -15,7 +14,7 @@
 	Variables map[string]scalar `json:"variables,omitempty" jsonschema:"description=Values for $NAME in the jobs."`
 }
 
-// defaults are the keys of a job that default may give for all.
+// defaults are the keys that default may set for all jobs.
 type defaults struct {
 	Image         image    `json:"image,omitempty"`
 	Interruptible bool     `json:"interruptible,omitempty"`
@@ -42,7 +41,7 @@
 	Cluster       cluster           `json:"cluster,omitempty" jsonschema:"description=What the job is for the cluster."`
 }
 
-// cluster is what CI has no word for.
+// cluster is the keys for the cluster, which the published format does not have.
 type cluster struct {
 	Class       string   `json:"class,omitempty" jsonschema:"description=Class of jobs; limits and aims belong to it."`
 	Team        string   `json:"team,omitempty" jsonschema:"description=Team whose guarantee and limit apply."`
@@ -65,25 +64,23 @@
 	DeadlineS   float64  `json:"deadline_s,omitempty" jsonschema:"minimum=0,description=Seconds from its submission in which it should be done."`
 }
 
-// scalar is a value as text.
+// scalar is a text, or a number or boolean as text.
 type scalar string
 
 func (s *scalar) UnmarshalYAML(node *yaml.Node) error {
-	switch {
-	case node.Kind == yaml.ScalarNode:
+	switch node.Kind {
+	case yaml.ScalarNode:
 		*s = scalar(node.Value)
 		return nil
-	case node.Kind == yaml.MappingNode: // value and description, for people
-		for i := 0; i+1 < len(node.Content); i += 2 {
-			if node.Content[i].Value == "value" {
-				return s.UnmarshalYAML(node.Content[i+1])
-			}
+	case yaml.MappingNode: // with a value, and a description for people
+		if value := valueOf(node, "value"); value != nil {
+			return s.UnmarshalYAML(value)
 		}
 	}
 	return newPositionError(node, "must be a text, a number, or true or false")
 }
 
-// oneOrMore is a text or a list of them.
+// oneOrMore is a text or a list of texts.
 type oneOrMore []string
 
 func (o *oneOrMore) UnmarshalYAML(node *yaml.Node) error {
@@ -102,15 +99,15 @@
 // image is a name, or a mapping with one.
 type image string
 
-func (m *image) UnmarshalYAML(node *yaml.Node) error {
+func (i *image) UnmarshalYAML(node *yaml.Node) error {
 	switch node.Kind {
 	case yaml.ScalarNode:
-		*m = image(node.Value)
+		*i = image(node.Value)
 		return nil
 	case yaml.MappingNode:
-		for i := 0; i+1 < len(node.Content); i += 2 {
-			if node.Content[i].Value == "name" && node.Content[i+1].Kind == yaml.ScalarNode {
-				*m = image(node.Content[i+1].Value)
+		for k := 0; k+1 < len(node.Content); k += 2 {
+			if value := node.Content[k+1]; node.Content[k].Value == "name" && value.Kind == yaml.ScalarNode {
+				*i = image(value.Value)
 				return nil
 			}
 		}
@@ -118,90 +115,104 @@
 	return newPositionError(node, "must be a name, or a mapping with name")
 }
 
-// retry is how often and after what.
+// retry is how often a job is retried, and after which causes.
 type retry struct {
-	node *yaml.Node // where it is said
+	node *yaml.Node // for problems
 	Max  int        `json:"max"`
 	When oneOrMore  `json:"when,omitempty"`
 }
 
 func (r *retry) UnmarshalYAML(node *yaml.Node) error {
 	r.node = node
-	if node.Kind == yaml.ScalarNode {
+	switch node.Kind {
+	case yaml.ScalarNode:
 		if node.Decode(&r.Max) != nil || r.Max < 0 {
 			return newPositionError(node, "must be a whole number not below 0, or a mapping with max and when")
 		}
 		return nil
+	case yaml.MappingNode:
+		return forEachKey(node, r.decodeKey)
 	}
-	if node.Kind != yaml.MappingNode {
-		return newPositionError(node, "must be a whole number, or a mapping with max and when")
-	}
-	return forEachKey(node, func(key string, v *yaml.Node) error {
-		switch key {
-		case "max":
-			if v.Kind != yaml.ScalarNode || v.Decode(&r.Max) != nil || r.Max < 0 {
-				return newPositionError(v, "must be a whole number not below 0")
-			}
-			return nil
-		case "when":
-			return v.Decode(&r.When)
-		case "exit_codes":
-			return nil // told in notices: tasks have no exit codes here
+	return newPositionError(node, "must be a whole number, or a mapping with max and when")
+}
+
+func (r *retry) decodeKey(key string, value *yaml.Node) error {
+	switch key {
+	case "max":
+		if value.Kind != yaml.ScalarNode || value.Decode(&r.Max) != nil || r.Max < 0 {
+			return newPositionError(value, "must be a whole number not below 0")
 		}
-		return newPositionError(v, "unknown; max and when are known")
-	})
+		return nil
+	case "when":
+		return value.Decode(&r.When)
+	case "exit_codes":
+		return nil // a notice says that tasks have no exit codes here
+	}
+	return newPositionError(value, "unknown; max and when are known")
 }
 
 // parallel is a number of copies, or a matrix of variables.
 type parallel struct {
 	N      int                    `json:"n,omitempty"`
 	Matrix []map[string]oneOrMore `json:"matrix,omitempty"`
-	keys   [][]string             // of the matrix, in the order of the file
+	keys   [][]string             // of the rows of the matrix, in the order of the file
 }
 
 func (p *parallel) UnmarshalYAML(node *yaml.Node) error {
-	if node.Kind == yaml.ScalarNode {
+	const wrongForm = "must be 1 to 200, or a mapping with matrix"
+	switch node.Kind {
+	case yaml.ScalarNode:
 		if node.Decode(&p.N) != nil || p.N < 1 || p.N > maxParallel {
-			return newPositionError(node, "must be 1 to 200, or a mapping with matrix")
+			return newPositionError(node, wrongForm)
 		}
 		return nil
+	case yaml.MappingNode:
+		return forEachKey(node, p.decodeKey)
 	}
-	if node.Kind != yaml.MappingNode {
-		return newPositionError(node, "must be 1 to 200, or a mapping with matrix")
+	return newPositionError(node, wrongForm)
+}
+
+func (p *parallel) decodeKey(key string, value *yaml.Node) error {
+	if key != "matrix" || value.Kind != yaml.SequenceNode {
+		return newPositionError(value, "only matrix is known, a list of mappings")
 	}
-	return forEachKey(node, func(key string, v *yaml.Node) error {
-		if key != "matrix" || v.Kind != yaml.SequenceNode {
-			return newPositionError(v, "only matrix is known, a list of mappings")
+	for _, row := range value.Content {
+		if err := p.decodeRow(row); err != nil {
+			return err
 		}
-		for _, row := range v.Content {
-			if row.Kind != yaml.MappingNode {
-				return newPositionError(row, "must be a mapping of variables to values")
-			}
-			vars, keys := map[string]oneOrMore{}, []string{}
-			if err := forEachKey(row, func(name string, values *yaml.Node) error {
-				var list oneOrMore
-				if err := values.Decode(&list); err != nil {
-					return err
-				}
-				vars[name], keys = list, append(keys, name)
-				return nil
-			}); err != nil {
-				return err
-			}
-			p.Matrix, p.keys = append(p.Matrix, vars), append(p.keys, keys)
+	}
+	return nil
+}
+
+// decodeRow decodes a row of the matrix: variables with their values.
+func (p *parallel) decodeRow(row *yaml.Node) error {
+	if row.Kind != yaml.MappingNode {
+		return newPositionError(row, "must be a mapping of variables to values")
+	}
+	variables, keys := map[string]oneOrMore{}, []string{}
+	err := forEachKey(row, func(name string, values *yaml.Node) error {
+		var list oneOrMore
+		if err := values.Decode(&list); err != nil {
+			return err
 		}
+		variables[name], keys = list, append(keys, name)
 		return nil
 	})
+	if err != nil {
+		return err
+	}
+	p.Matrix, p.keys = append(p.Matrix, variables), append(p.keys, keys)
+	return nil
 }
 
 // need is a job that has to end first.
 type need struct {
-	node     *yaml.Node
-	Job      string `json:"job"`
-	Optional bool   `json:"optional,omitempty"`
+	node     *yaml.Node // for problems
+	Job      string     `json:"job"`
+	Optional bool       `json:"optional,omitempty"`
 }
 
-// needs is a list of them; nil is another thing than none.
+// needs is a list of needed jobs. Nil means the jobs of all earlier stages, an empty list none.
 type needs []need
 
 func (l *needs) UnmarshalYAML(node *yaml.Node) error {
@@ -209,41 +220,43 @@
 		return newPositionError(node, "must be a list of jobs")
 	}
 	*l = needs{}
-	for _, x := range node.Content {
-		x = resolveAlias(x)
-		one := need{node: x}
-		switch x.Kind {
+	for _, item := range node.Content {
+		item = resolveAlias(item)
+		one := need{node: item}
+		switch item.Kind {
 		case yaml.ScalarNode:
-			one.Job = x.Value
+			one.Job = item.Value
 		case yaml.MappingNode:
-			if err := forEachKey(x, func(key string, v *yaml.Node) error {
-				switch key {
-				case "job":
-					return v.Decode(&one.Job)
-				case "optional":
-					return v.Decode(&one.Optional)
-				case "artifacts":
-					return nil // told in notices
-				}
-				return newPositionError(v, key+": has no meaning here; job and optional are known")
-			}); err != nil {
+			if err := forEachKey(item, one.decodeKey); err != nil {
 				return err
 			}
 		}
 		if one.Job == "" {
-			return newPositionError(x, "must be the name of a job, or a mapping with job")
+			return newPositionError(item, "must be the name of a job, or a mapping with job")
 		}
 		*l = append(*l, one)
 	}
 	return nil
 }
 
+func (n *need) decodeKey(key string, value *yaml.Node) error {
+	switch key {
+	case "job":
+		return value.Decode(&n.Job)
+	case "optional":
+		return value.Decode(&n.Optional)
+	case "artifacts":
+		return nil // a notice says that it has no effect here
+	}
+	return newPositionError(value, key+": has no meaning here; job and optional are known")
+}
+
 // allowFailure is true, false, or a mapping with exit codes.
 type allowFailure struct{ isSet, isAllowed bool }
 
 func (a *allowFailure) UnmarshalYAML(node *yaml.Node) error {
 	a.isSet = true
-	if node.Kind == yaml.MappingNode { // exit codes: told in notices
+	if node.Kind == yaml.MappingNode { // exit codes: a notice says that tasks have none here
 		return nil
 	}
 	if node.Decode(&a.isAllowed) != nil {
--- /dev/null
+++ b/internal/pipeline/problem.go
@@ -0,0 +1,115 @@
+package pipeline
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// Problem is an error in a file, or a notice, with its position.
+type Problem struct {
+	Line   int    `json:"line"`
+	Column int    `json:"column"`
+	Text   string `json:"text"`
+}
+
+// String returns the problem as "line:column: text".
+func (p Problem) String() string { return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text) }
+
+// Problems are all errors of a file, or all notices.
+type Problems []Problem
+
+// Error returns the problems, one a line.
+func (ps Problems) Error() string {
+	lines := make([]string, len(ps))
+	for i, problem := range ps {
+		lines[i] = problem.String()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// sorted returns the problems in the order of the file, without repetitions.
+func (ps Problems) sorted() Problems {
+	slices.SortStableFunc(ps, func(x, y Problem) int {
+		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Column, y.Column))
+	})
+	return slices.Compact(ps)
+}
+
+// positionError is a problem returned by a decoder, which does not know the key it decodes.
+type positionError struct{ Problem }
+
+// Error returns the problem with its position.
+func (e positionError) Error() string { return e.String() }
+
+func newPositionError(node *yaml.Node, text string) error {
+	return positionError{Problem{node.Line, node.Column, text}}
+}
+
+// syntaxProblem takes the position from the YAML library's text of a syntax error.
+func syntaxProblem(err error) Problem {
+	text := strings.TrimPrefix(err.Error(), "yaml: ")
+	rest, found := strings.CutPrefix(text, "line ")
+	if !found {
+		return Problem{1, 1, text}
+	}
+	number, description, _ := strings.Cut(rest, ": ")
+	line, err := strconv.Atoi(number)
+	if err != nil {
+		return Problem{1, 1, text}
+	}
+	return Problem{line, 1, description}
+}
+
+// problemCollector collects the problems and notices of a file.
+type problemCollector struct {
+	problems, notices Problems
+}
+
+func (c *problemCollector) addProblem(node *yaml.Node, format string, args ...any) {
+	c.problems = append(c.problems, Problem{node.Line, node.Column, fmt.Sprintf(format, args...)})
+}
+
+func (c *problemCollector) addNotice(node *yaml.Node, format string, args ...any) {
+	c.notices = append(c.notices, Problem{node.Line, node.Column, fmt.Sprintf(format, args...)})
+}
+
+// addError adds a decoder's error for a key, at the node if it has no better position.
+func (c *problemCollector) addError(node *yaml.Node, key string, err error) {
+	var positioned positionError
+	if errors.As(err, &positioned) {
+		positioned.Text = key + ": " + positioned.Text
+		c.problems = append(c.problems, positioned.Problem)
+		return
+	}
+	c.addProblem(node, "%s: %s", key, describeDecodeError(err))
+}
+
+// expectedTypes are parts of the YAML library's texts of type errors, with what users are told.
+var expectedTypes = []struct{ libraryText, text string }{
+	{"into int", "must be a whole number"},
+	{"into float64", "must be a number"},
+	{"into bool", "must be true or false"},
+	{"into []string", "must be a list of texts"},
+	{"into string", "must be a text"},
+}
+
+// describeDecodeError says what the YAML library expected where it found a wrong type.
+func describeDecodeError(err error) string {
+	var typeError *yaml.TypeError
+	if !errors.As(err, &typeError) {
+		return err.Error()
+	}
+	libraryText := strings.Join(typeError.Errors, "; ")
+	for _, expected := range expectedTypes {
+		if strings.Contains(libraryText, expected.libraryText) {
+			return expected.text
+		}
+	}
+	return "has the wrong form"
+}
--- /dev/null
+++ b/internal/pipeline/suggest.go
@@ -0,0 +1,54 @@
+package pipeline
+
+import (
+	"fmt"
+	"iter"
+	"maps"
+	"reflect"
+)
+
+// maxSuggestedDistance is the edit distance up to which a known name is suggested for one that is
+// not.
+const maxSuggestedDistance = 2
+
+// suggestKey suggests a key of a struct type for one that is not known.
+func suggestKey(key string, structType reflect.Type) string {
+	return suggest(key, maps.Keys(fieldsByKey(structType)), "%s")
+}
+
+// suggest suggests the known name that is closest to one that is not, in a format. It returns ""
+// if none is close.
+func suggest(name string, known iter.Seq[string], format string) string {
+	closest, closestDistance := "", maxSuggestedDistance+1
+	for candidate := range known {
+		distance := editDistance(name, candidate)
+		if distance < closestDistance || distance == closestDistance && candidate < closest {
+			closest, closestDistance = candidate, distance
+		}
+	}
+	if closest == "" {
+		return ""
+	}
+	return fmt.Sprintf("; "+format+" is meant?", closest)
+}
+
+// editDistance is how many bytes have to be changed, inserted or removed (Levenshtein distance).
+func editDistance(a, b string) int {
+	row := make([]int, len(b)+1)
+	for j := range row {
+		row[j] = j
+	}
+	for i := range len(a) {
+		diagonal := row[0]
+		row[0] = i + 1
+		for j := range len(b) {
+			substitution := diagonal
+			if a[i] != b[j] {
+				substitution++
+			}
+			diagonal = row[j+1]
+			row[j+1] = min(substitution, row[j]+1, row[j+1]+1)
+		}
+	}
+	return row[len(b)]
+}
