--- /dev/null
+++ b/internal/tracing/tracer_test.go
@@ -0,0 +1,90 @@
+package tracing
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"cherrywall/internal/pipeline"
+	"cherrywall/internal/pipelineexec"
+)
+
+const file = "default: {cluster: {class: c, team: t, image: i, cpus: 1}}\nstages: [one, two]\n" +
+	"a: {stage: one, retry: 1}\nb: {stage: two}\n"
+
+// Spans of a run that two leaders have led in turn make one trace, with the run above the stages,
+// the stages above the jobs, and the jobs above their attempts.
+func TestSpansOfTwoLeadersMakeOneTrace(t *testing.T) {
+	var output bytes.Buffer
+	plan, _, err := pipeline.Parse([]byte(file), nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var (
+		waiting = pipelineexec.JobState{Status: pipelineexec.Waiting}
+		active  = pipelineexec.JobState{Status: pipelineexec.Active}
+		retried = pipelineexec.JobState{Status: pipelineexec.Active, Attempt: 1}
+		retryOK = pipelineexec.JobState{Status: pipelineexec.Succeeded, Attempt: 1}
+		ok      = pipelineexec.JobState{Status: pipelineexec.Succeeded}
+	)
+	stepsByLeader := [][][]pipelineexec.JobState{
+		{{waiting, waiting}, {active, waiting}, {retried, waiting}},
+		{{retried, waiting}, {retried, waiting}, {retryOK, waiting}, {retryOK, active}, {retryOK, ok}},
+	}
+	at := func(seconds int) time.Time { return time.UnixMilli(int64(1000 * seconds)) }
+	for leader, steps := range stepsByLeader {
+		tracer, shutdown, err := NewTracer(&output, "n0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		startTimes := NewStartTimes()
+		if leader == 1 { // what is in progress started for this leader when it took over the run
+			startTimes.job[0], startTimes.attempt[0] = at(20), at(20)
+		}
+		for k := 1; k < len(steps); k++ {
+			tracer.RecordStep("run-1", &startTimes, plan, steps[k-1], steps[k], at(10*leader+k))
+		}
+		if leader == 1 {
+			tracer.RecordEnd("run-1", "test", pipelineexec.RunSucceeded, &startTimes, plan, at(0), at(30))
+		}
+		if err := shutdown(context.Background()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	traceCount, paths := readSpans(t, output.String())
+	if traceCount != 1 || paths["test one a try"] != 2 || paths["test two b try"] != 1 || paths["test"] != 1 {
+		t.Errorf("%d traces, %v", traceCount, paths)
+	}
+}
+
+// readSpans returns the number of traces, and the numbers of spans by the names of their ancestors
+// and their own.
+func readSpans(t *testing.T, output string) (traceCount int, paths map[string]int) {
+	t.Helper()
+	type ids struct{ TraceID, SpanID string }
+	names, traces, parents := map[string]string{}, map[string]bool{}, map[string]string{}
+	for _, line := range strings.Split(strings.TrimSpace(output), "\n") {
+		var decoded struct {
+			Name                string
+			SpanContext, Parent ids
+		}
+		if err := json.Unmarshal([]byte(line), &decoded); err != nil {
+			t.Fatal(err)
+		}
+		id := decoded.SpanContext.SpanID
+		names[id], parents[id] = decoded.Name, decoded.Parent.SpanID
+		traces[decoded.SpanContext.TraceID] = true
+	}
+	paths = map[string]int{}
+	for id := range names {
+		path := ""
+		for ancestor := id; names[ancestor] != ""; ancestor = parents[ancestor] {
+			path = names[ancestor] + " " + path
+		}
+		paths[strings.TrimSpace(path)]++
+	}
+	return len(traces), paths
+}
