--- /dev/null
+++ b/internal/controller/faulty_test.go
@@ -0,0 +1,66 @@
+package controller_test
+
+import (
+	"testing"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+func TestFaultyMachineIsReleased(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		cluster.AddMachine("a", false).FailTasks = true
+		cluster.AddMachine("a", false)
+		time.Sleep(4 * time.Second)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-11", jobs.Array, 8, 1), 3*time.Second)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-12", jobs.Array, 8, 1), 3*time.Second)
+		requireDone(t, cluster, "n0", "wk-11", time.Minute)
+		requireDone(t, cluster, "n0", "wk-12", time.Minute)
+		if cluster.WorkerCount() > 1 {
+			t.Errorf("%d machines are left", cluster.WorkerCount())
+		}
+	})
+}
+
+func TestFaultyJobsBesideFaultyMachine(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		setSpareMachines(t, cluster, "n0", 8)
+		faulty := cluster.AddMachine("a", false)
+		faulty.FailTasks = true
+		var healthy []string
+		for range 4 {
+			healthy = append(healthy, cluster.AddMachine("a", false).Host)
+		}
+		time.Sleep(5 * time.Second)
+		cluster.FaultyJobs["wk-1"], cluster.FaultyJobs["wk-2"] = true, true
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-1", jobs.Array, 6, 1), 2*time.Second)
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 3, 1), 2*time.Second)
+		for i := range 6 {
+			// so many that the faulty machine gets some, too
+			requireAccepted(t, cluster, "n1", fake.JobSpec(jobRef(10+i), jobs.Array, 18, 1), 4*time.Second)
+			time.Sleep(6 * time.Second)
+		}
+		for i := range 6 {
+			requireDone(t, cluster, "n1", jobRef(10+i), 60*time.Second)
+		}
+		time.Sleep(30 * time.Second)
+		for _, host := range healthy {
+			if !cluster.IsUp(host) {
+				t.Errorf("%s is healthy and was released for faulty jobs", host)
+			}
+		}
+		if cluster.IsUp(faulty.Host) {
+			t.Error("the faulty machine stays in use")
+		}
+		attempts := func() int { return cluster.StartCounts()["wk-1/0"] + cluster.StartCounts()["wk-1/1"] }
+		attemptsBefore := attempts()
+		time.Sleep(40 * time.Second)
+		if count := attempts() - attemptsBefore; count > 2 {
+			t.Errorf("a job found faulty was attempted %d times in 40 s", count)
+		}
+		if response := cluster.Cancel("n2", "wk-1"); response.Status != jobs.Cancelled {
+			t.Errorf("its cancellation was answered %+v", response)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/overload_test.go
@@ -0,0 +1,117 @@
+package controller_test
+
+import (
+	"testing"
+	"time"
+
+	"cherrywall/internal/config"
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+// A gang that no machines can hold, and one that waits for its team's quota, reserve no capacity:
+// all others would wait with them.
+func TestNoReservationForUnplaceableGangs(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 4)
+		usesQuota, waitsForQuota := fake.JobSpec("wk-3", jobs.Array, 1, 4), fake.JobSpec("wk-2", jobs.Gang, 1, 4)
+		usesQuota.Team, waitsForQuota.Team = "capped", "capped"
+		requireAccepted(t, cluster, "n0", usesQuota, 10*time.Minute)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Gang, 40, 3), time.Second) // fits nowhere
+		time.Sleep(4 * time.Second)
+		requireAccepted(t, cluster, "n1", waitsForQuota, time.Second)
+		time.Sleep(160 * time.Second)
+		for i := range 20 {
+			requireAccepted(t, cluster, "n1", fake.JobSpec(jobRef(10+i), jobs.Gang, 1, 3), 2*time.Second)
+			requireDone(t, cluster, "n2", jobRef(10+i), 12*time.Second)
+		}
+	})
+}
+
+// In an overload of small gangs the capacity of a large one used to be taken each time, and an
+// array of a class without objectives came after all of them: both start within four minutes.
+func TestLargeGangStartsWithinFourMinutesOfOverload(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		cluster.Cfg.Cluster.Objectives = []config.Objective{{Kind: config.ObjectiveFinished, Class: "c", WithinSeconds: 60}}
+		restartControllers(cluster, time.Second)
+		time.Sleep(3 * time.Second)
+		for range 6 {
+			cluster.AddMachine("b", false)
+		}
+		time.Sleep(5 * time.Second)
+		setSpareMachines(t, cluster, "n1", 9)
+		submitted := 0
+		submitGangsFor := func(period time.Duration) {
+			for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(3 * time.Second) {
+				submitted++
+				spec := fake.JobSpec(jobRef(1000+submitted), jobs.Gang, 1+submitted%2, 3)
+				spec.Urgency = "high"
+				requireAccepted(t, cluster, controllerName(submitted), spec, 14*time.Second)
+			}
+		}
+		submitGangsFor(30 * time.Second)
+		large, low := fake.JobSpec("wk-1", jobs.Gang, 5, 3), fake.JobSpec("wk-2", jobs.Array, 3, 3)
+		large.Urgency, large.OneZone = "high", true
+		low.Urgency, low.Class = "idle", "other"
+		requireAccepted(t, cluster, "n0", large, 5*time.Second)
+		requireAccepted(t, cluster, "n1", low, 5*time.Second)
+		submitGangsFor(235 * time.Second)
+		if counts := cluster.StartCounts(); counts["wk-1/0"] == 0 || counts["wk-2/0"] == 0 {
+			t.Errorf("after four minutes the large gang has started %d times, the array %d times", counts["wk-1/0"], counts["wk-2/0"])
+		}
+	})
+}
+
+// There is more work than capacity, of high and normal priority, over slow links: high priority
+// goes first, the rest starts in bounded time, nothing is preempted again and again, and all
+// completes.
+func TestOverloadOverSlowLinks(t *testing.T) {
+	const gangCount = 40
+	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 4) // 16 CPUs
+		slowAllLinks(cluster)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-900", jobs.Array, 30, 1), 15*time.Second)
+		submittedAt := time.Now()
+		var startedAt time.Time
+		for i := range gangCount { // the gangs use half to all of the capacity for four minutes
+			spec := fake.JobSpec(jobRef(i+1), jobs.Gang, 4, 1)
+			spec.Urgency = "high"
+			spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 5, 1
+			requireAccepted(t, cluster, controllerName(i), spec, 12*time.Second)
+			time.Sleep(6 * time.Second)
+			if startedAt.IsZero() && cluster.Poll("n1", "wk-900").ActiveTasks > 0 {
+				startedAt = time.Now()
+			}
+		}
+		if startedAt.IsZero() || startedAt.Sub(submittedAt) > 4*time.Minute {
+			t.Errorf("the array starts after %v", startedAt.Sub(submittedAt))
+		}
+		for i := range gangCount {
+			requireDone(t, cluster, "n2", jobRef(i+1), 60*time.Second)
+		}
+		requireDone(t, cluster, "n0", "wk-900", 120*time.Second)
+		// Each gang starts once and preempts four tasks at most: nothing else is started again.
+		gangStarts, arrayStarts := 0, 0
+		for task, count := range cluster.StartCounts() {
+			if ref, _, _ := jobs.ParseTask(task); ref == "wk-900" {
+				arrayStarts += count
+			} else {
+				gangStarts += count
+			}
+		}
+		if gangStarts != 160 || arrayStarts > 30+160 {
+			t.Errorf("160 tasks of gangs were started %d times, 30 of the array %d times", gangStarts, arrayStarts)
+		}
+	})
+}
+
+// slowAllLinks delays the watches of the store, commands to workers and peer messages.
+func slowAllLinks(cluster *fake.Cluster) {
+	for _, node := range controllerNames {
+		cluster.Store.DelayWatch(node, 700*time.Millisecond)
+	}
+	for _, host := range cluster.Hosts() {
+		cluster.DelayInbound(host, 800*time.Millisecond)
+	}
+	cluster.SetPeerLink(fake.PeerLink{Delay: 500 * time.Millisecond})
+}
--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -14,7 +14,8 @@
 )
 
 // markSurplus marks the on-demand machines that neither run tasks bound to them nor are needed
-// for the growth buffers. Lent to arrays for ever, they would never become empty.
+// for the growth buffers. If arrays could use them for ever, they would never
+// become empty.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
 	shardCount := float64(m.Membership.Size())
 	kept := map[string][]int{} // by shard, the tasks of each buffer that fit on the machines kept
@@ -72,7 +73,7 @@
 		return
 	}
 	m.log.Info("surplus machine drained for consolidation", "worker", emptiest.Host(), "tasks", emptiest.AssignmentCount())
-	m.State.Drain(emptiest)
+	m.State.Cordon(emptiest)
 }
 
 // emptiestMovable returns the surplus machine with the lowest CPU use whose tasks can all be
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -119,11 +119,10 @@
 	if j.job.Retries > limits.MaxRetries {
 		j.addProblem(j.at("retry"), "%s.retry: %d, but class %s allows %d", j.base, j.job.Retries, spec.Class, limits.MaxRetries)
 	}
-	tooManyTasks, tooLong := limits.Exceeded(spec)
-	if tooManyTasks {
+	if limits.ExceededByTasks(spec) {
 		j.addProblem(j.at("cluster", "tasks"), "%s.cluster.tasks: %d, but class %s allows %d", j.base, spec.Tasks, spec.Class, limits.MaxTasks)
 	}
-	if tooLong {
+	if limits.ExceededByRunTime(spec) {
 		j.addProblem(j.at("cluster", "estimate_s"), "%s.cluster.estimate_s: %g, but class %s allows %g", j.base, spec.EstimatedRunSeconds, spec.Class, limits.MaxRunSeconds)
 	}
 }
