--- /dev/null
+++ b/internal/fake/faultinjection/faults.go
@@ -0,0 +1,161 @@
+package faultinjection
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+// minMachines is how many machines are kept up while faults are combined; silent ones are released.
+const minMachines = 8
+
+// singleFaults are the faults of injectSingle that last until they are changed.
+type singleFaults struct {
+	refusedNode string // by the key-value store, empty for none
+	isStoreDown bool
+	isolated    map[string]bool // machines; also those that were isolated
+}
+
+// InjectFaults runs so many random steps, each a user's request or the begin or end of a fault. At
+// last it ends all faults and starts all controllers.
+func (r *FaultRun) InjectFaults(rnd *rand.Rand, steps int) {
+	r.rnd = rnd
+	r.faults = singleFaults{isolated: map[string]bool{}}
+	for range steps {
+		time.Sleep(time.Duration(100+rnd.IntN(900)) * time.Millisecond)
+		r.checkCancelledTasks()
+		if r.CombineFaults && len(r.Hosts()) < minMachines {
+			r.AddMachine(anyOf(rnd, zones), false)
+		}
+		r.step()
+	}
+	r.clearCombined()
+	r.clearSingle()
+}
+
+// step runs one random step.
+func (r *FaultRun) step() {
+	running := r.runningControllers()
+	if len(running) == 0 {
+		for _, name := range controllerNames {
+			if r.rnd.IntN(3) > 0 {
+				r.StartController(name)
+			}
+		}
+		return
+	}
+	node := anyOf(r.rnd, running)
+	if r.CombineFaults && r.rnd.IntN(5) == 0 {
+		r.injectCombined(node)
+		return
+	}
+	r.maxDependencies = 0
+	if r.WithDependencies && len(r.refs) > 0 && r.rnd.IntN(2) == 0 {
+		r.maxDependencies = 1 + r.rnd.IntN(3)
+	}
+	r.requestOrInject(node, running)
+}
+
+// requestOrInject has a user send a request to a controller, or begins or ends a single fault. The
+// numbers are percentages, summed up. The order of the random numbers is part of a seed's scenario.
+func (r *FaultRun) requestOrInject(node string, running []string) {
+	hasJobs := len(r.refs) > 0
+	switch action := r.rnd.IntN(100); {
+	case action < 25:
+		r.submit(node, jobs.Gang, 1+r.rnd.IntN(6), 3, r.runTime(2+r.rnd.IntN(12)))
+	case action < 35:
+		r.submit(node, jobs.Array, 1+r.rnd.IntN(20), 1, r.runTime(1+r.rnd.IntN(9)))
+	case action < 50 && hasJobs:
+		r.poll(node, anyOf(r.rnd, r.refs), "poll")
+	case action < 56 && hasJobs:
+		r.cancel(node, anyOf(r.rnd, r.refs))
+	default:
+		r.injectSingle(action, node, running)
+	}
+}
+
+// injectSingle begins or ends a single fault.
+func (r *FaultRun) injectSingle(action int, node string, running []string) {
+	switch {
+	case action < 62:
+		r.endController(node)
+	case action < 66:
+		for _, name := range running {
+			r.CrashController(name)
+		}
+	case action < 76:
+		r.startSomeControllers()
+	case action < 86:
+		r.toggleIsolation()
+	case action < 91:
+		r.changeRefusedNode(node)
+	case action < 94:
+		r.faults.isStoreDown = !r.faults.isStoreDown && r.rnd.IntN(2) == 0
+		r.Store.SetOutage(r.faults.isStoreDown)
+	case action < 96:
+		r.SetPeerLink(fake.PeerLink{
+			IsCut:      r.rnd.IntN(4) == 0,
+			DropPieces: r.rnd.IntN(2),
+			Delay:      time.Duration(r.rnd.IntN(2)*r.rnd.IntN(3000)) * time.Millisecond,
+		})
+	case action < 98:
+		r.Store.DelayWatch(node, randomMilliseconds(r.rnd, 600))
+	case action < 99:
+		r.Nodes[node].Conn.DelayNextTxn(randomMilliseconds(r.rnd, 20000))
+	default:
+		r.Nodes[node].Conn.DropAnswers(1)
+	}
+}
+
+// endController shuts a controller down or crashes it.
+func (r *FaultRun) endController(node string) {
+	if r.rnd.IntN(3) == 0 {
+		r.StopController(node)
+	} else {
+		r.CrashController(node)
+	}
+}
+
+// startSomeControllers starts half of the controllers that do not run.
+func (r *FaultRun) startSomeControllers() {
+	for _, name := range controllerNames {
+		if r.Nodes[name] == nil && r.rnd.IntN(2) == 0 {
+			r.StartController(name)
+		}
+	}
+}
+
+// toggleIsolation isolates a machine, or ends its isolation.
+func (r *FaultRun) toggleIsolation() {
+	host := anyOf(r.rnd, r.Hosts())
+	r.faults.isolated[host] = !r.faults.isolated[host]
+	r.IsolateWorker(host, r.faults.isolated[host])
+}
+
+// changeRefusedNode has the key-value store refuse another controller than before, or none.
+func (r *FaultRun) changeRefusedNode(node string) {
+	r.Store.RefuseNode(r.faults.refusedNode, false)
+	r.faults.refusedNode = ""
+	if r.rnd.IntN(2) == 0 {
+		r.faults.refusedNode = node
+		r.Store.RefuseNode(node, true)
+	}
+}
+
+// clearSingle ends all single faults and starts all controllers.
+func (r *FaultRun) clearSingle() {
+	r.SetPeerLink(fake.PeerLink{})
+	r.Store.RefuseNode(r.faults.refusedNode, false)
+	r.Store.SetOutage(false)
+	for host := range r.faults.isolated {
+		r.IsolateWorker(host, false)
+	}
+	for _, name := range controllerNames {
+		r.Store.DelayWatch(name, 0)
+		if r.Nodes[name] == nil {
+			r.StartController(name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fake/faultinjection/users.go
@@ -0,0 +1,141 @@
+package faultinjection
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"cherrywall/internal/controller"
+	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
+)
+
+// statusAccepted stands for all statuses of an accepted job that can still change.
+const statusAccepted = "accepted"
+
+// submit submits a job, with random dependencies if there are to be some.
+func (r *FaultRun) submit(node, kind string, tasks int, cpu float64, runTime time.Duration) {
+	spec := fake.JobSpec(fmt.Sprintf("wk-%d", len(r.refs)+1), kind, tasks, cpu)
+	spec.Spot = kind == jobs.Array
+	if len(r.refs)%3 == 0 && cpu*float64(tasks) <= 4 {
+		spec.Team = "capped"
+	}
+	if kind == jobs.Gang {
+		spec.Urgency, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = "high", 5, 1
+	}
+	r.refs = append(r.refs, spec.Ref)
+	r.taskCounts[spec.Ref] = tasks
+	r.isGang[spec.Ref] = kind == jobs.Gang
+	for range r.maxDependencies {
+		ref := anyOf(r.rnd, r.refs)
+		if r.lastStatus[ref] != "" && !slices.Contains(spec.DependsOn, ref) {
+			spec.DependsOn = append(spec.DependsOn, ref)
+		}
+	}
+	r.longestRunTime = max(r.longestRunTime, runTime)
+	r.checkSubmission(spec, r.Submit(node, spec, runTime))
+}
+
+// checkSubmission checks the answer to a valid submission, and notes what is expected of the job.
+func (r *FaultRun) checkSubmission(spec jobs.Spec, response controller.Response) {
+	switch response.Code {
+	case http.StatusUnprocessableEntity, http.StatusNotFound, http.StatusBadRequest:
+		r.reportViolation("forgotten: %s, naming %v, was answered %+v", spec.Ref, spec.DependsOn, response)
+	}
+	for _, ref := range spec.DependsOn { // also without an answer: the job may have been accepted
+		r.dependents[ref] = append(r.dependents[ref], spec.Ref)
+	}
+	if response.Code != http.StatusOK && response.Code != http.StatusCreated {
+		return
+	}
+	r.lastStatus[spec.Ref] = statusAccepted
+	for _, ref := range spec.DependsOn {
+		if r.lastStatus[ref] == jobs.Cancelled || !r.mustBeCancelledBy[ref].IsZero() {
+			r.expectCancelled(spec.Ref)
+		}
+	}
+}
+
+// runTime is a run time of so many seconds. Where faults are combined some tasks run longer, so that
+// they still run when a cancellation has to be finished or a lease has expired.
+func (r *FaultRun) runTime(seconds int) time.Duration {
+	if r.CombineFaults && r.rnd.IntN(2) == 0 {
+		seconds *= 1 + r.rnd.IntN(9)
+	}
+	return time.Duration(seconds) * time.Second
+}
+
+// poll polls a job and checks the answer.
+func (r *FaultRun) poll(node, ref, what string) controller.Response {
+	response := r.Poll(node, ref)
+	r.checkAnswer(ref, what, response)
+	return response
+}
+
+// cancel asks a controller to cancel a job.
+func (r *FaultRun) cancel(node, ref string) {
+	r.cancelRequested[ref] = true
+	r.checkCancelAnswer(ref, r.Cancel(node, ref))
+}
+
+// cancelAsync asks a controller to cancel a job without waiting for the answer, see
+// awaitCancelAnswers.
+func (r *FaultRun) cancelAsync(node, ref string) {
+	r.cancelRequested[ref] = true
+	r.cancelRequests.Go(func() {
+		response := r.Cancel(node, ref)
+		if response.Code != http.StatusOK {
+			return
+		}
+		if response.Status == jobs.Cancelled {
+			r.cancellationConfirmed(ref)
+		}
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.pendingChecks = append(r.pendingChecks, func() { r.checkCancelAnswer(ref, response) })
+	})
+}
+
+// awaitCancelAnswers waits for the answers to cancelAsync and checks them.
+func (r *FaultRun) awaitCancelAnswers() {
+	r.cancelRequests.Wait()
+	for _, check := range r.pendingChecks {
+		check()
+	}
+	r.pendingChecks = nil
+}
+
+// expectCancelled expects that a job and all that depend on it will be cancelled.
+func (r *FaultRun) expectCancelled(ref string) {
+	if !r.mustBeCancelledBy[ref].IsZero() {
+		return
+	}
+	r.mustBeCancelledBy[ref] = time.Now().Add(r.cancelTimeout())
+	for _, dependent := range r.dependents[ref] {
+		r.expectCancelled(dependent)
+	}
+}
+
+// isCancellationExpected reports whether a user asked to cancel a job or one that it depends on.
+func (r *FaultRun) isCancellationExpected(ref string) bool {
+	if r.cancelRequested[ref] {
+		return true
+	}
+	for dependency, dependents := range r.dependents {
+		if slices.Contains(dependents, ref) && r.isCancellationExpected(dependency) {
+			return true
+		}
+	}
+	return false
+}
+
+// waitsForDependency reports whether a job depends on one that is not done.
+func (r *FaultRun) waitsForDependency(ref string) bool {
+	for dependency, dependents := range r.dependents {
+		if slices.Contains(dependents, ref) && !r.IsComplete(dependency) {
+			return true
+		}
+	}
+	return false
+}
