--- /dev/null
+++ b/internal/controller/dependencies_test.go
@@ -0,0 +1,201 @@
+package controller_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"testing"
+	"time"
+
+	"cherrywall/internal/fake"
+	"cherrywall/internal/fake/faultinjection"
+	"cherrywall/internal/jobs"
+)
+
+// dependentJob returns an array that depends on other jobs.
+func dependentJob(ref string, tasks int, dependsOn ...string) jobs.Spec {
+	spec := fake.JobSpec(ref, jobs.Array, tasks, 1)
+	spec.DependsOn = dependsOn
+	return spec
+}
+
+// A chain of 20 jobs, submitted one after another at all controllers, runs in its order through a
+// crash of all controllers. The simulated workers check that no task starts too early.
+func TestDependencyChainRunsInOrder(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 3)
+		deadlineSeconds := 300.0
+		writesBefore := cluster.Store.WriteCount()
+		for i := range 20 {
+			spec := dependentJob(jobRef(i+1), 1+i%6)
+			if i > 0 {
+				spec.DependsOn = []string{jobRef(i)}
+			}
+			if i == 19 {
+				spec.DeadlineSeconds, spec.Urgency = &deadlineSeconds, "high"
+			}
+			requireAccepted(t, cluster, controllerName(i), spec, time.Second)
+		}
+		time.Sleep(12 * time.Second)
+		if response := cluster.Poll("n1", "wk-20"); response.Status != jobs.Queued {
+			t.Errorf("the last job: %+v", response)
+		}
+		restartControllers(cluster, 2*time.Second)
+		requireDone(t, cluster, "n2", "wk-20", 200*time.Second)
+		writes := cluster.Store.WriteCount() - writesBefore
+		t.Logf("%d writes for a chain of 20", writes)
+		if writes > 20*9 {
+			t.Errorf("%d writes for a chain of 20", writes)
+		}
+	})
+}
+
+func TestSubmissionDependencyValidation(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 2)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 1, 1), time.Second)
+		requireDone(t, cluster, "n0", "wk-1", 20*time.Second)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Service, 1, 1), 0)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-3", jobs.Array, 3, 1), 100*time.Second)
+		for _, c := range []struct {
+			code   int
+			status string
+			spec   jobs.Spec
+		}{
+			{http.StatusUnprocessableEntity, "", dependentJob("wk-10", 1, "wk-99")},
+			{http.StatusUnprocessableEntity, "", dependentJob("wk-11", 1, "wk-3", "wk-2")},
+			{http.StatusCreated, jobs.Queued, dependentJob("wk-12", 1, "wk-1")},
+			{http.StatusCreated, jobs.Queued, dependentJob("wk-13", 1, "wk-1", "wk-3")},
+			{http.StatusOK, jobs.Queued, dependentJob("wk-13", 1, "wk-99")}, // a retry, whatever it depends on now
+		} {
+			if response := cluster.Submit("n1", c.spec, time.Second); response.Code != c.code || response.Status != c.status {
+				t.Errorf("%s after %v: %+v", c.spec.Ref, c.spec.DependsOn, response)
+			}
+		}
+		// A restarted controller does not know wk-1 any more and reads it from the store.
+		restartControllers(cluster, time.Second)
+		requireDone(t, cluster, "n0", "wk-12", 30*time.Second)
+		cluster.Store.SetOutage(true)
+		if response := cluster.Submit("n2", dependentJob("wk-14", 1, "wk-98"), time.Second); response.Code != http.StatusServiceUnavailable && response.Code != 0 {
+			t.Errorf("in an outage of the store: %+v", response)
+		}
+		cluster.Store.SetOutage(false)
+	})
+}
+
+// A blocked job uses nothing of the team's quota, and is an ordinary job once it is unblocked.
+func TestBlockedJobUsesNoQuota(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 3)
+		blocked := quotaJob("wk-2", jobs.Gang, 4)
+		blocked.DependsOn = []string{"wk-1"}
+		requireAccepted(t, cluster, "n0", quotaJob("wk-1", jobs.Gang, 2), 40*time.Second)
+		requireAccepted(t, cluster, "n0", blocked, 5*time.Second)
+		requireAccepted(t, cluster, "n1", quotaJob("wk-3", jobs.Gang, 2), 5*time.Second)
+		requireDone(t, cluster, "n0", "wk-3", 30*time.Second)
+		if response := cluster.Poll("n1", "wk-2"); response.Status != jobs.Queued {
+			t.Errorf("%+v", response)
+		}
+		requireDone(t, cluster, "n1", "wk-2", 90*time.Second)
+	})
+}
+
+// Cancelling a job cancels all its dependents, at once at every controller and for ever, also those
+// submitted later. If the job is done by then, they go on.
+func TestCancellationPropagatesToDependents(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 2)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 2, 1), 30*time.Second)
+		for i := 2; i <= 9; i++ {
+			requireAccepted(t, cluster, controllerName(i), dependentJob(jobRef(i), 2, jobRef(i-1)), 5*time.Second)
+		}
+		time.Sleep(8 * time.Second)
+		requireCancelled(t, cluster, "n1", "wk-4")
+		cluster.CrashController("n1") // in an outage of the store, before the dependents' final states are stored
+		cluster.Store.SetOutage(true)
+		time.Sleep(10 * time.Second)
+		cluster.Store.SetOutage(false)
+		cluster.CrashController("n0")
+		cluster.StartController("n0")
+		time.Sleep(3 * time.Second)
+		for i := 4; i <= 9; i++ {
+			checkCancelled(t, cluster, "n0", jobRef(i))
+			checkCancelled(t, cluster, "n2", jobRef(i))
+		}
+		if response := cluster.Submit("n2", dependentJob("wk-10", 1, "wk-9"), time.Second); response.Code != http.StatusCreated {
+			t.Errorf("%+v", response)
+		}
+		checkCancelled(t, cluster, "n0", "wk-10")
+		if response := cluster.Submit("n0", dependentJob("wk-10", 1, "wk-9"), time.Second); response.Code != http.StatusOK || response.Status != jobs.Cancelled {
+			t.Errorf("a retry: %+v", response)
+		}
+		requireDone(t, cluster, "n0", "wk-3", 120*time.Second)
+		if response := cluster.Cancel("n2", "wk-3"); response.Status != jobs.Done {
+			t.Errorf("%+v", response)
+		}
+		requireAccepted(t, cluster, "n0", dependentJob("wk-11", 1, "wk-3"), time.Second)
+		requireDone(t, cluster, "n2", "wk-11", 30*time.Second)
+		checkNoRecords(t, cluster, jobs.JobPrefix+"wk-5")
+	})
+}
+
+func checkCancelled(t *testing.T, cluster *fake.Cluster, node, ref string) {
+	t.Helper()
+	if response := cluster.Poll(node, ref); response.Status != jobs.Cancelled {
+		t.Errorf("%s at %s: %+v", ref, node, response)
+	}
+}
+
+// Hundreds of jobs depend on one, and one depends on hundreds, so that its record is chunked.
+func TestWideDependencyFanInAndFanOut(t *testing.T) {
+	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
+		addMachines(cluster, 8)
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 1, 1), 90*time.Second)
+		var refs []string
+		for i := range 300 {
+			spec := dependentJob(jobRef(100000+i), 1, "wk-1")
+			spec.CPU, spec.MemGB = 0.05, 0.05
+			requireAccepted(t, cluster, controllerName(i), spec, time.Second)
+			refs = append(refs, spec.Ref)
+		}
+		requireAccepted(t, cluster, "n1", dependentJob("wk-2", 1, refs...), time.Second)
+		restartControllers(cluster, time.Second)
+		time.Sleep(20 * time.Second)
+		if response := cluster.Poll("n2", "wk-2"); response.Status != jobs.Queued {
+			t.Errorf("%+v", response)
+		}
+		requireDone(t, cluster, "n2", "wk-2", 400*time.Second)
+	})
+}
+
+// runDependencyGraphs runs jobs with random dependencies among crashes, partitions, lost and late
+// transactions, refusals, outages and failovers. It returns the violations found and the number of
+// jobs that ended.
+func runDependencyGraphs(t *testing.T, seed uint64, configure func(run *faultinjection.FaultRun)) (violations []string, ended int) {
+	t.Helper()
+	violations = faultinjection.Run(t, 12, seed%2 == 1, func(run *faultinjection.FaultRun) {
+		run.WithDependencies = true
+		if configure != nil {
+			configure(run)
+		}
+		run.InjectFaults(rand.New(rand.NewPCG(seed, 29)), 200)
+		ended = run.Finish()
+	})
+	return violations, ended
+}
+
+func TestDependencyGraphsUnderRandomFaults(t *testing.T) {
+	total := 0
+	for seed := range uint64(10) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			violations, ended := runDependencyGraphs(t, seed, nil)
+			for _, violation := range violations {
+				t.Error(violation)
+			}
+			total += ended
+		})
+	}
+	if total < 200 {
+		t.Errorf("the runs cover too little: %d jobs ended", total)
+	}
+}
