--- /dev/null
+++ b/internal/chunkedstore/garbage_test.go
@@ -0,0 +1,144 @@
+package chunkedstore
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"strings"
+	"testing"
+
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+)
+
+// memoryService keeps records in memory. It has no leases and no watches.
+type memoryService struct {
+	kvstore.Service
+	rows     map[string]kvstore.KeyValue
+	revision uint64
+}
+
+func (m *memoryService) Commit(_ context.Context, _ kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error) {
+	for _, condition := range txn.Conditions {
+		if m.rows[condition.Key].Revision != condition.Revision {
+			return kvstore.TxnResult{FailedKeys: []string{condition.Key}}, nil
+		}
+	}
+	m.revision++
+	for _, write := range txn.Writes {
+		if write.DeleteKey != "" {
+			delete(m.rows, write.DeleteKey)
+		} else {
+			m.rows[write.Key] = kvstore.KeyValue{Key: write.Key, Value: write.Value, Revision: m.revision}
+		}
+	}
+	return kvstore.TxnResult{Succeeded: true, Revision: m.revision}, nil
+}
+
+func (m *memoryService) Get(_ context.Context, _ kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error) {
+	row, found := m.rows[key]
+	return row, found, m.revision, nil
+}
+
+func (m *memoryService) List(_ context.Context, prefix string) ([]kvstore.KeyValue, uint64, error) {
+	var rows []kvstore.KeyValue
+	for key, row := range m.rows {
+		if strings.HasPrefix(key, prefix) {
+			rows = append(rows, row)
+		}
+	}
+	slices.SortFunc(rows, func(x, y kvstore.KeyValue) int { return strings.Compare(x.Key, y.Key) })
+	return rows, m.revision, nil
+}
+
+func (m *memoryService) chunkCount() int {
+	rows, _, _ := m.List(context.Background(), jobs.ChunkPrefix)
+	return len(rows)
+}
+
+const recordKey = "cw/job/wk-1"
+
+// newChunkedRecord makes a store with one record in several chunks.
+func newChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
+	t.Helper()
+	service := &memoryService{rows: map[string]kvstore.KeyValue{}}
+	store := New(service, 7, 100, 2, slog.New(slog.DiscardHandler))
+	store.EnableChunking()
+	value := kvstore.Encode(strings.Repeat("x", 500))
+	commit(t, store, kvstore.Write{Key: recordKey, Value: value})
+	if count := service.chunkCount(); count < 5 {
+		t.Fatalf("%d chunks", count)
+	}
+	return store, service, value
+}
+
+func commit(t *testing.T, store *Store, write kvstore.Write) {
+	t.Helper()
+	result, err := store.Commit(t.Context(), kvstore.Normal, kvstore.Txn{Writes: []kvstore.Write{write}})
+	if err != nil || !result.Succeeded {
+		t.Fatalf("%+v, %v", result, err)
+	}
+}
+
+func collect(t *testing.T, store *Store) {
+	t.Helper()
+	if err := store.collectGarbage(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestChunkedRecordIsReadWhole(t *testing.T) {
+	store, service, value := newChunkedRecord(t)
+	if stored := service.rows[recordKey].Value; chunkRefOf(stored) == nil {
+		t.Errorf("the record is stored as %s", stored)
+	}
+	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // has nothing in its cache
+	for _, s := range []*Store{store, reader} {
+		row, found, _, err := s.Get(t.Context(), kvstore.Normal, recordKey)
+		if err != nil || !found || string(row.Value) != string(value) {
+			t.Errorf("%s, found %v, %v", row.Value, found, err)
+		}
+		rows, _, err := s.List(t.Context(), jobs.JobPrefix)
+		if err != nil || len(rows) != 1 || string(rows[0].Value) != string(value) {
+			t.Errorf("%v, %v", rows, err)
+		}
+	}
+}
+
+func TestOrphanedChunksAreDeletedInSecondPass(t *testing.T) {
+	store, service, _ := newChunkedRecord(t)
+	before := service.chunkCount()
+	collect(t, store)
+	collect(t, store)
+	if count := service.chunkCount(); count != before {
+		t.Fatalf("%d of %d chunks left of a record that points to them", count, before)
+	}
+	commit(t, store, kvstore.Write{DeleteKey: recordKey})
+	collect(t, store)
+	if count := service.chunkCount(); count != before {
+		t.Errorf("%d of %d chunks left after the first pass", count, before)
+	}
+	collect(t, store)
+	if count := service.chunkCount(); count != 0 {
+		t.Errorf("%d chunks left after the second pass", count)
+	}
+}
+
+// A pointer that is written late must not name chunks that were deleted meanwhile.
+func TestLatePointerToDeletedChunksIsNotWritten(t *testing.T) {
+	store, service, value := newChunkedRecord(t)
+	ref, firstRevision, err := store.writeChunks(t.Context(), kvstore.Normal, recordKey, value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	collect(t, store)
+	collect(t, store)
+	result, err := service.Commit(t.Context(), kvstore.Normal, kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: chunkKey(ref.ID, 0, recordKey), Revision: firstRevision}},
+		Writes:     []kvstore.Write{{Key: recordKey, Value: kvstore.Encode(chunkPointer{Chunks: ref})}},
+	})
+	if err != nil || result.Succeeded {
+		t.Errorf("%+v, %v", result, err)
+	}
+}
--- a/internal/cronschedule/schedule_test.go
+++ b/internal/cronschedule/schedule_test.go
@@ -1,6 +1,7 @@
 package cronschedule
 
 import (
+	"errors"
 	"testing"
 	"time"
 )
@@ -74,3 +75,19 @@
 		t.Errorf("due at %v, then at %v", dueAt, nextAt)
 	}
 }
+
+func TestParseErrors(t *testing.T) {
+	for _, c := range []struct {
+		expression, zone string
+		want             error
+	}{
+		{"0 2 * * *", "", ErrZoneMissing},
+		{"@every 1s", "UTC", ErrUnsupportedForm},
+		{"TZ=UTC 0 2 * * *", "UTC", ErrUnsupportedForm},
+		{"0 0 30 2 *", "UTC", ErrNoTimeInFiveYears},
+	} {
+		if _, err := Parse(c.expression, c.zone); !errors.Is(err, c.want) {
+			t.Errorf("%q in %q: %v, want %v", c.expression, c.zone, err, c.want)
+		}
+	}
+}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -102,3 +104,84 @@
 		}
 	})
 }
+
+// serve runs a service in memory and returns a client of it, until the test ends.
+func serve(t *testing.T, handler http.HandlerFunc) *Client {
+	t.Helper()
+	network := make(memoryNetwork, 1)
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(network) }()
+	client := New("state:1", 1000, 1000, 1, network.dial)
+	t.Cleanup(func() {
+		close(network)
+		client.httpClient.CloseIdleConnections()
+		_ = server.Close()
+	})
+	return client
+}
+
+func TestStatusesAreMappedToErrors(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		want   error
+	}{
+		{"expired", http.StatusGone, ErrExpired},
+		{"unavailable", http.StatusServiceUnavailable, ErrUnavailable},
+		{"rejected", http.StatusBadRequest, ErrRejected},
+		{"unexpected", http.StatusInternalServerError, ErrOutcomeUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(c.status) })
+			if _, err := client.Commit(t.Context(), Urgent, Txn{}); !errors.Is(err, c.want) {
+				t.Errorf("status %d: %v, want %v", c.status, err, c.want)
+			}
+		})
+	}
+}
+
+func TestFailedConditionsAreNoError(t *testing.T) {
+	client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusConflict)
+		_, _ = w.Write([]byte(`{"failed":["cw/x"],"epoch":7}`))
+	})
+	result, err := client.Commit(t.Context(), Urgent, Txn{Conditions: []Condition{{Key: "cw/x", Revision: 3}}})
+	if err != nil || result.Succeeded || result.Revision != 7 || !slices.Equal(result.FailedKeys, []string{"cw/x"}) {
+		t.Errorf("%+v, %v", result, err)
+	}
+}
+
+func TestUnreadableResponseHasUnknownOutcome(t *testing.T) {
+	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"epoch":`)) })
+	if _, err := client.Commit(t.Context(), Urgent, Txn{}); !errors.Is(err, ErrOutcomeUnknown) {
+		t.Errorf("%v", err)
+	}
+}
+
+func TestKeepAliveOfUnknownLease(t *testing.T) {
+	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) })
+	if err := client.KeepAlive(t.Context(), 5); !errors.Is(err, ErrExpired) {
+		t.Errorf("%v", err)
+	}
+}
+
+func TestListReadsAllPages(t *testing.T) {
+	pages := map[string]string{
+		"":     `{"rows":[{"key":"cw/a","stamp":1},{"key":"cw/b","stamp":2}],"truncated":true,"epoch":4}`,
+		"cw/b": `{"rows":[{"key":"cw/c","stamp":5}],"epoch":6}`,
+	}
+	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = w.Write([]byte(pages[r.URL.Query().Get("from")]))
+	})
+	rows, revision, err := client.List(t.Context(), "cw/")
+	if err != nil || revision != 4 {
+		t.Fatalf("revision %d of the first page, %v", revision, err)
+	}
+	var keys []string
+	for _, row := range rows {
+		keys = append(keys, row.Key)
+	}
+	if !slices.Equal(keys, []string{"cw/a", "cw/b", "cw/c"}) {
+		t.Errorf("%v", keys)
+	}
+}
