--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -18,8 +18,9 @@
 	Response   workerapi.HeartbeatResponse // with http.StatusOK
 }
 
-func unavailableReply() HeartbeatReply {
-	return HeartbeatReply{StatusCode: http.StatusServiceUnavailable}
+// unavailableReply refuses a heartbeat without naming an owner.
+func unavailableReply() *HeartbeatReply {
+	return &HeartbeatReply{StatusCode: http.StatusServiceUnavailable}
 }
 
 func okReply(fencingToken uint64, commands []workerapi.Command) HeartbeatReply {
