--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -153,7 +153,7 @@
 	c.scheduler = scheduler.New(c.mailbox, c.cfg, scheduler.Dependencies{
 		State: c.state, Membership: c.members, Cache: c.cache, Claims: c.claims, MachineTypes: c.machineTypes,
 		ClassStats: c.classStats, Faults: c.faults, Peers: c.peers,
-	}, c.log)
+	})
 	c.reconciler = reconciliation.New(c.cfg, reconciliation.Dependencies{State: c.state, Membership: c.members, Cache: c.cache}, c.log)
 	c.sessions = workersession.New(c.mailbox, c.cfg, workersession.Dependencies{
 		State: c.state, Membership: c.members, Cache: c.cache, Peers: c.peers, Faults: c.faults,
--- a/internal/fake/harness/harness.go
+++ b/internal/fake/harness/harness.go
@@ -150,7 +150,7 @@
 		ClassStats:   h.ClassStats,
 		Faults:       h.Faults,
 		Peers:        h.peers,
-	}, h.log)
+	})
 	h.Reconciler = reconciliation.New(h.Cfg, reconciliation.Dependencies{
 		State:      h.State,
 		Membership: h.Membership,
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -5,7 +5,6 @@
 package scheduler
 
 import (
-	"log/slog"
 	"slices"
 	"time"
 
@@ -42,7 +41,6 @@
 	Dependencies
 	mailbox *actor.Mailbox
 	cfg     *config.Config
-	log     *slog.Logger
 
 	cycle          cycle
 	waitReasons    map[string]waitReason // by job reference
@@ -64,12 +62,11 @@
 }
 
 // New creates a scheduler whose requested cycles are triggered through the actor's mailbox.
-func New(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies, log *slog.Logger) *Scheduler {
+func New(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies) *Scheduler {
 	return &Scheduler{
 		Dependencies: deps,
 		mailbox:      mailbox,
 		cfg:          cfg,
-		log:          log,
 		waitReasons:  map[string]waitReason{},
 		attempts:     map[string]uint64{},
 	}
