--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -97,7 +97,7 @@
 	case action < 96:
 		r.SetPeerLink(fake.PeerLink{
 			IsCut:      r.rnd.IntN(4) == 0,
-			DropPieces: r.rnd.IntN(2),
+			DropChunks: r.rnd.IntN(2),
 			Delay:      time.Duration(r.rnd.IntN(2)*r.rnd.IntN(3000)) * time.Millisecond,
 		})
 	case action < 98:
--- a/internal/fake/network/network.go
+++ b/internal/fake/network/network.go
@@ -15,7 +15,7 @@
 type PeerLink struct {
 	IsCut      bool          // between all controllers
 	Isolated   string        // a controller that neither receives nor sends peer messages
-	DropPieces int           // how many of the next transfer chunks are lost
+	DropChunks int           // how many of the next transfer chunks are lost
 	Delay      time.Duration // of transfer chunks, beyond a millisecond each
 }
 
@@ -169,9 +169,9 @@
 func (n *Network) NextChunk() (delay time.Duration, isDropped bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	isDropped = n.peerLink.DropPieces > 0
+	isDropped = n.peerLink.DropChunks > 0
 	if isDropped {
-		n.peerLink.DropPieces--
+		n.peerLink.DropChunks--
 	}
 	return n.peerLink.Delay + transferChunkTime, isDropped
 }
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -160,7 +160,7 @@
 // ends with one of the two and is reconciled.
 func TestFailureDuringTransfer(t *testing.T) {
 	for name, fail := range map[string]func(cluster *fake.Cluster){
-		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropPieces: 1}) },
+		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropChunks: 1}) },
 		"chunks delayed": func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{Delay: 3 * time.Second}) },
 		"link cut":       func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{IsCut: true}) },
 		"old owner crashes": func(cluster *fake.Cluster) {
