--- a/cmd/cherrywall/jobs.go
+++ b/cmd/cherrywall/jobs.go
@@ -53,7 +53,7 @@
 					return err
 				}
 			}
-			switch status.Status {
+			switch jobs.Status(status.Status) {
 			case jobs.Done:
 			case jobs.Cancelled:
 				anyCancelled = true
--- a/cmd/cherrywall/submit.go
+++ b/cmd/cherrywall/submit.go
@@ -34,7 +34,7 @@
 }
 
 // kindsOfJobs maps the kinds of the command line to those of the protocol.
-var kindsOfJobs = map[string]string{"array": jobs.Array, "gang": jobs.Gang, "service": jobs.Service}
+var kindsOfJobs = map[string]jobs.Kind{"array": jobs.Array, "gang": jobs.Gang, "service": jobs.Service}
 
 // spec returns the job that the file and the flags describe. Flags take precedence.
 func (c submitCmd) spec() (jobs.Spec, error) {
@@ -45,7 +45,7 @@
 			return spec, err
 		}
 		if err := json.Unmarshal(content, &spec); err != nil {
-			return spec, &usageError{fmt.Errorf("%s: %w", c.File, err)}
+			return spec, &usageError{fmt.Errorf("%s: %w", c.File, jobs.DescribeDecodeError(err))}
 		}
 	}
 	override(&spec.Ref, c.ID)
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -24,7 +24,7 @@
 	return a
 }
 
-func waitingJob(kind string, tasks int, cpu, runSeconds float64) scheduler.PendingJob {
+func waitingJob(kind jobs.Kind, tasks int, cpu, runSeconds float64) scheduler.PendingJob {
 	return scheduler.PendingJob{Record: jobs.JobRecord{Spec: jobs.Spec{Kind: kind, Tasks: tasks, OneZone: kind == jobs.Gang}},
 		Need: capacity.Resources{CPU: cpu, MemGB: 1}, Tasks: tasks, RunSeconds: runSeconds, Waiting: time.Second}
 }
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/workerapi"
 )
 
-func newTestJob(kind string, tasks int) *Job {
+func newTestJob(kind jobs.Kind, tasks int) *Job {
 	job := NewJob("wk-1")
 	record := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wk-1", Kind: kind, Urgency: "normal", Tasks: tasks, CPU: 4, MemGB: 8}}
 	SetSpec(job, record, job.ownDeadlines, false, false)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -82,8 +82,8 @@
 	return c, heartbeats
 }
 
-func benchSpec(ref, kind string, tasks int, cpu float64) jobs.Spec {
-	return jobs.Spec{Ref: ref, Class: kind, Team: "ops", Kind: kind, Urgency: "normal", Tasks: tasks, CPU: cpu, MemGB: 3, Image: "img",
+func benchSpec(ref string, kind jobs.Kind, tasks int, cpu float64) jobs.Spec {
+	return jobs.Spec{Ref: ref, Class: string(kind), Team: "ops", Kind: kind, Urgency: "normal", Tasks: tasks, CPU: cpu, MemGB: 3, Image: "img",
 		ImageGB: 1, EstimatedRunSeconds: 60}
 }
 
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -23,7 +23,7 @@
 
 func (s volatileCancellations) Commit(ctx context.Context, priority kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error) {
 	for _, write := range txn.Writes {
-		if strings.HasPrefix(write.Key, jobs.FinalPrefix) && strings.Contains(string(write.Value), jobs.Cancelled) {
+		if strings.HasPrefix(write.Key, jobs.FinalPrefix) && strings.Contains(string(write.Value), string(jobs.Cancelled)) {
 			return kvstore.TxnResult{Succeeded: true, Revision: 1}, kvstore.Pause(ctx, time.Millisecond)
 		}
 	}
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -13,13 +13,13 @@
 
 // answer is a job's status as a user received it.
 type answer struct {
-	status      string
+	status      jobs.Status
 	isComplete  bool // all tasks of the job were done when it was received
 	requestedAt time.Time
 	receivedAt  time.Time
 }
 
-func isFinal(status string) bool { return status == jobs.Done || status == jobs.Cancelled }
+func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
 // completionRequests sends requests about jobs at the time of their completion and collects the
 // answers.
@@ -50,7 +50,7 @@
 	const jobCount = 12
 	rnd := rand.New(rand.NewPCG(seed, 15))
 	kinds := []struct {
-		kind  string
+		kind  jobs.Kind
 		tasks int
 	}{{jobs.Array, 1}, {jobs.Array, 3}, {jobs.Array, 40}, {jobs.Gang, 3}}
 	addMachines(cluster, 12)
@@ -75,7 +75,7 @@
 	}
 	requests.senders.Wait()
 	time.Sleep(3 * time.Second)
-	finalStatus := map[string]string{}
+	finalStatus := map[string]jobs.Status{}
 	for i := range jobCount {
 		ref := jobRef(i + 1)
 		finalStatus[ref] = cluster.Poll("n0", ref).Status
@@ -105,7 +105,7 @@
 	}
 	time.Sleep(max(0, delay) + time.Millisecond)
 	requestedAt := time.Now()
-	var status string
+	var status jobs.Status
 	switch request {
 	case cancelRequest:
 		response := r.cluster.Cancel(node, spec.Ref)
@@ -140,7 +140,7 @@
 
 // checkAnswers checks that no answer takes back a final status that was received before the
 // request, that a job called done was complete, and that each final status is the last one.
-func checkAnswers(t *testing.T, seed uint64, ref string, answers []answer, finalStatus string) {
+func checkAnswers(t *testing.T, seed uint64, ref string, answers []answer, finalStatus jobs.Status) {
 	t.Helper()
 	for i, later := range answers {
 		for _, earlier := range answers[:i] {
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -47,7 +47,7 @@
 		addMachines(cluster, 9)
 		setSpareMachines(t, cluster, "n0", 4)
 		for i := range 12 {
-			spec := fake.JobSpec(jobRef(i+1), []string{jobs.Array, jobs.Gang, jobs.Array}[i%3], []int{1, 3, 30}[i%3], 1)
+			spec := fake.JobSpec(jobRef(i+1), []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[i%3], []int{1, 3, 30}[i%3], 1)
 			if i%4 == 0 && spec.Tasks < 4 {
 				spec.Team = "capped"
 			}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -59,7 +59,7 @@
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-3", jobs.Array, 3, 1), 100*time.Second)
 		for _, c := range []struct {
 			code   int
-			status string
+			status jobs.Status
 			spec   jobs.Spec
 		}{
 			{http.StatusUnprocessableEntity, "", dependentJob("wk-10", 1, "wk-99")},
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -72,7 +72,7 @@
 func TestTaskCompletionsAcrossOwnerCrash(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		kind          string
+		kind          jobs.Kind
 		tasks         int
 		losesMachines bool
 	}{
@@ -89,7 +89,7 @@
 	}
 }
 
-func completeAcrossOwnerCrash(t *testing.T, cluster *fake.Cluster, kind string, tasks int, losesMachines bool) {
+func completeAcrossOwnerCrash(t *testing.T, cluster *fake.Cluster, kind jobs.Kind, tasks int, losesMachines bool) {
 	const jobCount = 6
 	addMachines(cluster, 9)
 	for i := range jobCount {
--- a/internal/controller/localstate.go
+++ b/internal/controller/localstate.go
@@ -22,7 +22,7 @@
 	IsFaulty     bool  // it fails on several machines where other jobs succeed
 	DoneTasks    int
 	ActiveTasks  int
-	FinalStatus  string // empty as long as the job is unfinished
+	FinalStatus  jobs.Status // empty as long as the job is unfinished
 }
 
 // LocalState returns what is known of jobs; ok is false if the controller has ended. It holds
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -47,7 +47,7 @@
 // The jobs of a team with a quota used to run in one shard. Its machines were full, those of the
 // other shards idle, and as long as these existed the cloud had no more to offer: the job waited.
 func TestQuotaLimitedJobGetsIdleMachinesOfOtherShards(t *testing.T) {
-	for _, kind := range []string{jobs.Gang, jobs.Array} {
+	for _, kind := range []jobs.Kind{jobs.Gang, jobs.Array} {
 		runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 			addMachinesPerController(cluster, 1)
 			time.Sleep(5 * time.Second)
@@ -165,7 +165,7 @@
 }
 
 // quotaJob returns a job of the team with a quota of 4 CPUs.
-func quotaJob(ref, kind string, tasks int) jobs.Spec {
+func quotaJob(ref string, kind jobs.Kind, tasks int) jobs.Spec {
 	spec := fake.JobSpec(ref, kind, tasks, 1)
 	spec.Team = "capped"
 	return spec
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -177,4 +177,4 @@
 }
 
 // arrayOrGang returns the kinds array and gang by turns.
-func arrayOrGang(i int) string { return []string{jobs.Array, jobs.Gang}[i%2] }
+func arrayOrGang(i int) jobs.Kind { return []jobs.Kind{jobs.Array, jobs.Gang}[i%2] }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -210,7 +210,7 @@
 // zoneCase is a case of TestZoneConstrainedJobsLoseMachines.
 type zoneCase struct {
 	name    string
-	kind    string
+	kind    jobs.Kind
 	oneZone bool
 	spread  bool
 	isFull  bool // the zone is full of other tasks instead of empty
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,7 +14,7 @@
 type Response struct {
 	Code        int
 	Ref         string
-	Status      string
+	Status      jobs.Status
 	DoneTasks   int
 	ActiveTasks int
 	Error       string
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -144,7 +144,7 @@
 		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 2, 1), 60*time.Second)
 		time.Sleep(6 * time.Second)
 		requireCancelled(t, cluster, "n0", "wk-3")
-		for ref, status := range map[string]string{"wk-1": "running", "wk-2": "done", "wk-3": "aborted"} {
+		for ref, status := range map[string]jobs.Status{"wk-1": "running", "wk-2": "done", "wk-3": "aborted"} {
 			checkRepeatedSubmissions(t, cluster, ref, status)
 		}
 		if response := cluster.Poll("n1", "wk-1"); response.ActiveTasks != 2 {
@@ -166,7 +166,7 @@
 
 // checkRepeatedSubmissions checks that a repeated submission is answered with the job's status at
 // each controller, whatever else it says.
-func checkRepeatedSubmissions(t *testing.T, cluster *fake.Cluster, ref, status string) {
+func checkRepeatedSubmissions(t *testing.T, cluster *fake.Cluster, ref string, status jobs.Status) {
 	t.Helper()
 	for _, body := range []string{
 		submissionBody(ref),
@@ -179,7 +179,7 @@
 		fmt.Sprintf(`{"ref":%q}`, ref),
 	} {
 		for _, node := range controllerNames {
-			checkPost(t, cluster, node, "/submissions", body, http.StatusOK, `"status":"`+status+`"`)
+			checkPost(t, cluster, node, "/submissions", body, http.StatusOK, `"status":"`+string(status)+`"`)
 		}
 	}
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -152,8 +152,8 @@
 type acceptance struct {
 	record       jobs.JobRecord
 	txn          kvstore.Txn
-	status       string // of the job when it is accepted
-	claimedTasks int    // that the transaction also claims for a shard of this controller
+	status       jobs.Status // of the job when it is accepted
+	claimedTasks int         // that the transaction also claims for a shard of this controller
 }
 
 // acceptJob stores a valid new job and answers its submission.
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -71,8 +71,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		cluster.Store.DelayWatch("n2", 300*time.Millisecond) // where the jobs are cancelled
-		answered := map[string]string{}
-		counts := map[string]int{}
+		answered := map[string]jobs.Status{}
+		counts := map[jobs.Status]int{}
 		time.Sleep(2500 * time.Millisecond)
 		for i := range jobCount {
 			response := cluster.Cancel("n2", tinyJob(i).Ref)
@@ -121,7 +121,7 @@
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
-				run := &tinyJobRun{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 7)), answered: map[string]string{}}
+				run := &tinyJobRun{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 7)), answered: map[string]jobs.Status{}}
 				run.run(t)
 			})
 		})
@@ -129,16 +129,16 @@
 }
 
 // acceptedStatus is the status of an accepted job without a final state in tinyJobRun.answered.
-const acceptedStatus = "accepted"
+const acceptedStatus jobs.Status = "accepted"
 
 // tinyJobRun is a random run of requests and faults.
 type tinyJobRun struct {
 	cluster  *fake.Cluster
 	rnd      *rand.Rand
 	refs     []string
-	answered map[string]string // the last answer that can't change any more, or acceptedStatus
-	crashed  string            // the controller that is down, empty if none is
-	refused  string            // the controller that the store refuses, empty if none is
+	answered map[string]jobs.Status // the last answer that can't change any more, or acceptedStatus
+	crashed  string                 // the controller that is down, empty if none is
+	refused  string                 // the controller that the store refuses, empty if none is
 }
 
 func (r *tinyJobRun) run(t *testing.T) {
@@ -257,7 +257,7 @@
 // checkFinalStates checks that all controllers answer a final state for each accepted job.
 func (r *tinyJobRun) checkFinalStates(t *testing.T) {
 	t.Helper()
-	counts := map[string]int{}
+	counts := map[jobs.Status]int{}
 	for _, ref := range r.refs {
 		if r.answered[ref] == "" {
 			continue
--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func isFinal(status string) bool { return status == jobs.Done || status == jobs.Cancelled }
+func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
 // checkTasksRan checks that all tasks of a done job ran; of a gang one, since the first task that is
 // done ends a gang of the fake cluster.
--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -168,7 +168,7 @@
 	first := len(r.refs)
 	runTime := time.Duration(1500+r.rnd.IntN(3000)) * time.Millisecond
 	for range 1 + r.rnd.IntN(4) {
-		r.submit(anyOf(r.rnd, running), anyOf(r.rnd, []string{jobs.Array, jobs.Gang}), 1+r.rnd.IntN(6), 1, runTime)
+		r.submit(anyOf(r.rnd, running), anyOf(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 1+r.rnd.IntN(6), 1, runTime)
 	}
 	for _, ref := range r.refs[first:] {
 		for i := 0; i < 200 && !r.IsComplete(ref); i++ {
@@ -240,7 +240,7 @@
 // heartbeats.
 func (r *FaultRun) outageDuringCancellation(refused string) {
 	// Something has to run when the cancellations have to be finished.
-	r.submit(refused, anyOf(r.rnd, []string{jobs.Array, jobs.Gang}), 12, 1, 2*r.cancelTimeout())
+	r.submit(refused, anyOf(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 12, 1, 2*r.cancelTimeout())
 	time.Sleep(time.Duration(4000+r.rnd.IntN(4000)) * time.Millisecond)
 	r.Store.RefuseNode(refused, true)
 	if r.rnd.IntN(3) == 0 {
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -14,6 +14,7 @@
 
 	"cherrywall/internal/config"
 	"cherrywall/internal/fake"
+	"cherrywall/internal/jobs"
 )
 
 var (
@@ -77,7 +78,7 @@
 	taskCounts      map[string]int
 	isGang          map[string]bool
 	// lastStatus is the last final status that a user was told, or statusAccepted.
-	lastStatus        map[string]string
+	lastStatus        map[string]jobs.Status
 	dependents        map[string][]string // jobs by a job that they depend on
 	cancelRequested   map[string]bool
 	cancelRequests    sync.WaitGroup       // that are not answered
@@ -102,7 +103,7 @@
 		rnd:               rand.New(rand.NewPCG(1, 1)),
 		taskCounts:        map[string]int{},
 		isGang:            map[string]bool{},
-		lastStatus:        map[string]string{},
+		lastStatus:        map[string]jobs.Status{},
 		dependents:        map[string][]string{},
 		cancelRequested:   map[string]bool{},
 		mustBeCancelledBy: map[string]time.Time{},
--- a/internal/fake/faultinjection/users.go
+++ b/internal/fake/faultinjection/users.go
@@ -12,10 +12,10 @@
 )
 
 // statusAccepted stands for all statuses of an accepted job that can still change.
-const statusAccepted = "accepted"
+const statusAccepted jobs.Status = "accepted"
 
 // submit submits a job, with random dependencies if there are to be some.
-func (r *FaultRun) submit(node, kind string, tasks int, cpu float64, runTime time.Duration) {
+func (r *FaultRun) submit(node string, kind jobs.Kind, tasks int, cpu float64, runTime time.Duration) {
 	spec := fake.JobSpec(fmt.Sprintf("wk-%d", len(r.refs)+1), kind, tasks, cpu)
 	spec.Spot = kind == jobs.Array
 	if len(r.refs)%3 == 0 && cpu*float64(tasks) <= 4 {
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -15,7 +15,7 @@
 )
 
 // JobSpec returns a submission with the usual values filled in.
-func JobSpec(ref, kind string, tasks int, cpu float64) jobs.Spec {
+func JobSpec(ref string, kind jobs.Kind, tasks int, cpu float64) jobs.Spec {
 	return jobs.Spec{Ref: ref, Class: "c", Team: "ops", Kind: kind, Urgency: "normal", Tasks: tasks, CPU: cpu,
 		MemGB: cpu, Image: "img", ImageGB: 1, EstimatedRunSeconds: 5}
 }
@@ -83,7 +83,7 @@
 }
 
 // WaitForStatus polls until a job has a status, and returns false if it has not within limit.
-func (c *Cluster) WaitForStatus(node, ref, status string, limit time.Duration) bool {
+func (c *Cluster) WaitForStatus(node, ref string, status jobs.Status, limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		if c.Poll(node, ref).Status == status {
 			return true
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -98,7 +98,7 @@
 }
 
 // expectedStatus is how one of production's jobs is to end; empty: it does not.
-func expectedStatus(ref string) string {
+func expectedStatus(ref string) jobs.Status {
 	switch ref {
 	case "wk-604":
 		return jobs.Cancelled
@@ -330,7 +330,7 @@
 func runJobsBeforeUpgrade(t *testing.T, cluster *fake.Cluster) (checked int) {
 	t.Helper()
 	for i := range 40 {
-		spec := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []string{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
+		spec := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []jobs.Kind{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
 		spec.Spread = i%5 == 0
 		if response := cluster.Submit(fmt.Sprintf("n%d", i%3), spec, 3*time.Second); response.Code != 201 {
 			t.Fatalf("%+v", response)
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -21,10 +21,10 @@
 
 // jobStatus is a job in the protocol.
 type jobStatus struct {
-	Ref    string `json:"ref"`
-	Status string `json:"status"`
-	Done   int    `json:"done"`
-	Active int    `json:"running"`
+	Ref    string      `json:"ref"`
+	Status jobs.Status `json:"status"`
+	Done   int         `json:"done"`
+	Active int         `json:"running"`
 }
 
 func respond(w http.ResponseWriter, response controller.Response) {
--- a/internal/jobdag/jobdag.go
+++ b/internal/jobdag/jobdag.go
@@ -34,7 +34,7 @@
 }
 
 // FinalStateOf returns the final state for a job's recorded status.
-func FinalStateOf(status string) FinalState {
+func FinalStateOf(status jobs.Status) FinalState {
 	switch status {
 	case jobs.Done:
 		return Done
--- a/internal/jobs/final.go
+++ b/internal/jobs/final.go
@@ -5,21 +5,24 @@
 	"fmt"
 )
 
-// States of a job, as users see them.
+// Status is the state of a job, as users see it.
+type Status string
+
+// The states of a job, by their names in the protocol.
 const (
 	// Queued is the state of a job without started tasks.
-	Queued = "queued"
+	Queued Status = "queued"
 	// Running is the state of a job with started tasks.
-	Running = "running"
+	Running Status = "running"
 	// Done is the final state of a job of which all tasks are done.
-	Done = "done"
+	Done Status = "done"
 	// Cancelled is the final state of a cancelled job.
-	Cancelled = "aborted"
+	Cancelled Status = "aborted"
 )
 
 // FinalState is how a job ended.
 type FinalState struct {
-	Status string // Done or Cancelled
+	Status Status // Done or Cancelled
 	Tasks  int    // the number of tasks done; 0 in records of early versions, which lack it
 }
 
@@ -29,7 +32,9 @@
 }
 
 // MarshalJSON encodes the record.
-func (f FinalState) MarshalJSON() ([]byte, error) { return json.Marshal(finalStateJSON(f)) }
+func (f FinalState) MarshalJSON() ([]byte, error) {
+	return json.Marshal(finalStateJSON{string(f.Status), f.Tasks})
+}
 
 // UnmarshalJSON decodes the record, also in the form of early versions: the status alone.
 func (f *FinalState) UnmarshalJSON(raw []byte) error {
@@ -40,7 +45,7 @@
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return fmt.Errorf("final state: %w", err)
 	}
-	*f = FinalState(decoded)
+	*f = FinalState{Status(decoded.Status), decoded.Tasks}
 	return nil
 }
 
--- a/internal/jobs/parse.go
+++ b/internal/jobs/parse.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math"
+	"reflect"
 	"regexp"
 	"slices"
 )
@@ -65,6 +66,18 @@
 	return &spec, nil
 }
 
+// DescribeDecodeError returns an error of the decoding of a Spec or a JobRecord in which the type of
+// a job's kind is called what it is in JSON: a string. Operators read these errors.
+func DescribeDecodeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	if !errors.As(err, &typeError) || typeError.Type != reflect.TypeFor[Kind]() {
+		return err
+	}
+	described := *typeError
+	described.Type = reflect.TypeFor[string]()
+	return &described
+}
+
 // knownFields returns the fields of a submission whose names match exactly. encoding/json alone
 // would also take names that differ in case.
 func knownFields(body []byte) (map[string]json.RawMessage, error) {
@@ -191,4 +204,4 @@
 	return nil
 }
 
-func isKind(kind string) bool { return kind == Array || kind == Gang || kind == Service }
+func isKind(kind Kind) bool { return kind == Array || kind == Gang || kind == Service }
--- a/internal/jobs/parse_test.go
+++ b/internal/jobs/parse_test.go
@@ -257,3 +257,15 @@
 	plain.Zone, plain.DeadlineSeconds = nil, nil
 	return []any{plain, zone, deadline}
 }
+
+// Operators read the errors of damaged records and of files that they submit.
+func TestDecodeErrorCallsKindAString(t *testing.T) {
+	var record JobRecord
+	err := DescribeDecodeError(json.Unmarshal([]byte(`{"shape":7}`), &record))
+	if want := "json: cannot unmarshal number into Go struct field JobRecord.Spec.shape of type string"; err == nil || err.Error() != want {
+		t.Errorf("error is %v, want %s", err, want)
+	}
+	if err := DescribeDecodeError(json.Unmarshal([]byte(`{"shape":"group"}`), &record)); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -6,14 +6,17 @@
 	"cherrywall/internal/capacity"
 )
 
-// Kinds of jobs, as the protocol names them.
+// Kind says how the tasks of a job belong together.
+type Kind string
+
+// The kinds of jobs, by their names in the protocol.
 const (
 	// Array is a job of independent tasks.
-	Array = "sweep"
+	Array Kind = "sweep"
 	// Gang is a job of which all tasks run at the same time or none.
-	Gang = "group"
+	Gang Kind = "group"
 	// Service is a job whose tasks run until the job is cancelled.
-	Service = "daemon"
+	Service Kind = "daemon"
 )
 
 // MaxTasks is the protocol's bound on the tasks of a job.
@@ -40,7 +43,7 @@
 	Ref          string   `json:"ref"`
 	Class        string   `json:"lot"`
 	Team         string   `json:"crew"`
-	Kind         string   `json:"shape"`
+	Kind         Kind     `json:"shape"`
 	Urgency      string   `json:"urgency"`
 	Tasks        int      `json:"shifts"`
 	CPU          float64  `json:"vcpus"`  // of each task
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -8,7 +8,7 @@
 
 // jobKinds are the kinds of jobs by their names in files. Services are not among them: they never
 // end.
-var jobKinds = map[string]string{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang}
+var jobKinds = map[string]jobs.Kind{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang}
 
 // compileSpec makes the spec that is submitted, and checks it against the limits of its class and
 // the cluster.
--- a/internal/pipeline/compress.go
+++ b/internal/pipeline/compress.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 
+	"cherrywall/internal/jobs"
 	"cherrywall/internal/tuning"
 )
 
@@ -42,7 +43,7 @@
 	}
 	var plan Plan
 	if err := json.Unmarshal(raw, &plan); err != nil {
-		return nil, fmt.Errorf("plan: %w", err)
+		return nil, fmt.Errorf("plan: %w", jobs.DescribeDecodeError(err))
 	}
 	return &plan, nil
 }
--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -109,7 +109,7 @@
 func (c *Cache) applyJob(ref string, value json.RawMessage, revision uint64) error {
 	var record jobs.JobRecord
 	if err := json.Unmarshal(value, &record); err != nil {
-		return err
+		return jobs.DescribeDecodeError(err)
 	}
 	if err := record.Validate(); err != nil {
 		return err
