--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -130,7 +130,7 @@
 
 // UpdateStatus notes a task's status as reported by its worker. It reports whether that was known
 // already.
-func (s *State) UpdateStatus(assignment *Assignment, workerStatus string, now time.Time) (unchanged bool) {
+func (s *State) UpdateStatus(assignment *Assignment, workerStatus workerapi.TaskState, now time.Time) (unchanged bool) {
 	status := entity.MutableStatus(assignment)
 	unchanged = status.Reported && status.WorkerStatus == workerStatus
 	if workerStatus == workerapi.StatusRunning && status.WorkerStatus != workerapi.StatusRunning {
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -27,13 +27,13 @@
 
 // AssignmentStatus is how far a task on a machine is.
 type AssignmentStatus struct {
-	StartSent    bool      // a start command was sent
-	Reported     bool      // the worker has reported the task
-	WorkerStatus string    // as last reported
-	RunningSince time.Time // as far as known
-	Stopping     bool      // the task is to be stopped
-	GraceS       float64   // seconds that it has to stop
-	StopSent     bool      // a stop command was sent
+	StartSent    bool                // a start command was sent
+	Reported     bool                // the worker has reported the task
+	WorkerStatus workerapi.TaskState // as last reported
+	RunningSince time.Time           // as far as known
+	Stopping     bool                // the task is to be stopped
+	GraceS       float64             // seconds that it has to stop
+	StopSent     bool                // a stop command was sent
 }
 
 // IsPlanned reports whether the task is on the machine by plan only.
--- a/internal/diagnostics/workers.go
+++ b/internal/diagnostics/workers.go
@@ -6,6 +6,7 @@
 
 	"cherrywall/internal/capacity"
 	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/workerapi"
 )
 
 type workerView struct {
@@ -23,10 +24,10 @@
 }
 
 type taskView struct {
-	Task     string `json:"task"`
-	Attempt  uint64 `json:"attempt"`
-	Status   string `json:"status"`
-	Stopping bool   `json:"stopping,omitempty"`
+	Task     string              `json:"task"`
+	Attempt  uint64              `json:"attempt"`
+	Status   workerapi.TaskState `json:"status"`
+	Stopping bool                `json:"stopping,omitempty"`
 }
 
 // workers lists all machines by host name.
--- a/internal/fake/workeragent/task.go
+++ b/internal/fake/workeragent/task.go
@@ -14,12 +14,12 @@
 type Task struct {
 	Name        string
 	Attempt     uint64
-	Status      string // as in heartbeats
+	Status      workerapi.TaskState // as in heartbeats
 	Spec        jobs.Spec
 	CommandedAt time.Time // when a controller commanded its start
 
-	cause  string    // of its end
-	endsAt time.Time // zero for a service and before the start
+	cause  workerapi.ExitCause // of its end
+	endsAt time.Time           // zero for a service and before the start
 
 	fetchTimer     *time.Timer // fires when the image is fetched; nil if no fetch is under way
 	imageReadyAt   time.Time   // when it fires
@@ -32,7 +32,7 @@
 // IsOnMachine reports whether a task has its image and has not ended.
 func (t *Task) IsOnMachine() bool { return !t.HasEnded() && t.Status != workerapi.StatusPulling }
 
-func (t *Task) end(cause string) {
+func (t *Task) end(cause workerapi.ExitCause) {
 	t.Status, t.cause = workerapi.StatusEnded, cause
 }
 
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -9,6 +9,7 @@
 
 	"cherrywall/internal/peer/wire"
 	"cherrywall/internal/tuning"
+	"cherrywall/internal/workerapi"
 )
 
 // ErrMalformedFrame is the error of a frame that no controller has written.
@@ -179,7 +180,7 @@
 	return TaskSnapshot{
 		Name:          string(task.Name()),
 		Attempt:       task.Attempt(),
-		Status:        string(task.Status()),
+		Status:        workerapi.TaskState(task.Status()),
 		StartSent:     flags&taskStartSent != 0,
 		Reported:      flags&taskReported != 0,
 		StopRequested: flags&taskStopRequested != 0,
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -124,7 +124,7 @@
 }
 
 func (e encoder) task(task TaskSnapshot) flatbuffers.UOffsetT {
-	name, status := e.CreateString(task.Name), e.CreateSharedString(task.Status)
+	name, status := e.CreateString(task.Name), e.CreateSharedString(string(task.Status))
 	wire.TaskStart(e.Builder)
 	wire.TaskAddName(e.Builder, name)
 	wire.TaskAddAttempt(e.Builder, task.Attempt)
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -1,6 +1,10 @@
 package peer
 
-import "time"
+import (
+	"time"
+
+	"cherrywall/internal/workerapi"
+)
 
 // TransferChunk is a part of what the owner of a shard knows of it, sent to the controller that
 // is to own the shard next.
@@ -29,11 +33,11 @@
 type TaskSnapshot struct {
 	Name          string
 	Attempt       uint64
-	Status        string // as last reported by the worker
-	StartSent     bool   // a start command was sent
-	Reported      bool   // a heartbeat of the worker has listed it
-	StopRequested bool   // to be stopped, with GraceSeconds to save its checkpoint
-	StopSent      bool   // a stop command was sent
+	Status        workerapi.TaskState // as last reported by the worker
+	StartSent     bool                // a start command was sent
+	Reported      bool                // a heartbeat of the worker has listed it
+	StopRequested bool                // to be stopped, with GraceSeconds to save its checkpoint
+	StopSent      bool                // a stop command was sent
 	GraceSeconds  float64
 	Foreign       bool          // not a task of the shard; it is only to be stopped
 	RunningFor    time.Duration // 0: not known to run
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -100,8 +100,8 @@
 	*t = TaskStatus{
 		Task:           reader.text("shift"),
 		Attempt:        reader.unsigned("try"),
-		Status:         reader.knownText("status"),
-		Cause:          reader.knownText("cause"),
+		Status:         reader.taskState("status"),
+		Cause:          reader.exitCause("cause"),
 		CheckpointKept: reader.boolean("kept"),
 	}
 	if reader.err != nil {
@@ -185,10 +185,10 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// knownText reads a text that is nearly always one of the protocol's. These need no memory of their own.
-func (r *objectReader) knownText(name string) string {
+// taskState reads a state that is nearly always one of the protocol's. These need no memory of their own.
+func (r *objectReader) taskState(name string) TaskState {
 	text := r.bytes(name)
-	switch string(text) { // the compiler does not copy the bytes for the comparison
+	switch TaskState(text) { // the compiler does not copy the bytes for the comparison
 	case StatusPulling:
 		return StatusPulling
 	case StatusAwaitingGang:
@@ -199,10 +199,17 @@
 		return StatusCheckpointing
 	case StatusEnded:
 		return StatusEnded
-	case CauseDone:
+	}
+	return TaskState(text)
+}
+
+// exitCause reads a cause. The one of most ended tasks needs no memory of its own.
+func (r *objectReader) exitCause(name string) ExitCause {
+	text := r.bytes(name)
+	if ExitCause(text) == CauseDone { // the compiler does not copy the bytes for the comparison
 		return CauseDone
 	}
-	return string(text)
+	return ExitCause(text)
 }
 
 // seconds reads a finite number; nil if there is none.
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -2,32 +2,38 @@
 // controllers send to workers. The names in the JSON form are those of the protocol.
 package workerapi
 
-// The states of a task on a worker, in TaskStatus.Status.
+// TaskState is the state of a task on a worker.
+type TaskState string
+
+// The states of a task, by their names in the protocol.
 const (
-	StatusPulling       = "pulling"   // it waits for its image
-	StatusAwaitingGang  = "gathering" // it waits for the other tasks of its gang attempt
-	StatusRunning       = "running"
-	StatusCheckpointing = "saving" // it was told to stop and saves a checkpoint
-	StatusEnded         = "ended"
+	StatusPulling       TaskState = "pulling"   // it waits for its image
+	StatusAwaitingGang  TaskState = "gathering" // it waits for the other tasks of its gang attempt
+	StatusRunning       TaskState = "running"
+	StatusCheckpointing TaskState = "saving" // it was told to stop and saves a checkpoint
+	StatusEnded         TaskState = "ended"
 )
 
-// The reasons why a task ended, in TaskStatus.Cause.
+// ExitCause is the reason why a task ended.
+type ExitCause string
+
+// The causes, by their names in the protocol.
 const (
-	CauseDone    = "done"    // completed
-	CauseStopped = "stopped" // by a command
-	CauseError   = "error"   // it failed
-	CauseFull    = "full"    // start refused: the worker has no resources for it
-	CauseBusy    = "busy"    // start refused: another attempt of it is on the worker
-	CauseNoSuch  = "no_such" // start refused: there is no such job or task, or it is not submitted
+	CauseDone    ExitCause = "done"    // completed
+	CauseStopped ExitCause = "stopped" // by a command
+	CauseError   ExitCause = "error"   // it failed
+	CauseFull    ExitCause = "full"    // start refused: the worker has no resources for it
+	CauseBusy    ExitCause = "busy"    // start refused: another attempt of it is on the worker
+	CauseNoSuch  ExitCause = "no_such" // start refused: there is no such job or task, or it is not submitted
 )
 
 // TaskStatus is the state of one task in a heartbeat.
 type TaskStatus struct {
-	Task           string `json:"shift"`
-	Attempt        uint64 `json:"try"`
-	Status         string `json:"status"`
-	Cause          string `json:"cause"` // with StatusEnded
-	CheckpointKept bool   `json:"kept"`  // with CauseStopped: a checkpoint was saved
+	Task           string    `json:"shift"`
+	Attempt        uint64    `json:"try"`
+	Status         TaskState `json:"status"`
+	Cause          ExitCause `json:"cause"` // with StatusEnded
+	CheckpointKept bool      `json:"kept"`  // with CauseStopped: a checkpoint was saved
 }
 
 // Heartbeat is what a worker reports of itself.
