--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -37,7 +37,7 @@
 // Store is the part of the key-value store that the autoscaler uses for its lease.
 type Store interface {
 	Commit(ctx context.Context, p kvstore.Priority, t kvstore.Txn) (kvstore.TxnResult, error)
-	Get(ctx context.Context, p kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error)
+	Get(ctx context.Context, p kvstore.Priority, key string) (kvstore.GetResult, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	KeepAlive(ctx context.Context, leaseID uint64) error
 }
--- a/internal/autoscaler/lease.go
+++ b/internal/autoscaler/lease.go
@@ -49,7 +49,7 @@
 // controller has one. Pending machines and the machine list are learned anew.
 func (a *Autoscaler) acquireLease(ctx context.Context) bool {
 	now := time.Now()
-	if _, found, _, err := a.store.Get(ctx, kvstore.Background, ownerKey); err != nil || found {
+	if owner, err := a.store.Get(ctx, kvstore.Background, ownerKey); err != nil || owner.Found {
 		return false
 	}
 	leaseID, err := a.store.GrantLease(ctx, tuning.AutoscalerLeaseTTL)
--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -39,18 +39,18 @@
 	}
 	candidates := map[string]bool{}
 	for id, set := range groupChunks(rows) {
-		record, _, _, err := s.Service.Get(ctx, kvstore.Background, set.recordKey)
+		record, err := s.Service.Get(ctx, kvstore.Background, set.recordKey)
 		if err != nil {
 			return err
 		}
-		if ref := chunkRefOf(record.Value); ref != nil && ref.ID == id {
+		if ref := chunkRefOf(record.Row.Value); ref != nil && ref.ID == id {
 			continue
 		}
 		if !s.orphanCandidates[id] {
 			candidates[id] = true
 			continue
 		}
-		if err := s.deleteChunks(ctx, set, record.Revision); err != nil {
+		if err := s.deleteChunks(ctx, set, record.Row.Revision); err != nil {
 			return err
 		}
 	}
--- a/internal/chunkedstore/garbage_test.go
+++ b/internal/chunkedstore/garbage_test.go
@@ -36,9 +36,9 @@
 	return kvstore.TxnResult{Succeeded: true, Revision: m.revision}, nil
 }
 
-func (m *memoryService) Get(_ context.Context, _ kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error) {
+func (m *memoryService) Get(_ context.Context, _ kvstore.Priority, key string) (kvstore.GetResult, error) {
 	row, found := m.rows[key]
-	return row, found, m.revision, nil
+	return kvstore.GetResult{Row: row, Found: found, StoreRevision: m.revision}, nil
 }
 
 func (m *memoryService) List(_ context.Context, prefix string) ([]kvstore.KeyValue, uint64, error) {
@@ -95,9 +95,9 @@
 	}
 	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // has nothing in its cache
 	for _, s := range []*Store{store, reader} {
-		row, found, _, err := s.Get(t.Context(), kvstore.Normal, recordKey)
-		if err != nil || !found || string(row.Value) != string(value) {
-			t.Errorf("%s, found %v, %v", row.Value, found, err)
+		record, err := s.Get(t.Context(), kvstore.Normal, recordKey)
+		if err != nil || !record.Found || string(record.Row.Value) != string(value) {
+			t.Errorf("%s, found %v, %v", record.Row.Value, record.Found, err)
 		}
 		rows, _, err := s.List(t.Context(), jobs.JobPrefix)
 		if err != nil || len(rows) != 1 || string(rows[0].Value) != string(value) {
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -19,13 +19,13 @@
 type chunkValues map[string]json.RawMessage
 
 // Get reads a key: see kvstore.Service.
-func (s *Store) Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error) {
-	row, found, revision, err := s.Service.Get(ctx, priority, key)
-	if err != nil || !found {
-		return row, found, revision, err
+func (s *Store) Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.GetResult, error) {
+	result, err := s.Service.Get(ctx, priority, key)
+	if err != nil || !result.Found {
+		return result, err
 	}
-	row, found, err = s.assembleRecord(ctx, priority, row, nil)
-	return row, found, revision, err
+	result.Row, result.Found, err = s.assembleRecord(ctx, priority, result.Row, nil)
+	return result, err
 }
 
 // List reads all keys with a prefix: see kvstore.Service. Records that are deleted while their
@@ -119,10 +119,11 @@
 		if !errors.Is(err, errChunkMissing) {
 			return kvstore.KeyValue{}, false, err
 		}
-		row, found, _, err = s.Service.Get(ctx, priority, row.Key)
-		if err != nil || !found {
+		current, err := s.Service.Get(ctx, priority, row.Key)
+		if err != nil || !current.Found {
 			return kvstore.KeyValue{}, false, err
 		}
+		row = current.Row
 	}
 	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s changes too often", kvstore.ErrUnavailable, row.Key)
 }
@@ -147,14 +148,14 @@
 func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, known chunkValues) ([]byte, error) {
 	raw, ok := known[key]
 	if !ok {
-		row, found, _, err := s.Service.Get(ctx, priority, key)
+		chunk, err := s.Service.Get(ctx, priority, key)
 		if err != nil {
 			return nil, err
 		}
-		if !found {
+		if !chunk.Found {
 			return nil, errChunkMissing
 		}
-		raw = row.Value
+		raw = chunk.Row.Value
 	}
 	var chunk []byte
 	if err := json.Unmarshal(raw, &chunk); err != nil {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -30,8 +30,8 @@
 func (unavailableStore) Commit(context.Context, kvstore.Priority, kvstore.Txn) (kvstore.TxnResult, error) {
 	return kvstore.TxnResult{}, kvstore.ErrUnavailable
 }
-func (unavailableStore) Get(context.Context, kvstore.Priority, string) (kvstore.KeyValue, bool, uint64, error) {
-	return kvstore.KeyValue{}, false, 0, nil
+func (unavailableStore) Get(context.Context, kvstore.Priority, string) (kvstore.GetResult, error) {
+	return kvstore.GetResult{}, nil
 }
 func (unavailableStore) List(context.Context, string) ([]kvstore.KeyValue, uint64, error) {
 	return nil, 0, kvstore.ErrUnavailable
--- a/internal/fake/harness/store.go
+++ b/internal/fake/harness/store.go
@@ -44,8 +44,8 @@
 }
 
 // Get finds no record.
-func (*Store) Get(context.Context, kvstore.Priority, string) (kvstore.KeyValue, bool, uint64, error) {
-	return kvstore.KeyValue{}, false, 0, nil
+func (*Store) Get(context.Context, kvstore.Priority, string) (kvstore.GetResult, error) {
+	return kvstore.GetResult{}, nil
 }
 
 // List returns kvstore.ErrUnavailable.
--- a/internal/fake/memstore/conn.go
+++ b/internal/fake/memstore/conn.go
@@ -147,23 +147,24 @@
 }
 
 // Get reads a key. The revision is that of the store, and returned only if the key does not exist.
-func (c *Conn) Get(ctx context.Context, _ kvstore.Priority, key string) (pair kvstore.KeyValue, found bool, revision uint64, err error) {
+func (c *Conn) Get(ctx context.Context, _ kvstore.Priority, key string) (kvstore.GetResult, error) {
 	if err := c.begin(ctx); err != nil {
-		return kvstore.KeyValue{}, false, 0, err
+		return kvstore.GetResult{}, err
 	}
 	c.store.mu.Lock()
 	record, found := c.store.records[key]
-	revision, delay := c.store.revision, c.store.faults.readDelays[c.node]
+	storeRevision, delay := c.store.revision, c.store.faults.readDelays[c.node]
 	c.store.mu.Unlock()
 	// A timer of zero duration in a synctest bubble now and then ended a race run with a fault in
 	// the Go runtime, so there is no pause without a delay.
 	if delay > 0 && kvstore.Pause(ctx, delay) != nil {
-		return kvstore.KeyValue{}, false, 0, kvstore.ErrOutcomeUnknown
+		return kvstore.GetResult{}, kvstore.ErrOutcomeUnknown
 	}
 	if !found {
-		return kvstore.KeyValue{}, false, revision, nil
+		return kvstore.GetResult{StoreRevision: storeRevision}, nil
 	}
-	return kvstore.KeyValue{Key: key, Value: record.value, Revision: record.revision}, true, 0, nil
+	row := kvstore.KeyValue{Key: key, Value: record.value, Revision: record.revision}
+	return kvstore.GetResult{Row: row, Found: true}, nil
 }
 
 // List reads the records with a prefix, sorted by key, and returns the store's revision.
--- a/internal/fake/memstore/http.go
+++ b/internal/fake/memstore/http.go
@@ -67,14 +67,14 @@
 type handler struct{ conn *Conn }
 
 func (h handler) get(rw http.ResponseWriter, r *http.Request) {
-	pair, found, revision, err := h.conn.Get(r.Context(), kvstore.Normal, r.PathValue("key"))
+	result, err := h.conn.Get(r.Context(), kvstore.Normal, r.PathValue("key"))
 	switch {
 	case err != nil:
 		writeError(rw, err)
-	case !found:
-		httpjson.Write(rw, http.StatusNotFound, revisionAnswer{revision})
+	case !result.Found:
+		httpjson.Write(rw, http.StatusNotFound, revisionAnswer{result.StoreRevision})
 	default:
-		httpjson.Write(rw, http.StatusOK, pair)
+		httpjson.Write(rw, http.StatusOK, result.Row)
 	}
 }
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -79,11 +79,11 @@
 }
 
 // Get reads a key: see Service.
-func (c *Client) Get(ctx context.Context, priority Priority, key string) (row KeyValue, found bool, revision uint64, err error) {
+func (c *Client) Get(ctx context.Context, priority Priority, key string) (GetResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
 	if err := c.budget.await(ctx, priority, 0); err != nil {
-		return KeyValue{}, false, 0, err
+		return GetResult{}, err
 	}
 	var response struct {
 		KeyValue
@@ -91,9 +91,9 @@
 	}
 	status, err := c.callWithRetry(ctx, http.MethodGet, "/kv/"+key, nil, &response)
 	if err != nil {
-		return KeyValue{}, false, 0, err
+		return GetResult{}, err
 	}
-	return response.KeyValue, status == http.StatusOK, response.StoreRevision, nil
+	return GetResult{Row: response.KeyValue, Found: status == http.StatusOK, StoreRevision: response.StoreRevision}, nil
 }
 
 // List reads all keys with a prefix, page by page: see Service. The revision is that of the
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -12,9 +12,8 @@
 	// Commit executes a transaction. It returns an error only if the transaction was not
 	// decided; failed conditions are reported by the result.
 	Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error)
-	// Get reads one key; found is false if it does not exist. The store's revision is returned
-	// in that case only.
-	Get(ctx context.Context, priority Priority, key string) (row KeyValue, found bool, revision uint64, err error)
+	// Get reads one key.
+	Get(ctx context.Context, priority Priority, key string) (GetResult, error)
 	// List reads all keys with a prefix, and the revision as of which the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
 	// Watch waits for changes of keys with a prefix that are later than the given revision. It
@@ -84,6 +83,15 @@
 	LeaseID  uint64          `json:"permit"`
 }
 
+// GetResult is the result of the read of one key.
+type GetResult struct {
+	Row   KeyValue
+	Found bool // whether the key exists
+	// StoreRevision is the store's revision at the time of the read. It is set only if the key does
+	// not exist.
+	StoreRevision uint64
+}
+
 // Event is one change seen by a watch: a put (Key) or a deletion (DeletedKey).
 type Event struct {
 	Key        string          `json:"write"`
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -121,7 +121,7 @@
 		c.create("n0", "run-2", diamond)
 		leading := c.leadingController("run-2")
 		other := nextController[leading]
-		row, _, _, err := c.Nodes[other].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
+		record, err := c.Nodes[other].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,7 +129,7 @@
 			spec := parsePlan(t, diamond).Jobs[3].Spec
 			spec.Ref = ref
 			reply := make(chan controller.Response, 1)
-			c.Nodes[other].Controller.SubmitIf(&spec, kvstore.Condition{Key: row.Key, Revision: row.Revision}, reply)
+			c.Nodes[other].Controller.SubmitIf(&spec, kvstore.Condition{Key: record.Row.Key, Revision: record.Row.Revision}, reply)
 			return (<-reply).Code
 		}
 		if code := submit("pl-1"); code != 201 {
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -22,7 +22,7 @@
 // Store is what the leader needs of the key-value store.
 type Store interface {
 	Commit(ctx context.Context, priority kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error)
-	Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.KeyValue, bool, uint64, error)
+	Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.GetResult, error)
 	List(ctx context.Context, prefix string) ([]kvstore.KeyValue, uint64, error)
 }
 
--- a/internal/pipelinerun/plan.go
+++ b/internal/pipelinerun/plan.go
@@ -94,15 +94,15 @@
 func (l *Leader) readPlanChunks(record runRecord, priority kvstore.Priority) ([]byte, error) {
 	compressed := bytes.Clone(record.Plan)
 	for number := range record.PlanChunks {
-		row, found, _, err := l.store.Get(l.mailbox.Context(), priority, planKey(record.PlanChunksID, number))
+		result, err := l.store.Get(l.mailbox.Context(), priority, planKey(record.PlanChunksID, number))
 		if err != nil {
 			return nil, err
 		}
-		if !found {
+		if !result.Found {
 			return nil, errPlanChunkMissing
 		}
 		var chunk []byte
-		if err := json.Unmarshal(row.Value, &chunk); err != nil {
+		if err := json.Unmarshal(result.Row.Value, &chunk); err != nil {
 			return nil, err
 		}
 		compressed = append(compressed, chunk...)
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -110,19 +110,19 @@
 	}
 	go func() {
 		ctx := l.mailbox.Context()
-		row, finished, _, err := l.store.Get(ctx, kvstore.Normal, finalKey(id))
-		found := finished
+		record, err := l.store.Get(ctx, kvstore.Normal, finalKey(id))
+		finished := record.Found
 		if err == nil && !finished {
-			row, found, _, err = l.store.Get(ctx, kvstore.Normal, runKey(id))
+			record, err = l.store.Get(ctx, kvstore.Normal, runKey(id))
 		}
 		l.mailbox.Send(func() {
 			switch {
 			case err != nil || !l.synced:
 				done(retryLater("state service"), "")
-			case !found:
+			case !record.Found:
 				l.replyNotFound(id, done)
 			default:
-				l.replyRecord(id, row, finished, done)
+				l.replyRecord(id, record.Row, finished, done)
 			}
 		})
 	}()
--- a/internal/statecache/finals.go
+++ b/internal/statecache/finals.go
@@ -22,15 +22,15 @@
 // false if the job has none.
 func (c *Cache) LookUpFinal(ref string, done func(final jobs.FinalState, found bool, err error)) {
 	go func() {
-		row, found, _, err := c.store.Get(c.mailbox.Context(), kvstore.Normal, jobs.FinalKey(ref))
+		record, err := c.store.Get(c.mailbox.Context(), kvstore.Normal, jobs.FinalKey(ref))
 		c.mailbox.Send(func() {
 			var final jobs.FinalState
-			if err == nil && found {
-				if err = json.Unmarshal(row.Value, &final); err == nil {
+			if err == nil && record.Found {
+				if err = json.Unmarshal(record.Row.Value, &final); err == nil {
 					c.applyFinal(ref, final)
 				}
 			}
-			done(final, found, err)
+			done(final, record.Found, err)
 		})
 	}()
 }
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -49,7 +49,7 @@
 // shard any more.
 func (c *Cache) writeLivenessRecord(ctx context.Context) (leaseID uint64, err error) {
 	key := c.livenessKey()
-	row, _, _, err := c.store.Get(ctx, kvstore.Urgent, key) // revision 0 if it does not exist
+	record, err := c.store.Get(ctx, kvstore.Urgent, key) // its revision is 0 if it does not exist
 	if err != nil {
 		return 0, err
 	}
@@ -58,7 +58,7 @@
 		return 0, err
 	}
 	result, err := c.store.Commit(ctx, kvstore.Urgent, kvstore.Txn{
-		Conditions: []kvstore.Condition{{Key: key, Revision: row.Revision}},
+		Conditions: []kvstore.Condition{{Key: key, Revision: record.Row.Revision}},
 		Writes:     []kvstore.Write{{Key: key, LeaseID: leaseID, Value: membership.EncodeLiveness(c.incarnation)}},
 	})
 	if err != nil {
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -183,10 +183,10 @@
 func (c *Cache) readRevision(startedAt time.Time) {
 	go func() {
 		// The key never exists; the response carries the revision.
-		_, _, revision, err := c.store.Get(c.mailbox.Context(), kvstore.Urgent, jobs.Prefix+"none")
+		result, err := c.store.Get(c.mailbox.Context(), kvstore.Urgent, jobs.Prefix+"none")
 		c.mailbox.Send(func() {
 			now := time.Now()
-			c.readBarrier.CompleteRead(now, readTimestamp(startedAt, now), revision, err)
+			c.readBarrier.CompleteRead(now, readTimestamp(startedAt, now), result.StoreRevision, err)
 			if err == nil {
 				c.lastContactAt = now
 				c.advanceReadBarrier(now)
