--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -25,21 +25,21 @@
 	return &jobs.ValidationError{Field: field, Reason: reason, Err: ErrUnsatisfiable}
 }
 
-// Check returns an error if a job could never run on the given machine types, whatever becomes
-// free. It wraps ErrUnsatisfiable and is a *jobs.ValidationError that names the field. known is
-// false if that cannot be decided because there are no machine types yet.
-func Check(spec *jobs.Spec, teamByName func(name string) (config.Team, bool), types map[string]cloud.MachineType) (known bool, err error) {
+// Check rejects a job that could never run on the given machine types, whatever becomes free. The
+// error wraps ErrUnsatisfiable and is a *jobs.ValidationError that names the field. A job is
+// undecided if there are no machine types yet.
+func Check(spec *jobs.Spec, teamByName func(name string) (config.Team, bool), types map[string]cloud.MachineType) Decision {
 	team, ok := teamByName(spec.Team)
 	if !ok {
-		return true, unsatisfiable("crew", "unknown team %q", spec.Team)
+		return Decide(unsatisfiable("crew", "unknown team %q", spec.Team))
 	}
 	if len(types) == 0 {
-		return false, nil
+		return Decision{Verdict: Undecided}
 	}
 	if err := checkPlacement(spec, types); err != nil {
-		return true, err
+		return Decide(err)
 	}
-	return true, checkQuota(spec, team)
+	return Decide(checkQuota(spec, team))
 }
 
 // checkPlacement returns an error if the tasks fit no machines that the job allows.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -45,12 +45,15 @@
 		t.Run(name, func(t *testing.T) {
 			spec := jobs.Spec{Team: "ops", Kind: jobs.Array, Tasks: 2, CPU: 7, MemGB: 8, MachineTypes: []string{"m16"}}
 			c.change(&spec)
-			known, err := Check(&spec, team, types)
+			decision := Check(&spec, team, types)
+			err := decision.Err
 			switch {
-			case !known:
-				t.Error("not known")
-			case c.field == "" && err != nil:
-				t.Error(err)
+			case decision.Verdict == Undecided:
+				t.Error("not decided")
+			case c.field == "" && (err != nil || decision.Verdict != Admitted):
+				t.Errorf("%v: %v", decision.Verdict, err)
+			case c.field != "" && decision.Verdict != Rejected:
+				t.Errorf("%v, want a rejection for %s", decision.Verdict, c.field)
 			case c.field != "" && (!errors.Is(err, ErrUnsatisfiable) || !strings.HasPrefix(err.Error(), c.field+":")):
 				t.Errorf("%v, want %s", err, c.field)
 			}
@@ -64,7 +67,7 @@
 
 func TestCheckWithoutMachineTypes(t *testing.T) {
 	team := func(name string) (config.Team, bool) { return config.Team{Name: name}, true }
-	if known, _ := Check(&jobs.Spec{Team: "ops"}, team, nil); known {
-		t.Error("decided without machine types")
+	if decision := Check(&jobs.Spec{Team: "ops"}, team, nil); decision.Verdict != Undecided {
+		t.Errorf("%v without machine types", decision.Verdict)
 	}
 }
--- a/internal/controller/export_test.go
+++ b/internal/controller/export_test.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cherrywall/internal/admission"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/statecache"
 )
@@ -22,6 +23,6 @@
 // never run. The returned function restores the original.
 func AcceptInvalidJobs() (restore func()) {
 	original := validateJob
-	validateJob = func(*Controller, *jobs.Spec) (bool, error) { return true, nil }
+	validateJob = func(*Controller, *jobs.Spec) admission.Decision { return admission.Decide(nil) }
 	return func() { validateJob = original }
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -67,16 +67,17 @@
 			c.resolveDependencies(sub)
 			return
 		}
-		isDecided, err := validateJob(c, sub.spec)
-		if !isDecided {
+		decision := validateJob(c, sub.spec)
+		switch decision.Verdict {
+		case admission.Undecided:
 			sub.reply <- unavailable("machine types, or the other controllers' versions, not known yet")
 			return
-		}
-		if err == nil {
+		case admission.Admitted:
 			c.acceptJob(sub)
 			return
+		case admission.Rejected:
+			sub.invalid = decision.Err
 		}
-		sub.invalid = err
 	}
 	c.answerSubmission(sub)
 }
@@ -106,17 +107,20 @@
 // validateJob is (*Controller).validate, except in tests of invariant checkers, which replace it.
 var validateJob = (*Controller).validate
 
-// validate returns an error if a job can never run here or exceeds the limits of its class.
-// isDecided is false as long as too little is known of machine types or peers to say.
-func (c *Controller) validate(spec *jobs.Spec) (isDecided bool, err error) {
+// validate rejects a job that can never run here or exceeds the limits of its class. A job is
+// undecided as long as too little is known of machine types or peers to say.
+func (c *Controller) validate(spec *jobs.Spec) admission.Decision {
 	if record := (jobs.JobRecord{Spec: *spec}); !c.claims.FitsStore(record) {
 		// Such a record is stored in chunks once all controllers can read them.
-		return c.gate.IsOpen(), errRecordTooLarge
+		if !c.gate.IsOpen() {
+			return admission.Decision{Verdict: admission.Undecided}
+		}
+		return admission.Decide(errRecordTooLarge)
 	}
-	if isDecided, err = admission.Check(spec, c.cfg.Team, c.machineTypes.All()); !isDecided || err != nil {
-		return isDecided, err
+	if decision := admission.Check(spec, c.cfg.Team, c.machineTypes.All()); decision.Verdict != admission.Admitted {
+		return decision
 	}
-	return true, c.checkClassLimit(spec)
+	return admission.Decide(c.checkClassLimit(spec))
 }
 
 // checkClassLimit returns an error if a job exceeds what the operators allow its class.
@@ -132,20 +136,16 @@
 	return nil
 }
 
-// Check returns an error if a job can never run here or exceeds the limits of its class.
-// isDecided is false as long as too little is known to say.
-func (c *Controller) Check(spec *jobs.Spec) (isDecided bool, err error) {
-	type answer struct {
-		isDecided bool
-		err       error
-	}
-	result, _ := actor.Ask(c.mailbox, func() (a answer) {
-		if c.cache.Synced() {
-			a.isDecided, a.err = c.validate(spec)
+// Check rejects a job that can never run here or exceeds the limits of its class. A job is
+// undecided as long as too little is known to say, and when the controller has ended.
+func (c *Controller) Check(spec *jobs.Spec) admission.Decision {
+	decision, _ := actor.Ask(c.mailbox, func() admission.Decision {
+		if !c.cache.Synced() {
+			return admission.Decision{Verdict: admission.Undecided}
 		}
-		return a
+		return c.validate(spec)
 	})
-	return result.isDecided, result.err
+	return decision
 }
 
 // acceptance is a job with the transaction that accepts it.
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -6,6 +6,7 @@
 	"net/http"
 
 	"cherrywall/internal/admin"
+	"cherrywall/internal/admission"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/pipeline"
 	"cherrywall/internal/pipelineexec"
@@ -17,9 +18,8 @@
 
 // JobValidator checks the jobs of a pipeline against the cluster.
 type JobValidator interface {
-	// Check returns what is wrong with a job. known is false while too little is known of the
-	// cluster to tell.
-	Check(spec *jobs.Spec) (known bool, err error)
+	// Check decides whether a job is admitted.
+	Check(spec *jobs.Spec) admission.Decision
 	// Settings returns the operators' settings, their version, and whether they have been read.
 	Settings() (settings admin.Settings, version uint64, synced bool)
 }
@@ -74,12 +74,11 @@
 		return limits, limited
 	}
 	check := func(spec *jobs.Spec) error {
-		jobKnown, err := h.validator.Check(spec)
-		if !jobKnown {
+		decision := h.validator.Check(spec)
+		if decision.Verdict == admission.Undecided {
 			known = false
-			return nil
 		}
-		return err
+		return decision.Err
 	}
 	plan, notices, err := pipeline.Parse(content, limitsOf, check)
 	var problems pipeline.Problems
