--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -2,22 +2,25 @@
 
 import "cherrywall/internal/tuning"
 
+// ObjectiveKind says what an objective measures. The configuration may also have other kinds.
+type ObjectiveKind string
+
 // Kinds of objectives that are about single jobs.
 const (
 	// ObjectiveStarted: a job's tasks have started within a time.
-	ObjectiveStarted = "wait"
+	ObjectiveStarted ObjectiveKind = "wait"
 	// ObjectiveFinished: a job is done within a time.
-	ObjectiveFinished = "finished"
+	ObjectiveFinished ObjectiveKind = "finished"
 	// ObjectiveDeadline: a job is done within a multiple of its own deadline.
-	ObjectiveDeadline = "deadline"
+	ObjectiveDeadline ObjectiveKind = "deadline"
 )
 
 // Objective is a service-level objective of the users.
 type Objective struct {
-	Kind          string  `toml:"kind"`
-	Class         string  `toml:"class"`
-	WithinSeconds float64 `toml:"within_s"`
-	Fraction      float64 `toml:"share"` // of the jobs that must meet it
+	Kind          ObjectiveKind `toml:"kind"`
+	Class         string        `toml:"class"`
+	WithinSeconds float64       `toml:"within_s"`
+	Fraction      float64       `toml:"share"` // of the jobs that must meet it
 	// DeadlineMultiple is for ObjectiveDeadline; 0 means 1.
 	DeadlineMultiple float64 `toml:"times"`
 }
--- a/internal/diagnostics/members.go
+++ b/internal/diagnostics/members.go
@@ -7,10 +7,23 @@
 	"cherrywall/internal/tuning"
 )
 
+// memberState is the state of a controller as this one sees it: one of those below, or
+// failuredetector.Suspected or Failed. The texts are output of the administration API and keep
+// their form.
+type memberState string
+
+const (
+	memberLeaving      memberState = "leaving"
+	memberAlive        memberState = "alive"
+	memberUnheard      memberState = "alive, but not heard"
+	memberLeaseExpired memberState = "heard, but its grant has ended"
+	memberFailed       memberState = "failed"
+)
+
 // memberView is a controller as this one sees it.
 type memberView struct {
-	Node  string `json:"controller"`
-	State string `json:"state"`
+	Node  string      `json:"controller"`
+	State memberState `json:"state"`
 	// HeartbeatAgeSeconds is the age of the last peer heartbeat; nil if there was none, and for
 	// this controller itself.
 	HeartbeatAgeSeconds *float64 `json:"beat_s"`
@@ -46,12 +59,12 @@
 	isLive := r.deps.Membership.IsLive(view.Node, 0)
 	heartbeat, age, hasHeartbeat := r.deps.Peers.Latest(view.Node, now)
 	if view.Node == r.cfg.Node {
-		view.State = memberState(isLive, true, r.deps.IsLeaving())
+		view.State = livenessState(isLive, true, r.deps.IsLeaving())
 		view.StoreSilentSeconds = now.Sub(r.deps.Cache.LastContactAt()).Seconds()
 	} else {
-		view.State = memberState(isLive, hasHeartbeat && age < tuning.PeerIdleTimeout, r.deps.Peers.IsLeaving(view.Node, now))
+		view.State = livenessState(isLive, hasHeartbeat && age < tuning.PeerIdleTimeout, r.deps.Peers.IsLeaving(view.Node, now))
 		if state := r.deps.Detector.State(view.Node, now); isFailureState(state) {
-			view.State = string(state)
+			view.State = memberState(state)
 		}
 	}
 	if hasHeartbeat {
@@ -65,18 +78,17 @@
 	return state == failuredetector.Suspected || state == failuredetector.Failed
 }
 
-// memberState says whether a controller's lease is valid and whether its heartbeats arrive. The
-// texts are output of the administration API and keep their form.
-func memberState(isLive, isHeard, isLeaving bool) string {
+// livenessState says whether a controller's lease is valid and whether its heartbeats arrive.
+func livenessState(isLive, isHeard, isLeaving bool) memberState {
 	switch {
 	case isLeaving:
-		return "leaving"
+		return memberLeaving
 	case isLive && isHeard:
-		return "alive"
+		return memberAlive
 	case isLive:
-		return "alive, but not heard"
+		return memberUnheard
 	case isHeard:
-		return "heard, but its grant has ended"
+		return memberLeaseExpired
 	}
-	return "failed"
+	return memberFailed
 }
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -12,11 +12,13 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// The kinds of user requests, a label of the metrics.
+// requestKind is the kind of a user request, a label of the metrics.
+type requestKind string
+
 const (
-	kindSubmit = "submit"
-	kindPoll   = "poll"
-	kindCancel = "withdraw"
+	kindSubmit requestKind = "submit"
+	kindPoll   requestKind = "poll"
+	kindCancel requestKind = "withdraw"
 )
 
 // jobStatus is a job in the protocol.
@@ -37,11 +39,11 @@
 
 // awaitResponse sends the controller's response to the client, unless the client goes away
 // first.
-func (h *handler) awaitResponse(w http.ResponseWriter, r *http.Request, kind string, reply chan controller.Response) {
+func (h *handler) awaitResponse(w http.ResponseWriter, r *http.Request, kind requestKind, reply chan controller.Response) {
 	start := time.Now()
 	select {
 	case response := <-reply:
-		h.metrics.UserRequestSeconds.WithLabelValues(kind, strconv.Itoa(response.Code)).Observe(time.Since(start).Seconds())
+		h.metrics.UserRequestSeconds.WithLabelValues(string(kind), strconv.Itoa(response.Code)).Observe(time.Since(start).Seconds())
 		respond(w, response)
 	case <-r.Context().Done():
 	}
@@ -73,7 +75,7 @@
 		defer func() { <-h.pollSemaphore }()
 		h.askByID(w, r, params, kindPoll, h.backend.Poll)
 	default:
-		h.metrics.UserRequestSeconds.WithLabelValues(kindPoll, strconv.Itoa(http.StatusServiceUnavailable)).Observe(0)
+		h.metrics.UserRequestSeconds.WithLabelValues(string(kindPoll), strconv.Itoa(http.StatusServiceUnavailable)).Observe(0)
 		admin.WriteError(w, http.StatusServiceUnavailable, "too many polls at once")
 	}
 }
@@ -83,7 +85,7 @@
 }
 
 // askByID asks the controller about the job that the path names.
-func (h *handler) askByID(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind string, ask func(ref string, reply chan controller.Response)) {
+func (h *handler) askByID(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind requestKind, ask func(ref string, reply chan controller.Response)) {
 	ref := params.ByName("id")
 	if !jobs.ValidRef(ref) {
 		admin.WriteError(w, http.StatusNotFound, "no such job")
