--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -25,7 +25,7 @@
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 
-	// The service's limits and the number of controllers that share them.
+	// The service's limits and the number of controllers under them.
 	totalRequestRate, totalWriteRate float64 // per second
 	controllers                      int
 	minFraction                      float64
@@ -85,7 +85,7 @@
 		b.fraction = min(maxFraction, b.fraction/tuning.BudgetBackoffFactor)
 	}
 	b.fractionChangedAt = now
-	b.updateLimits(now) // also if the fraction is the same: reports of the peers may be outdated
+	b.updateLimits(now) // even if the fraction is unchanged: the peers' reports may have expired
 }
 
 // updateLimits sets the rates of the limiters. If all peers have reported their usage lately,
@@ -128,11 +128,11 @@
 }
 
 // recordPeerUsage notes the requests and writes per second of another controller.
-func (b *budget) recordPeerUsage(node string, requests, writes float64) {
+func (b *budget) recordPeerUsage(controller string, requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.peerUsage[node] = usage{requests: requests, writes: writes, recordedAt: now}
+	b.peerUsage[controller] = usage{requests: requests, writes: writes, recordedAt: now}
 	b.updateLimits(now)
 }
 
@@ -151,6 +151,7 @@
 	return b.averageUsage.requests, b.averageUsage.writes
 }
 
+// recordRequest counts a request and its writes in this controller's usage.
 func (b *budget) recordRequest(writes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,8 +159,9 @@
 	b.currentUsage.writes += float64(writes)
 }
 
-// await waits until the budget allows a request with so many writes, and spends it. Callers of
-// lower priority leave a part of the burst to the others. The error is an ErrUnavailable.
+// await waits until the budget allows a request with the given number of writes, and spends it.
+// Callers of lower priority leave a part of the burst to the others. It fails only if ctx
+// ends, or would end before, with ErrUnavailable: the request was not sent.
 func (b *budget) await(ctx context.Context, priority Priority, writes int) error {
 	b.recordRequest(writes) // before it waits: the usage reported to the peers includes what is needed
 	for b.burstReserved(priority, writes) {
@@ -188,4 +190,5 @@
 	return writes > 0 && b.writeLimiter.Tokens() < reserve*float64(b.writeLimiter.Burst())
 }
 
+// budgetError is the error of a request that was not sent because of its context's end.
 func budgetError(err error) error { return fmt.Errorf("%w: budget: %w", ErrUnavailable, err) }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -33,7 +33,7 @@
 }
 
 // New makes a client for the service at an address. The rates are the service's limits of
-// requests and writes per second, which so many controllers share.
+// requests and writes per second, which the given number of controllers share.
 func New(address string, requestRate, writeRate float64, controllers int, dial DialFunc) *Client {
 	return &Client{
 		baseURL: "http://" + address,
@@ -50,14 +50,15 @@
 // RecordPeerUsage notes the requests and writes per second that another controller reports with
 // its peer heartbeats. They arrive long before the service would answer that it is over its
 // limits, which is the only other sign of the peers' usage.
-func (c *Client) RecordPeerUsage(node string, requests, writes float64) {
-	c.budget.recordPeerUsage(node, requests, writes)
+func (c *Client) RecordPeerUsage(controller string, requests, writes float64) {
+	c.budget.recordPeerUsage(controller, requests, writes)
 }
 
 // Usage returns the requests and writes per second of this controller, smoothed.
 func (c *Client) Usage() (requests, writes float64) { return c.budget.usage() }
 
-// Commit executes a transaction: see Service.
+// Commit executes a transaction: see Service. Like all requests it waits for the budget first, and
+// gives up after a timeout.
 func (c *Client) Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
@@ -189,7 +190,8 @@
 	return err
 }
 
-// requireOK turns an unexpected status of a response without an error into an error.
+// requireOK returns err, or ErrOutcomeUnknown for a response with another status than 200 to a
+// request for which the service knows no other result.
 func requireOK(operation string, status int, err error) error {
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("%w: %s status %d", ErrOutcomeUnknown, operation, status)
@@ -214,6 +216,8 @@
 	}
 }
 
+// callOnce sends one request. A request that got no complete response may have been executed, so
+// its error is ErrOutcomeUnknown; status is 0 then.
 func (c *Client) callOnce(ctx context.Context, method, path string, body any, out any) (status int, err error) {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
@@ -243,6 +247,7 @@
 	return status, nil
 }
 
+// newRequest makes a request whose body is encoded as JSON; without a body it is nil.
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// Without reports of the peers' usage each controller learned its fraction of the limits by
+// Without reports of the peers' usage a controller would learn its fraction of the limits only by
 // being rate limited, hundreds of times a day.
 func TestBudgetLeavesReportedUsageToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// The errors of the client tell what a caller may assume about the request; read them with
-// errors.Is.
+// The errors of the client say whether the request was executed; compare them with errors.Is.
 var (
 	// ErrUnavailable means that the request was certainly not executed.
 	ErrUnavailable = errors.New("state service unavailable")
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -9,16 +9,19 @@
 // Service is a consensus-backed key-value store with compare-and-swap transactions, leases and
 // watches. It is implemented by Client, and by layers on top of one.
 type Service interface {
-	// Commit executes a transaction. It returns an error only if the transaction was not
-	// decided; failed conditions are reported by the result.
+	// Commit executes a transaction. It returns an error if the store has not decided it, or how
+	// is not known; failed conditions are reported by the result. Only after ErrOutcomeUnknown
+	// may the writes have been executed.
 	Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error)
-	// Get reads one key; found is false if it does not exist. The store's revision is returned
-	// in that case only.
+	// Get reads one key; found is false if it does not exist. revision is the store's revision,
+	// which is known only if the key does not exist; row has the key's own revision.
 	Get(ctx context.Context, priority Priority, key string) (row KeyValue, found bool, revision uint64, err error)
 	// List reads all keys with a prefix, and the revision as of which the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
 	// Watch waits for changes of keys with a prefix that are later than the given revision. It
-	// returns them together with the revision that it has reached, also if there were none.
+	// returns them together with the revision that it has reached, after a while also without
+	// any changes. It returns ErrExpired if changes since from are no longer available: all
+	// records have to be listed again.
 	Watch(ctx context.Context, prefix string, from uint64) (events []Event, revision uint64, err error)
 	// GrantLease obtains a lease to which keys can be attached. They are deleted when it expires.
 	GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error)
@@ -29,11 +32,11 @@
 // Priority orders callers when the request budget is short.
 type Priority int
 
-// Lease renewals and cancellations go before claims, claims before bookkeeping.
+// The priorities, the highest first.
 const (
-	Urgent Priority = iota
-	Normal
-	Background
+	Urgent     Priority = iota // lease renewals, shard acquisitions, users' submissions and cancellations
+	Normal                     // claims of tasks, and everything else
+	Background                 // completed tasks, pipelines, cleanup: what can wait
 )
 
 // reservedBurst is the fraction of the burst budget that a caller leaves to more urgent ones.
@@ -54,7 +57,7 @@
 	Revision uint64 `json:"stamp"`
 }
 
-// Write puts a value under Key, optionally attached to a lease, or deletes DeleteKey.
+// Write puts a value under Key, attached to a lease unless LeaseID is 0, or deletes DeleteKey.
 type Write struct {
 	Key       string          `json:"write,omitempty"`
 	Value     json.RawMessage `json:"value,omitempty"`
@@ -81,7 +84,7 @@
 	Key      string          `json:"key"`
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"stamp"`
-	LeaseID  uint64          `json:"permit"`
+	LeaseID  uint64          `json:"permit"` // the lease to which the key is attached, 0 if none
 }
 
 // Event is one change seen by a watch: a put (Key) or a deletion (DeletedKey).
@@ -102,7 +105,7 @@
 	return raw
 }
 
-// Pause waits for the delay, or returns the context's error if that ends before.
+// Pause waits for the delay. It returns the context's error at once if the context ends before.
 func Pause(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
