--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,4 +1,4 @@
-// Package featuregate tells whether all controllers run a program that can read what this one
+// Package featuregate decides whether all controllers run a program that can read what this one
 // writes. Until each of them has recorded its version durably, nothing may be written that the
 // previous version could not read. Which controllers are live does not matter: one that is down
 // may come back with its old program.
@@ -17,7 +17,7 @@
 	// dependencies and records in chunks.
 	Version = 2
 
-	// unrecordedVersion is that of the programs before, which leave no version record.
+	// unrecordedVersion is the version of earlier programs, which write no version record.
 	unrecordedVersion = 1
 )
 
@@ -48,16 +48,17 @@
 // Reset removes all records before they are loaded anew.
 func (g *Gate) Reset() { g.records = map[string]versionRecord{} }
 
-// ApplyRecord applies a controller's version record of a revision; older ones are ignored.
-func (g *Gate) ApplyRecord(node string, value json.RawMessage, revision uint64) error {
-	if g.records[node].revision >= revision {
+// ApplyRecord applies a controller's version record as of a revision. A record no newer than the
+// known one is ignored.
+func (g *Gate) ApplyRecord(controller string, value json.RawMessage, revision uint64) error {
+	if g.records[controller].revision >= revision {
 		return nil
 	}
 	record := versionRecord{revision: revision}
 	if err := json.Unmarshal(value, &record); err != nil {
-		return fmt.Errorf("version of %s: %w", node, err)
+		return fmt.Errorf("version of %s: %w", controller, err)
 	}
-	g.records[node] = record
+	g.records[controller] = record
 	return nil
 }
 
@@ -71,16 +72,20 @@
 // IsOpen reports whether all controllers have recorded this program's version or a later one.
 func (g *Gate) IsOpen() bool { return len(g.PendingControllers()) == 0 }
 
-// PendingControllers are the controllers that have not, in the order of their names.
+// PendingControllers returns the controllers that have recorded no version or an older one than this
+// program's, in ascending order of their names.
 func (g *Gate) PendingControllers() []string {
 	var pending []string
-	for _, node := range g.controllers {
-		if g.records[node].Version < Version {
-			pending = append(pending, node)
+	for _, controller := range g.controllers {
+		if g.records[controller].Version < Version {
+			pending = append(pending, controller)
 		}
 	}
 	return pending
 }
 
-// VersionOf returns the version of a controller's program.
-func (g *Gate) VersionOf(node string) int { return max(unrecordedVersion, g.records[node].Version) }
+// VersionOf returns the version that a controller has recorded. One without a record runs the
+// version before records existed.
+func (g *Gate) VersionOf(controller string) int {
+	return max(unrecordedVersion, g.records[controller].Version)
+}
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -54,8 +54,8 @@
 	return rows
 }
 
-// Controllers that have never seen them load production's records, answer for all of their jobs,
-// and bring those to their end that can have one.
+// Controllers that start with production's records load all of them, answer requests for all of
+// their jobs, and complete those that can complete.
 func TestProductionRecordsAreLoaded(t *testing.T) {
 	rows := productionRecords(t)
 	runScenario(t, func(cluster *fake.Cluster) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// Messages between controllers are as they were, both ways.
+// Frames between controllers keep their form: production's are read, and written in the same bytes.
 func TestProductionFramesAreReadAndWrittenUnchanged(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production/frames.json")
 	if err != nil {
@@ -285,9 +285,9 @@
 	return knownCount
 }
 
-// Until the last controller has recorded the new version, live or not, whatever is written can be
-// carried by the version before, nothing is in chunks, and dependencies are answered with when to
-// come back. After that they are accepted.
+// Until every controller, live or not, has recorded the new version, the previous version can read
+// and rewrite whatever is stored, nothing is stored in chunks, and jobs with dependencies are refused
+// with a time to retry. After that they are accepted.
 func TestNothingNewIsWrittenBeforeAllControllersAreUpgraded(t *testing.T) {
 	runScenario(t, func(cluster *fake.Cluster) {
 		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down for long
--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -14,6 +14,7 @@
 	"cherrywall/internal/workerapi"
 )
 
+// Errors of quarantined records. Operators see their texts, which name the fields of the stored form.
 var (
 	errShardMissing = errors.New("share: missing")
 	errNoRangeKey   = errors.New("key: not of a range")
@@ -29,8 +30,8 @@
 	c.State.MarkDirty()
 }
 
-// applyRecord passes a record to the component that owns what it contains. Records under other
-// keys are none of the cache's.
+// applyRecord passes a record to the component that owns what it contains. Records under unknown
+// keys are ignored.
 func (c *Cache) applyRecord(key string, value json.RawMessage, revision uint64) error {
 	switch {
 	case strings.HasPrefix(key, jobs.LivenessPrefix):
@@ -71,6 +72,7 @@
 	c.State.MarkDirty()
 }
 
+// removeRecord passes the deletion of a record to the component that owns what it contained.
 func (c *Cache) removeRecord(key string, revision uint64) {
 	switch {
 	case strings.HasPrefix(key, jobs.LivenessPrefix):
@@ -147,7 +149,8 @@
 	return ref, first, ok && err == nil
 }
 
-// applyCompletionBatch applies a completion batch: its jobs are done.
+// applyCompletionBatch applies a completion batch: all jobs that it lists are done, so those that
+// have a job record end.
 func (c *Cache) applyCompletionBatch(key string, value json.RawMessage, revision uint64) error {
 	completions, err := c.CompletionBatches.ApplyBatch(key, value, revision)
 	for _, completion := range completions {
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -44,12 +44,12 @@
 	MachineRemoved func(machine *clusterstate.Machine)
 	// CaughtUp is called when changes from the watch were applied.
 	CaughtUp func()
-	// AwaitHandover reports whether to wait a moment longer for a shard that another live
-	// controller owns, because that one was asked to hand it over.
+	// AwaitHandover reports whether not to acquire a shard yet that another live controller owns,
+	// because that one was requested to hand it over.
 	AwaitHandover func(shard string, now time.Time) (wait bool)
 	// ControllerFailed reports whether a controller is considered failed although its lease has
 	// not expired.
-	ControllerFailed func(node string, now time.Time) bool
+	ControllerFailed func(controller string, now time.Time) bool
 	// ShardAcquired is called when a controller has acquired a shard.
 	ShardAcquired func(owner string)
 	// OwnerRecordWritten is called for each record that only the owner of a shard writes.
@@ -64,8 +64,8 @@
 	// one or a later one.
 	FeaturesEnabled func()
 	// PipelineEvents gets the changes of records that the cache passes on without reading them
-	// (jobs.OpaquePrefix). reload tells that some changes were missed, so that all of these
-	// records have to be listed again.
+	// (jobs.OpaquePrefix). reload reports that some changes were missed, so that all of
+	// these records have to be listed again.
 	PipelineEvents func(events []kvstore.Event, reload bool)
 }
 
@@ -102,7 +102,7 @@
 	readBarrier *readbarrier.Queue
 
 	cancelWatch      context.CancelFunc // ends the watch request in flight
-	watchBehindSince time.Time          // see restartStuckWatch
+	watchBehindSince time.Time          // zero: not behind; see restartStuckWatch
 
 	finalStates  *lru.Cache[string, jobs.FinalState]
 	finalLookups int // in flight, see lookUpDependencyFinals
@@ -159,16 +159,18 @@
 	go c.maintainLiveness(c.mailbox.Context())
 }
 
-// Synced reports whether all records were loaded.
+// Synced reports whether the cache holds a complete load of the records. It is false before the
+// first load, and after each until the watch has delivered the changes that happened during it.
 func (c *Cache) Synced() bool { return c.synced }
 
-// AppliedRevision is the revision up to which all changes were applied.
+// AppliedRevision returns the revision up to which all changes were applied.
 func (c *Cache) AppliedRevision() uint64 { return c.appliedRevision }
 
-// LastContactAt is when the store last responded.
+// LastContactAt returns when the store last responded to this controller.
 func (c *Cache) LastContactAt() time.Time { return c.lastContactAt }
 
-// ConsistentAsOf is the moment such that all changes decided before it were applied.
+// ConsistentAsOf returns the time as of which the cache is consistent with the store: all changes
+// decided before it were applied, later ones may be missing.
 func (c *Cache) ConsistentAsOf() time.Time { return c.consistentAsOf }
 
 // IsStale reports whether the cache is too old to decide on records that other controllers may
@@ -183,7 +185,8 @@
 	return c.synced && c.cfg.MayAnswerHeartbeats(now, c.consistentAsOf)
 }
 
-// Settings are the operators' settings in force, and their version.
+// Settings returns the operators' settings in force and their version, which is the revision of
+// their record (0: there is none, and these are the defaults).
 func (c *Cache) Settings() (settings admin.Settings, version uint64) {
 	return c.settings, c.settingsRevision
 }
@@ -198,7 +201,7 @@
 	c.readBarrier.StartIfDue(now)
 }
 
-// reset empties the cache before a load.
+// reset empties the cache before a load is applied.
 func (c *Cache) reset() {
 	c.synced = false
 	c.tombstones = map[string]uint64{}
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -37,7 +37,8 @@
 				c.applyCommitted(txn, result)
 			}
 			if errors.Is(err, kvstore.ErrRejected) {
-				// A limit was lowered, perhaps: the keys tell which writer exceeds it.
+				// A retry would be rejected again. The keys show operators which kind of record
+				// exceeds a limit of the store, which may have been lowered.
 				c.log.Error("write rejected by the key-value store", "keys", writtenKeys(txn), "conditions", len(txn.Conditions), "error", err)
 			}
 			done(result, err)
@@ -60,6 +61,7 @@
 	}
 }
 
+// writtenKeys returns the keys that a transaction puts or deletes.
 func writtenKeys(txn kvstore.Txn) []string {
 	var keys []string
 	for _, write := range txn.Writes {
--- a/internal/statecache/features.go
+++ b/internal/statecache/features.go
@@ -10,8 +10,8 @@
 )
 
 // applyVersion applies the record of the program version that a controller runs.
-func (c *Cache) applyVersion(node string, value json.RawMessage, revision uint64) error {
-	err := c.FeatureGate.ApplyRecord(node, value, revision)
+func (c *Cache) applyVersion(controller string, value json.RawMessage, revision uint64) error {
+	err := c.FeatureGate.ApplyRecord(controller, value, revision)
 	if c.FeatureGate.IsOpen() && !c.featuresEnabled {
 		c.featuresEnabled = true
 		c.log.Info("all controllers run this version or a later one", "version", featuregate.Version)
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -44,8 +44,8 @@
 
 // writeLivenessRecord obtains a lease and attaches this controller's liveness record to it. The
 // write has the precondition that the record is unchanged: without it, an earlier write that was
-// never answered was executed after its successor, so that the record was attached to a lease
-// which nobody renewed. The record was deleted with that lease, and the controller acquired no
+// never answered could be executed after its successor and attach the record to a lease that
+// nobody renews. The record would be deleted with that lease, and the controller would acquire no
 // shard any more.
 func (c *Cache) writeLivenessRecord(ctx context.Context) (leaseID uint64, err error) {
 	key := c.livenessKey()
@@ -71,7 +71,8 @@
 }
 
 // checkLivenessRecord has this controller's liveness record written anew if it has been missing,
-// or has been that of another incarnation, for longer than a lease lasts.
+// or has been that of another incarnation, for longer than a lease lasts. Without its record the
+// controller acquires no shards, even if it renews a lease.
 func (c *Cache) checkLivenessRecord(now time.Time) {
 	_, live := c.Membership.OwnLivenessRevision()
 	switch {
--- a/internal/statecache/quarantine.go
+++ b/internal/statecache/quarantine.go
@@ -9,7 +9,7 @@
 )
 
 // QuarantinedRecord is a record that cannot be read: damaged, impossible, or of a later version
-// of the program. It is left alone, nothing that it says is done, and all else goes on.
+// of the program. It is neither applied nor changed; all other records are handled as usual.
 type QuarantinedRecord struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -9,14 +9,14 @@
 	"cherrywall/internal/membership"
 )
 
-// AcquireShards acquires the shards that fall to this controller, except those that are being
-// handed over.
+// AcquireShards acquires the shards that this controller should own (see
+// membership.Table.ShardsToAcquire), except those that their owners were requested to hand over.
 func (c *Cache) AcquireShards(now time.Time) {
 	livenessRevision, ok := c.canAcquireShards(now)
 	if !ok {
 		return
 	}
-	failed := func(node string) bool { return c.hooks.ControllerFailed(node, now) }
+	failed := func(controller string) bool { return c.hooks.ControllerFailed(controller, now) }
 	for _, id := range c.Membership.ShardsToAcquire(now, failed) {
 		shard := c.Membership.Shard(id)
 		ownerIsLive := c.Membership.OwnerIsLive(shard)
@@ -28,16 +28,18 @@
 		}
 		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
 		if id != c.cfg.Node {
-			// The shard's home controller has no lease, or is the one that is considered failed
-			// and has not started anew since.
+			// The home of the shard is down or considered failed. If its liveness record has
+			// changed since, it has started again and should own the shard itself, so that
+			// this write has to fail.
 			conditions = append(conditions, kvstore.Condition{Key: jobs.LivenessPrefix + id, Revision: c.Membership.LivenessRevision(id)})
 		}
 		c.acquireShard(id, now, conditions...)
 	}
 }
 
-// canAcquireShards reports whether the cache is recent enough to acquire shards, and the
-// revision of this controller's own liveness record.
+// canAcquireShards reports whether this controller is live, is not about to shut down, and has a
+// cache that is recent enough to decide on acquisitions. livenessRevision is the revision of its
+// liveness record.
 func (c *Cache) canAcquireShards(now time.Time) (livenessRevision uint64, ok bool) {
 	livenessRevision, live := c.Membership.OwnLivenessRevision()
 	caughtUp := c.readBarrier.NewestRevision() <= c.appliedRevision
@@ -84,8 +86,8 @@
 	})
 }
 
-// applyShard applies a shard's record. Its owner commands the workers with the record's revision,
-// the epoch, as the lower bound of their fencing tokens.
+// applyShard applies a shard's record. The record's revision is the shard's epoch, which is the
+// fencing token of its owner's commands to workers.
 func (c *Cache) applyShard(id string, value json.RawMessage, revision uint64) error {
 	shard, err := c.Membership.ApplyShard(id, value, revision, time.Now())
 	if shard == nil {
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -44,6 +44,8 @@
 	}
 }
 
+// loadAndWatch loads all records and follows their changes until the watch cannot be resumed. It
+// always returns an error, that of ctx if it has ended.
 func (c *Cache) loadAndWatch(ctx context.Context) error {
 	loaded, err := c.list(ctx)
 	if err != nil {
@@ -53,6 +55,7 @@
 	return c.watch(ctx, loaded.oldest)
 }
 
+// list lists the records of all loadedPrefixes.
 func (c *Cache) list(ctx context.Context) (listing, error) {
 	var all listing
 	for i, prefix := range loadedPrefixes {
@@ -70,6 +73,8 @@
 	return all, nil
 }
 
+// applyListing replaces the contents of the cache by a listing. If the records changed while they
+// were listed, the cache is synced only after the watch has delivered these changes.
 func (c *Cache) applyListing(loaded listing) {
 	c.reset()
 	for _, row := range loaded.rows {
@@ -107,6 +112,7 @@
 	return ctx.Err()
 }
 
+// markSynced notes that the cache holds a complete load.
 func (c *Cache) markSynced() {
 	if c.synced {
 		return
@@ -139,14 +145,18 @@
 	if c.appliedRevision >= c.loadedRevision {
 		c.markSynced()
 	}
-	if len(pipelineEvents) == 0 || len(pipelineEvents) < len(events) {
+	// Records of pipelines are not part of the cluster state, so their changes alone give no reason
+	// to schedule.
+	onlyPipelineEvents := len(pipelineEvents) > 0 && len(pipelineEvents) == len(events)
+	if !onlyPipelineEvents {
 		c.State.MarkDirty()
 	}
 	c.advanceReadBarrier(time.Now())
 	c.hooks.CaughtUp()
 }
 
-// removeTombstones removes those that the watch has passed.
+// removeTombstones removes the tombstones up to appliedRevision: the watch delivers no older writes
+// of their keys any more.
 func (c *Cache) removeTombstones() {
 	for key, revision := range c.tombstones {
 		if revision <= c.appliedRevision {
@@ -172,9 +182,9 @@
 	}
 }
 
-// ReadBarrier calls done once the cache is at least as new as now: a read of it is linearizable
-// then. ok is false if that took too long. Urgent callers wait less for others to share the
-// request with.
+// ReadBarrier calls done on the actor with ok set once the cache contains all changes decided before
+// this call, so that a read of it is linearizable. ok is false if that took too long. Urgent callers
+// wait for a shorter time for others with which they share one request to the store.
 func (c *Cache) ReadBarrier(urgent bool, done func(ok bool)) {
 	c.readBarrier.Wait(time.Now(), urgent, done)
 }
@@ -196,11 +206,14 @@
 	}()
 }
 
-// readTimestamp is the moment as of which the response to a read counts, given when it was sent
-// and when it was received: the store may have looked as soon as it was sent. Tests replace it
-// by a mutation.
+// readTimestamp returns the moment as of which the result of a read is current: when the request
+// was sent, not when the response was received, since the store may have read its revision at once
+// and decided changes before the response arrived. Tests replace it to check that they would find
+// the wrong choice.
 var readTimestamp = func(sentAt, _ time.Time) time.Time { return sentAt }
 
+// advanceReadBarrier serves the callers of ReadBarrier whose revision was reached. consistentAsOf is
+// set before they are called, since they may depend on it.
 func (c *Cache) advanceReadBarrier(now time.Time) {
 	consistentAsOf, serve := c.readBarrier.Advance(now, c.appliedRevision, c.synced)
 	if consistentAsOf.After(c.consistentAsOf) {
