--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -14,7 +14,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// State is what the detector makes of a controller.
+// State is the detector's assessment of a controller.
 type State string
 
 // The states of a controller. A suspicion is this controller's own and has no consequences; for a
@@ -80,9 +80,10 @@
 	}
 }
 
-// Check brings the suspicions up to date and reports whether there is a new one, of which the
-// other controllers should be notified. It has to be called several times a second. upToDate
-// says whether this controller's cache of the key-value store is up to date.
+// Check brings the suspicions up to date and reports whether there is a new one, about which the
+// other controllers should be notified at once, since a failure needs their agreement. It has to be
+// called several times a second. upToDate says whether this controller's cache of the key-value
+// store is up to date.
 func (d *Detector) Check(now time.Time, upToDate bool) (newSuspicion bool) {
 	// A process that was stalled has missed heartbeats that were sent, so their absence proves
 	// nothing.
--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -28,29 +28,30 @@
 // ShardsToAcquire returns the shards that this controller should acquire at now. failed reports
 // whether a controller is considered failed although its lease has not expired yet.
 //
-// The home of a shard acquires it at once if it has no live owner, and after returnDelay if it
-// has one.
+// The home of a shard acquires it at once if it has no working owner (live and not failed), and
+// after returnDelay if it has one.
 //
-// Another controller acquires a shard only if it is the successor and the owner is dead, and not
-// in its own startup grace period: when all controllers start together, the first one up would
+// Another controller acquires a shard only if it is the successor and there is no working owner, and
+// not in its own startup grace period: when all controllers start together, the first one up would
 // acquire the shard of the next, which would acquire it back half a second later. Each change of
 // owner costs the shard what its owner knew of the machines.
 func (t *Table) ShardsToAcquire(now time.Time, failed func(controller string) bool) []string {
 	var ids []string
 	for _, id := range t.controllers {
 		shard := t.shards[id]
-		if shard != nil && shard.isLocal || t.SuccessorExcluding(id, failed) != t.self {
+		isOwned := shard != nil && shard.isLocal
+		if isOwned || t.SuccessorExcluding(id, failed) != t.self {
 			continue
 		}
-		hasOwner := t.OwnerIsLive(shard) && !failed(shard.owner)
+		hasWorkingOwner := t.OwnerIsLive(shard) && !failed(shard.owner)
 		isHome := id == t.self
 		delay := time.Duration(0)
 		switch {
-		case !isHome && hasOwner:
+		case !isHome && hasWorkingOwner:
 			continue
 		case !isHome:
 			delay = tuning.StartupGracePeriod
-		case hasOwner:
+		case hasWorkingOwner:
 			delay = shard.returnDelay(now)
 		}
 		if now.Sub(t.liveSince) >= delay {
