--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -46,12 +46,12 @@
 	send SendFunc
 
 	// As recipient, by shard.
-	requestedAt map[string]time.Time // shards of other owners that are requested from them
+	requestedAt map[string]time.Time // since when a shard is requested from its owner
 	payloads    map[string]*payload  // what old owners sent, and what this one sent itself
 
 	// As old owner, by shard.
 	outgoing map[string]*outgoingTransfer
-	failedAt map[string]time.Time // when a transfer last came to nothing
+	failedAt map[string]time.Time // when a transfer of the shard last failed
 
 	isLeaving bool       // this controller is shutting down
 	history   []Transfer // transfers that have ended, the latest last
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -105,8 +105,8 @@
 	return false
 }
 
-// A shard used to return from a live owner as from a dead one: every worker was probed, and with
-// a quarter of them silent the claimed tasks waited for half a minute.
+// A transfer from a live owner must not probe the workers as after a crash: with a quarter of them
+// not responding, the claimed tasks would wait for half a minute.
 func TestTransferHomeWithoutProbing(t *testing.T) {
 	runFailback(t, func(cluster *fake.Cluster) {
 		for i, host := range cluster.Hosts() {
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -14,12 +14,16 @@
 	"cherrywall/internal/workersession"
 )
 
+// minToleratedMisdirected is how many workers may send heartbeats here instead of to the owner of a
+// small shard: a few may have broken links of their own.
+const minToleratedMisdirected = 2
+
 // payload is what the owner of a shard knew of it under an epoch when it stopped responding to the
 // shard's workers. The controller that acquires the shard next can continue from it, as long as
 // there was no other epoch in between.
 type payload struct {
 	epoch           uint64
-	total, received int
+	total, received int                      // numbers of chunks
 	chunks          [][]peer.MachineSnapshot // nil: not received yet
 	updatedAt       time.Time
 }
@@ -65,13 +69,15 @@
 		return false
 	}
 	// Workers that cannot reach the owner send their heartbeats here. An owner without its workers
-	// is never reconciled, and would never transfer the shard.
+	// is never reconciled and would never transfer the shard, so waiting for it would only leave
+	// the workers without an owner for longer.
 	misdirected := float64(c.Sessions.MisdirectedHeartbeats(id, now))
-	return misdirected <= max(2, tuning.StrayWorkerFraction*float64(c.State.MachineCountIn(id)))
+	tolerated := max(minToleratedMisdirected, tuning.StrayWorkerFraction*float64(c.State.MachineCountIn(id)))
+	return misdirected <= tolerated
 }
 
-// request requests a shard with the next heartbeats, if it is not requested yet. It returns since
-// when it is, and whether it was before.
+// request has this controller's heartbeats request a shard from its owner. It returns since
+// when the shard has been requested, and whether that was before this call.
 func (c *Coordinator) request(id string, now time.Time) (since time.Time, wasRequested bool) {
 	since, wasRequested = c.requestedAt[id]
 	if !wasRequested {
@@ -134,6 +140,8 @@
 	}
 }
 
+// isExpected reports whether a chunk is part of a requested shard, under its present epoch, and comes
+// from its owner. A late chunk of an older epoch could describe workers that were commanded since.
 func (c *Coordinator) isExpected(from string, chunk *peer.TransferChunk) bool {
 	if _, requested := c.requestedAt[chunk.Shard]; !requested || chunk.Total > tuning.MaxPendingTransferChunks {
 		return false
@@ -175,15 +183,18 @@
 	return p.isComplete() && shard.IsLocal() && shard.PreviousEpoch() == p.epoch && c.Cache.HasReachedEpoch(shard)
 }
 
+// apply continues a shard from its payload: the tasks on the machines of the payload are known
+// without probing their workers. Machines that have changed or sent a heartbeat since are left to
+// reconciliation.
 func (c *Coordinator) apply(p *payload, shard *membership.Shard, now time.Time) {
-	machines := 0
+	restored := 0
 	for _, chunk := range p.chunks {
 		for _, snapshot := range chunk {
 			if snapshot.Host == "" {
 				c.markCompleted(shard, snapshot.Tasks)
 			} else if machine := c.State.Machine(snapshot.Host); isUnchanged(machine, shard) {
 				c.applySnapshot(machine, snapshot, now)
-				machines++
+				restored++
 			}
 		}
 	}
@@ -193,7 +204,7 @@
 		since = p.updatedAt
 	}
 	c.record(shard.ID(), c.cfg.Node, OutcomeContinued, since, now)
-	c.log.Info("transferred shard continued", "shard", shard.ID(), "machines", machines, "reconciled", shard.IsReconciled())
+	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restored, "reconciled", shard.IsReconciled())
 }
 
 // isUnchanged reports whether a machine's record is older than the shard's epoch and nothing was
@@ -250,6 +261,8 @@
 	}
 }
 
+// restoreAssignment restores a task on a machine. A task that is foreign, or that reconciliation
+// with the records would not keep, is only to be stopped.
 func (c *Coordinator) restoreAssignment(machine *clusterstate.Machine, task peer.TaskSnapshot, now time.Time) {
 	status := workerapi.TaskStatus{Task: task.Name, Attempt: task.Attempt, Status: task.Status}
 	previous := clusterstate.PreviousAssignment{
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -27,13 +27,15 @@
 			continue
 		}
 		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: from, requestedAt: now}
-		shard.PrepareTransfer() // none of its machines is released or moved any more
+		shard.PrepareTransfer() // from now on none of its machines is released or moved
 		c.sendShard(shard, now)
 	}
 }
 
 // canTransfer reports whether a transfer of a shard can begin. Unless this controller is shutting
-// down, a shard is transferred to its home only.
+// down, a shard is transferred to its home only. An unreconciled shard is not transferred: the
+// snapshot could lack tasks, which the recipient would start a second time. Nothing is transferred
+// by a stale cache, which may not show yet that the shard has another owner.
 func (c *Coordinator) canTransfer(shard *membership.Shard, id, recipient string, now time.Time) bool {
 	switch {
 	case id != recipient && !c.isLeaving:
@@ -95,8 +97,10 @@
 	}
 }
 
-// sendShard sends what is known of a shard to the recipient. While one of the shard's machines is
-// being released or moved it does nothing, since the result of that is not known yet.
+// sendShard sends what is known of a shard to the recipient, and ends the responses to its workers.
+// While one of the shard's machines is being released or moved it does nothing, and Tick calls it
+// again: the result is not known yet, so the snapshot could be wrong about the machine. A shard too
+// large for a transfer is kept.
 func (c *Coordinator) sendShard(shard *membership.Shard, now time.Time) {
 	transfer := c.outgoing[shard.ID()]
 	var machines []*clusterstate.Machine
@@ -120,5 +124,5 @@
 	c.payloads[shard.ID()] = newCompletePayload(shard.Epoch(), chunks, now)
 	queued := c.send(transfer.recipient, chunks)
 	c.log.Info("shard transfer sent", "shard", shard.ID(), "recipient", transfer.recipient,
-		"machines", len(machines), "chunks", len(chunks), "queued", queued)
+		"workers", len(machines), "chunks", len(chunks), "queued", queued)
 }
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -11,7 +11,7 @@
 )
 
 // buildChunks returns what is known of a shard in chunks, each of which fits a frame. It returns
-// nil if it is too much to be sent in the time for which nobody responds to the workers.
+// nil if it is too much to be sent within the time for which the workers may go without responses.
 func (c *Coordinator) buildChunks(shard *membership.Shard, machines []*clusterstate.Machine, now time.Time) []*peer.TransferChunk {
 	snapshots := c.completedTasks(shard)
 	for _, machine := range machines {
@@ -61,8 +61,8 @@
 	return snapshots
 }
 
-// machineSnapshot returns what is known of a machine. Assignments of which no start command was
-// sent are left out, unless other tasks of the same gang were sent theirs.
+// machineSnapshot returns what is known of a machine. Assignments for which no start command was sent
+// are left out, unless one was sent for another task of the same gang.
 func (c *Coordinator) machineSnapshot(machine *clusterstate.Machine, now time.Time) peer.MachineSnapshot {
 	snapshot := peer.MachineSnapshot{
 		Host:              machine.Host(),
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -8,7 +8,13 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-const initialBufferBytes = 512
+const (
+	initialBufferBytes = 512
+
+	// maxStoreSilentMs bounds the encoded time since the last response of the store, so that it
+	// fits the field: about 25 days.
+	maxStoreSilentMs = 1 << 31
+)
 
 // Encode returns a heartbeat as a frame: the length in four bytes, big endian, then the buffer.
 //
@@ -45,7 +51,7 @@
 	wire.BeatStart(e.Builder)
 	wire.BeatAddNode(e.Builder, node)
 	wire.BeatAddBoot(e.Builder, heartbeat.Incarnation)
-	wire.BeatAddSilentMs(e.Builder, uint32(min(heartbeat.StoreSilentFor.Milliseconds(), 1<<31)))
+	wire.BeatAddSilentMs(e.Builder, uint32(min(heartbeat.StoreSilentFor.Milliseconds(), maxStoreSilentMs)))
 	wire.BeatAddSynced(e.Builder, heartbeat.Synced)
 	wire.BeatAddShares(e.Builder, shards)
 	wire.BeatAddCounts(e.Builder, capacities)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -14,12 +14,13 @@
 	Incarnation uint64 // identifies the run of its process
 	// StoreSilentFor is the time since the key-value store last responded to the sender.
 	StoreSilentFor time.Duration
-	Synced         bool // its cache of the key-value store was read completely
+	Synced         bool // its cache of the key-value store is complete
 	Shards         []Shard
 	Capacities     []ShapeCapacity
 	// RequestsPerSecond and WritesPerSecond are the sender's present use of the key-value store.
 	RequestsPerSecond, WritesPerSecond float64
-	// FaultyJobs are the jobs that failed on several of its machines on which others work.
+	// FaultyJobs are jobs that failed on several of the sender's machines on which other jobs
+	// succeed.
 	FaultyJobs []string
 	// RequestedShards are the shards whose transfer to the sender is requested.
 	RequestedShards []string
--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -6,7 +6,7 @@
 type Meter interface {
 	// Usage returns the present rates of this controller's requests and writes, per second.
 	Usage() (requests, writes float64)
-	// RecordPeerUsage records those of another controller.
+	// RecordPeerUsage records the rates of another controller's requests and writes, per second.
 	RecordPeerUsage(controller string, requests, writes float64)
 }
 
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -7,7 +7,7 @@
 type TransferChunk struct {
 	Shard        string
 	Epoch        uint64 // the sender's
-	Index, Total int    // this is chunk Index, from 0, of Total
+	Index, Total int    // this is number Index, from 0, of Total chunks
 	Machines     []MachineSnapshot
 }
 
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -73,7 +73,7 @@
 			_ = conn.Close() // what was not sent is out of date by the next connection
 			if time.Since(connectedAt) > tuning.PeerTimeout {
 				// The connection has worked. It may have failed because this process was stalled,
-				// and the peer should hear from it again without delay.
+				// and then the peer should get a heartbeat again without delay.
 				continue
 			}
 		}
@@ -83,7 +83,7 @@
 	}
 }
 
-// streamHeartbeats uses a connection until it fails or ctx ends.
+// streamHeartbeats sends heartbeats over a connection until it fails or ctx ends.
 func streamHeartbeats(ctx context.Context, conn net.Conn, chunks <-chan *TransferChunk, controller Controller) {
 	var chunk *TransferChunk
 	for ctx.Err() == nil {
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -58,7 +58,7 @@
 	if _, known = t.latest[heartbeat.Node]; !known {
 		return false
 	}
-	heartbeat.TransferChunk = nil // its memory is not to be kept
+	heartbeat.TransferChunk = nil // it can be large, and package handover handles it on receipt
 	t.latest[heartbeat.Node] = receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	return true
 }
