--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -15,8 +15,8 @@
 	messages chan func()
 }
 
-// New returns an empty mailbox of an actor that ends with ctx. Functions that are sent later than
-// that are dropped.
+// New returns an empty mailbox of an actor that ends with ctx. Functions that are sent after ctx has
+// ended are not run.
 func New(ctx context.Context) *Mailbox {
 	return &Mailbox{ctx: ctx, messages: make(chan func(), tuning.MailboxCapacity)}
 }
@@ -28,8 +28,8 @@
 // to call.
 func (m *Mailbox) Messages() <-chan func() { return m.messages }
 
-// Send has the actor call a function. It blocks while the mailbox is full, so the actor itself
-// must not use it.
+// Send has the actor call a function. It blocks while the mailbox is full, so the actor itself must
+// not call it: the actor would wait for itself.
 func (m *Mailbox) Send(do func()) {
 	select {
 	case m.messages <- do:
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -51,9 +51,12 @@
 	case m.isUnreachable:
 		return true
 	case workers == 0:
+		// No heartbeat is due, so its absence must not count once there are workers.
 		m.lastContactAt = now
 		return false
 	}
+	// Heartbeats of workers that are spread evenly arrive interval/workers apart. Three missing
+	// ones in succession, and a second for delays, still prove nothing.
 	explainedSilence := 3*interval/time.Duration(workers) + time.Second
 	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, explainedSilence)
 }
@@ -89,7 +92,9 @@
 	m.isProbing = false
 	m.lastProbeAt = now
 	if now.Sub(startedAt) > tuning.ProcessStallThreshold+tuning.FirstContactTimeout {
-		return NoTransition // the process was stalled meanwhile
+		// The process was stalled meanwhile and may have missed responses, so the result proves
+		// nothing.
+		return NoTransition
 	}
 	if m.isUnreachable {
 		return m.probedWhileUnreachable(anyResponse, now)
@@ -105,6 +110,7 @@
 	return NoTransition
 }
 
+// becomeUnreachable begins a loss of contact, and counts it for the backoff of the next restoration.
 func (m *Monitor) becomeUnreachable(now time.Time) {
 	if now.Sub(m.changedAt) > tuning.InboundLossBackoffReset {
 		m.recentLosses = 0
@@ -115,6 +121,8 @@
 	m.successfulProbes = 0
 }
 
+// probedWhileUnreachable restores contact after enough successful probes in succession and the
+// backoff.
 func (m *Monitor) probedWhileUnreachable(anyResponse bool, now time.Time) Transition {
 	if !anyResponse {
 		m.successfulProbes = 0
--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxAnsweredReadAge is how long the result of a read is kept for the cache to reach its
-// revision, in timeouts of a request to the store.
+// maxAnsweredReadAge bounds how long the result of a read is kept while the cache has not reached
+// its revision. Its callers have given up long before.
 const maxAnsweredReadAge = 10 * tuning.StoreRequestTimeout
 
 // Queue is the queue of callers at the barrier. It has no locks: all methods are called by the
@@ -22,8 +22,8 @@
 
 	waiting        []waiter       // no read is in flight for them yet
 	inFlight       []waiter       // served by the read in flight
-	readInFlight   bool           // also without waiters
-	answered       []answeredRead // the cache has to reach their revisions
+	readInFlight   bool           // true also for a periodic read, which has no waiters
+	answered       []answeredRead // whose revisions the cache has not reached yet
 	newestRevision uint64
 	lastReadAt     time.Time
 	nextReadAt     time.Time // for which the timer is set; zero: none
@@ -37,7 +37,7 @@
 	done     func(ok bool)
 }
 
-// answeredRead is a read whose revision is known.
+// answeredRead is a read whose revision is known. Its waiters are in the order of their deadlines.
 type answeredRead struct {
 	revision  uint64
 	startedAt time.Time
@@ -45,17 +45,18 @@
 }
 
 // New makes a queue. startRead begins a read of the store's revision, whose result is passed to
-// CompleteRead; it must not block. wake, which is called on another goroutine, has HandleTimer
-// called on the actor.
+// CompleteRead; it must not block. wake is called on another goroutine when the timer fires, and
+// has to make the actor call HandleTimer.
 func New(startRead func(startedAt time.Time), wake func()) *Queue {
 	return &Queue{startRead: startRead, wake: wake}
 }
 
-// NewestRevision is the newest revision of the store that was read.
+// NewestRevision returns the newest revision of the store that was read, 0 before the first read.
 func (q *Queue) NewestRevision() uint64 { return q.newestRevision }
 
-// Wait calls done with true once the cache is at least as new as now, or with false if that is
-// not reached in time. Callers that are not urgent wait longer for others to share a read with.
+// Wait calls done with true once the cache contains all changes decided before now, or with false if
+// that takes longer than tuning.StoreRequestTimeout or the read fails. Callers that are not urgent
+// wait longer for others with which they share a read.
 func (q *Queue) Wait(now time.Time, urgent bool, done func(ok bool)) {
 	q.waiting = append(q.waiting, waiter{deadline: now.Add(tuning.StoreRequestTimeout), urgent: urgent, done: done})
 	q.StartIfDue(now)
@@ -82,6 +83,7 @@
 	}
 }
 
+// minReadInterval returns the least time between two reads, which depends on who waits.
 func (q *Queue) minReadInterval() time.Duration {
 	if slices.ContainsFunc(q.waiting, func(w waiter) bool { return w.urgent }) {
 		return tuning.MinRevisionReadGap
@@ -110,9 +112,13 @@
 	q.answered = append(q.answered, answeredRead{revision: revision, startedAt: startedAt, waiters: waiters})
 }
 
-// Advance serves the reads whose revision the cache has reached, and fails those whose deadline
-// has passed. All changes decided before consistentAsOf (zero: nothing new) were applied to the
-// cache; once the caller has noted that, it calls serve, which serves the callers that waited.
+// Advance completes the reads whose revision the cache has reached, and fails those whose deadline
+// has passed. appliedRevision is the revision up to which the cache has applied all changes; synced
+// is whether it is complete.
+//
+// All changes decided before consistentAsOf were applied; it is zero if no read was completed. The
+// caller has to record it and then call serve, which calls the callers' done functions: these may
+// depend on the recorded time.
 func (q *Queue) Advance(now time.Time, appliedRevision uint64, synced bool) (consistentAsOf time.Time, serve func()) {
 	var remaining []answeredRead
 	var served []waiter
@@ -133,6 +139,7 @@
 	return consistentAsOf, func() { finish(served, true) }
 }
 
+// finish calls the done functions of waiters.
 func finish(waiters []waiter, ok bool) {
 	for _, w := range waiters {
 		w.done(ok)
