--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -13,8 +13,9 @@
 // RunGarbageCollector deletes chunks to which no record points, periodically until the context
 // ends; isResponsible reports whether that is this controller's duty at the moment.
 //
-// That a record does not point to its chunks yet proves nothing, as it may be about to be written:
-// only chunks found so in two passes are deleted, provided that the record is still unchanged.
+// A record that does not point to its chunks may be about to be written, so chunks are deleted only
+// if no record pointed to them in two successive passes, and the record is unchanged since it was
+// read in the second.
 func (s *Store) RunGarbageCollector(ctx context.Context, isResponsible func() bool) {
 	for kvstore.Pause(ctx, tuning.ChunkCleanupInterval) == nil {
 		if !s.enabled.Load() || !isResponsible() {
@@ -32,6 +33,8 @@
 	chunks    []kvstore.KeyValue
 }
 
+// collectGarbage does one pass: it deletes the chunks that were orphans in the pass before, too, and
+// remembers the other orphans for the next one.
 func (s *Store) collectGarbage(ctx context.Context) error {
 	rows, _, err := s.Service.List(ctx, jobs.ChunkPrefix)
 	if err != nil {
@@ -75,8 +78,9 @@
 	return sets
 }
 
-// deleteChunks deletes chunks in order, the first one first, as long as their record has the
-// given revision.
+// deleteChunks deletes chunks as long as their record has the given revision. It deletes the first
+// chunk first: a write of the record that is still in flight has the precondition that this chunk
+// exists (see Commit), so it cannot succeed once any chunk is missing.
 func (s *Store) deleteChunks(ctx context.Context, set *chunkSet, recordRevision uint64) error {
 	for batch := range slices.Chunk(set.chunks, s.maxTxnOps) {
 		txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: set.recordKey, Revision: recordRevision}}}
@@ -87,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		if !result.Succeeded {
+		if !result.Succeeded { // the record was written, and may point to the chunks now
 			return nil
 		}
 	}
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -12,7 +12,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// errChunkMissing means that chunks were deleted: their record was written anew, or deleted.
+// errChunkMissing means that chunks were deleted after their record was read: the record was written
+// anew, or deleted.
 var errChunkMissing = errors.New("a chunk is missing")
 
 // chunkValues are the stored values of chunks that were read already, by key.
@@ -60,6 +61,7 @@
 	return records, revision, nil
 }
 
+// listChunks reads all chunks of all records.
 func (s *Store) listChunks(ctx context.Context) (chunkValues, error) {
 	rows, _, err := s.Service.List(ctx, jobs.ChunkPrefix)
 	if err != nil {
@@ -86,7 +88,7 @@
 		case strings.HasPrefix(event.Key, jobs.ChunkPrefix):
 			known[event.Key] = event.Value // written before the record that names it
 		case strings.HasPrefix(event.DeletedKey, jobs.ChunkPrefix):
-			// of no use to anybody but the garbage collector
+			// Chunks are internal to this package.
 		case chunkRefOf(event.Value) == nil:
 			delivered = append(delivered, event)
 		default:
@@ -103,8 +105,9 @@
 	return delivered, revision, nil
 }
 
-// assembleRecord replaces a pointer that was read by its record. If chunks are missing, the record
-// has changed since, and is read as it is now; found is false if it was deleted.
+// assembleRecord returns a row with its whole value, given the stored row, which may hold a pointer.
+// If chunks are missing, the record has changed since, and is read as it is now; found is false if
+// it was deleted.
 func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, known chunkValues) (_ kvstore.KeyValue, found bool, err error) {
 	for range tuning.RateLimitedAttempts {
 		ref := chunkRefOf(row.Value)
@@ -144,6 +147,7 @@
 	return value, nil
 }
 
+// readChunk reads one chunk, which may be known. It returns errChunkMissing if it does not exist.
 func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, known chunkValues) ([]byte, error) {
 	raw, ok := known[key]
 	if !ok {
--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -28,7 +28,7 @@
 type Service = kvstore.Service
 
 // Store is a key-value store that takes records larger than one value. It is safe for concurrent
-// use, except for RunGarbageCollector, which runs once.
+// use, except that RunGarbageCollector must not run more than once.
 type Store struct {
 	Service
 	log           *slog.Logger
@@ -71,7 +71,8 @@
 	}
 }
 
-// EnableChunking has large records kept in chunks from now on: all controllers can read them.
+// EnableChunking has large records written in chunks from now on. It may be called only once all
+// controllers run a version that can read chunks (see package featuregate).
 // Before that a record is written whole, and rejected by the service if it is too large.
 func (s *Store) EnableChunking() { s.enabled.Store(true) }
 
@@ -97,9 +98,10 @@
 	return s.Service.Commit(ctx, priority, txn)
 }
 
-// chunkWriteError is the error of a transaction whose chunks could not be written. Whatever
-// became of the chunks: the transaction itself was not executed, so that an unknown outcome of
-// theirs (which is not wrapped for that reason) is none of the transaction.
+// chunkWriteError returns the error of a transaction whose chunks could not be written. The
+// transaction itself was certainly not executed, which is kvstore.ErrUnavailable, even if it is
+// unknown whether the chunks were written: err is not wrapped, so that callers do not find a
+// kvstore.ErrOutcomeUnknown in it. A rejected value stays so, since a retry would be of no use.
 func chunkWriteError(key string, err error) error {
 	if errors.Is(err, kvstore.ErrRejected) {
 		return err
@@ -134,11 +136,11 @@
 	return ref, w.firstRevision, nil
 }
 
-// maxRawBytes is how many bytes fit into a value of a size limit. JSON encodes bytes as base64,
-// which takes a third more, in quotes.
+// maxRawBytes returns how many bytes of a record fit into one value of at most maxValueBytes. JSON
+// encodes bytes as base64, which takes a third more, in quotes.
 func maxRawBytes(maxValueBytes int) int { return (maxValueBytes - 2) / 4 * 3 }
 
-// add appends a write, after the ones before it were committed if they fill a transaction.
+// add queues a write for the next transaction, and first commits the queued ones if they fill it.
 func (w *chunkWriter) add(ctx context.Context, write kvstore.Write) error {
 	if len(w.writes) == w.store.maxTxnOps || w.bytes+w.store.maxValueBytes > tuning.MaxTxnBytes {
 		if err := w.flush(ctx); err != nil {
@@ -150,6 +152,7 @@
 	return nil
 }
 
+// flush commits the queued writes.
 func (w *chunkWriter) flush(ctx context.Context) error {
 	result, err := w.store.Service.Commit(ctx, w.priority, kvstore.Txn{Writes: w.writes})
 	if err != nil {
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// chunkKey is the key of a chunk: keys of the same record sort in the order of its chunks.
+// chunkKey returns the key of a chunk: keys of the same record sort in the order of its chunks.
 func chunkKey(id string, number int, recordKey string) string {
 	return fmt.Sprintf("%s%s/%04d/%s", jobs.ChunkPrefix, id, number, recordKey)
 }
--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -64,8 +64,8 @@
 // Reset drops all records, to be read anew.
 func (x *Index) Reset() { x.batches, x.done = map[string]*batch{}, map[string]Job{} }
 
-// ApplyBatch takes in a batch as recorded at a revision and returns those of its jobs that were
-// not known to be done. An older revision than the one known changes nothing.
+// ApplyBatch applies a batch's record as of a revision and returns those of its jobs that were not
+// known to be done. A record no newer than the known one is ignored.
 func (x *Index) ApplyBatch(key string, value json.RawMessage, revision uint64) ([]Job, error) {
 	if known := x.batches[key]; known != nil && known.revision >= revision {
 		return nil, nil
@@ -86,8 +86,8 @@
 	return added, nil
 }
 
-// RemoveBatch takes in that a batch was deleted at a revision: each of its jobs has a final
-// state of its own by then.
+// RemoveBatch applies the deletion of a batch at a revision: each of its jobs has a final state of
+// its own by then. A deletion older than the known record is ignored.
 func (x *Index) RemoveBatch(key string, revision uint64) {
 	removed := x.batches[key]
 	if removed == nil || removed.revision > revision {
@@ -106,8 +106,8 @@
 	return jobs.FinalState{Status: jobs.Done, Tasks: job.Tasks}, ok
 }
 
-// JobRecordSeen takes in the revision of a job's own record, which has to be cleaned up if a
-// batch lists the job. It returns whether one does.
+// JobRecordSeen records the revision of a job's own record, and reports whether a batch lists the
+// job. If so the job is done, whatever its own record says, and that record has to be cleaned up.
 func (x *Index) JobRecordSeen(ref string, revision uint64) bool {
 	job, ok := x.done[ref]
 	if ok {
@@ -117,7 +117,7 @@
 	return ok
 }
 
-// JobRecordDeleted takes in that a job's own record was deleted at a revision.
+// JobRecordDeleted records that a job's own record was deleted at a revision.
 func (x *Index) JobRecordDeleted(ref string, revision uint64) {
 	if job, ok := x.done[ref]; ok && job.RecordRevision <= revision {
 		job.RecordRevision = 0
@@ -128,8 +128,8 @@
 // JobCount returns how many jobs the batches list.
 func (x *Index) JobCount() int { return len(x.done) }
 
-// OpenBatch returns the newest batch of a shard if it takes more jobs, else the one to be
-// created next.
+// OpenBatch returns the newest batch of a shard if it takes more jobs, else a new one, which is to be
+// created under the next number.
 func (x *Index) OpenBatch(shard string) Batch {
 	prefix := jobs.CompletionBatchPrefix + shard + "/"
 	newest, newestKey := 0, ""
--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -15,8 +15,9 @@
 type teamState struct {
 	record   Record
 	revision uint64
-	// releasing is what is being released, by shard, while the outcome of the write is not
-	// known: it may be another shard's by now. The write rests on releaseRevision.
+	// releasing holds, by shard, the amounts of releases whose outcome is not known. The shard
+	// must not use them, since another one may have acquired them already. The writes of these
+	// releases have releaseRevision of the record as their precondition.
 	releasing       map[string]Amount
 	releaseRevision uint64
 }
@@ -24,14 +25,15 @@
 // New returns Allocations without records.
 func New() *Allocations { return &Allocations{map[string]*teamState{}} }
 
-// Reset drops all records, to be read anew. What is being released stays so: the write may
-// still be in flight.
+// Reset drops all records, to be read anew. Releases whose outcome is not known are kept, since
+// their writes may still be in flight.
 func (a *Allocations) Reset() {
 	for _, state := range a.teams {
 		state.record, state.revision = Record{}, 0
 	}
 }
 
+// teamOf returns the state of a team, which it creates if there is none.
 func (a *Allocations) teamOf(team string) *teamState {
 	state := a.teams[team]
 	if state == nil {
@@ -41,8 +43,9 @@
 	return state
 }
 
-// ApplyRecord takes in a team's record at a revision. An older revision than the one known
-// changes nothing. Under a newer one, no write that rests on an older one can be made any more.
+// ApplyRecord applies a team's record as of a revision. A record no newer than the known one is
+// ignored. A newer one settles the releases in flight: each is contained in it, or can no longer
+// succeed because its precondition is an older revision.
 func (a *Allocations) ApplyRecord(team string, value json.RawMessage, revision uint64) error {
 	state := a.teamOf(team)
 	if state.revision >= revision {
@@ -99,8 +102,9 @@
 	return a.changed(team.Name, shard, acquired), true
 }
 
-// Release returns the record to be written with less for a shard. The shard must not use the
-// released amount once the write is sent, whatever its outcome: see ReleaseSent.
+// Release returns the record to be written with less for a shard. ReleaseSent has to be called in
+// the actor's same step as the write is begun: from then on the shard must not use the released
+// amount, since an unanswered write may still succeed.
 func (a *Allocations) Release(team config.Team, shard string, released Amount) Record {
 	return a.changed(team.Name, shard, Amount{}.Sub(released))
 }
@@ -118,16 +122,18 @@
 	return Record{byShard}
 }
 
-// ReleaseSent notes that a release is in flight that rests on the known revision of the record.
+// ReleaseSent records that a release is being written with the known revision of the team's
+// record as its precondition. Available no longer includes the released amount.
 func (a *Allocations) ReleaseSent(team, shard string, released Amount) {
 	state := a.teamOf(team)
 	state.releasing[shard] = state.releasing[shard].add(released)
 	state.releaseRevision = state.revision
 }
 
-// ReleaseRejected notes that the release was certainly not made.
+// ReleaseRejected records that a shard's release was certainly not written: the shard may use the
+// amount again.
 func (a *Allocations) ReleaseRejected(team, shard string) { delete(a.teamOf(team).releasing, shard) }
 
-// IsReleasePending reports whether the outcome of a release is not known. Another write that
-// rests on the same revision decides it.
+// IsReleasePending reports whether the outcome of a release of a team is not known. A successful write
+// with the same precondition settles it, since then the release can no longer succeed.
 func (a *Allocations) IsReleasePending(team string) bool { return len(a.teamOf(team).releasing) > 0 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -7,9 +7,9 @@
 )
 
 // The protocol of allocations as a small state machine around the real Allocations: controllers
-// that own shards, lag behind the record, crash and recover; workers that obey the controller to
-// which they sent their last heartbeat; transactions that are made late or whose answers are
-// lost. The invariants: no more is allocated than the quota, and no more runs.
+// that own shards, lag behind the record, crash and recover; workers that follow the commands of
+// the controller to which they sent their last heartbeat; transactions that are executed late or
+// whose responses are lost. The invariants: no more is allocated than the quota, and no more runs.
 
 const (
 	shardCount      = 2
@@ -68,7 +68,7 @@
 	owner           [shardCount]int8 // by the shard's record
 	epoch           [shardCount]int8
 	running         [shardCount]int8 // tasks with the shard's workers
-	obeys           [shardCount]int8 // the controller that the shard's workers obey
+	obeys           [shardCount]int8 // the controller whose commands the shard's workers follow
 	known           [controllerCount]modelRecord
 	releaseRevision [controllerCount]int8 // on which the last release rests
 	views           [controllerCount][shardCount]shardView
@@ -136,7 +136,7 @@
 	return false
 }
 
-// applyRecord has a controller take in the record, after a reset if it reads all anew.
+// applyRecord has a controller apply the record, after a reset if it reads all records anew.
 func (m *model) applyRecord(controller int, reset bool) {
 	if !reset && m.known[controller] == m.record {
 		return
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,7 +1,7 @@
 // Package quota keeps the quotas of teams: the most that the running tasks of a team may take in
 // all. A quota is split into durable allocations of the shards, whose sum never exceeds it. Only
-// the owner of a shard changes the shard's allocation, by a write that rests on the shard's
-// epoch: it acquires from what is unallocated, and releases what it has no use for.
+// the owner of a shard changes the shard's allocation, by a write whose precondition is the
+// shard's epoch: it acquires from what is unallocated, and releases what it has no use for.
 package quota
 
 import (
@@ -26,8 +26,8 @@
 
 // Amount is an amount of the limited resources.
 type Amount struct {
-	CPU float64 `json:"cpu,omitempty"`
-	GPU float64 `json:"gpu,omitempty"`
+	CPU float64 `json:"cpu,omitempty"` // cores
+	GPU float64 `json:"gpu,omitempty"` // devices
 }
 
 // Tolerance is by how much a sum of amounts may exceed a quota, for the rounding of floating
@@ -47,13 +47,13 @@
 	return b.CPU <= a.CPU+Tolerance && b.GPU <= a.GPU+Tolerance
 }
 
-// IsNegligible reports whether the amount is at most Tolerance.
+// IsNegligible reports whether no part of the amount exceeds Tolerance.
 func (a Amount) IsNegligible() bool { return a.CPU <= Tolerance && a.GPU <= Tolerance }
 
 // IsLimited reports whether a team has a quota.
 func IsLimited(team config.Team) bool { return team.MaxCPUs > 0 || team.MaxGPUs > 0 }
 
-// LimitOf returns a team's quota. 0 means that the resource is not limited.
+// LimitOf returns a team's quota. A resource with 0 is not limited.
 func LimitOf(team config.Team) Amount { return Amount{team.MaxCPUs, team.MaxGPUs} }
 
 // UsageOf returns what tasks take of a team's quota. Resources without a limit are left out.
@@ -68,14 +68,15 @@
 	return usage
 }
 
-// TasksThatFit returns how many tasks of one size fit into an amount.
-func TasksThatFit(amount, one Amount) int {
+// TasksThatFit returns how many tasks fit into an amount, each of which takes perTask:
+// math.MaxInt32 if that is nothing.
+func TasksThatFit(amount, perTask Amount) int {
 	tasks := math.MaxInt32
-	if one.CPU > 0 {
-		tasks = min(tasks, int((amount.CPU+Tolerance)/one.CPU))
+	if perTask.CPU > 0 {
+		tasks = min(tasks, int((amount.CPU+Tolerance)/perTask.CPU))
 	}
-	if one.GPU > 0 {
-		tasks = min(tasks, int((amount.GPU+Tolerance)/one.GPU))
+	if perTask.GPU > 0 {
+		tasks = min(tasks, int((amount.GPU+Tolerance)/perTask.GPU))
 	}
 	return max(0, tasks)
 }
