--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// storeRecord writes one of the records of machine types if there is a value; stored is called
-// on success.
+// storeRecord writes one of the records of machine types. value is nil if there is nothing to write,
+// err the error of encoding it; stored is called when it was written.
 func (c *Cache) storeRecord(key string, value json.RawMessage, record *machinetype.RecordState, err error, stored func()) {
 	if err != nil {
 		c.log.Error("record not written", "key", key, "error", err)
--- a/internal/statecache/features.go
+++ b/internal/statecache/features.go
@@ -38,6 +38,7 @@
 			c.writingVersion = false
 			return
 		}
+		// Tick would repeat a failing write several times a second.
 		c.mailbox.SendAfter(tuning.MaxRetryDelay, func() { c.writingVersion = false })
 	})
 }
--- a/internal/statecache/finals.go
+++ b/internal/statecache/finals.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// ApplyPeerCancellation applies a cancellation that a peer reports, with the revision of its
-// record and the number of tasks that were done. It is as true as what the watch delivers, and
-// arrives also where the store cannot be read.
+// ApplyPeerCancellation applies a cancellation that a peer knows from the store, with the revision
+// of its record and the number of tasks that were done. It is as reliable as what the watch
+// delivers, and it arrives even while this controller cannot reach the store.
 func (c *Cache) ApplyPeerCancellation(ref string, doneTasks int, revision uint64) {
 	if _, known := c.Final(ref); known || !c.synced || !jobs.ValidRef(ref) {
 		return
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -20,10 +20,11 @@
 	for _, id := range c.Membership.ShardsToAcquire(now, failed) {
 		shard := c.Membership.Shard(id)
 		ownerIsLive := c.Membership.OwnerIsLive(shard)
-		if ownerIsLive && !failed(shard.Owner()) && c.hooks.AwaitHandover(id, now) {
+		ownerFailed := ownerIsLive && failed(shard.Owner())
+		if ownerIsLive && !ownerFailed && c.hooks.AwaitHandover(id, now) {
 			continue
 		}
-		if ownerIsLive && failed(shard.Owner()) {
+		if ownerFailed {
 			c.log.Info("controller considered failed before its lease expired", "controller", shard.Owner(), "shard", id)
 		}
 		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
@@ -103,12 +104,12 @@
 	return nil
 }
 
-// HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied: this
-// controller's own write of it is applied before the watch has delivered earlier changes. A
-// heartbeat that was accepted before that may list a task of a range that the previous owner
-// claimed at the last moment. The task would be stopped as unknown, and, once the range became
-// known, the worker would count as having reported without it, so that the task was started on
-// another worker and ran twice.
+// HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied. The
+// acquisition by this controller is applied as soon as its write succeeds, perhaps before the watch
+// has delivered earlier changes. A heartbeat that was accepted in between could list a task of a
+// range that the previous owner claimed just before. The task would be stopped as unknown and, once
+// the range became known, the worker would count as having reported without it: the task would be
+// started on another worker and run twice.
 func (c *Cache) HasReachedEpoch(shard *membership.Shard) bool {
 	return c.appliedRevision >= shard.Epoch()
 }
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -88,8 +88,8 @@
 	c.hooks.PipelineEvents(nil, true)
 }
 
-// watch follows the changes after a revision. It returns when the context ends or the watch
-// cannot be resumed.
+// watch follows the changes after a revision. It returns when the context ends or the watch cannot
+// be resumed (kvstore.ErrExpired); after other errors it repeats the request.
 func (c *Cache) watch(ctx context.Context, from uint64) error {
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
