--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -124,9 +124,10 @@
 	if suspect == nil || !suspect.isSuspected() {
 		return false
 	}
-	agreeing := 0
+	agreeing := 0 // witnesses: other controllers, of whom it is known whom they suspect now
 	for other, peer := range d.peers {
-		if other == controller || now.Sub(peer.lastHeartbeatAt) > tuning.MinSuspicionTimeout {
+		isWitness := other != controller && now.Sub(peer.lastHeartbeatAt) <= tuning.MinSuspicionTimeout
+		if !isWitness {
 			continue
 		}
 		if !slices.Contains(peer.suspects, controller) {
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -20,6 +20,9 @@
 	latest map[string]receivedHeartbeat // by controller, of all others
 }
 
+// currentHeartbeatAge is the age of a heartbeat after which more than two in succession are missing.
+const currentHeartbeatAge = 3 * tuning.PeerHeartbeatInterval
+
 type receivedHeartbeat struct {
 	heartbeat  peer.Heartbeat
 	receivedAt time.Time // zero: none received
@@ -32,7 +35,7 @@
 
 // isCurrent reports whether at most two heartbeats in succession are missing.
 func (r receivedHeartbeat) isCurrent(now time.Time) bool {
-	return r.age(now) < 3*tuning.PeerHeartbeatInterval
+	return r.age(now) < currentHeartbeatAge
 }
 
 // storeSilentFor returns the longest time for which the key-value store may not have responded to
@@ -126,7 +129,7 @@
 // confirmed a cancellation in that time, and those confirmed before are known here.
 func (t *Tracker) NoPeerReachesStore(now time.Time, silentFor time.Duration) bool {
 	for _, last := range t.latest {
-		if last.receivedAt.IsZero() || last.age(now) > 3*tuning.PeerHeartbeatInterval ||
+		if last.receivedAt.IsZero() || last.age(now) > currentHeartbeatAge ||
 			last.heartbeat.StoreSilentFor < silentFor {
 			return false
 		}
@@ -144,8 +147,8 @@
 	// Even in an outage the last responses to two controllers are some time apart.
 	const margin = tuning.IsolatedHealthGracePeriod / 2
 	for _, last := range t.latest {
-		if last.isCurrent(now) && last.heartbeat.Synced &&
-			last.storeSilentFor(now) < silentFor-margin && last.heartbeat.StoreSilentFor < margin {
+		reachesStore := last.storeSilentFor(now) < silentFor-margin && last.heartbeat.StoreSilentFor < margin
+		if last.isCurrent(now) && last.heartbeat.Synced && reachesStore {
 			return true
 		}
 	}
