--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -172,6 +172,7 @@
 
 // chunkRefOf returns where the chunks of a stored value are, nil if the value is whole.
 func chunkRefOf(value json.RawMessage) *chunkRef {
+	// Most values are whole, and need not be decoded to find that.
 	if len(value) > tuning.MaxChunkPointerBytes || !bytes.Contains(value, []byte(`"$parts"`)) {
 		return nil
 	}
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// canApply reports whether a payload describes the shard as it is. The epoch that ours replaced
-// has to be the payload's: under that one its owner had stopped responding to workers, so no
-// command was sent since by anybody. With any epoch in between, a task could be started twice.
+// canApply reports whether a payload still describes the shard. Its epoch has to be the one that ours
+// replaced: under that epoch the old owner had stopped responding to workers, so no controller has
+// sent them a command since. After an epoch in between, a task could be started twice.
 func (c *Coordinator) canApply(p *payload, shard *membership.Shard) bool {
 	return p.isComplete() && shard.IsLocal() && shard.PreviousEpoch() == p.epoch && c.Cache.HasReachedEpoch(shard)
 }
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -58,7 +58,7 @@
 			c.endOutgoing(id, transfer, shard, now)
 		case !transfer.isSent() && now.Sub(transfer.requestedAt) < tuning.TransferTimeout:
 			c.sendShard(shard, now)
-		case !transfer.isSent():
+		case !transfer.isSent(): // releases or moves took too long: the shard stays here
 			shard.AbortTransfer()
 			delete(c.outgoing, id)
 		case now.Sub(transfer.sentAt) > tuning.TransferTimeout:
--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -62,8 +62,8 @@
 	q.StartIfDue(now)
 }
 
-// StartIfDue starts a read if one is due: for the waiting callers, or because the last one is long
-// ago. If callers have to wait for the pace of the reads, it sets the timer.
+// StartIfDue starts a read if one is due: for the waiting callers, or because the last one was
+// tuning.RevisionReadInterval ago. If the last one is too recent for another, it sets the timer.
 func (q *Queue) StartIfDue(now time.Time) {
 	if q.readInFlight || (len(q.waiting) == 0 && now.Sub(q.lastReadAt) < tuning.RevisionReadInterval) {
 		return
