--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -13,8 +13,8 @@
 	// is not known; failed conditions are reported by the result. Only after ErrOutcomeUnknown
 	// may the writes have been executed.
 	Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error)
-	// Get reads one key; found is false if it does not exist. revision is the store's revision,
-	// which is known only if the key does not exist; row has the key's own revision.
+	// Get reads one key; found is false if it does not exist. The store's revision is returned
+	// in that case only.
 	Get(ctx context.Context, priority Priority, key string) (row KeyValue, found bool, revision uint64, err error)
 	// List reads all keys with a prefix, and the revision as of which the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
