--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -59,7 +59,6 @@
 // completedSmallJobs returns the completed small jobs by shard, and whether the write of one
 // is due.
 func (w *Writer) completedSmallJobs(now time.Time) (completed map[string][]*clusterstate.Job, due bool) {
-	completed = map[string][]*clusterstate.Job{}
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
 			continue
@@ -68,6 +67,9 @@
 		if taskRange == nil || !taskRange.IsOwned() || taskRange.IsTentative() || !taskRange.IsComplete() {
 			continue
 		}
+		if completed == nil { // allocated only when needed, since this runs in each tick
+			completed = map[string][]*clusterstate.Job{}
+		}
 		shardID := taskRange.Record().Shard
 		completed[shardID] = append(completed[shardID], job)
 		_, since := taskRange.UnrecordedDone()
