--- a/cmd/cherrywall/daemon.go
+++ b/cmd/cherrywall/daemon.go
@@ -35,7 +35,7 @@
 // runCmd is the daemon.
 type runCmd struct{}
 
-// Run runs the daemon until it is told to end by a signal. At the first signal it transfers its
+// Run runs the daemon until a signal ends it. At the first signal it transfers its
 // shards before it ends, at the second it ends at once.
 func (runCmd) Run(ctx context.Context, commands *cli) error {
 	if commands.Config == "" {
@@ -121,7 +121,7 @@
 	tracer      *tracing.Tracer
 	pipelines   bool         // run pipeline files
 	setLogLevel func(string) // by name, "" for the initial level
-	// awaitShutdown waits until the process is told to end, and lets the controller leave.
+	// awaitShutdown waits until a signal ends the process, and lets the controller leave.
 	awaitShutdown func(*controller.Controller)
 }
 
@@ -164,7 +164,7 @@
 	debug.SetMemoryLimit(int64(d.cfg.Cluster.Limits.MemMB * tuning.HeapLimitFraction * (1 << 20)))
 }
 
-// newIncarnation returns a random number that tells this process from earlier ones of the node.
+// newIncarnation returns a random number that distinguishes this process from earlier ones of the node.
 func newIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -26,7 +26,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	}
 	w.WriteHeader(code)
-	_, _ = w.Write(raw) // a client that is gone sends its request again
+	_, _ = w.Write(raw) // a client that has disconnected sends its request again
 }
 
 // WriteError answers a request with what is wrong.
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -59,7 +59,7 @@
 	}
 	deadline := time.Now().Add(tuning.CLIRetryTimeout)
 	var lastErr error
-	for round := 0; ; round++ {
+	for attempt := 0; ; attempt++ { // each asks all controllers once
 		retryAfter := tuning.MinRetryDelay
 		for range c.addresses {
 			address := c.addresses[c.current%len(c.addresses)]
@@ -78,7 +78,7 @@
 			}
 			c.current++
 		}
-		delay := min(max(retryAfter, time.Duration(round)*tuning.MinRetryDelay), tuning.MaxCLIRetryDelay)
+		delay := min(max(retryAfter, time.Duration(attempt)*tuning.MinRetryDelay), tuning.MaxCLIRetryDelay)
 		if time.Now().Add(delay).After(deadline) {
 			return 0, fmt.Errorf("given up after %v: %w", tuning.CLIRetryTimeout, lastErr)
 		}
--- a/internal/autoscaler/choose.go
+++ b/internal/autoscaler/choose.go
@@ -31,7 +31,8 @@
 
 // chooseGroup returns the group with the lowest price per task, in the given zone only if it is
 // not "". Among similar prices a job that must stay in one zone prefers the zone with the most
-// machines, any other job the one with the fewest. ok is false if no machine can be had.
+// machines, any other job the one with the fewest. Equal costs are decided by name, so that the
+// choice does not depend on the order of a map. ok is false if no machine can be had.
 func (a *Autoscaler) chooseGroup(job scheduler.PendingJob, spotAllowed bool, machinesInZone map[string]int, onlyZone string, tasks int) (best capacity.Group, ok bool) {
 	lowestCost := 0.0
 	for typeName, machineType := range a.machineTypes {
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -17,9 +17,9 @@
 	zone  string
 }
 
-// shortfallOfGang counts the tasks of a gang that have no room yet, in the zone that lacks the
-// least, and takes the room that the gang uses off p.free. Room on pending machines is not taken
-// here, but in placeOnPlanned.
+// shortfallOfGang counts the tasks of a gang that have no room yet, in the zone with the smallest
+// shortfall, and subtracts the room that the gang uses from p.free. Room on pending machines is
+// used later, in placeOnPlanned.
 func (p *planner) shortfallOfGang(job scheduler.PendingJob) gangShortfall {
 	pendingRoom := map[string]int{}
 	for _, machine := range p.machines {
@@ -52,9 +52,9 @@
 	return tasks
 }
 
-// zoneWithLeastShortfall returns the zone where a gang lacks the least room; among equals the
-// one with the most room now, then the first by name. A zone that lacks room and where no
-// machine can be had is left out; "" means that there is none.
+// zoneWithLeastShortfall returns the zone where the fewest tasks of a gang have no room; among
+// equals the one with the most room now, then the first by name. A zone with a shortfall where no
+// machine can be requested is left out. It returns "" if no zone remains.
 func (p *planner) zoneWithLeastShortfall(job scheduler.PendingJob, free, pendingRoom map[string]int) string {
 	best, leastShortfall := "", 0
 	for zone := range p.zones() {
--- a/internal/classstats/stats.go
+++ b/internal/classstats/stats.go
@@ -46,8 +46,8 @@
 func (s *Stats) RecordArrival(job *jobs.JobRecord, runnableSinceMS int64, now time.Time) {
 	stats := s.statsOf(job.Class)
 	stats.lastJob = job
-	// Jobs that a starting controller reads together arrived at different times: taken for a
-	// burst, they made the buffers several times too large.
+	// Jobs that a starting controller reads together arrived at different times. Counted as a
+	// burst at its start, they made the buffers several times too large.
 	arrivedAt := now
 	if runnableSince := time.UnixMilli(runnableSinceMS); runnableSinceMS > 0 && runnableSince.Before(now) {
 		arrivedAt = runnableSince
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -68,7 +68,8 @@
 	return response.MachineTypes, err
 }
 
-// ScaleOut requests machines and returns the hosts that will boot, which may be fewer than requested.
+// ScaleOut requests machines and returns the hosts that will boot, which may be fewer than requested. The
+// error is ErrNoCapacity if there are none; after ErrUnavailable they may boot all the same.
 func (c *Client) ScaleOut(ctx context.Context, request ScaleOutRequest) ([]string, error) {
 	var response struct {
 		Hosts []string `json:"hosts"`
@@ -77,7 +78,7 @@
 	return response.Hosts, err
 }
 
-// Release gives machines back. Without an error they and all that runs on them are gone.
+// Release gives machines back. If there is no error, the cloud has terminated them and all that ran on them.
 func (c *Client) Release(ctx context.Context, hosts []string) error {
 	request := map[string][]string{"hosts": hosts}
 	return c.call(ctx, http.MethodPost, releasePath, request, nil)
@@ -131,7 +132,8 @@
 	return decodeResponse(response, result)
 }
 
-// decodeResponse reads a response into result, unless that is nil, or returns the error that it tells.
+// decodeResponse reads a response into result, unless that is nil. The error of a response that reports a
+// failure is ErrNoCapacity or wraps ErrUnavailable.
 func decodeResponse(response *http.Response, result any) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -9,8 +9,8 @@
 
 // Errors of the cloud. Any other error means that the request could not be made.
 var (
-	// ErrNoCapacity means that the cloud has no machine now of the requested type, zone and kind (spot
-	// or ordinary). The same request may be sent again.
+	// ErrNoCapacity means that the cloud has no machine now of the requested type, zone and market (spot
+	// or on-demand). The same request may be sent again.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable means that the cloud did not answer or could not serve. The request may have been
 	// executed all the same.
--- a/internal/diagnostics/findings.go
+++ b/internal/diagnostics/findings.go
@@ -35,8 +35,8 @@
 }
 
 func (r *Reporter) checkStore(list *findingList, now time.Time) {
-	if silent := now.Sub(r.deps.Cache.LastContactAt()); silent > tuning.HealthGracePeriod {
-		list.add("see to the state service, or to this controller's way there", "the state service has been silent for %.0f s", silent.Seconds())
+	if silentFor := now.Sub(r.deps.Cache.LastContactAt()); silentFor > tuning.HealthGracePeriod {
+		list.add("see to the state service, or to this controller's way there", "the state service has been silent for %.0f s", silentFor.Seconds())
 	}
 	for _, record := range r.deps.Cache.QuarantinedRecords() {
 		list.add("look at the record; if it is beyond help, delete the key", "record %s is set aside: %s", record.Key, record.Error)
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -12,6 +12,7 @@
 	Limits map[string]float64 `json:"limits"`
 }
 
+// versionView is the version that one controller runs.
 type versionView struct {
 	Node                 string `json:"controller"`
 	Version              int    `json:"version"`
--- a/internal/diagnostics/members.go
+++ b/internal/diagnostics/members.go
@@ -65,17 +65,17 @@
 	return state == failuredetector.Suspected || state == failuredetector.Failed
 }
 
-// memberState says whether a controller's lease is valid and whether its heartbeats arrive. The
+// memberState describes whether a controller's lease is valid and whether its heartbeats arrive. The
 // texts are output of the administration API and keep their form.
-func memberState(isLive, isHeard, isLeaving bool) string {
+func memberState(isLive, sendsHeartbeats, isLeaving bool) string {
 	switch {
 	case isLeaving:
 		return "leaving"
-	case isLive && isHeard:
+	case isLive && sendsHeartbeats:
 		return "alive"
 	case isLive:
 		return "alive, but not heard"
-	case isHeard:
+	case sendsHeartbeats:
 		return "heard, but its grant has ended"
 	}
 	return "failed"
--- a/internal/diagnostics/problems.go
+++ b/internal/diagnostics/problems.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Problem is a condition that lasts and that operators want to know by name: a machine that
-// receives nothing, a controller that is cut off, a job that waits for long.
+// Problem is a condition that has lasted for a while and concerns one machine, controller or job: a
+// machine that receives nothing, a controller that is cut off, a job that has waited for long.
 type Problem struct {
 	Kind            ProblemKind `json:"kind"`
 	Name            string      `json:"name"`
--- a/internal/diagnostics/shards.go
+++ b/internal/diagnostics/shards.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// shardView is a shard as this controller sees it.
 type shardView struct {
 	Shard      string `json:"share"`
 	Owner      string `json:"holder"`
--- a/internal/diagnostics/workers.go
+++ b/internal/diagnostics/workers.go
@@ -8,6 +8,7 @@
 	"cherrywall/internal/clusterstate"
 )
 
+// workerView is a worker as this controller sees it.
 type workerView struct {
 	Worker      string `json:"worker"`
 	Shard       string `json:"share"`
@@ -22,6 +23,7 @@
 	Errors int                 `json:"errors,omitempty"`
 }
 
+// taskView is a task that is assigned to a worker.
 type taskView struct {
 	Task     string `json:"task"`
 	Attempt  uint64 `json:"attempt"`
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -38,8 +38,8 @@
 	pollSemaphore chan struct{} // bounds the polls that wait for an answer
 }
 
-// NewHandler returns the handler of the listen address. Each of the functions adds further
-// routes.
+// NewHandler returns the handler of the listen address. Each of the functions addRoutes adds
+// further routes to its router.
 func NewHandler(backend Controller, metrics *admin.Metrics, addRoutes ...func(*httprouter.Router)) http.Handler {
 	h := &handler{backend: backend, metrics: metrics, pollSemaphore: make(chan struct{}, tuning.MaxWaitingPolls)}
 	router := httprouter.New()
--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -13,9 +13,9 @@
 	"cherrywall/internal/workerapi"
 )
 
-// markSurplus marks the on-demand machines that neither run tasks bound to them nor are needed
-// for the growth buffers. If arrays could use them for ever, they would never
-// become empty.
+// markSurplus marks the on-demand machines that run only tasks which may also run on spot machines,
+// and that are not needed for the growth buffers. Without the mark arrays would go on using such
+// machines, which would never become empty and never be released.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
 	shardCount := float64(m.Membership.Size())
 	kept := map[string][]int{} // by shard, the tasks of each buffer that fit on the machines kept
@@ -40,7 +40,8 @@
 }
 
 // usableFullestFirst returns the usable machines, those with the most tasks first: they are
-// kept for the growth buffers, so that the emptiest become empty. The others are not surplus.
+// kept for the growth buffers, so that the emptiest become empty. It marks unusable machines as
+// not surplus.
 func (m *Manager) usableFullestFirst() []*clusterstate.Machine {
 	var machines []*clusterstate.Machine
 	for _, machine := range m.State.OwnedMachines() {
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -77,8 +77,8 @@
 	if !machine.HasReported() || machine.IsLost() || machine.HeartbeatOverdue() {
 		return false
 	}
-	heardSince := laterOf(machine.LastHeartbeatAt(), m.resumedAt)
-	return now.Sub(heardSince) > m.heartbeatDueAfter(machine)
+	waitingSince := laterOf(machine.LastHeartbeatAt(), m.resumedAt)
+	return now.Sub(waitingSince) > m.heartbeatDueAfter(machine)
 }
 
 // heartbeatDueAfter is the time without a heartbeat after which the next one is overdue. The
@@ -117,6 +117,7 @@
 func (m *Manager) releaseIfUnreachable(machine *clusterstate.Machine, now time.Time) {
 	switch {
 	case machine.IsReleased() && !machine.IsReleasing():
+		// The cloud's list shows that it was terminated: only its record is left to delete.
 		m.State.SetReleasing(machine, true)
 		m.deleteRecords(machine)
 	case machine.HasNoInbound() && now.Sub(machine.NoInboundChangedAt()) > m.unreachableGracePeriod():
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -55,7 +55,7 @@
 	return false
 }
 
-// subtract takes a machine that will be released off the idle capacity.
+// subtract removes a machine that will be released from the idle capacity.
 func (m *Manager) subtract(machine *clusterstate.Machine, idle *idleCapacity) {
 	shardID := machine.Record().Shard
 	for i, buffer := range idle.buffers {
@@ -133,8 +133,8 @@
 		if job.HasEnded() || job.Record().Kind == jobs.Array || m.Faults.IsJobFaulty(job.Ref()) {
 			continue
 		}
-		// Tasks that wait for their team's quota have no use for machines: those of a single
-		// team at its limit once kept a third of the machines idle.
+		// Tasks that wait for their team's quota do not count, since they cannot use a machine:
+		// those of a single team at its limit once kept a third of all machines idle.
 		if !job.IsBlocked() && (job.HasReadyTasks() || len(job.Record().Unclaimed) > 0 && allowance.Take(job) > 0) {
 			waiting = append(waiting, job)
 		}
@@ -142,8 +142,8 @@
 	return waiting
 }
 
-// isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. Released
-// while the other machines of a gang boot, it would have to be requested again.
+// isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. A machine that
+// is released while the other machines of a gang boot would have to be requested again.
 func (m *Manager) isNeededByWaitingJob(machine *clusterstate.Machine, waiting []*clusterstate.Job) bool {
 	return slices.ContainsFunc(waiting, func(job *clusterstate.Job) bool {
 		return job.Record().Allows(machine.Group()) && capacity.FitCount(m.State.Free(machine), job.Need()) > 0
--- a/internal/machinelifecycle/listing.go
+++ b/internal/machinelifecycle/listing.go
@@ -9,8 +9,8 @@
 )
 
 // checkCloudListing reads the cloud's machine list while a worker misses heartbeats: a machine
-// that is listed as failed or no longer listed is gone, and its tasks need not wait for the
-// expiry of its lease.
+// that is listed as failed or no longer listed has been terminated, and its tasks need not wait
+// for the expiry of its lease.
 func (m *Manager) checkCloudListing(now time.Time) {
 	if m.listInFlight || now.Sub(m.listedAt) < tuning.MinMachineListGap || m.Cache.IsStale(now) {
 		return
--- a/internal/machinelifecycle/release.go
+++ b/internal/machinelifecycle/release.go
@@ -10,9 +10,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// release queues a machine for release. Once the cloud confirms it, the machine, its tasks and
-// its record are gone. A machine that is being released or whose shard is being transferred is
-// left alone.
+// release queues a machine for release. Once the cloud confirms it, the machine counts as
+// terminated, its tasks may start elsewhere, and its record is deleted. A machine that is being
+// released already or whose shard is being transferred is left alone.
 func (m *Manager) release(machine *clusterstate.Machine) {
 	shard := m.State.OwnedShard(machine)
 	if machine.IsReleasing() || shard != nil && shard.IsTransferring() {
@@ -49,7 +49,7 @@
 	for len(m.pendingReleases) > 0 && len(machines) < tuning.MaxScaleInPerRequest {
 		machine := m.pendingReleases[0]
 		m.pendingReleases = m.pendingReleases[1:]
-		// A machine whose shard changed its owner meanwhile is the new owner's business.
+		// A machine whose shard has another owner by now is left to that owner.
 		if m.State.IsCurrentMachine(machine) && machine.IsReleasing() && m.State.OwnedShard(machine) != nil {
 			machines = append(machines, machine)
 		}
@@ -100,7 +100,7 @@
 // The shard's epoch is no precondition: a terminated machine stays terminated whoever owns its
 // shard, and its name is never used again. With that precondition the records stayed when the
 // shard changed its owner just after the release, and the next owner waited up to 36 s for
-// machines that no longer existed. The normal priority has the same reason.
+// machines that no longer existed. For the same reason the write has the normal priority.
 func (m *Manager) deleteRecords(machines ...*clusterstate.Machine) {
 	for batch := range slices.Chunk(machines, m.cfg.EffectiveStateLimits().TxnOps) {
 		var txn kvstore.Txn
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -22,7 +22,8 @@
 // gang has not waited long enough.
 func (m *Manager) shardForGang(job *clusterstate.Job, now time.Time) (target gangTarget, ok bool) {
 	record := job.Record()
-	if job.HasEnded() || record.Kind != jobs.Gang || record.UnclaimedCount() != record.Tasks || now.Sub(job.KnownSince()) < tuning.GangConsolidationDelay {
+	isUnclaimedGang := record.Kind == jobs.Gang && record.UnclaimedCount() == record.Tasks
+	if job.HasEnded() || !isUnclaimedGang || now.Sub(job.KnownSince()) < tuning.GangConsolidationDelay {
 		return gangTarget{}, false
 	}
 	capacityByShard := m.Scheduler.CapacityByShard(job)
@@ -57,8 +58,8 @@
 	return best
 }
 
-// fittingTasks is the number of a gang's tasks that fit in a shard, in the given zone only if
-// it is not "". Of a gang that must be spread, half may be in one zone.
+// fittingTasks returns the number of a gang's tasks that fit in a shard; if onlyZone is not "",
+// in that zone only. Of a gang that must be spread, half may be in one zone.
 func fittingTasks(record *jobs.JobRecord, capacityByZone map[string]int, onlyZone string) int {
 	sum := 0
 	for zone, tasks := range capacityByZone {
@@ -179,6 +180,6 @@
 		}
 	}
 	if moved {
-		m.log.Info("machines moved to shard", "shard", targetID, "workers", len(machines))
+		m.log.Info("machines moved to shard", "shard", targetID, "worker_count", len(machines))
 	}
 }
--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -61,20 +61,20 @@
 // All returns the types by name. The map belongs to the catalog and must not be changed.
 func (c *Catalog) All() map[string]cloud.MachineType { return c.byName }
 
-// Get returns a type by its name.
+// Get returns a type by its name, and whether it is known.
 func (c *Catalog) Get(typeName string) (cloud.MachineType, bool) {
 	machineType, ok := c.byName[typeName]
 	return machineType, ok
 }
 
-// Capacity returns the resources of a machine of the type.
+// Capacity returns the resources of a machine of the type, and whether the type is known.
 func (c *Catalog) Capacity(typeName string) (capacity.Resources, bool) {
 	machineType, ok := c.byName[typeName]
 	return machineType.Total(), ok
 }
 
 // BootSeconds returns the expected boot time of a type in seconds: the recorded one, otherwise
-// the one that the cloud states.
+// the one that the cloud states. It is 0 for an unknown type.
 func (c *Catalog) BootSeconds(typeName string) float64 {
 	if seconds, ok := c.recordedBootTimes[typeName]; ok {
 		return seconds
--- a/internal/reconciliation/discrepancy.go
+++ b/internal/reconciliation/discrepancy.go
@@ -16,7 +16,7 @@
 	CompletionUnrecorded                    // the task is done, and its completion is not recorded
 	WorkerUnrecorded                        // a worker without a record sends heartbeats
 	WorkerMissing                           // a recorded worker sends no heartbeats
-	discrepancyCount
+	discrepancyCount                        // the number of discrepancies
 )
 
 // Action is what reconciliation does about a discrepancy.
@@ -32,14 +32,14 @@
 	ActionAwaitWorker                    // nothing is decided until the worker reports or its lease has expired
 )
 
-// Rule decides one discrepancy. docs/recovery.md shows the same table.
+// Rule says which action follows from one discrepancy. docs/recovery.md shows the same table.
 type Rule struct {
-	Name         string // in logs, views and metrics
+	Name         string // in logs and in operators' views; it is output and keeps its form
 	Action       Action
 	ProtocolRule string // the rule of the protocol that any other action would break
 }
 
-// Rules holds the rule of each discrepancy. Nothing else decides what follows from one.
+// Rules holds the rule of each discrepancy. All decisions about discrepancies follow it.
 var Rules = [discrepancyCount]Rule{
 	Agrees:               {"agrees", ActionKeep, "ran_twice"},
 	RunningUnclaimed:     {"without a claim", ActionStop, "ran_twice"},
@@ -60,7 +60,8 @@
 	return Rules[Classify(lookup)].Action == ActionKeep
 }
 
-// Classify compares a task that a worker lists, and that is not assigned to it, with the records.
+// Classify returns the discrepancy of a task that a worker lists and that is not assigned to it. It never
+// returns ClaimedNotRunning, WorkerUnrecorded or WorkerMissing, which no listed task can show.
 func Classify(lookup clusterstate.TaskLookup) Discrepancy {
 	switch {
 	case !lookup.JobKnown:
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -14,7 +14,7 @@
 )
 
 // Prober shows a worker a fencing token without any command and returns the worker's present
-// heartbeat. agentEpoch is the agent session in which the worker is believed to be.
+// heartbeat. agentEpoch is the agent epoch in which the worker is believed to be.
 type Prober interface {
 	Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*workerapi.Heartbeat, error)
 }
@@ -48,9 +48,9 @@
 	isQueued         map[*clusterstate.Machine]bool
 	timer            *time.Timer // calls Run at timerDueAt
 	timerDueAt       time.Time
-	// Probes in flight. Those that take long are most likely unanswered and count apart, so that
-	// they do not hold up the others: a shard with 230 machines behind a network partition needed
-	// 15 s for the rest.
+	// Probes in flight. Slow ones will most likely not be answered, and count only against the
+	// larger limit in atProbeLimit. Otherwise they delay the probes of reachable workers: a shard
+	// with 230 workers behind a network partition took 15 s to probe the rest.
 	recentProbes, slowProbes int
 }
 
@@ -93,9 +93,9 @@
 	delete(c.isQueued, machine)
 }
 
-// EnqueueResponse has respond called when the worker's turn comes. respond answers the worker's
-// first heartbeat to a new owner; it is called in any case and must check again whether the worker
-// may still be answered.
+// EnqueueResponse has respond, which answers the worker's first heartbeat to a new owner, called
+// when the worker's turn comes. A later Reset or RemoveWorker does not prevent the call, so respond
+// must check again whether the worker may still be answered.
 //
 // EnqueueResponse returns false, and drops respond, if more responses are pending than can be sent
 // while the workers wait: the caller then refuses the heartbeat at once.
@@ -111,6 +111,8 @@
 	return true
 }
 
+// isOverloaded reports whether the responses that are pending take longer to send than their workers
+// wait for them.
 func (c *FirstContact) isOverloaded() bool {
 	perSecond := c.limiter.Limit()
 	if perSecond == rate.Inf {
@@ -120,11 +122,14 @@
 	return float64(len(c.pendingResponses)) > float64(perSecond)*usableWait.Seconds()
 }
 
-// EnqueueProbe probes a worker that has a new owner. Otherwise the owner would wait until the
-// worker has found it, has learned the new fencing token and has sent one more heartbeat: up to
-// 15 s at a heartbeat interval of 5 s. The answer is worth as much as a heartbeat under the new
-// token: the worker made it after it had seen the token, and obeys no older one from then on. A
-// probe that arrives late shows a token that this controller owned, so it never claims too much.
+// EnqueueProbe has a worker that has a new owner probed when its turn comes. It does nothing for a
+// worker that needs no probe, has no address or is being released.
+//
+// Without a probe the owner would wait until the worker has found it, has learned the new fencing
+// token and has sent one more heartbeat: up to 15 s at a heartbeat interval of 5 s. The answer is
+// worth as much as a heartbeat under the new token: the worker made it after it had seen the token,
+// and obeys no older one from then on. A probe that arrives late does no harm, since it shows a token
+// that this controller did own, and a worker that has seen a higher one refuses it.
 func (c *FirstContact) EnqueueProbe(machine *clusterstate.Machine) {
 	if c.prober == nil || c.isQueued[machine] || machine.Record().Addr == "" {
 		return
@@ -138,7 +143,8 @@
 	c.Run()
 }
 
-// needsProbe reports whether a worker of a local shard has not reported yet and still may.
+// needsProbe reports whether a worker belongs to a local shard, has not reported to this controller
+// yet, and may still do so because its lease may be valid.
 func (c *FirstContact) needsProbe(machine *clusterstate.Machine) bool {
 	return c.State.OwnedShard(machine) != nil && !machine.HasReported() && !machine.IsLost()
 }
@@ -250,9 +256,10 @@
 			if err == nil {
 				c.sessions.ProbeAnswered(machine, heartbeat, fencingToken)
 			} else {
-				// The previous owner may have been releasing the machine when it ended. The
-				// mark has the cloud asked for its machines at once, instead of after several
-				// missed heartbeats.
+				// The machine may no longer exist: the previous owner may have released it just
+				// before it ended itself. The mark makes machinelifecycle read the cloud's list
+				// at once. Otherwise the shard would wait for the machine until several
+				// heartbeats are missed.
 				c.State.MarkProbeUnanswered(machine)
 			}
 			c.Run()
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -17,7 +17,7 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Dependencies is the state that reconciliation reads and completes.
+// Dependencies are the components of the same actor that reconciliation reads and changes.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
@@ -74,7 +74,8 @@
 	}
 }
 
-// WorkerRegistered notes that a worker without a record was recorded.
+// WorkerRegistered counts a worker that sent heartbeats without a record and was recorded now, if its
+// shard was acquired recently.
 func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery != nil && recovery.isTracked(now) {
@@ -82,7 +83,8 @@
 	}
 }
 
-// CommandsSent counts the commands of a response to a worker.
+// CommandsSent counts the commands of a response to a worker, if the worker's shard was acquired
+// recently.
 func (r *Reconciler) CommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery == nil || !recovery.isTracked(now) {
@@ -103,8 +105,8 @@
 	r.reconcileShard(r.State.OwnedShard(machine), now)
 }
 
-// WorkerTransferred notes that a worker is as the previous owner's snapshot says. The caller calls
-// Check when it has applied the whole snapshot.
+// WorkerTransferred confirms a worker by the previous owner's snapshot, which lists the worker's tasks.
+// The caller calls Check when it has applied the whole snapshot.
 func (r *Reconciler) WorkerTransferred(machine *clusterstate.Machine) {
 	if recovery := r.recoveryOfWorker(machine); recovery != nil {
 		recovery.confirm(machine)
@@ -144,7 +146,8 @@
 		return
 	}
 	recovery := r.recoveryOf(shard)
-	// This runs for each first heartbeat: mostly the first unconfirmed worker ends the loop.
+	// This runs for each first heartbeat. It is cheap because mostly the first unconfirmed worker ends
+	// the loop.
 	for machine := range listUnconfirmed(r, shard) {
 		if !isLeaseExpired(r, shard, machine, now) {
 			return
@@ -160,6 +163,7 @@
 	r.log.Info("shard reconciled", append(attributes, recovery.logAttributes()...)...)
 }
 
+// markAllNotRunning lets the tasks of a reconciled shard be started whose place is still unknown.
 func (r *Reconciler) markAllNotRunning(shard *membership.Shard, recovery *shardRecovery) {
 	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
 		if taskRange.IsOwned() {
@@ -168,6 +172,8 @@
 	}
 }
 
+// countMissingWorkers counts the workers recorded before the shard was acquired that have sent no
+// heartbeat since.
 func (r *Reconciler) countMissingWorkers(shard *membership.Shard, recovery *shardRecovery) {
 	for machine := range r.State.OwnedMachinesIn(shard.ID()) {
 		if machine.Revision() < shard.Epoch() && !machine.HasReported() {
@@ -205,8 +211,8 @@
 	isLeaseExpired  = (*Reconciler).leaseExpired
 )
 
-// leaseExpired reports whether so much time has passed that a worker of a shard that is not
-// confirmed runs no tasks any more.
+// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more: no
+// controller can have renewed its lease recently enough, see Config.WorkerLeaseExpiresAt.
 func (r *Reconciler) leaseExpired(shard *membership.Shard, machine *clusterstate.Machine, now time.Time) bool {
 	return now.After(r.cfg.WorkerLeaseExpiresAt(shard.KnownSince(), machine.LastHeartbeatAt()))
 }
@@ -218,8 +224,8 @@
 // another shard. They are left out: when a shard was acquired while hundreds of machines started,
 // waiting for the last of them delayed its recovery by 12 s after all that mattered was confirmed.
 //
-// The order is random on purpose: searched from the same end each time, the first unconfirmed
-// worker of thousands would come after all that are confirmed.
+// The order is that of State.Machines, which is random. A fixed order would make reconcileShard slow:
+// the first unconfirmed worker of thousands would come after all those that are confirmed.
 func (r *Reconciler) unconfirmedWorkers(shard *membership.Shard) iter.Seq[*clusterstate.Machine] {
 	exempt := r.recoveryOf(shard).exempt
 	return func(yield func(*clusterstate.Machine) bool) {
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// FencingToken returns the fencing token for a worker of a shard: the shard's epoch, or the revision of the
-// worker's record if that is newer, because the worker has come from another shard since.
+// FencingToken returns the fencing token for a worker of a shard: the shard's epoch, or the revision of
+// the worker's record if that is newer, because the worker registered or came from another shard since.
 func FencingToken(shard *membership.Shard, machine *clusterstate.Machine) uint64 {
 	return max(shard.Epoch(), machine.Revision())
 }
@@ -26,7 +26,8 @@
 	StageReconciled                  // every worker is confirmed or its lease has expired
 )
 
-// String returns the stage's name in views.
+// String returns the stage's name in views. The names are output of the administration API and keep
+// their form.
 func (s Stage) String() string {
 	return [...]string{"reading records", "squaring reports", "settled"}[s]
 }
@@ -75,7 +76,7 @@
 	return counts
 }
 
-// logAttributes are the figures of the recovery for a log line.
+// logAttributes returns the figures of the recovery for a log line.
 func (s *shardRecovery) logAttributes() []any {
 	return []any{
 		slog.Int("recorded_workers", s.recordedWorkers),
--- a/internal/workerapi/command_client.go
+++ b/internal/workerapi/command_client.go
@@ -53,8 +53,8 @@
 
 // Probe shows a worker a fencing token without any command and returns the worker's present heartbeat: from
 // then on the worker obeys no lower token. agentEpoch is the agent epoch in which the worker is believed to
-// be; if it is in another one, it is asked once more. The error is or wraps ErrStaleToken or ErrEpochChanges,
-// or tells what failed.
+// be; if it is in another one, it is asked once more. The error is or wraps ErrStaleToken, ErrEpochChanges, a
+// *StatusError, or the error of the connection or of ParseHeartbeat.
 func (c *CommandClient) Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
@@ -76,7 +76,8 @@
 }
 
 // Execute sends a worker commands. It returns the worker's present heartbeat, and whether the worker has
-// executed the commands: it has not if it is in another agent epoch or has seen a higher fencing token.
+// executed the commands: it has not if it is in another agent epoch or has seen a higher fencing token. With
+// an error nothing is known of the commands.
 func (c *CommandClient) Execute(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -32,8 +32,8 @@
 	errIncomplete       = errors.New("incomplete")
 )
 
-// parserPool is shared: most of what a controller does in a day is reading heartbeats, and the parser's
-// memory is worth keeping.
+// parserPool keeps the memory of the parsers for the next heartbeat: a controller spends most of its processor
+// time on reading heartbeats.
 var parserPool fastjson.ParserPool
 
 // ParseHeartbeat reads and checks a heartbeat. The error is a *FieldError.
@@ -185,7 +185,7 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// knownText reads a text that is nearly always one of the protocol's. These need no memory of their own.
+// knownText reads a text that is nearly always one of the protocol's constants, for which it allocates nothing.
 func (r *objectReader) knownText(name string) string {
 	text := r.bytes(name)
 	switch string(text) { // the compiler does not copy the bytes for the comparison
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -34,7 +34,7 @@
 	commands := []workerapi.Command{} // encoded as an empty list, not as null
 	commands = append(commands, m.stopCommands(machine)...)
 	commands = append(commands, m.acknowledgements(machine, heartbeat)...)
-	if machine.IsPreempted() || machine.IsReleasing() || machine.IsCordoned() {
+	if takesNoMoreTasks(machine) {
 		m.unplacePlanned(machine)
 		return commands
 	}
@@ -44,6 +44,11 @@
 	return append(commands, m.startCommands(machine)...)
 }
 
+// takesNoMoreTasks reports whether a machine is on its way out, so that no task may start on it.
+func takesNoMoreTasks(machine *clusterstate.Machine) bool {
+	return machine.IsPreempted() || machine.IsReleasing() || machine.IsCordoned()
+}
+
 // stopCommands stops tasks. A stop is repeated until the worker reports that it saves a checkpoint, or
 // that the task has ended.
 func (m *Manager) stopCommands(machine *clusterstate.Machine) []workerapi.Command {
@@ -162,10 +167,11 @@
 	return m.State.FreeNow(machine).Covers(assignment.Need())
 }
 
-// mayStartTasks reports whether start commands may be sent: what is known here of cancellations is younger
-// than tuning.MaxStartKnowledgeAge, so that no task starts of a job whose cancellation was confirmed to the
-// user (docs/recovery.md, "No start after a cancellation"). They may also be sent if all peers say that
-// nobody has reached the key-value store: then nobody can have confirmed a cancellation.
+// mayStartTasks reports whether start commands may be sent. All cancellations up to
+// tuning.MaxStartKnowledgeAge ago must be known here; otherwise a task could start of a job whose
+// cancellation was confirmed to the user (docs/recovery.md, "No start after a cancellation"). Starts may also
+// be sent if all peers say that they do not reach the key-value store: then nobody can have confirmed a
+// cancellation.
 func (m *Manager) mayStartTasks(now time.Time) bool {
 	return cancellationsKnown(m.cfg, now, m.Cache.ConsistentAsOf()) ||
 		m.Peers.NoPeerReachesStore(now, tuning.MaxStartKnowledgeAge/2)
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -94,7 +94,8 @@
 	m.runExchanges()
 }
 
-// enqueueExchangeAfter repeats the stops of cancelled tasks after a time, if that is still worth it.
+// enqueueExchangeAfter repeats the stops of cancelled tasks after a delay, unless the worker's session was
+// dropped meanwhile or directExchange.resendUntil has passed.
 func (m *Manager) enqueueExchangeAfter(machine *clusterstate.Machine, session *agentSession, delay time.Duration) {
 	m.mailbox.SendAfter(delay, func() {
 		if m.sessions[machine] != session || !m.State.IsCurrentMachine(machine) {
@@ -137,7 +138,8 @@
 		AgentEpoch:   max(1, m.AgentEpoch(machine)),
 		Commands:     cancellations(machine),
 	}
-	if len(request.Commands) == 0 && !machine.HeartbeatOverdue() {
+	isNeeded := len(request.Commands) > 0 || machine.HeartbeatOverdue()
+	if !isNeeded {
 		session.exchange.resendUntil = time.Time{}
 		return
 	}
@@ -221,8 +223,8 @@
 }
 
 // applyDirectHeartbeat applies a conclusive answer of a worker whose heartbeat is overdue: a task that it does
-// not list is not there. In a later agent epoch than that of its last heartbeat nothing is left of the tasks
-// before.
+// not list is not there. If the agent epoch is later than that of the last heartbeat, the worker's lease has
+// expired in between, and the worker has stopped all tasks of the earlier epoch.
 func (m *Manager) applyDirectHeartbeat(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HeartbeatOverdue() || !machine.HasReported() || session.pending != nil {
 		return
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -26,14 +26,15 @@
 	return time.Since(p.receivedAt) > tuning.MaxHeartbeatAge
 }
 
-// HandleHeartbeat handles a heartbeat that was received at a time. Exactly one reply is sent, now or
-// later; the channel must not block.
+// HandleHeartbeat handles a heartbeat that was received at receivedAt. Exactly one reply is sent, now or
+// later; the channel must have room for it.
 func (m *Manager) HandleHeartbeat(heartbeat *workerapi.Heartbeat, receivedAt time.Time, reply chan<- HeartbeatReply) {
 	m.process(&pendingHeartbeat{heartbeat: heartbeat, receivedAt: receivedAt, reply: reply})
 }
 
-// ProcessEarlyHeartbeats processes the heartbeats that came early again. It is called when the records
-// are known or a shard was acquired, and regularly, to refuse those that have waited too long.
+// ProcessEarlyHeartbeats processes again the heartbeats that could not be processed when they came, see
+// isEarly. It is called when the records are known or a shard was acquired, and regularly, to refuse those
+// that have waited too long.
 func (m *Manager) ProcessEarlyHeartbeats() {
 	early := m.earlyHeartbeats
 	m.earlyHeartbeats = nil
@@ -90,10 +91,12 @@
 	return !m.Membership.OwnerIsLive(m.Membership.Shard(machine.Record().Shard))
 }
 
-// keepEarly keeps an early heartbeat, within the limits of memory and connections.
+// keepEarly keeps an early heartbeat, within the limits of memory and connections: each one that waits holds
+// a connection, and half of the sockets stay free for other uses.
 func (m *Manager) keepEarly(pending *pendingHeartbeat) {
 	count, maxSockets := len(m.earlyHeartbeats), m.cfg.Cluster.Limits.MaxSockets
-	if count >= tuning.MaxQueuedHeartbeats || maxSockets > 0 && count >= maxSockets/2 {
+	exceedsSockets := maxSockets > 0 && count >= maxSockets/2
+	if count >= tuning.MaxQueuedHeartbeats || exceedsSockets {
 		pending.refuse()
 		return
 	}
@@ -131,10 +134,11 @@
 // task ranges of the shard may still be unknown here, see Cache.HasReachedEpoch.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
-		session.unconfirmedResponses = 0
+		session.unconfirmedResponses = 0 // its tasks may start elsewhere already: it may be answered
 	} else if m.IgnoresToken(machine) {
-		// Answered on and on, the worker's lease would count as renewed for ever, and the tasks
-		// that it may run would never be started elsewhere.
+		// Each answer counts as a renewal of the worker's lease. Without this limit the lease of a
+		// worker that never receives the answers would never expire here, and the tasks that it may
+		// run would never be started elsewhere.
 		pending.refuse()
 		return
 	}
@@ -162,12 +166,14 @@
 	if owner, isNewer := m.Peers.NewerOwner(shard.ID(), shard.Epoch()); isNewer {
 		return 0, &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest, OwnerNode: owner}
 	}
-	// A shard that was transferred may have its new owner already, which relies on it that nobody
-	// here answers the workers any more.
+	// A shard that was transferred may have its new owner already. An answer from here would then
+	// renew a lease that the new owner does not know of.
 	if shard.IsTransferred() || !m.Cache.MayRenewWorkerLeases(time.Now()) {
 		return 0, unavailableReply()
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
+	// The worker has seen the token of a newer owner, or its lease has expired here: its tasks may run
+	// elsewhere already.
 	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.endedEpoch {
 		return 0, unavailableReply()
 	}
@@ -185,8 +191,9 @@
 	return reply
 }
 
-// MisdirectedHeartbeats returns how many heartbeats came lately from workers of a shard that another
-// live controller owns. They are many if that controller cannot reach its workers and this one can.
+// MisdirectedHeartbeats returns how many heartbeats came within tuning.StrayWorkerWindow from workers of a
+// shard that another live controller owns. They are many if that controller cannot reach its workers and
+// this one can. Older ones are forgotten.
 func (m *Manager) MisdirectedHeartbeats(shardID string, now time.Time) int {
 	m.misdirected[shardID] = slices.DeleteFunc(m.misdirected[shardID], func(at time.Time) bool {
 		return now.Sub(at) > tuning.StrayWorkerWindow
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -46,9 +46,9 @@
 }
 
 // respondOrDelay answers a worker's pending heartbeat, or delays the response a moment if there is no
-// command: a start that is decided meanwhile then needs no further heartbeat. The delay is no longer than
-// the worker would send nothing anyway (it reports a change half a second after its last heartbeat at the
-// earliest), or, for a worker without tasks, than a part of its heartbeat interval.
+// command: a start that is decided meanwhile then needs no further heartbeat. A worker reports a change half
+// a second after its last heartbeat at the earliest, so a shorter delay holds up no report. A worker without
+// tasks has nothing to report, and may wait for a part of its heartbeat interval; see MaxResponseDelay.
 func (m *Manager) respondOrDelay(machine *clusterstate.Machine, session *agentSession) {
 	pending := session.pending
 	if pending == nil {
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -74,7 +74,8 @@
 	m.sessionOf(machine).endedEpoch = m.AgentEpoch(machine)
 }
 
-// CloseAllSessions ends all agent epochs of a worker, also future ones.
+// CloseAllSessions ends all agent epochs of a worker, also future ones. It is called when the cloud has
+// terminated the machine, so that a heartbeat that arrives late is refused.
 func (m *Manager) CloseAllSessions(machine *clusterstate.Machine) {
 	m.sessionOf(machine).endedEpoch = math.MaxUint64
 }
@@ -85,7 +86,7 @@
 	EndedAgentEpoch      uint64 // heartbeats up to this agent epoch no longer count
 }
 
-// SessionState returns the state of a worker's session.
+// SessionState returns the state of a worker's session, for the snapshot of a shard that is transferred.
 func (m *Manager) SessionState(machine *clusterstate.Machine) SessionState {
 	last := m.lastHeartbeats[machine.Host()]
 	return SessionState{
--- a/internal/workersession/tasks.go
+++ b/internal/workersession/tasks.go
@@ -149,7 +149,7 @@
 	if assignment == nil {
 		return
 	}
-	if hasJob := assignment.Job() != nil; hasJob {
+	if assignment.Job() != nil {
 		if task.Cause == workerapi.CauseError {
 			m.taskFailed(machine, assignment)
 		}
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -34,7 +34,7 @@
 	Execute(ctx context.Context, addr string, request workerapi.CommandRequest) (heartbeat *workerapi.Heartbeat, done bool, err error)
 }
 
-// Dependencies is the state that the sessions are managed with.
+// Dependencies are the components of the same actor that the manager reads and changes.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
@@ -113,9 +113,9 @@
 // FirstContact returns the first contacts with workers that have a new owner.
 func (m *Manager) FirstContact() *reconciliation.FirstContact { return m.firstContact }
 
-// RemoveWorker drops a worker that no longer exists. Its name is never given again, and is
-// remembered: a late copy of a heartbeat registered such a worker anew, which was then counted as
-// paid and waited for.
+// RemoveWorker drops a worker that no longer exists. Its name is never used again and is remembered, so
+// that a late copy of a heartbeat is refused. Such a copy once registered the worker anew: it counted
+// as a paid machine, and its shard waited for it.
 func (m *Manager) RemoveWorker(machine *clusterstate.Machine) {
 	m.removedWorkers.Add(machine.Host(), true)
 	delete(m.lastHeartbeats, machine.Host())
@@ -123,13 +123,13 @@
 	m.firstContact.RemoveWorker(machine)
 }
 
-// Tick does the periodic work.
+// Tick does the periodic work. The owning actor calls it several times a second.
 func (m *Manager) Tick(now time.Time) {
 	m.checkReachability(now)
 	m.contactOverdue(now)
 	m.clearSuspectedJobs(now)
 	for shardID := range m.misdirected {
-		m.MisdirectedHeartbeats(shardID, now)
+		m.MisdirectedHeartbeats(shardID, now) // drops the old ones
 	}
 	m.ProcessEarlyHeartbeats()
 }
