--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -14,9 +14,9 @@
 // GrowthBuffer is the growth buffer of one class (section 3.1 of the Kerveros paper): the number
 // of tasks by which the class is likely to grow while a machine boots.
 type GrowthBuffer struct {
-	Record *jobs.JobRecord // the latest job of the class
-	Need   capacity.Resources
-	Tasks  float64
+	Record *jobs.JobRecord    // the latest job of the class
+	Need   capacity.Resources // of one task
+	Tasks  float64            // an expected value, not a whole number
 }
 
 // RunningJob is a gang or service that runs.
@@ -51,7 +51,7 @@
 }
 
 // expectedArrivals returns the expected number of tasks that arrive during a boot, and its
-// variance.
+// variance. The class must have arrivals, see isPaused.
 func (c *classStats) expectedArrivals(now time.Time, bootSeconds float64) (tasks, variance float64) {
 	sum, sumOfSquares := 0.0, 0.0
 	for _, arrival := range c.arrivals {
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -59,7 +59,7 @@
 		m.State.MarkHeartbeatOverdue(machine)
 	}
 	if m.Cache.IsStale(now) {
-		return
+		return // the record of a released machine could not be deleted, see Maintain
 	}
 	m.releaseIfUnreachable(machine, now)
 	if slices.Contains(drainedHosts, machine.Host()) && !machine.IsCordoned() {
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -170,8 +170,8 @@
 // mayStartTasks reports whether start commands may be sent. All cancellations up to
 // tuning.MaxStartKnowledgeAge ago must be known here; otherwise a task could start of a job whose
 // cancellation was confirmed to the user (docs/recovery.md, "No start after a cancellation"). Starts may also
-// be sent if all peers say that they do not reach the key-value store: then nobody can have confirmed a
-// cancellation.
+// be sent if all peers say that they do not reach the key-value store: then none of them can have confirmed
+// a cancellation.
 func (m *Manager) mayStartTasks(now time.Time) bool {
 	return cancellationsKnown(m.cfg, now, m.Cache.ConsistentAsOf()) ||
 		m.Peers.NoPeerReachesStore(now, tuning.MaxStartKnowledgeAge/2)
--- a/internal/workersession/registration.go
+++ b/internal/workersession/registration.go
@@ -27,6 +27,7 @@
 	heartbeat := pending.heartbeat
 	shardID := m.leastLoadedShard(heartbeat.Zone, heartbeat.MachineType)
 	shard := m.Membership.Shard(shardID)
+	// The record cannot be written now, or is being written already: the worker sends its heartbeat again.
 	if m.Cache.IsStale(time.Now()) || m.registrations.hosts[heartbeat.Host] || shard == nil {
 		pending.refuse()
 		return
