--- a/internal/diagnostics/members.go
+++ b/internal/diagnostics/members.go
@@ -79,15 +79,15 @@
 }
 
 // livenessState says whether a controller's lease is valid and whether its heartbeats arrive.
-func livenessState(isLive, isHeard, isLeaving bool) memberState {
+func livenessState(isLive, sendsHeartbeats, isLeaving bool) memberState {
 	switch {
 	case isLeaving:
 		return memberLeaving
-	case isLive && isHeard:
+	case isLive && sendsHeartbeats:
 		return memberAlive
 	case isLive:
 		return memberUnheard
-	case isHeard:
+	case sendsHeartbeats:
 		return memberLeaseExpired
 	}
 	return memberFailed
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -9,35 +9,38 @@
 	"cherrywall/internal/membership"
 )
 
-// AcquireShards acquires the shards that fall to this controller, except those that are being
-// handed over.
+// AcquireShards acquires the shards that this controller should own (see
+// membership.Table.ShardsToAcquire), except those that their owners were requested to hand over.
 func (c *Cache) AcquireShards(now time.Time) {
 	livenessRevision, ok := c.canAcquireShards(now)
 	if !ok {
 		return
 	}
-	failed := func(node string) bool { return c.hooks.ControllerFailed(node, now) }
+	failed := func(controller string) bool { return c.hooks.ControllerFailed(controller, now) }
 	for _, id := range c.Membership.ShardsToAcquire(now, failed) {
 		shard := c.Membership.Shard(id)
 		ownerIsLive := c.Membership.OwnerIsLive(shard)
-		if ownerIsLive && !failed(shard.Owner()) && c.hooks.AwaitHandover(id, now) {
+		ownerFailed := ownerIsLive && failed(shard.Owner())
+		if ownerIsLive && !ownerFailed && c.hooks.AwaitHandover(id, now) {
 			continue
 		}
-		if ownerIsLive && failed(shard.Owner()) {
+		if ownerFailed {
 			c.log.Info("controller considered failed before its lease expired", "controller", shard.Owner(), "shard", id)
 		}
 		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
 		if id != c.cfg.Node {
-			// The shard's home controller has no lease, or is the one that is considered failed
-			// and has not started anew since.
+			// The home of the shard is down or considered failed. If its liveness record has
+			// changed since, it has started again and should own the shard itself, so that
+			// this write has to fail.
 			conditions = append(conditions, kvstore.Condition{Key: jobs.LivenessPrefix + id, Revision: c.Membership.LivenessRevision(id)})
 		}
 		c.acquireShard(id, now, conditions...)
 	}
 }
 
-// canAcquireShards reports whether the cache is recent enough to acquire shards, and the
-// revision of this controller's own liveness record.
+// canAcquireShards reports whether this controller is live, is not about to shut down, and has a
+// cache that is recent enough to decide on acquisitions. livenessRevision is the revision of its
+// liveness record.
 func (c *Cache) canAcquireShards(now time.Time) (livenessRevision uint64, ok bool) {
 	livenessRevision, live := c.Membership.OwnLivenessRevision()
 	caughtUp := c.readBarrier.NewestRevision() <= c.appliedRevision
@@ -84,8 +87,8 @@
 	})
 }
 
-// applyShard applies a shard's record. Its owner commands the workers with the record's revision,
-// the epoch, as the lower bound of their fencing tokens.
+// applyShard applies a shard's record. The record's revision is the shard's epoch, which is the
+// fencing token of its owner's commands to workers.
 func (c *Cache) applyShard(id string, value json.RawMessage, revision uint64) error {
 	shard, err := c.Membership.ApplyShard(id, value, revision, time.Now())
 	if shard == nil {
@@ -101,12 +104,12 @@
 	return nil
 }
 
-// HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied: this
-// controller's own write of it is applied before the watch has delivered earlier changes. A
-// heartbeat that was accepted before that may list a task of a range that the previous owner
-// claimed at the last moment. The task would be stopped as unknown, and, once the range became
-// known, the worker would count as having reported without it, so that the task was started on
-// another worker and ran twice.
+// HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied. The
+// acquisition by this controller is applied as soon as its write succeeds, perhaps before the watch
+// has delivered earlier changes. A heartbeat that was accepted in between could list a task of a
+// range that the previous owner claimed just before. The task would be stopped as unknown and, once
+// the range became known, the worker would count as having reported without it: the task would be
+// started on another worker and run twice.
 func (c *Cache) HasReachedEpoch(shard *membership.Shard) bool {
 	return c.appliedRevision >= shard.Epoch()
 }
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -32,8 +32,8 @@
 	errIncomplete       = errors.New("incomplete")
 )
 
-// parserPool is shared: most of what a controller does in a day is reading heartbeats, and the parser's
-// memory is worth keeping.
+// parserPool keeps the memory of the parsers for the next heartbeat: a controller spends most of its processor
+// time on reading heartbeats.
 var parserPool fastjson.ParserPool
 
 // ParseHeartbeat reads and checks a heartbeat. The error is a *FieldError.
@@ -185,7 +185,8 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// taskState reads a state that is nearly always one of the protocol's. These need no memory of their own.
+// taskState reads a state that is nearly always one of the protocol's constants, for which it allocates
+// nothing.
 func (r *objectReader) taskState(name string) TaskState {
 	text := r.bytes(name)
 	switch TaskState(text) { // the compiler does not copy the bytes for the comparison
@@ -203,7 +204,7 @@
 	return TaskState(text)
 }
 
-// exitCause reads a cause. The one of most ended tasks needs no memory of its own.
+// exitCause reads a cause. It allocates nothing for that of most ended tasks.
 func (r *objectReader) exitCause(name string) ExitCause {
 	text := r.bytes(name)
 	if ExitCause(text) == CauseDone { // the compiler does not copy the bytes for the comparison
