--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -67,7 +67,7 @@
 	c.victimCount = victimCount
 }
 
-// place preempts the victims of the next task, gives the task its resources and returns the victims.
+// place deducts the next task and its victims from the candidate, and returns the victims.
 func (c *candidate) place(need capacity.Resources) []Victim {
 	victims := slices.Clone(c.victims[:c.victimCount])
 	for _, victim := range victims {
@@ -79,7 +79,7 @@
 	return victims
 }
 
-// Plan finds machines for so many tasks of a need, with at most maxPerZone of them in a zone, and
+// Plan finds machines for a number of tasks of the same need, with at most maxPerZone of them in a zone, and
 // returns the sum of their costs (CPU seconds, with a small amount added to break ties). It places
 // one task after another, each at the least cost. ok is false if there are not enough machines.
 func Plan(machines []Machine, need capacity.Resources, tasks, maxPerZone int) (placements []Placement, cost float64, ok bool) {
--- a/internal/capacity/buffer.go
+++ b/internal/capacity/buffer.go
@@ -11,7 +11,7 @@
 	Tasks float64   `json:"tasks"`
 }
 
-// ConvertBuffer returns for how many tasks of a shape a buffer takes the capacity, rounded up:
+// ConvertBuffer returns how many tasks of a shape a buffer takes the capacity of, rounded up:
 // the paper's A[t]/A[t'] * x. fitting and fittingBuffered are how many tasks of the shape and
 // of the buffer's shape fit, A[t] and A[t']. If none of the buffer's shape fits any more, the
 // largest ratio of any one resource is taken.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -3,7 +3,8 @@
 // and 3.2).
 package capacity
 
-// Group is by what counts are kept apart, since jobs differ in which machines they allow.
+// Group is a kind of machines that is counted separately, since jobs differ in which machines they
+// allow.
 type Group struct {
 	Zone, MachineType string
 	Spot              bool
--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -33,8 +33,8 @@
 func (r Resources) amounts() [3]float64 { return [3]float64{r.CPU, r.GPU, r.MemGB} }
 
 // FitCount returns how many tasks of a shape fit into a free amount: the least over the
-// resources of the free amount divided by the need, rounded down. Resources that the shape
-// does not need are not counted.
+// resources of the free amount divided by the need, rounded down, and at least 0. Resources that
+// the shape does not need are not counted; for a shape without needs it is math.MaxInt32.
 func FitCount(free, shape Resources) int {
 	count := math.MaxInt32
 	available := free.amounts()
--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -32,7 +32,7 @@
 type allocationState struct {
 	writesPending map[string]bool // by team: a write of its record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time    // since when a part of an allocation is unused
+	idleSince     map[teamShard]time.Time    // since when a part of an allocation has been unused
 	usage         map[teamShard]quota.Amount // see usageOf; valid at usageVersion
 	usageVersion  uint64                     // the change count of the cluster state
 }
@@ -77,7 +77,7 @@
 	return usage
 }
 
-// unusedAllocation returns what a team may use more in a shard. ok is false if that is not
+// unusedAllocation returns how much more a team may use in a shard. ok is false if that is not
 // known: the shard is another controller's, or not all its workers have reported.
 func (w *Writer) unusedAllocation(team config.Team, shard *membership.Shard) (unused quota.Amount, ok bool) {
 	if shard == nil || !shard.IsLocal() || !shard.IsReconciled() {
@@ -129,7 +129,7 @@
 		done(result, err)
 		if isCommitted(result, err) {
 			delete(w.allocations.writesPending, team)
-		} else { // the watch is about to deliver what has changed
+		} else { // time for the watch to deliver the change that made the write fail
 			w.mailbox.SendAfter(2*tuning.MinWatchRequestGap, func() { delete(w.allocations.writesPending, team) })
 		}
 		w.State.MarkDirty()
@@ -186,7 +186,8 @@
 func (w *Writer) releaseIdleAllocation(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
 	key := teamShard{team.Name, shard.ID()}
 	unused, ok := w.unusedAllocation(team, shard)
-	if !ok || unused.IsNegligible() || !w.Cache.HasReachedEpoch(shard) || w.canBeCompleted(team, key, now) {
+	mayRelease := ok && !unused.IsNegligible() && w.Cache.HasReachedEpoch(shard) && !w.canBeCompleted(team, key, now)
+	if !mayRelease {
 		delete(w.allocations.idleSince, key)
 		return false
 	}
@@ -208,7 +209,7 @@
 	if !isSent {
 		return false
 	}
-	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // not to be used from now on
+	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // the outcome is open: it may not be used from now on
 	delete(w.allocations.idleSince, key)
 	return true
 }
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -12,8 +12,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Small jobs are written with few changes of the key-value store: 800 jobs of one task within a
-// minute took six changes each, more than the store allows. The write that accepts a small job
+// Small jobs are written with few changes of the key-value store: with six changes each, 800 jobs of
+// one task within a minute would be more than the store allows. The write that accepts a small job
 // also claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many of
 // them are done. Their own records follow when there is budget for it (cleanUpBatches).
 
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -10,7 +10,7 @@
 )
 
 // writeCompletions records completed tasks, many in one write. The write that completes a job
-// also records its final state. What is left of jobs that have ended is deleted.
+// also records its final state. It also deletes the range records of jobs that have ended.
 func (w *Writer) writeCompletions(now time.Time) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() {
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -17,8 +17,8 @@
 // end is the offset of the task behind the run.
 func (r taskRun) end() int { return r.offset + r.count }
 
-// unclaimUnplaceable returns tasks to the unclaimed ones that found no room in their shard for
-// a while, so that any shard can claim them.
+// unclaimUnplaceable withdraws the claim of tasks that have found no room in their shard for a while,
+// so that any shard can claim them.
 func (w *Writer) unclaimUnplaceable(now time.Time) {
 	for taskRange := range w.unplacedSince {
 		if !w.State.IsCurrentTaskRange(taskRange) {
@@ -41,9 +41,9 @@
 // unplaceableRun returns the run of a range's tasks that is to be unclaimed because they have
 // found no room for a while; it is empty if there is none. A gang, and a job claimed as a
 // whole, is unclaimed as a whole or not at all. As long as some tasks are placed now and then,
-// the others wait for their turn. Tasks at the end of the range are preferred, since they cost
-// least; else those in the middle are taken, where a machine was lost: they would wait for room
-// in their shard or zone without bound otherwise.
+// the others wait for their turn. Tasks at the end of the range are preferred, since they need no
+// further range record. If there are none, tasks in the middle, where a machine was lost, are
+// taken: otherwise they would wait for room in their shard or zone without bound.
 func (w *Writer) unplaceableRun(taskRange *clusterstate.TaskRange, now time.Time) taskRun {
 	job := taskRange.Job()
 	if !canUnclaimFrom(taskRange) {
@@ -77,8 +77,8 @@
 func unclaimDelay(taskRange *clusterstate.TaskRange, run taskRun) time.Duration {
 	switch {
 	case taskRange.Job().IsBackground():
-		// Preempted again and again, it would be unclaimed and claimed each time, at four
-		// changes in the key-value store.
+		// Background work is preempted often. With the usual delay it would be unclaimed and
+		// claimed again each time, at four changes in the key-value store.
 		return tuning.BackgroundUnclaimAfter
 	case run.end() < taskRange.Len():
 		return tuning.RangeSplitAfter
@@ -117,7 +117,7 @@
 	returned := jobs.TaskInterval{First: taskRange.First() + run.offset, Count: run.count}
 	record.Unclaimed = jobs.ReturnUnclaimed(record.Unclaimed, returned)
 	if !w.FitsStore(record) {
-		return // too many intervals for one record; the tasks wait here
+		return // the record would have too many intervals: the tasks stay claimed and wait for room
 	}
 	if zone := taskRange.Record().Zone; zone != "" && record.Spread {
 		record.ClaimedPerZone = addToZone(record.ClaimedPerZone, zone, -run.count)
@@ -182,9 +182,9 @@
 }
 
 // fenceUnclaim rewrites a range so that an unclaim without an answer can no longer be applied,
-// and then allows its tasks to start. It ends with the epoch in which the tasks were known to
-// run nowhere: when it outlived the epoch, it made tasks ready that another owner of the shard
-// had started meanwhile, and they ran twice.
+// and then allows its tasks to start. It is retried only within the epoch in which the tasks were
+// known to run nowhere: beyond it, tasks that another owner of the shard has started meanwhile
+// would become ready here, and run twice.
 func (w *Writer) fenceUnclaim(taskRange *clusterstate.TaskRange, run taskRun, epoch uint64) {
 	shard := w.localShard(taskRange)
 	if shard == nil || shard.Epoch() != epoch || !w.State.IsCurrentTaskRange(taskRange) {
--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/membership"
 )
 
-// NewTentativeRange returns a claim of a job's tasks by a shard that is not durable yet. It is not
+// NewTentativeRange returns a shard's claim of a job's tasks that is not durable yet. It is not
 // part of the state until AddTentativeRange; its tasks may be placed. zone is where they are to
 // run, "" for any.
 func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
@@ -21,7 +21,7 @@
 	entity.AddTaskRange(taskRange)
 }
 
-// AbandonTentativeRange removes a tentative claim that was not made: its tasks are unplaced.
+// AbandonTentativeRange removes a tentative claim whose transaction failed, and unplaces its tasks.
 func (s *State) AbandonTentativeRange(taskRange *TaskRange) {
 	job := taskRange.Job()
 	if entity.IsCurrent(taskRange) && taskRange.IsTentative() {
@@ -47,8 +47,9 @@
 	}
 }
 
-// ApplyRangeRecord follows the record of a claimed range. complete is whether all older records
-// are known: a range that appears later in a shard owned here was claimed in its present epoch.
+// ApplyRangeRecord updates the state from the record of a claimed range. complete is whether the
+// first load of all records is over: a range of a shard owned here that appears after it was
+// claimed in the shard's present epoch.
 func (s *State) ApplyRangeRecord(ref string, first int, record jobs.RangeRecord, revision uint64, complete bool) {
 	job := s.jobs[ref]
 	if job == nil {
@@ -65,7 +66,7 @@
 	s.applyClaim(job, first, record, revision, neverStarted)
 }
 
-// applyInlineClaim follows the claim of a small job in the job's own record.
+// applyInlineClaim updates the state from the claim of a small job in the job's own record.
 func (s *State) applyInlineClaim(job *Job, revision uint64, complete bool) {
 	taskRange, claim := job.TaskRange(0), job.Record().WholeClaim
 	if claim == nil {
@@ -76,7 +77,8 @@
 	}
 	shard := s.shards.Shard(claim.Shard)
 	if taskRange != nil && taskRange.IsTentative() && (shard == nil || claim.Epoch != shard.Epoch()) {
-		// The claim is an earlier owner's, though it may look like the tentative one.
+		// The claim was made in an earlier epoch of the shard, though it may look like the tentative
+		// one: its tasks may be running.
 		s.UnplaceRange(taskRange)
 		entity.RemoveTaskRange(job, 0)
 		taskRange = nil
@@ -93,8 +95,8 @@
 	entity.SetInline(job.TaskRange(0), true)
 }
 
-// applyClaim follows a durable claim. neverStarted is whether, if the claim is new here, none of
-// its tasks was ever started.
+// applyClaim updates the state from a durable claim. neverStarted is whether, if the claim is new
+// here, none of its tasks was ever started.
 func (s *State) applyClaim(job *Job, first int, record jobs.RangeRecord, revision uint64, neverStarted bool) {
 	applySplit(job, first, record, revision)
 	taskRange := job.TaskRange(first)
@@ -144,8 +146,8 @@
 	s.clearUntrustedHosts(taskRange)
 }
 
-// clearUntrustedHosts forgets the workers that a gang's range names if an owner of its shard since
-// then may not have kept to them.
+// clearUntrustedHosts forgets the workers that a gang's range names if an owner of the shard since
+// that record may have started the gang's tasks on others (see membership.Shard.TrustsMark).
 func (s *State) clearUntrustedHosts(taskRange *TaskRange) {
 	shard := s.shards.Shard(taskRange.Record().Shard)
 	if shard == nil || !shard.TrustsMark(taskRange.Revision()) {
@@ -153,7 +155,7 @@
 	}
 }
 
-// ApplyRangeDeletion follows the deletion of a range's record.
+// ApplyRangeDeletion updates the state after the deletion of a range's record.
 func (s *State) ApplyRangeDeletion(ref string, first int, revision uint64) {
 	job := s.jobs[ref]
 	if job == nil {
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -8,7 +8,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// NewUnrecordedJob returns a job by a record that is not written yet. It is not part of the
+// NewUnrecordedJob returns a job for a record that is not written yet. It is not part of the
 // state. spotInUse is whether the autoscaler may use spot machines.
 func (s *State) NewUnrecordedJob(record *jobs.JobRecord, spotInUse bool) *Job {
 	job := entity.NewJob(record.Ref)
@@ -21,16 +21,17 @@
 	entity.SetSpec(job, record, ownDeadlines, s.IsBackground(record), spotInUse)
 }
 
-// IsBackground reports whether a job gets only capacity that nobody else wants: an array of the
-// lowest priority without a deadline or objective. A guest's 3,800 long tasks took every machine
-// that could be added within seconds, and for four minutes no deadline of the owners was met.
+// IsBackground reports whether a job is background work, which gets only capacity that no other
+// job needs: an array of the lowest priority without a deadline or objective. Without this
+// distinction 3,800 long tasks of one team took every machine that could be added within seconds,
+// and for four minutes no deadline of other teams was met.
 func (s *State) IsBackground(record *jobs.JobRecord) bool {
 	return record.Kind == jobs.Array && record.Priority() == 0 && record.DeadlineSeconds == nil &&
 		!s.cfg.HasObjective(record.Class)
 }
 
-// ApplyJobRecord follows a job's record. complete is whether all older records are known, see
-// ApplyRangeRecord; spotInUse is whether the autoscaler may use spot machines.
+// ApplyJobRecord updates the state from a job's record. complete is whether the first load of all
+// records is over, see ApplyRangeRecord; spotInUse is whether the autoscaler may use spot machines.
 func (s *State) ApplyJobRecord(record *jobs.JobRecord, revision uint64, complete, spotInUse bool) {
 	job := s.jobs[record.Ref]
 	if job == nil {
@@ -62,7 +63,7 @@
 	return job.Record()
 }
 
-// updateInherited follows a change of what a job has from its dependencies and dependents.
+// updateInherited updates what a job inherits from its dependencies and dependents after a change.
 func (s *State) updateInherited(ref string) {
 	job := s.jobs[ref]
 	if job == nil || !job.HasRecord() {
@@ -89,7 +90,7 @@
 	}
 }
 
-// ApplyJobDeletion follows the deletion of a job's record.
+// ApplyJobDeletion updates the state after the deletion of a job's record.
 func (s *State) ApplyJobDeletion(ref string, revision uint64) {
 	if job := s.jobs[ref]; job != nil && job.Revision() <= revision {
 		s.EndJob(job)
--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -8,10 +8,10 @@
 	"cherrywall/internal/workerapi"
 )
 
-// The Apply methods follow records of the key-value store. A record is applied only if its
-// revision is newer than what is known.
+// The Apply methods update the state from records of the key-value store. A record is applied only
+// if its revision is newer than what is known.
 
-// ApplyMachineRecord follows a machine's record. moved is whether a machine that was known before
+// ApplyMachineRecord updates the state from a machine's record. moved is whether a machine that was known before
 // is in another shard now.
 func (s *State) ApplyMachineRecord(host string, record workerapi.Record, revision uint64) (machine *Machine, moved bool) {
 	machine = s.machines[host]
@@ -52,7 +52,7 @@
 	s.markChanged(machine)
 }
 
-// ApplyMachineDeletion follows the deletion of a machine's record, and returns the machine; nil
+// ApplyMachineDeletion removes a machine whose record was deleted, and returns the machine; nil
 // if it is not known or the deletion is older than its record.
 func (s *State) ApplyMachineDeletion(host string, revision uint64) *Machine {
 	machine := s.machines[host]
@@ -67,8 +67,8 @@
 	return machine
 }
 
-// ApplyShardRecord follows a shard's new owner: nothing is known of its machines and tasks until
-// the workers report. It returns the machines that may still be there.
+// ApplyShardRecord updates the state after a shard's owner has changed: nothing is known of its
+// machines and tasks until the workers report. It returns the machines that are not released.
 func (s *State) ApplyShardRecord(shard *membership.Shard) []*Machine {
 	s.ownedMachinesStale = true
 	remaining := s.forgetShardMachines(shard)
@@ -76,8 +76,8 @@
 		entity.ResetTasks(taskRange, shard.IsLocal(), TaskUnknown)
 		s.clearUntrustedHosts(taskRange)
 		// The workers will report the gang's present attempt. Gangs of other shards owned here
-		// keep theirs: reset as well, they looked like plans that had waited too long, and were
-		// stopped.
+		// keep theirs: without it they would look like plans that have waited too long, and would
+		// be stopped.
 		s.ResetGangAttempt(taskRange.Job())
 	}
 	s.dirty = true
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -31,7 +31,7 @@
 	s.markChanged(assignment.Machine())
 }
 
-// abandonTasks stops all tasks of a range, which are of no interest any more.
+// abandonTasks stops all tasks of a range whose results are no longer needed.
 func (s *State) abandonTasks(taskRange *TaskRange) {
 	for i := range taskRange.Len() {
 		if assignment := taskRange.Assignment(i); assignment != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// abandon stops an assignment whose task is of no interest any more.
+// abandon stops an assignment whose task's result is no longer needed.
 func (s *State) abandon(assignment *Assignment) {
 	entity.Abandon(assignment)
 	if assignment.Status().IsPlanned() {
@@ -48,23 +48,24 @@
 		return
 	}
 	machine := assignment.Machine()
-	s.markChanged(machine) // Stop does not if the task is stopping already
+	s.markChanged(machine) // Stop does nothing if the task is stopping already
 	s.Stop(assignment, 0)
-	if !assignment.Status().HasStarted() || machine.HeartbeatOverdue() {
+	mayNotHaveStarted := !assignment.Status().HasStarted()
+	if mayNotHaveStarted || machine.HeartbeatOverdue() {
 		s.urgentStops = append(s.urgentStops, machine)
 	}
 }
 
-// TakeUrgentStops returns the machines, since it was last called, to which stop commands are to be
-// sent at once: a task is abandoned that has perhaps not started yet, or the machine does not
-// report.
+// TakeUrgentStops returns the machines to which stop commands have to be sent at once, and clears
+// the list: on them a task was abandoned that may not have started yet, or whose machine does not
+// report. A machine may be listed more than once.
 func (s *State) TakeUrgentStops() []*Machine {
 	machines := s.urgentStops
 	s.urgentStops = nil
 	return machines
 }
 
-// Stop notes that an assignment is to be stopped, with so many seconds for a checkpoint. A task
+// Stop notes that an assignment is to be stopped, with graceS seconds for a checkpoint. A task
 // that is stopping already never gets more time than before.
 func (s *State) Stop(assignment *Assignment, graceS float64) {
 	status := entity.MutableStatus(assignment)
@@ -75,7 +76,8 @@
 	s.markChanged(assignment.Machine())
 }
 
-// Preempt stops a task for another one; of a gang, all tasks.
+// Preempt stops a task to make room for another one. Of a gang it stops all tasks. A task that is
+// only planned is unplaced instead.
 func (s *State) Preempt(assignment *Assignment) {
 	job := assignment.Job()
 	switch {
@@ -88,9 +90,9 @@
 	}
 }
 
-// PreemptFor stops a task for those of a claim once the claim is durable. Of two controllers that
-// claimed a job at the same moment, the one whose claim failed had preempted work for nothing: 248
-// tasks for 160 urgent ones over slow links.
+// PreemptFor stops a task to make room for those of a claim, once the claim is durable. Stopped
+// before, it would be lost for nothing if another controller's claim of the same job came first:
+// over slow links 248 tasks were preempted for 160 urgent ones.
 func (s *State) PreemptFor(taskRange *TaskRange, assignment *Assignment) {
 	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
 		s.Preempt(assignment)
@@ -100,7 +102,7 @@
 	s.markChanged(assignment.Machine())
 }
 
-// executePreemptions stops the tasks that a claim preempts: it is durable.
+// executePreemptions stops the tasks that a claim preempts, once the claim is durable.
 func (s *State) executePreemptions(taskRange *TaskRange) {
 	for _, assignment := range entity.TakePreemptions(taskRange) {
 		entity.CancelPreemption(assignment)
@@ -128,8 +130,8 @@
 	entity.MutableStatus(assignment).StartSent = false
 }
 
-// UpdateStatus notes a task's status as reported by its worker. It reports whether that was known
-// already.
+// UpdateStatus notes a task's status as reported by its worker, and reports whether it is the same
+// as before.
 func (s *State) UpdateStatus(assignment *Assignment, workerStatus string, now time.Time) (unchanged bool) {
 	status := entity.MutableStatus(assignment)
 	unchanged = status.Reported && status.WorkerStatus == workerStatus
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -21,7 +21,7 @@
 	TaskState = entity.TaskState
 	// Machine is a worker as this controller knows it.
 	Machine = entity.Machine
-	// Assignment is a task on a machine, from the plan until it is gone.
+	// Assignment is a task on a machine, from when it is planned there until it has left.
 	Assignment = entity.Assignment
 	// AssignmentStatus is how far a task on a machine is.
 	AssignmentStatus = entity.AssignmentStatus
@@ -29,8 +29,8 @@
 
 // The states of a task.
 const (
-	// TaskUnknown is a task taken over with its shard and not yet found on a machine or ruled
-	// out on all of them.
+	// TaskUnknown is a task that may run on some machine: it was claimed before this controller
+	// acquired its shard, or its machine changed the shard, and no heartbeat has settled it yet.
 	TaskUnknown = entity.TaskUnknown
 	// TaskReady is a task that is on no machine and may be started.
 	TaskReady = entity.TaskReady
@@ -38,6 +38,6 @@
 	TaskPlaced = entity.TaskPlaced
 	// TaskFinished is a task that is done.
 	TaskFinished = entity.TaskFinished
-	// TaskUnclaiming is a task that is being given back for any shard to claim.
+	// TaskUnclaiming is a task whose claim is being withdrawn, so that any shard can claim it.
 	TaskUnclaiming = entity.TaskUnclaiming
 )
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -7,8 +7,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// setFlag changes a flag that decides whether a machine is used, and counts the machine anew if
-// the flag is new.
+// setFlag sets a flag that decides whether a machine is used. If that changes the flag, the
+// machine is marked for a recount.
 func (s *State) setFlag(machine *Machine, flag *bool, value bool) {
 	if *flag != value {
 		*flag = value
@@ -16,7 +16,7 @@
 	}
 }
 
-// Cordon has a machine get no more tasks; those that run there go on.
+// Cordon keeps further tasks from a machine; those that run there continue.
 func (s *State) Cordon(machine *Machine) {
 	s.setFlag(machine, &entity.MutableFlags(machine).Cordoned, true)
 }
@@ -44,15 +44,16 @@
 // MarkPreempted notes that the cloud has given notice that it takes a machine back.
 func (s *State) MarkPreempted(machine *Machine) { entity.MutableFlags(machine).Preempted = true }
 
-// MarkReleased notes that the cloud has confirmed the release of a machine: its tasks are gone.
+// MarkReleased notes that the cloud has confirmed the release of a machine, whose tasks have
+// stopped with it.
 func (s *State) MarkReleased(machine *Machine) {
 	entity.MutableFlags(machine).Released = true
 	s.machineCounts = nil
 	s.MarkLost(machine)
 }
 
-// RecordContact notes a heartbeat that shows nothing but that the machine is there. A lost machine
-// stays lost: the heartbeat may be a late copy.
+// RecordContact notes the time of a heartbeat from which nothing else is used. A lost machine stays
+// lost: the heartbeat may be a late copy.
 func (s *State) RecordContact(machine *Machine, at time.Time) {
 	if !machine.IsLost() {
 		entity.MutableTimes(machine).LastHeartbeatAt = at
@@ -73,8 +74,8 @@
 }
 
 // MarkHeartbeatOverdue notes that a machine should have reported and has not. Tasks that are only
-// planned there are placed elsewhere, and nothing is planned there until it reports: tasks waited
-// there for as long as the lease, 28 s, while other machines had free capacity.
+// planned there are placed elsewhere, and nothing is planned there until it reports: otherwise they
+// would wait for as long as the lease, 28 s, while other machines have free capacity.
 func (s *State) MarkHeartbeatOverdue(machine *Machine) {
 	s.setFlag(machine, &entity.MutableFlags(machine).HeartbeatOverdue, true)
 	s.unplacePlanned(machine)
@@ -95,8 +96,8 @@
 	flags, times := entity.MutableFlags(machine), entity.MutableTimes(machine)
 	wasLost = flags.Lost
 	if flags.Lost || !flags.Reported {
-		// The machine was empty because it was unreachable, not for lack of work. With the idle
-		// time of an outage it was scaled in before its tasks could be placed again.
+		// The machine was empty because it was unreachable, not for lack of work. If the idle time
+		// of the outage counted, it would be scaled in before its tasks could be placed again.
 		times.IdleSince = time.Time{}
 	}
 	times.LastHeartbeatAt = at
@@ -105,9 +106,10 @@
 	return wasLost
 }
 
-// EndHeartbeat notes that all tasks that a heartbeat lists were processed. empty is whether it
-// listed none, unchanged whether it said nothing new, as most do: no decision follows from it
-// then. It reports whether this is the machine's first heartbeat under the present fencing token.
+// EndHeartbeat notes that all tasks that a heartbeat lists were processed, and reports whether it is
+// the machine's first one under the present fencing token. empty is whether it listed no task;
+// unchanged is whether it said nothing new, as most do: then the machine is not marked as changed,
+// unless it is the first.
 func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
 	flags := entity.MutableFlags(machine)
 	first = !flags.Reported
@@ -118,7 +120,7 @@
 	return first
 }
 
-// MarkProbeUnanswered notes that a machine did not answer a probe.
+// MarkProbeUnanswered notes that a machine did not answer a probe, unless it has reported meanwhile.
 func (s *State) MarkProbeUnanswered(machine *Machine) {
 	entity.MutableFlags(machine).ProbeUnanswered = !machine.HasReported()
 }
@@ -128,7 +130,7 @@
 	entity.MutableFlags(machine).Lost, entity.MutableTimes(machine).LostAt = true, now
 }
 
-// MarkLost removes all tasks of a machine that is provably gone.
+// MarkLost notes that the tasks of a machine have certainly stopped, and unplaces all of them.
 func (s *State) MarkLost(machine *Machine) {
 	// Whether a machine of another controller's shard was released is not known here.
 	if !machine.IsLost() && !machine.IsReleasing() && s.OwnedShard(machine) != nil {
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Total returns what a machine's type offers; known is false as long as no worker of the type has
-// reported it.
+// Total returns the resources of a machine of this type; known is false as long as no worker of the
+// type has reported them.
 func (s *State) Total(machine *Machine) (total capacity.Resources, known bool) {
 	return s.machineTypes.Capacity(machine.Record().MachineType)
 }
@@ -22,11 +22,11 @@
 	return entity.ComputeUsage(machine, total)
 }
 
-// Free returns what is free on a machine once all tasks that are to be stopped are gone.
+// Free returns what is free on a machine once all tasks that are to be stopped have left it.
 func (s *State) Free(machine *Machine) capacity.Resources { return s.usageOf(machine).Free }
 
-// FreeBelow returns Free and what tasks below a priority take that are stopped one by one, which
-// gangs are not.
+// FreeBelow returns Free plus what the tasks below a priority take. Gangs are left out, since their
+// tasks cannot be stopped one by one.
 func (s *State) FreeBelow(machine *Machine, priority jobs.Priority) capacity.Resources {
 	return s.usageOf(machine).FreeBelowWithoutGangs[priority]
 }
@@ -43,8 +43,8 @@
 	return free
 }
 
-// UsedCPUFraction returns which fraction of a machine's processors is taken; 0 if its type is not
-// known.
+// UsedCPUFraction returns the fraction (0 to 1) of a machine's CPUs that tasks take; 0 if its type
+// is not known.
 func (s *State) UsedCPUFraction(machine *Machine) float64 {
 	total, known := s.Total(machine)
 	if !known || total.CPU <= 0 {
@@ -75,7 +75,7 @@
 	s.changeCount++
 }
 
-// RecountAllMachines has all machines counted anew, after machine types or settings have changed.
+// RecountAllMachines marks all machines for a recount, after machine types or settings have changed.
 func (s *State) RecountAllMachines() {
 	s.dirty = true
 	for _, machine := range s.machines {
@@ -113,8 +113,8 @@
 	}
 }
 
-// FreeCapacityBelow returns the table of how many tasks would fit without the tasks below a
-// priority.
+// FreeCapacityBelow returns the table of how many tasks would fit if all tasks below a priority,
+// gangs included, were preempted.
 func (s *State) FreeCapacityBelow(priority jobs.Priority) *capacity.Table {
 	s.FreeCapacity()
 	return s.freeBelow[priority]
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -77,8 +77,9 @@
 	}
 }
 
-// GangCanStart reports whether a gang's tasks may be started: all of them are placed on
-// machines where they fit within one scheduling cycle.
+// GangCanStart reports whether a gang's tasks may be started: all of them are placed on workers that
+// its records allow, and fit there as soon as the commands of this scheduling cycle are executed.
+// Once one task was started the others may follow without this check; after a failure none may.
 func (s *State) GangCanStart(job *Job) bool {
 	gang := entity.MutableGang(job)
 	if gang.Failed {
@@ -101,8 +102,8 @@
 	return true
 }
 
-// addPlannedNeeds adds what a range's tasks take by machine. It reports whether all of them may be
-// started where they are planned.
+// addPlannedNeeds adds what a range's tasks take to the needs by machine. It reports whether all of
+// them are placed, on workers that the range's record allows.
 func addPlannedNeeds(needs map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
 	if !taskRange.HostsAreRecorded() {
 		return false
@@ -133,9 +134,9 @@
 		return
 	}
 	if tasks.ready > 0 {
-		// Some tasks are placed and some are not, since a machine was lost. A gang that still
-		// waited for free resources was once left as it was then: it never started, and kept the
-		// places of its other tasks forever.
+		// Some tasks are placed and some are not, since a machine was lost. A gang that still waits
+		// for free resources would never start, and would occupy the machines of its other tasks
+		// forever.
 		gang.Failed = true
 	}
 	if !gang.Started && tasks.ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -8,24 +8,25 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Assignment is a task on a machine, from the plan until it is gone.
+// Assignment is a task on a machine, from when it is planned there until it has left.
 type Assignment struct {
 	machine *Machine
 	name    string
-	// taskRange and index are the task that it runs; nil if it runs no task of this controller
-	// and is only to be stopped.
+	// taskRange and index identify the task. taskRange is nil if the task is not one of this
+	// controller's and is only to be stopped.
 	taskRange *TaskRange
 	index     int
 	attempt   uint64
 	need      capacity.Resources
-	// checkpointS is the job's checkpoint interval in seconds, 0 if it saves none.
-	checkpointS float64
-	status      AssignmentStatus
-	// preemptedFor is the claim for which it will be stopped once that is durable.
+	// checkpointIntervalSeconds is the job's, 0 if it saves no checkpoints.
+	checkpointIntervalSeconds float64
+	status                    AssignmentStatus
+	// preemptedFor is the claim that preempts the task as soon as the claim is durable; nil for none.
 	preemptedFor *TaskRange
 }
 
-// AssignmentStatus is how far a task on a machine is.
+// AssignmentStatus is the progress of a task on a machine: which commands were sent for it and what
+// its worker has reported.
 type AssignmentStatus struct {
 	StartSent    bool      // a start command was sent
 	Reported     bool      // the worker has reported the task
@@ -36,7 +37,8 @@
 	StopSent     bool      // a stop command was sent
 }
 
-// IsPlanned reports whether the task is on the machine by plan only.
+// IsPlanned reports whether the task is only planned for the machine: no start command was sent, and
+// the worker has not reported the task.
 func (s AssignmentStatus) IsPlanned() bool { return !s.StartSent && !s.Reported }
 
 // HasStarted reports whether the worker has reported the task to be beyond pulling its image.
@@ -93,7 +95,7 @@
 	if a.status.WorkerStatus == workerapi.StatusCheckpointing {
 		return false
 	}
-	return a.status.GraceS == 0 || a.checkpointS == 0 || a.status.WorkerStatus != workerapi.StatusRunning
+	return a.status.GraceS == 0 || a.checkpointIntervalSeconds == 0 || a.status.WorkerStatus != workerapi.StatusRunning
 }
 
 // OccupiesNow reports whether the task still takes its resources after the commands of the present
@@ -105,8 +107,8 @@
 	return !a.status.Stopping || !a.stopsImmediately()
 }
 
-// needsOrdinaryMachine reports whether the task may not run on a spot machine: it is of no array
-// that allows them.
+// needsOrdinaryMachine reports whether the task may not run on a spot machine: only tasks of arrays
+// that allow spot machines may.
 func (a *Assignment) needsOrdinaryMachine() bool {
 	job := a.Job()
 	return job != nil && (job.record.Kind != jobs.Array || !job.record.Spot)
@@ -117,7 +119,7 @@
 
 // SetJobNeeds sets what an assignment takes by its job.
 func SetJobNeeds(a *Assignment, job *Job) {
-	a.need, a.checkpointS = job.need, job.record.CheckpointIntervalSeconds
+	a.need, a.checkpointIntervalSeconds = job.need, job.record.CheckpointIntervalSeconds
 }
 
 // AssignTask makes an assignment the one of a task of a range.
@@ -126,11 +128,12 @@
 	SetTask(r, index, TaskPlaced, a)
 }
 
-// Abandon makes an assignment one that runs no task of this controller.
+// Abandon detaches an assignment from its task, so that it is only to be stopped. The task's state
+// is unchanged.
 func Abandon(a *Assignment) { a.taskRange = nil }
 
-// ReleaseTask sets the state of an assignment's task, which has no assignment then. It reports
-// whether the assignment was still the task's.
+// ReleaseTask removes an assignment from its task and sets the task's state. It does nothing and
+// returns false if the task has another assignment by now, or none.
 func ReleaseTask(a *Assignment, state TaskState) bool {
 	r := a.taskRange
 	if r == nil || a.index >= len(r.tasks) || r.tasks[a.index].assignment != a {
@@ -140,5 +143,5 @@
 	return true
 }
 
-// CancelPreemption notes that an assignment is not preempted by a claim any more.
+// CancelPreemption notes that an assignment no longer waits to be preempted by a claim.
 func CancelPreemption(a *Assignment) { a.preemptedFor = nil }
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -183,7 +183,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			machine := NewMachine("i-1")
 			a := place(newTestRange(newTestJob(jobs.Array, 1), 0, 1), 0, machine, 1)
-			a.status, a.checkpointS = test.status, test.checkpointS
+			a.status, a.checkpointIntervalSeconds = test.status, test.checkpointS
 			usage := ComputeUsage(machine, total)
 			if usage.Free.CPU != test.freeCPU || usage.PendingCommands != test.pendingCommands {
 				t.Errorf("%v free, %d pending commands", usage.Free, usage.PendingCommands)
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -34,7 +34,7 @@
 	dependencyNode *jobdag.Node // nil: the job has neither dependencies nor dependents
 	priority       jobs.Priority
 	ownDeadlines   jobdag.Deadlines // without inherited ones, see Deadlines
-	blocked        bool             // by dependencies, as last looked at
+	blocked        bool             // by dependencies, when SetBlocked or Unblock last looked
 
 	background bool
 	bestEffort bool
@@ -78,14 +78,14 @@
 // KnownSince returns when this controller learned of the job, or when the job became unblocked.
 func (j *Job) KnownSince() time.Time { return j.knownSince }
 
-// IsBackground reports whether the job gets only capacity that nobody else wants: it is an array of
-// the lowest priority without a deadline or objective.
+// IsBackground reports whether the job is background work, which gets only capacity that no other
+// job needs: an array of the lowest priority without a deadline or objective.
 func (j *Job) IsBackground() bool { return j.background }
 
-// IsBestEffort reports whether a background job is no reason to keep or scale out any but spot
-// machines. It uses free capacity of other machines as long as they are there for other work,
-// and leaves those that are to be scaled in. After a while it counts like any other job, so that
-// it does not wait forever.
+// IsBestEffort reports whether the job is background work for which only spot machines are scaled
+// out or kept. It uses free capacity of other machines as long as they are there for other work,
+// but avoids surplus ones. After tuning.BackgroundSpotOnlyPeriod it is no longer best-effort work,
+// so that it does not wait forever.
 func (j *Job) IsBestEffort() bool { return j.bestEffort }
 
 // Priority returns the highest priority among the job and its dependents.
@@ -122,7 +122,7 @@
 }
 
 // RecordWithoutDependencies returns the job's record without its dependencies, all of which must
-// be done. This is what a write of the record says.
+// be done. Writes of the record by claims, unclaims and compactions start from it.
 func (j *Job) RecordWithoutDependencies() jobs.JobRecord {
 	return j.record.WithDependenciesDone(time.UnixMilli(j.RunnableSinceMS()))
 }
@@ -171,9 +171,9 @@
 	return done, active
 }
 
-// CanWriteAt reports whether a transaction on the job may begin: none of this controller's is in
-// flight, and the cache of the store, which is at a revision, has caught up with what made the
-// last one fail its preconditions.
+// CanWriteAt reports whether a transaction on the job may begin while the cache of the store is at a
+// revision: none of this controller's is in flight, and the cache has caught up with the change that
+// made the last one fail its preconditions.
 func (j *Job) CanWriteAt(revision uint64) bool {
 	return !j.inTransaction && j.awaitedRevision <= revision
 }
@@ -185,9 +185,9 @@
 func (j *Job) BeginTransaction() { j.inTransaction = true }
 
 // EndTransaction notes how the job's transaction ended. After failed preconditions the next one
-// waits until the cache shows what has changed: retried before, it failed again and again, and
-// each gang that two controllers claimed at the same moment cost six requests and twelve changes
-// for nothing.
+// waits until the cache shows what has changed. Retried before, it would fail again and again: each
+// gang that two controllers claimed at the same moment cost six requests and twelve changes for
+// nothing.
 func (j *Job) EndTransaction(result kvstore.TxnResult, err error) {
 	j.inTransaction = false
 	if err == nil && !result.Succeeded {
@@ -247,7 +247,7 @@
 	}
 }
 
-// SetBlocked notes whether a job is blocked by dependencies now, and returns it.
+// SetBlocked notes whether a job is blocked by dependencies now, and reports whether it is.
 func SetBlocked(j *Job) bool {
 	j.blocked = j.dependencyNode.IsBlocked()
 	return j.blocked
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -97,8 +97,8 @@
 // operator drains it.
 func (m *Machine) IsCordoned() bool { return m.flags.Cordoned }
 
-// IsSuspected reports whether several jobs failed on the machine and it is left alone until it is
-// known whether they work elsewhere (see faultattribution.Attributor).
+// IsSuspected reports whether several jobs failed on the machine, which therefore gets no tasks for
+// a while, until it is known whether the jobs work elsewhere (see faultattribution.Attributor).
 func (m *Machine) IsSuspected() bool { return m.flags.Suspected }
 
 // ReportedEmpty reports whether the last heartbeat listed no task, not even an exited one.
@@ -166,13 +166,17 @@
 	return capacity.Group{Zone: m.record.Zone, MachineType: m.record.MachineType, Spot: m.record.Spot}
 }
 
-// RunsOnlyBestEffort reports whether the machine is used for nothing but work that is no reason to
-// keep it.
+// RunsOnlyBestEffort reports whether the machine is empty, or all that it runs is best-effort work,
+// which is no reason to keep it. For a spot machine any work is one.
 func (m *Machine) RunsOnlyBestEffort() bool {
 	if len(m.assignments) == 0 {
 		return true
 	}
-	if m.record.Spot || !m.usageStale && m.usage.ForegroundTasks > 0 {
+	if m.record.Spot {
+		return false
+	}
+	hasForegroundTasks := !m.usageStale && m.usage.ForegroundTasks > 0
+	if hasForegroundTasks { // the loop would find the same, at a higher cost
 		return false
 	}
 	for _, a := range m.assignments {
@@ -200,8 +204,8 @@
 // AddAssignment adds an assignment to its machine.
 func AddAssignment(a *Assignment) { a.machine.assignments[a.name] = a }
 
-// RemoveAssignment removes an assignment from its machine, if it is the one known there for the
-// task.
+// RemoveAssignment removes an assignment from its machine, unless the machine has another one for
+// the task by now.
 func RemoveAssignment(a *Assignment) {
 	if IsOnMachine(a) {
 		delete(a.machine.assignments, a.name)
@@ -217,7 +221,7 @@
 // AddImage notes that a task with an image was seen on a machine.
 func AddImage(m *Machine, image string) { m.images[image] = true }
 
-// UpdateIdleSince follows a change of the work on a machine.
+// UpdateIdleSince updates Machine.IdleSince after a change of the work on a machine.
 func UpdateIdleSince(m *Machine) {
 	if !m.RunsOnlyBestEffort() {
 		m.times.IdleSince = time.Time{}
@@ -226,8 +230,8 @@
 	}
 }
 
-// BeginRecount reports whether a machine is to be put on the list of those to be counted again: it
-// is not on it yet.
+// BeginRecount notes that a machine is on the list of those to be counted again, and reports whether
+// it was not on it before.
 func BeginRecount(m *Machine) bool {
 	if m.recountPending {
 		return false
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -21,7 +21,7 @@
 	tasks        []task // nil unless the shard is owned here
 	taskCounts   [taskStateCount]int
 	lastPlacedAt time.Time
-	// unclaiming are the tasks that are being given back, numbered within the range.
+	// unclaiming are the tasks whose claim is being withdrawn, numbered within the range.
 	unclaiming jobs.TaskInterval
 	// preemptions are assignments of other jobs to be stopped once the claim is durable.
 	preemptions []*Assignment
@@ -123,7 +123,8 @@
 	r.tasks, r.record.Count = r.tasks[:count], count
 }
 
-// MarkUnknownReady notes that the range's unknown tasks are on no machine.
+// MarkUnknownReady notes that the range's unknown tasks are on no machine, so that they may be
+// started.
 func (r *TaskRange) MarkUnknownReady() {
 	if r.CountTasks(TaskUnknown) == 0 {
 		return
@@ -135,8 +136,8 @@
 	}
 }
 
-// ResetTasks forgets what is known of a range's tasks. If the shard is owned here, those that are
-// not recorded as done are in the given state then.
+// ResetTasks forgets what is known of a range's tasks. If the shard is owned here, it then sets those
+// that are not recorded as done to the given state.
 func ResetTasks(r *TaskRange, isOwned bool, state TaskState) {
 	r.tasks, r.unrecordedDone, r.writeInFlight, r.unclaiming = nil, map[int]bool{}, false, jobs.TaskInterval{}
 	r.taskCounts = [taskStateCount]int{}
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -12,8 +12,9 @@
 // IsComplete reports whether all of the range's tasks are done.
 func (r *TaskRange) IsComplete() bool { return r.DoneTasks() == r.record.Count }
 
-// UnrecordedDone returns how many tasks are done without being recorded so, and since when the
-// first of them; zero if there are none.
+// UnrecordedDone returns how many tasks are done without being recorded so, and when their wait for
+// a write began: when the first of them was done, or when the last write ended if that is later.
+// Both are zero if there are none.
 func (r *TaskRange) UnrecordedDone() (count int, since time.Time) {
 	return len(r.unrecordedDone), r.unrecordedSince
 }
@@ -47,7 +48,8 @@
 // EndWrite notes that the write of the range's record has ended.
 func (r *TaskRange) EndWrite() { r.writeInFlight = false }
 
-// EndDoneWrite notes that a write that records done tasks has ended.
+// EndDoneWrite notes that a write that records done tasks has ended. The wait of those that are
+// still unrecorded begins anew.
 func (r *TaskRange) EndDoneWrite() {
 	r.writeInFlight, r.unrecordedSince = false, time.Now()
 	if len(r.unrecordedDone) == 0 {
@@ -64,7 +66,7 @@
 	}
 }
 
-// FollowRecordedDone brings a range's tasks up to date with those that its record has as done.
+// FollowRecordedDone marks the tasks as finished that the range's record lists as done.
 func FollowRecordedDone(r *TaskRange) {
 	r.recordedDone = r.record.Done.Count(r.record.Count)
 	if r.recordedDone == 0 {
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -2,9 +2,9 @@
 
 import "cherrywall/internal/jobs"
 
-// BeginUnclaim keeps count tasks, beginning with first within the range, from being started: they
-// are being given back for any shard to claim. When that is written, the tasks behind them become
-// a range of their own.
+// BeginUnclaim keeps count tasks, beginning with first within the range, from being started, since
+// their claim is being withdrawn. When that is durable, the tasks behind them become a range of
+// their own.
 func (r *TaskRange) BeginUnclaim(first, count int) {
 	for i := first; i < first+count; i++ {
 		SetTask(r, i, TaskUnclaiming, nil)
@@ -12,7 +12,7 @@
 	r.unclaiming = jobs.TaskInterval{First: first, Count: count}
 }
 
-// CancelUnclaim makes tasks that were to be given back ready again. If the shard was lost and
+// CancelUnclaim makes tasks ready again whose claim was not withdrawn. If the shard was lost and
 // acquired again meanwhile, its tasks are no longer unclaiming but unknown, and stay so.
 func (r *TaskRange) CancelUnclaim(first, count int) {
 	r.unclaiming = jobs.TaskInterval{}
@@ -39,8 +39,8 @@
 	return record
 }
 
-// behindUnclaimed returns the number, within the range, of the first task behind those that are
-// being given back.
+// behindUnclaimed returns the number, within the range, of the first task behind those whose claim
+// is being withdrawn.
 func (r *TaskRange) behindUnclaimed() int { return r.unclaiming.First + r.unclaiming.Count }
 
 // IsSplitAt reports whether a record that ends the range before a task shows that a split of the
@@ -51,8 +51,8 @@
 }
 
 // IsSplitBy reports whether a range record shows that a split of the range is durable: it is the
-// record of what is left before the tasks given back, or of what is behind them, whichever is
-// seen first.
+// record of what is left before the unclaimed tasks, or of what is behind them, whichever is seen
+// first.
 func IsSplitBy(r *TaskRange, first int, record jobs.RangeRecord, revision uint64) bool {
 	if revision <= r.revision || record.Shard != r.record.Shard {
 		return false
@@ -64,7 +64,7 @@
 	return first == r.first+behind && IsSplitAt(r, r.unclaiming.First) && record.Count == len(r.tasks)-behind
 }
 
-// Split divides a range whose tasks in the middle were given back. The tasks behind them, some of
+// Split divides a range whose tasks in the middle were unclaimed. The tasks behind them, some of
 // which may be on machines, become a range of their own.
 func Split(r *TaskRange) {
 	at := r.behindUnclaimed()
--- a/internal/clusterstate/internal/entity/taskstate.go
+++ b/internal/clusterstate/internal/entity/taskstate.go
@@ -7,8 +7,8 @@
 
 // The states of a task.
 const (
-	// TaskUnknown is a task taken over with its shard and not yet found on a machine or ruled
-	// out on all of them.
+	// TaskUnknown is a task that may run on some machine: it was claimed before this controller
+	// acquired its shard, or its machine changed the shard, and no heartbeat has settled it yet.
 	TaskUnknown TaskState = iota
 	// TaskReady is a task that is on no machine and may be started.
 	TaskReady
@@ -16,7 +16,7 @@
 	TaskPlaced
 	// TaskFinished is a task that is done.
 	TaskFinished
-	// TaskUnclaiming is a task that is being given back for any shard to claim.
+	// TaskUnclaiming is a task whose claim is being withdrawn, so that any shard can claim it.
 	TaskUnclaiming
 
 	taskStateCount = iota
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -8,11 +8,12 @@
 // Usage is the sum over a machine's assignments. The scheduler reads it far more often than the
 // assignments change.
 type Usage struct {
-	// Free is what is free once all assignments that are to be stopped are gone.
+	// Free is what is free once all assignments that are to be stopped have left.
 	Free capacity.Resources
-	// FreeBelow is Free and what tasks below each priority take.
+	// FreeBelow is, for each priority, Free plus what the tasks below the priority take.
 	FreeBelow [jobs.PriorityCount]capacity.Resources
-	// FreeBelowWithoutGangs is the same for tasks that are stopped one by one.
+	// FreeBelowWithoutGangs is the same without the tasks of gangs, which cannot be stopped one by
+	// one.
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
 	// PendingCommands is how many start and stop commands are still to be sent.
 	PendingCommands int
@@ -49,8 +50,8 @@
 	return &m.usage
 }
 
-// add adds an assignment; FreeBelow holds only what lower priorities take as long as Free is not
-// final.
+// add adds an assignment. FreeBelow and FreeBelowWithoutGangs contain only what lower priorities
+// take until ComputeUsage adds the final Free to them.
 func (u *Usage) add(a *Assignment) {
 	if a.status.hasPendingCommand() {
 		u.PendingCommands++
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -68,8 +68,8 @@
 	Group capacity.Group
 }
 
-// MachineCounts returns the numbers of recorded machines by shard and group, surplus or not, for
-// reading only. What needs only the numbers must not visit all machines for each job.
+// MachineCounts returns the numbers of recorded machines by shard and group, surplus or not, without
+// released ones. The result is for reading only. It is cached: callers count for each waiting job.
 func (s *State) MachineCounts() map[ShardGroup]int {
 	if s.machineCounts != nil {
 		return s.machineCounts
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -38,8 +38,8 @@
 	return lookup
 }
 
-// Adopt adds an assignment for a task that a worker runs and that has none there. Unless the task
-// is to keep running, it only takes its resources until it has stopped.
+// Adopt adds an assignment for a task that a worker reports and that has none there. If keepsRunning
+// is false, the assignment only accounts for the task's resources until the task has stopped.
 func (s *State) Adopt(machine *Machine, reported workerapi.TaskStatus, keepsRunning bool) *Assignment {
 	status := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: reported.Status}
 	assignment := entity.NewAssignment(machine, reported.Task, reported.Attempt, status)
@@ -76,11 +76,13 @@
 	RanFor   time.Duration // 0: not known to run
 }
 
-// RestoreAssignment adds an assignment as the former owner of the shard had it. Unless the task is
-// to keep running, it is only to be stopped.
+// RestoreAssignment adds an assignment as the former owner of the shard had it. If keepsRunning is
+// false, the assignment only waits for the task to stop.
 func (s *State) RestoreAssignment(machine *Machine, previous PreviousAssignment, keepsRunning bool, now time.Time) {
 	if previous.Progress.IsPlanned() && !keepsRunning {
-		return // no command for it was ever sent: the worker could not stop it, and it would never leave
+		// No command for it was ever sent: the worker does not know it and could never report that
+		// it has stopped, so the assignment would stay forever.
+		return
 	}
 	assignment := s.Adopt(machine, previous.TaskStatus, keepsRunning)
 	status := entity.MutableStatus(assignment)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -30,8 +30,8 @@
 	machines map[string]*Machine
 	jobs     map[string]*Job
 
-	// free counts the tasks that fit into free capacity, freeBelow those that would fit without
-	// the tasks below a priority. See FreeCapacity.
+	// free counts the tasks that fit into free capacity. freeBelow[p] counts those that would fit
+	// if all tasks below priority p were preempted. See FreeCapacity.
 	free            *capacity.Table
 	freeBelow       [jobs.PriorityCount]*capacity.Table
 	changedMachines []*Machine // whose entries in these tables are to be updated
@@ -102,8 +102,8 @@
 // LastJobArrivedAt returns when the last new job became known.
 func (s *State) LastJobArrivedAt() time.Time { return s.lastJobArrivedAt }
 
-// FindTask returns the range, and the number within it, of a job's task whose shard is owned here
-// and whose claim is durable; nil if there is none or the job has ended.
+// FindTask returns the range that contains a job's task, and the task's number within the range.
+// It returns nil if the job has ended, or if no shard owned here has durably claimed the task.
 func (s *State) FindTask(ref string, task int) (taskRange *TaskRange, index int) {
 	job := s.jobs[ref]
 	if job == nil || job.HasEnded() {
@@ -131,7 +131,8 @@
 	}
 }
 
-// IsCurrentTaskRange reports whether a range is still its job's, and the job has not ended.
+// IsCurrentTaskRange reports whether a range is still part of the state: its job has not ended, and
+// no other range has taken its place.
 func (s *State) IsCurrentTaskRange(taskRange *TaskRange) bool {
 	job := taskRange.Job()
 	return entity.IsCurrent(taskRange) && s.jobs[job.Ref()] == job && !job.HasEnded()
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// All rules that rest on time alone stand in this file: how long a controller may renew the
+// This file has all rules that rest on time alone: how long a controller may renew the
 // leases of workers on what it knows, and from when on the lease of a worker without heartbeats
 // has expired. docs/recovery.md, "How long a worker may be kept alive", shows why they are
 // right.
@@ -63,12 +63,13 @@
 	return Seconds(seconds*(1+2*tuning.MaxClockDrift)) + tuning.LeaseExpiryMargin
 }
 
-// WorkerLeaseExpiresAt returns from when on a worker has no tasks that has sent no heartbeat
-// with the fencing token of its shard's current owner: the previous owner cannot have kept its
-// lease longer, and the last heartbeat that the current owner may have answered is
-// lastHeartbeatAt. That answer counts: without it, a worker that reconnected late after being
-// cut off together with the previous owner, and was then cut off itself, was taken for expired
-// up to one lease too early, and its tasks ran twice.
+// WorkerLeaseExpiresAt returns the time from which on a worker certainly runs no tasks, if it has
+// sent no heartbeat with the fencing token of its shard's current owner. acquiredAt is when that
+// owner acquired the shard: leases that the previous owner renewed have expired by
+// PreviousOwnerExpiryDelay after it. lastHeartbeatAt is when the last heartbeat arrived that
+// the current owner may have answered. Without that answer, a worker that reconnected late after
+// being cut off together with the previous owner, and was then cut off itself, would count as
+// expired up to one lease too early, and its tasks would run twice.
 func (c *Config) WorkerLeaseExpiresAt(acquiredAt, lastHeartbeatAt time.Time) time.Time {
 	byPreviousOwner := acquiredAt.Add(c.PreviousOwnerExpiryDelay())
 	byLastAnswer := lastHeartbeatAt.Add(c.WorkerLeaseExpiryDelay())
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -22,7 +22,7 @@
 	Deadlines jobdag.Deadlines
 }
 
-// StartByMS is the time of day (Unix ms) by which a job should start: for a service its arrival; for
+// StartByMS returns the time of day (Unix ms) by which a job should start: for a service its arrival; for
 // an array its next deadline or objective, less the run time. An array that is too late for one
 // objective is held to the next one, and if there is none left it comes after those that can still
 // meet theirs. For gangs see gangStartByMS.
@@ -50,7 +50,7 @@
 	return startByMS < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli()
 }
 
-// nextObjectiveStartMS is the latest start (Unix ms) that meets the first deadline or objective that
+// nextObjectiveStartMS returns the latest start (Unix ms) that meets the first deadline or objective that
 // the job can still meet; ok is false if there is none left.
 func nextObjectiveStartMS(job Job, objectives []config.Objective, now time.Time) (startByMS int64, ok bool) {
 	consider := func(latestStartMS int64) {
@@ -77,12 +77,12 @@
 
 func milliseconds(seconds float64) int64 { return int64(seconds * 1000) }
 
-// gangStartByMS orders waiting gangs. If all of them fit, any order would do. In an overload, when
-// they were ordered by arrival, every gang was late: after a minute with three times the usual
-// gangs, those that arrived long after it still waited behind it. Therefore gangs whose next
+// gangStartByMS returns a time of day (Unix ms) by which waiting gangs are queued. Gangs whose next
 // objective is at risk go first, then those that can still wait, then those that are too late for
-// all, each time the shortest first, so that most of them are in time. To starve none, a gang that
-// has waited for AgingPeriod goes before all others.
+// all, each time the shortest first, so that most of them are in time. By arrival every gang would
+// be late in an overload: after a minute with three times the usual gangs, those that arrive long
+// after it still wait behind it. To starve none, a gang that has waited for AgingPeriod goes before
+// all others.
 func gangStartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	age := time.Duration(now.UnixMilli()-job.RunnableSinceMS) * time.Millisecond
 	if age > tuning.AgingPeriod || len(objectives) == 0 {
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -16,8 +16,8 @@
 
 // Thresholds are the operators' settings.
 type Thresholds struct {
-	// MachineFailures is how many failures of jobs that succeed elsewhere take a machine out
-	// of use.
+	// MachineFailures is how many failures of a single job are sufficient evidence against a
+	// machine. Failures of two jobs always are.
 	MachineFailures int
 	// JobMachines is on how many machines a job must fail before it is at fault.
 	JobMachines int
@@ -42,7 +42,7 @@
 
 type machineEvidence struct {
 	failuresByJob  map[string]int // since a task was last done on the machine
-	suspectedUntil time.Time      // not used until then
+	suspectedUntil time.Time      // the machine gets no tasks until then
 	isFaulty       bool
 }
 
@@ -77,8 +77,8 @@
 	return machine
 }
 
-// RecordFailure notes that a job's task failed on a machine after it ran for some time, and
-// returns whom this shows to be at fault.
+// RecordFailure notes that a job's task failed on a machine after it ran for some time, and returns
+// whether that shows the job or the machine to be at fault.
 func (a *Attributor) RecordFailure(ref, host string, ran time.Duration, now time.Time, thresholds Thresholds) Attribution {
 	job, machine := a.jobEvidenceOf(ref), a.machineEvidenceOf(host)
 	machine.failuresByJob[ref]++
@@ -94,7 +94,7 @@
 	if a.attributeToMachine(machine, thresholds) {
 		return Attribution{MachineFaulty: true}
 	}
-	if evidence := a.credibleEvidence(machine); evidence.jobs > 1 || evidence.failures >= thresholds.MachineFailures {
+	if a.credibleEvidence(machine).isSufficient(thresholds) {
 		machine.suspectedUntil = now.Add(tuning.SuspectMachinePause)
 	}
 	return Attribution{}
@@ -144,6 +144,11 @@
 	succeeded int // of the jobs, those that have succeeded elsewhere
 }
 
+// isSufficient reports whether the evidence is enough to suspect the machine.
+func (e evidenceSummary) isSufficient(thresholds Thresholds) bool {
+	return e.jobs > 1 || e.failures >= thresholds.MachineFailures
+}
+
 // credibleEvidence counts the jobs that succeed elsewhere, and those of which nothing else is
 // known. A job that failed on other machines too and has never succeeded is no evidence.
 func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
@@ -166,7 +171,8 @@
 	return evidence
 }
 
-// attributeToMachine reports whether a machine is newly found at fault. Faulty jobs that happen
+// attributeToMachine marks a machine as faulty if the evidence suffices, and reports whether it has
+// done so; a machine that was marked before is not reported again. Faulty jobs that happen
 // to meet on it must not suffice, however many they are: one of the jobs must have succeeded
 // elsewhere.
 func (a *Attributor) attributeToMachine(machine *machineEvidence, thresholds Thresholds) bool {
@@ -174,8 +180,7 @@
 		return false
 	}
 	evidence := a.credibleEvidence(machine)
-	isEnough := evidence.jobs > 1 || evidence.failures >= thresholds.MachineFailures
-	machine.isFaulty = evidence.succeeded > 0 && isEnough
+	machine.isFaulty = evidence.succeeded > 0 && evidence.isSufficient(thresholds)
 	return machine.isFaulty
 }
 
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// ApplyRecord follows an unfinished job's record. A job without dependencies and dependents is
+// ApplyRecord updates the graph from an unfinished job's record. A job without dependencies and dependents is
 // not indexed.
 func (x *Index) ApplyRecord(record *jobs.JobRecord, now time.Time) {
 	n := x.nodes[record.Ref]
@@ -111,7 +111,7 @@
 	linked := false
 	switch {
 	case len(record.DependsOn) == 0:
-		// Whoever wrote a record without dependencies had seen that all of them are done.
+		// The writer of a record without dependencies had seen all of them done.
 		x.detach(n)
 		n.cancelledByDependency = false
 	case len(n.dependencies) == 0:
@@ -158,7 +158,8 @@
 	x.cfg.OnChange(n.ref)
 }
 
-// ApplyFinalState follows a job's durable final state, which never changes again.
+// ApplyFinalState updates the graph after a job has reached a durable final state, which never
+// changes again.
 func (x *Index) ApplyFinalState(ref string, finalState FinalState, now time.Time) {
 	n := x.nodes[ref]
 	if n == nil || finalState == Unfinished || n.finalState == finalState {
@@ -188,8 +189,8 @@
 	}
 }
 
-// ApplyRecordDeletion follows the deletion of a job's record: the job has ended, as
-// ApplyFinalState says before or after.
+// ApplyRecordDeletion updates the graph after the deletion of a job's record: the job has ended. How
+// it has ended is given to ApplyFinalState, before or after.
 func (x *Index) ApplyRecordDeletion(ref string) {
 	n := x.nodes[ref]
 	if n == nil {
@@ -202,7 +203,7 @@
 	x.removeIfUnused(n)
 }
 
-// detach removes the edges from a job to its dependencies, which inherit nothing from it then.
+// detach removes the edges from a job to its dependencies, so that they inherit nothing from it.
 func (x *Index) detach(n *Node) {
 	dependencies := n.dependencies
 	n.dependencies, n.openDependencies = nil, 0
--- a/internal/jobdag/node.go
+++ b/internal/jobdag/node.go
@@ -10,7 +10,7 @@
 // dependencies and dependents.
 type Node struct {
 	ref          string
-	record       *jobs.JobRecord // nil: the job has ended, or is not known here
+	record       *jobs.JobRecord // nil: the job has ended, or no record of it is known
 	finalState   FinalState
 	dependencies []*Node
 	dependents   map[*Node]bool // unfinished jobs that name this one
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -7,7 +7,7 @@
 
 // Keys in the key-value store.
 const (
-	// Prefix is that of all keys, and what a controller watches.
+	// Prefix is the common prefix of all keys, which a controller watches.
 	Prefix = "cw/"
 	// JobPrefix: cw/job/<job> is a JobRecord.
 	JobPrefix = "cw/job/"
@@ -39,8 +39,8 @@
 	// chunkedstore).
 	ChunkPrefix = "cw/part/"
 	// OpaquePrefix is for records that the controller stores without reading them. They are
-	// under Prefix all the same: a watch of one prefix is not notified of revisions elsewhere,
-	// and whoever waited for the cache to be current waited for the end of the watch request.
+	// under Prefix because a watch is not notified of revisions under other prefixes: a read that
+	// waits until the cache has reached such a revision would wait for the watch request to end.
 	OpaquePrefix = "cw/x/"
 )
 
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -54,8 +54,8 @@
 	GangWorkers []string `json:"on,omitempty"`
 }
 
-// Validate returns a *ValidationError for what is impossible in the record: it was damaged, or
-// written by a version that this one cannot follow. Nothing may be done by its contents then.
+// Validate returns a *ValidationError if the record cannot be right: it was damaged, or written by a
+// version that this one does not understand. Nothing may be decided by its contents then.
 func (r *JobRecord) Validate() error {
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
 		return invalid("shifts", "%d", r.Tasks)
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// Validate returns a *ValidationError for what is impossible in the record of a range that
-// begins with the given task.
+// Validate returns a *ValidationError if the record of a range that begins with the given task
+// cannot be right.
 func (r *RangeRecord) Validate(first int) error {
 	switch {
 	case r.Shard == "":
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -43,20 +43,22 @@
 	Kind         string   `json:"shape"`
 	Urgency      string   `json:"urgency"`
 	Tasks        int      `json:"shifts"`
-	CPU          float64  `json:"vcpus"`  // of each task
-	GPU          float64  `json:"cards"`  // of each task
-	MemGB        float64  `json:"ramGb"`  // of each task
-	MachineTypes []string `json:"builds"` // nil: any
-	Zone         *string  `json:"valley"` // nil: any
-	OneZone      bool     `json:"oneZone"`
-	Spread       bool     `json:"spread"`
+	CPU          float64  `json:"vcpus"`   // of each task
+	GPU          float64  `json:"cards"`   // of each task
+	MemGB        float64  `json:"ramGb"`   // of each task
+	MachineTypes []string `json:"builds"`  // nil: any
+	Zone         *string  `json:"valley"`  // nil: any
+	OneZone      bool     `json:"oneZone"` // all tasks must run in the same zone
+	Spread       bool     `json:"spread"`  // at most half of the tasks, rounded up, may run in one zone
 	Spot         bool     `json:"loaners"` // whether it may run on spot machines
 	Image        string   `json:"kit"`
 	ImageGB      float64  `json:"imageGb"`
-	// EstimatedRunSeconds is the expected run time of a task.
-	EstimatedRunSeconds       float64 `json:"guessS"`
+	// EstimatedRunSeconds is the user's estimate of the run time of a task.
+	EstimatedRunSeconds float64 `json:"guessS"`
+	// CheckpointIntervalSeconds is the time between two checkpoints of a task; 0: it saves none.
 	CheckpointIntervalSeconds float64 `json:"waypointS"`
-	CheckpointSaveSeconds     float64 `json:"stashS"`
+	// CheckpointSaveSeconds is how long it takes a task to save a checkpoint.
+	CheckpointSaveSeconds float64 `json:"stashS"`
 	// DeadlineSeconds counts from the acceptance; nil: none.
 	DeadlineSeconds *float64 `json:"dueS"`
 	// DependsOn are jobs that have to be done before any task of this one starts, each once.
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -13,7 +13,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Job arrays and services: their tasks are claimed and assigned as far as they fit.
+// Scheduling of arrays and services: their tasks are claimed and assigned as far as they fit.
 
 // placeClaimed assigns tasks that are claimed and have no machine.
 func (s *Scheduler) placeClaimed(job *clusterstate.Job) {
@@ -61,7 +61,7 @@
 	s.placeArray(job, taskRange, shard, readyTasks, zone, surplus)
 }
 
-// probeLimit is how many more tasks of a job may start. Of a faulty job one task runs at a time, to
+// probeLimit returns how many more tasks of a job may start: any number unless it is faulty. Of a faulty job one task runs at a time, to
 // find out whether it works by now.
 func (s *Scheduler) probeLimit(job *clusterstate.Job) int {
 	if !s.Faults.IsJobFaulty(job.Ref()) {
@@ -75,8 +75,8 @@
 	return 1
 }
 
-// withinQuota returns how many of so many fitting tasks the team's quota allocation of a shard
-// allows. If it does not allow all, more quota is requested for the shard.
+// withinQuota returns how many of the given number of fitting tasks the team's quota allocation of a
+// shard allows. If it does not allow all, more quota is requested for the shard.
 func (s *Scheduler) withinQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
 	allowed := s.Claims.TasksWithinQuota(job, shard)
 	if allowed < tasks {
@@ -103,8 +103,8 @@
 	if !job.Record().Spot || now.Sub(job.KnownSince()) >= tuning.SurplusPlacementDelay {
 		return allowSurplus
 	}
-	for lot := range s.State.MachineCounts() {
-		if lot.Group.Spot && job.Record().Allows(lot.Group) {
+	for shardGroup := range s.State.MachineCounts() {
+		if shardGroup.Group.Spot && job.Record().Allows(shardGroup.Group) {
 			return avoidSurplus
 		}
 	}
@@ -115,8 +115,8 @@
 	return u == allowSurplus || !g.Surplus
 }
 
-// zoneOfTasks is the zone in which the assigned tasks of a job that must run in one zone are, and
-// the given zone if none is assigned.
+// zoneOfTasks returns the zone of the assigned tasks of a job that must run in one zone, or the given
+// zone if none is assigned.
 func zoneOfTasks(job *clusterstate.Job, zone string) string {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
@@ -128,7 +128,7 @@
 	return zone
 }
 
-// score is how well a machine suits one more task of an array: a machine that has the image cached
+// score returns how well a machine suits one more task of an array, higher being better: a machine that has the image cached
 // is preferred, then the fullest, so that whole machines become empty and can be scaled in. The
 // score grows as a machine is filled, so the best machine is filled first.
 func (s *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
@@ -158,8 +158,8 @@
 
 // allowsUrgentGangs reports whether urgent gangs of the known classes may run on a machine,
 // whether or not it is large enough for them. Machines that are too small are deliberately not
-// preferred: when arrays were placed on them first, the large machines became empty and were
-// scaled in, and the next gang had to wait until others had booted.
+// preferred for arrays: the large machines would become empty and be scaled in, and the next gang
+// would have to wait until others have booted.
 func (s *Scheduler) allowsUrgentGangs(machine *clusterstate.Machine) bool {
 	return s.ClassStats.AnyUrgentGang(func(record *jobs.JobRecord) bool { return record.Allows(machine.Group()) })
 }
@@ -220,7 +220,7 @@
 	}
 	starting := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
 	if isOverdue(job, time.Now()) {
-		starting = min(starting, 1) // after that it has started and is not overdue any more
+		starting = min(starting, 1) // once one task is claimed the job is no longer overdue
 	}
 	if starting > 0 {
 		if starting = s.withinQuota(job, shard, starting); starting == 0 {
@@ -236,7 +236,7 @@
 	s.claimArray(job, shard, starting, zone.name, surplus)
 }
 
-// claimArray claims so many tasks of an array, and more ahead, and assigns the former.
+// claimArray claims starting tasks of an array and assigns them; beyond them it claims some ahead.
 func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, starting int, zone string, surplus surplusUse) {
 	ahead := 0
 	if zone == "" && !s.Faults.IsJobFaulty(job.Ref()) {
@@ -261,8 +261,8 @@
 
 // zoneForArray selects the zone for the next tasks of an array that must run in one zone or is
 // spread over zones: of the zones that it may use the one with the most free capacity. The name is
-// empty if there is none. When the first zone by name was selected, an array waited for a full zone
-// beside an empty one.
+// empty if there is none. With any other choice an array might wait for a full zone beside an empty
+// one.
 func (s *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, surplus surplusUse, buffers []capacity.Buffer) arrayZone {
 	record := job.Record()
 	best, mostFitting := arrayZone{}, -1
@@ -284,10 +284,10 @@
 	return best
 }
 
-// maxTasksPerZone is how many tasks of a job that is spread over zones may run in one zone.
+// maxTasksPerZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksPerZone(record *jobs.JobRecord) int { return (record.Tasks + 1) / 2 }
 
-// claimAhead is how many tasks to claim beyond those that fit now: those for which the tasks that
+// claimAhead returns how many tasks to claim beyond those that fit now: those for which the tasks that
 // run or start in this shard make room soon. They then start without another transaction. What
 // other shards may need of the remaining tasks is left to them.
 func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, starting int) int {
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -29,13 +29,13 @@
 	return s.ClassStats.GrowthBuffers(now, s.MachineTypes.LongestBootSeconds(), settings.GrowthFactor, running)
 }
 
-// ExpectedRunSeconds is the expected run time of a task in seconds: the submitted estimate,
+// ExpectedRunSeconds returns the expected run time of a task in seconds: the submitted estimate,
 // corrected by what tasks of its class took.
 func (s *Scheduler) ExpectedRunSeconds(record *jobs.JobRecord) float64 {
 	return s.ClassStats.ExpectedTaskSeconds(record)
 }
 
-// LendableTasks is how many tasks of a growth buffer would fit on a machine if lower work were
+// LendableTasks returns how many tasks of a growth buffer would fit on a machine if lower work were
 // preempted.
 func (s *Scheduler) LendableTasks(machine *clusterstate.Machine, buffer classstats.GrowthBuffer) int {
 	if !buffer.Record.Allows(machine.Group()) {
@@ -63,7 +63,7 @@
 	return buffers
 }
 
-// guaranteeBuffers protect from a team what the others have not claimed of their guarantees, as
+// guaranteeBuffers returns the buffers that protect from a team what the others have not claimed of their guarantees, as
 // tasks of the shape that each uses most, divided by the number of shards.
 func (s *Scheduler) guaranteeBuffers(except string) []capacity.Buffer {
 	var buffers []capacity.Buffer
@@ -79,7 +79,7 @@
 	return buffers
 }
 
-// largestShapeOf is the shape of a team's job with the most tasks, one CPU if it has no job.
+// largestShapeOf returns the shape of a team's job with the most tasks, one CPU if it has no job.
 func (s *Scheduler) largestShapeOf(team string) capacity.Resources {
 	largest, mostTasks := capacity.Resources{CPU: 1}, 0
 	for job := range s.State.Jobs() {
@@ -91,7 +91,7 @@
 	return largest
 }
 
-// unusedGuarantee is how many tasks of a shape fill what a team does not use of its guarantee.
+// unusedGuarantee returns how many tasks of a shape fill what a team does not use of its guarantee.
 func unusedGuarantee(team config.Team, used, taskShape capacity.Resources) float64 {
 	tasks := 0.0
 	if taskShape.CPU > 0 {
@@ -103,8 +103,8 @@
 	return tasks
 }
 
-// serviceRestartBuffers are kept for the replicas of services that fail with a machine: as many as
-// run on the machine with the most. Work that a service can preempt need not leave them free.
+// serviceRestartBuffers returns the buffers for the replicas of services that fail with a machine: as
+// many as run on the machine with the most. Work that a service can preempt need not leave them free.
 func (s *Scheduler) serviceRestartBuffers(job *clusterstate.Job) []capacity.Buffer {
 	if s.cycle.maxReplicas == nil {
 		s.cycle.maxReplicas = s.maxReplicasPerMachine()
@@ -138,8 +138,8 @@
 	return most
 }
 
-// healingBuffers protect the capacity of the machines that are likely to fail while a replacement
-// boots, by the failures of late (the healing buffer of the Kerveros paper), each as large as the
+// healingBuffers returns the buffer for the machines that are likely to fail while a replacement
+// boots, judged by recent failures (the healing buffer of the Kerveros paper). Each counts as the
 // largest owned machine.
 func (s *Scheduler) healingBuffers() []capacity.Buffer {
 	failures := float64(s.State.RecentMachineFailures(time.Now()))
@@ -165,7 +165,7 @@
 	usedCPU float64
 }
 
-// objectiveBuffers are the buffers that background work has to leave free: what arrays with an
+// objectiveBuffers returns the buffers that background work has to leave free: what arrays with an
 // objective and of its priority or lower are likely to use beyond what they use now. Work of higher
 // priority preempts background work, but that of the same priority can not.
 func (s *Scheduler) objectiveBuffers(job *clusterstate.Job) []capacity.Buffer {
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -39,16 +39,16 @@
 
 // shapeCapacities counts the tasks of one shape that fit on the owned machines, by zone.
 func (s *Scheduler) shapeCapacities(need capacity.Resources, record *jobs.JobRecord) []peer.ShapeCapacity {
-	perZone := map[string]*peer.ShapeCapacity{}
+	byZone := map[string]*peer.ShapeCapacity{}
 	for _, machine := range s.State.OwnedMachines() {
 		if !s.State.IsUsable(machine) {
 			continue
 		}
 		zone := machine.Record().Zone
-		count := perZone[zone]
+		count := byZone[zone]
 		if count == nil {
 			count = &peer.ShapeCapacity{CPU: need.CPU, GPU: need.GPU, Mem: need.MemGB, Zone: zone}
-			perZone[zone] = count
+			byZone[zone] = count
 		}
 		if record.Allows(machine.Group()) {
 			free := capacity.FitCount(s.State.Free(machine), need)
@@ -56,11 +56,11 @@
 			count.Preemptible += s.LendableTasks(machine, classstats.GrowthBuffer{Record: record, Need: need}) - free
 		}
 	}
-	var out []peer.ShapeCapacity
-	for _, count := range perZone {
-		out = append(out, *count)
+	var capacities []peer.ShapeCapacity
+	for _, count := range byZone {
+		capacities = append(capacities, *count)
 	}
-	return out
+	return capacities
 }
 
 // CapacityRow is a row of the capacity table that the administration API shows.
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -22,8 +22,8 @@
 	RunSeconds float64            // expected run time of a task
 	Waiting    time.Duration      // since this controller has known the job
 	Age        time.Duration      // since the job could have run
-	Background bool               // leaves capacity to the classes with an objective
-	Leftover   bool               // is no reason to scale out on-demand machines
+	Background bool               // has to leave capacity to the classes with an objective
+	Leftover   bool               // only spot machines are scaled out for it
 }
 
 // Demand is what the autoscaler decides by: the jobs that wait and the machines that exist.
@@ -50,7 +50,7 @@
 	Background       bool // uses its CPUs, but need not be finished
 }
 
-// Add joins more work of the class: so many CPUs for so many seconds.
+// Add returns the work with more work of the class added: cpu CPUs for remainingSeconds seconds.
 func (r RunningWork) Add(cpu, remainingSeconds float64, background bool) RunningWork {
 	if r.CPU+cpu > 0 {
 		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*remainingSeconds) / (r.CPU + cpu)
@@ -60,7 +60,7 @@
 	return r
 }
 
-// CPUSecondsWithin is how many CPU seconds of the work count against the next horizon seconds. Work
+// CPUSecondsWithin returns how many CPU seconds of the work count against the next horizon seconds. Work
 // with an objective counts in full, also what will not be finished by then: machines that are
 // scaled out for it are of use to what follows.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
@@ -173,7 +173,7 @@
 	return queue
 }
 
-// cpuForUrgentGangs is the number of CPUs, beyond those that gangs use, of machines that exist for
+// cpuForUrgentGangs returns the number of CPUs, beyond those that gangs use, of machines that exist for
 // urgent gangs anyway: what is left over beside their tasks, and what is kept for those that are
 // likely to arrive. Arrays may rely on it. They may not rely on other on-demand machines, which are
 // to be scaled in and would be kept by an array that uses them.
@@ -193,7 +193,7 @@
 	return sum
 }
 
-// leastOverhead is the ratio of a machine's CPUs to those of the tasks of a buffer that fit on it,
+// leastOverhead returns the ratio of a machine's CPUs to those of the tasks of a buffer that fit on it,
 // for the machine type that they fit best; infinite if no type that they allow is large enough.
 func (s *Scheduler) leastOverhead(buffer classstats.GrowthBuffer) float64 {
 	least := math.Inf(1)
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,8 +12,8 @@
 
 // Gang scheduling: all tasks of a gang are claimed and assigned, or none.
 
-// shape is all of a job that the number of its fitting tasks depends on. Many waiting jobs have the
-// same shape.
+// shape is everything in a gang on which the number of its fitting tasks depends. Many waiting gangs
+// have the same shape.
 type shape struct {
 	need         capacity.Resources
 	priority     jobs.Priority
@@ -131,19 +131,19 @@
 	return best, found
 }
 
-// zonesFitting are the zones in which so many tasks fit by the capacity counts if lower work is
-// preempted. Planning is worth its cost only there.
+// zonesFitting returns the zones in which a number of a job's tasks fit by the capacity counts if
+// lower work is preempted. Planning is worth its cost only there.
 func (s *Scheduler) zonesFitting(job *clusterstate.Job, tasks int) []string {
-	var out []string
+	var fitting []string
 	for _, zone := range s.zones() {
 		if s.tasksFittingInZone(job, zone) >= tasks {
-			out = append(out, zone)
+			fitting = append(fitting, zone)
 		}
 	}
-	return out
+	return fitting
 }
 
-// tasksFittingInZone is how many of a job's tasks fit in a zone if lower work is preempted.
+// tasksFittingInZone returns how many of a job's tasks fit in a zone if lower work is preempted.
 func (s *Scheduler) tasksFittingInZone(job *clusterstate.Job, zone string) int {
 	allow := func(g capacity.Group) bool { return g.Zone == zone && job.Record().Allows(g) }
 	return s.State.FreeCapacity().Count(job.Need(), allow) + s.preemptibleTasks(job, allow)
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -13,7 +13,8 @@
 // its capacity taken by smaller ones each time, and an array without an objective is behind all
 // that have one. An overdue job therefore goes first, and for an overdue gang capacity is reserved.
 
-// isOverdue reports whether no task of a job has started although it could have for a long time.
+// isOverdue reports whether no task of a job is claimed although the job could have run for longer
+// than JobOverdueAfter. Services are never overdue.
 func isOverdue(job *clusterstate.Job, now time.Time) bool {
 	return job.Age(now) > tuning.JobOverdueAfter && job.Record().Kind != jobs.Service &&
 		job.Record().UnclaimedCount() == job.Record().Tasks
@@ -45,15 +46,16 @@
 // same.
 func (s *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
 	fitting := map[string]map[string]int{}
-	for lot, machines := range s.State.MachineCounts() {
-		total, known := s.MachineTypes.Capacity(lot.Group.MachineType)
-		if !known || !job.Record().Allows(lot.Group) {
+	for shardGroup, machines := range s.State.MachineCounts() {
+		shard, group := shardGroup.Shard, shardGroup.Group
+		total, known := s.MachineTypes.Capacity(group.MachineType)
+		if !known || !job.Record().Allows(group) {
 			continue
 		}
-		if fitting[lot.Shard] == nil {
-			fitting[lot.Shard] = map[string]int{}
+		if fitting[shard] == nil {
+			fitting[shard] = map[string]int{}
 		}
-		fitting[lot.Shard][lot.Group.Zone] += machines * capacity.FitCount(total, job.Need())
+		fitting[shard][group.Zone] += machines * capacity.FitCount(total, job.Need())
 	}
 	return fitting
 }
@@ -75,10 +77,10 @@
 	}
 }
 
-// mayReserve reports whether capacity may be reserved for an overdue job now. A gang that waits for
-// its team's quota gets none: the machines would stand empty for as long as that lasts. A
-// reservation lasts for GangReservationPeriod and then pauses for as long, so that the other jobs
-// go on if it does not help.
+// mayReserve reports whether capacity may be reserved for an overdue job now: only for a gang that is
+// not faulty. A gang that waits for its team's quota gets none, since the machines would stand empty
+// for as long as it waits. A reservation lasts for GangReservationPeriod and then pauses for as long,
+// so that other jobs make progress if it does not help.
 func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
 	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
 		return false
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -12,9 +12,9 @@
 	"cherrywall/internal/membership"
 )
 
-// canPreempt reports whether a job may take the place of an assigned task: work of a higher
-// priority that of lower work, and a team within its guarantee that of what another team runs
-// beyond its own. A faulty job preempts nothing.
+// canPreempt reports whether a job may preempt an assigned task: if the task's job has a lower
+// priority, or if the preempting team stays within its guarantee and the other team exceeds its own.
+// A faulty job preempts nothing.
 func (s *Scheduler) canPreempt(job *clusterstate.Job, assignment *clusterstate.Assignment) bool {
 	victim := assignment.Job()
 	if victim == nil || assignment.IsLeaving() || s.Faults.IsJobFaulty(job.Ref()) {
@@ -26,7 +26,7 @@
 	return victim.Record().Team != job.Record().Team && s.isWithinGuarantee(job) && s.exceedsGuarantee(victim)
 }
 
-// preemptionPriority is the priority with which a job preempts others. The priority that it
+// preemptionPriority returns the priority with which a job preempts others. The priority that it
 // inherits from jobs that depend on it counts only when one of their objectives is at risk: until
 // then the job goes first in the queue, but preempts nothing.
 func (s *Scheduler) preemptionPriority(job *clusterstate.Job) jobs.Priority {
@@ -47,7 +47,7 @@
 	return priority
 }
 
-// preemptionLoss is the work (CPU seconds) that preempting a task of an owned shard discards.
+// preemptionLoss returns the work (CPU seconds) that preempting a task of an owned shard discards.
 func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
 	record := assignment.Job().Record()
 	ranSeconds := 0.0
@@ -56,7 +56,7 @@
 	}
 	hasCheckpoints := record.CheckpointIntervalSeconds > 0
 	if record.Kind == jobs.Gang {
-		// The whole gang stops; one with checkpoints loses the time of saving one.
+		// The whole gang stops. One with checkpoints saves one, and loses only that time.
 		if hasCheckpoints {
 			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
 		}
@@ -68,7 +68,7 @@
 	return ranSeconds * assignment.Need().CPU
 }
 
-// freeWithPreemption is the capacity of a machine that is free or that a job may preempt.
+// freeWithPreemption returns the capacity of a machine that is free or that a job may preempt.
 func (s *Scheduler) freeWithPreemption(job *clusterstate.Job, machine *clusterstate.Machine) capacity.Resources {
 	free := s.State.Free(machine)
 	for assignment := range machine.Assignments() {
@@ -79,7 +79,7 @@
 	return free
 }
 
-// preemptibleTasks is how many more tasks of a job would fit on the allowed machines if lower work
+// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if lower work
 // were preempted.
 func (s *Scheduler) preemptibleTasks(job *clusterstate.Job, allow func(capacity.Group) bool) int {
 	if s.Faults.IsJobFaulty(job.Ref()) {
@@ -101,7 +101,7 @@
 	return tasks
 }
 
-// fittingWithPreemption is how many tasks of a job fit if lower work is preempted. The buffers are
+// fittingWithPreemption returns how many tasks of a job fit if lower work is preempted. The buffers are
 // subtracted also from preemptible capacity: it may be lent to lower work, but is protected from
 // the job.
 func (s *Scheduler) fittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
@@ -129,7 +129,7 @@
 	cost       float64 // CPU seconds, see binpacking.Plan
 }
 
-// planWithPreemption finds machines of a shard for so many tasks of a job at the least loss of
+// planWithPreemption finds machines of a shard for a number of a job's tasks at the least loss of
 // work. An empty zone stands for all zones. ok is false if there are not enough.
 func (s *Scheduler) planWithPreemption(job *clusterstate.Job, shard, zone string, tasks int) (plan placementPlan, ok bool) {
 	var machines []*clusterstate.Machine
@@ -180,7 +180,8 @@
 	return bin, free.Covers(job.Need())
 }
 
-// applyPlacement preempts the victims of a planned placement and assigns the i-th task of a range.
+// applyPlacement preempts the victims of a planned placement and assigns the task with number i
+// within a range.
 func (s *Scheduler) applyPlacement(taskRange *clusterstate.TaskRange, i int, placement taskPlacement, attempt uint64) {
 	for _, victim := range placement.victims {
 		s.State.PreemptFor(taskRange, victim)
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -14,7 +14,7 @@
 	remaining map[string]quota.Amount // by team
 }
 
-// NewQuotaAllowance creates an allowance of which nothing was taken.
+// NewQuotaAllowance returns an allowance of which nothing was taken.
 func (s *Scheduler) NewQuotaAllowance() *QuotaAllowance {
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -147,8 +147,8 @@
 // A later one follows in case an earlier one fails.
 func (s *Scheduler) waitsForTurn(job *clusterstate.Job) bool {
 	now := time.Now()
-	known := now.Sub(job.KnownSince())
-	if known >= 3*tuning.ClaimStaggerDelay {
+	knownFor := now.Sub(job.KnownSince())
+	if knownFor >= 3*tuning.ClaimStaggerDelay {
 		return false
 	}
 	record := job.Record()
@@ -158,12 +158,12 @@
 	} else if record.AcceptedBy != s.cfg.Node {
 		turn = 1
 	}
-	return known < time.Duration(turn)*tuning.ClaimStaggerDelay
+	return knownFor < time.Duration(turn)*tuning.ClaimStaggerDelay
 }
 
-// requestCycle has another scheduling cycle run after a delay. A request replaces one that is due
-// later: when there was one timer for all, the pause of a faulty job, minutes long, also delayed
-// claims that were staggered by ClaimStaggerDelay.
+// requestCycle makes another scheduling cycle run after a delay. A request replaces one that is due
+// later: otherwise the pause of a faulty job, minutes long, would also delay claims that are
+// staggered by ClaimStaggerDelay.
 func (s *Scheduler) requestCycle(delay time.Duration) {
 	due := time.Now().Add(delay)
 	if !s.nextCycleAt.IsZero() && !due.Before(s.nextCycleAt) {
@@ -188,17 +188,17 @@
 // candidates lists the machines of a shard on which a job may run, sorted by name. An empty zone
 // stands for all zones.
 func (s *Scheduler) candidates(job *clusterstate.Job, shard, zone string) []*clusterstate.Machine {
-	var out []*clusterstate.Machine
+	var candidates []*clusterstate.Machine
 	for _, machine := range s.State.OwnedMachines() {
 		record := machine.Record()
 		if record.Shard != shard || (zone != "" && record.Zone != zone) {
 			continue
 		}
 		if s.isCandidate(job, machine) {
-			out = append(out, machine)
+			candidates = append(candidates, machine)
 		}
 	}
-	return out
+	return candidates
 }
 
 func (s *Scheduler) isCandidate(job *clusterstate.Job, machine *clusterstate.Machine) bool {
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -12,8 +12,8 @@
 	// in its shard for so long. It is not shorter than ClaimAheadPeriod.
 	UnclaimAfter = 5 * time.Second
 	// RangeSplitAfter is the same for tasks in the middle of a range, where a machine was lost:
-	// the range is split, which costs one more record. Nobody is to wait for 90 s while there
-	// is room.
+	// the range is split, which costs one more record. It is well below 90 s, for which no job
+	// may wait while there is room.
 	RangeSplitAfter = 25 * time.Second
 	// MaxRangeTasks is the most tasks of one claimed range. Its bitmap must fit the smallest
 	// value size that the store may be set to (1 KiB).
@@ -55,7 +55,7 @@
 	// AllocationReleaseDelay is the same while the team has none: the next work may arrive in
 	// any shard.
 	AllocationReleaseDelay = 10 * time.Second
-	// QuotaShortfallValidity is how long a shard counts as short of what it was short of in a
-	// scheduling cycle: cycles are that close while anything happens.
+	// QuotaShortfallValidity is how long the shortfall of a shard counts that a scheduling cycle
+	// has recorded: while anything changes, the next cycle follows sooner.
 	QuotaShortfallValidity = time.Second
 )
--- a/internal/tuning/faults.go
+++ b/internal/tuning/faults.go
@@ -20,7 +20,7 @@
 	// SuspectMachinePause is how long a machine on which several jobs failed gets no tasks
 	// while it shows whether they work elsewhere: a few of their retries.
 	SuspectMachinePause = 10 * time.Second
-	// JobWorksAfter and twice the time for which a failing task ran is how long another task of
-	// its job must run to show that the job works.
+	// JobWorksAfter is added to twice the longest time for which a task of a job ran until it
+	// failed: another task of the job that runs for so long shows that the job works.
 	JobWorksAfter = 3 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -58,7 +58,7 @@
 	// the owner is up again within two, and the owner serves the shard meanwhile.
 	TransferRequestTimeout = 6 * time.Second
 	// TransferRetryDelay is how long a shard whose transfer failed is not transferred again:
-	// its workers were not answered meanwhile.
+	// during each attempt its workers are not answered.
 	TransferRetryDelay = 30 * time.Second
 	// StrayWorkerFraction of a shard's workers, contacting its home controller within
 	// StrayWorkerWindow though another controller owns it, show that they cannot reach the
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -5,7 +5,7 @@
 // Liveness and knowledge of the key-value store.
 const (
 	// ControllerLeaseTTL is the time to live of a controller's lease in the key-value store:
-	// how long a controller may be silent before its shards fail over. It is shorter than a
+	// how long a controller may fail to renew it before its shards fail over. It is shorter than a
 	// restart, so that a crash does not leave workers unanswered for the whole of it, and
 	// longer than a slow answer of the store.
 	ControllerLeaseTTL = 4 * time.Second
