--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -96,7 +96,7 @@
 		node:            node,
 		incarnation:     incarnation,
 		objectives:      cluster.Cluster.Objectives,
-		listLag:         config.Seconds(cluster.Cluster.Cloud.ListLagS),
+		listLag:         config.Seconds(cluster.Cluster.Cloud.ListLagSeconds),
 		store:           store,
 		provider:        provider,
 		controller:      controller,
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-func TestLeftoverJobsGetNoOnDemandMachines(t *testing.T) {
+func TestBestEffortJobsGetNoOnDemandMachines(t *testing.T) {
 	job := waitingJob(jobs.Array, 4000, 1, 300)
-	job.Record.Spot, job.Background, job.Leftover = true, true, true
+	job.Record.Spot, job.Background, job.BestEffort = true, true, true
 	a := newTestAutoscaler()
 	for _, request := range a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}}) {
 		if !request.Spot {
@@ -204,7 +204,7 @@
 	if n := machineCount(a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}})); n != 0 {
 		t.Errorf("%d on-demand machines requested", n)
 	}
-	job.Leftover = false
+	job.BestEffort = false
 	if n := machineCount(a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}})); n == 0 {
 		t.Error("no machine requested for a job that is worth on-demand machines")
 	}
--- a/internal/autoscaler/choose.go
+++ b/internal/autoscaler/choose.go
@@ -58,7 +58,7 @@
 // if the operators allow them, on-demand machines if the job is worth one, and neither shortly
 // after the cloud had no capacity.
 func (a *Autoscaler) canRequest(job scheduler.PendingJob, group capacity.Group, spotAllowed bool) bool {
-	if group.Spot && !spotAllowed || !group.Spot && job.Leftover {
+	if group.Spot && !spotAllowed || !group.Spot && job.BestEffort {
 		return false
 	}
 	return a.fits(job, group) && time.Since(a.refusedAt[group]) >= tuning.CapacityRefusalBackoff
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -123,7 +123,7 @@
 	remaining := missing + spotOnly
 	for remaining > 0 {
 		candidate := job
-		candidate.Leftover = candidate.Leftover || remaining <= spotOnly
+		candidate.BestEffort = candidate.BestEffort || remaining <= spotOnly
 		group, ok := p.chooseGroup(candidate, p.demand.Settings.Spot, p.machinesInZone, zone, remaining)
 		if !ok {
 			return
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -52,7 +52,7 @@
 // StopGang stops all tasks of a gang with time for a checkpoint.
 func (s *State) StopGang(job *Job) {
 	entity.MutableGang(job).Failed = true
-	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
+	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 }
 
 // stopGangTasks stops what is left of a gang; tasks that are stopping already keep the time that
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,11 +53,11 @@
 
 // WorkerTimings are the durations of the worker protocol (s).
 type WorkerTimings struct {
-	ReportS   float64 `toml:"report_s"`    // the interval of heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // the time after an answer after which a worker stops its tasks
-	GangWaitS float64 `toml:"gang_wait_s"` // the time after which a gang's waiting task gives up
-	GangPeerS float64 `toml:"gang_peer_s"` // the time after which a gang's tasks fail without one of them
-	CancelS   float64 `toml:"cancel_s"`    // the time in which a cancelled job's tasks must have ended
+	HeartbeatIntervalSeconds float64 `toml:"report_s"`    // the interval of heartbeats
+	LeaseSeconds             float64 `toml:"lease_s"`     // the time after an answer after which a worker stops its tasks
+	GangWaitSeconds          float64 `toml:"gang_wait_s"` // the time after which a gang's waiting task gives up
+	GangPeerTimeoutSeconds   float64 `toml:"gang_peer_s"` // the time after which a gang's tasks fail without one of them
+	CancelSeconds            float64 `toml:"cancel_s"`    // the time in which a cancelled job's tasks must have ended
 }
 
 // StateSettings are the limits of the key-value store.
@@ -77,8 +77,8 @@
 
 // CloudSettings describe the cloud's interface.
 type CloudSettings struct {
-	RPS      float64 `toml:"rps"`        // requests a second
-	ListLagS float64 `toml:"list_lag_s"` // by how much the list of machines may be behind (s)
+	RPS            float64 `toml:"rps"`        // requests a second
+	ListLagSeconds float64 `toml:"list_lag_s"` // by how much the list of machines may be behind (s)
 }
 
 // ProcessLimits are what a controller's process may use.
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -17,7 +17,7 @@
 // their workers' leases.
 func (c *Config) HeartbeatAnswerValidity() time.Duration {
 	workers := c.Cluster.Workers
-	return Seconds(workers.CancelS*(1-2*tuning.MaxClockDrift)-workers.LeaseS) - 2*tuning.LeaseExpiryMargin
+	return Seconds(workers.CancelSeconds*(1-2*tuning.MaxClockDrift)-workers.LeaseSeconds) - 2*tuning.LeaseExpiryMargin
 }
 
 // MayAnswerHeartbeats reports whether leases of workers may be renewed and their tasks started
@@ -49,13 +49,13 @@
 // WorkerLeaseExpiryDelay returns how long after its last answered heartbeat a worker's tasks
 // have certainly stopped.
 func (c *Config) WorkerLeaseExpiryDelay() time.Duration {
-	return expiryDelay(c.Cluster.Workers.LeaseS)
+	return expiryDelay(c.Cluster.Workers.LeaseSeconds)
 }
 
 // PreviousOwnerExpiryDelay returns how long after the acquisition of a shard the leases that
 // its previous owner may have renewed have certainly expired: see HeartbeatAnswerValidity.
 func (c *Config) PreviousOwnerExpiryDelay() time.Duration {
-	return expiryDelay(c.Cluster.Workers.CancelS)
+	return expiryDelay(c.Cluster.Workers.CancelSeconds)
 }
 
 // expiryDelay is a number of seconds by the slowest clock, and a margin.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -80,9 +80,9 @@
 	}
 	workers, state := c.Cluster.Workers, c.Cluster.State
 	for _, n := range []number{
-		{"cluster.workers.report_s", workers.ReportS}, {"cluster.workers.lease_s", workers.LeaseS},
-		{"cluster.workers.gang_wait_s", workers.GangWaitS}, {"cluster.workers.gang_peer_s", workers.GangPeerS},
-		{"cluster.workers.cancel_s", workers.CancelS},
+		{"cluster.workers.report_s", workers.HeartbeatIntervalSeconds}, {"cluster.workers.lease_s", workers.LeaseSeconds},
+		{"cluster.workers.gang_wait_s", workers.GangWaitSeconds}, {"cluster.workers.gang_peer_s", workers.GangPeerTimeoutSeconds},
+		{"cluster.workers.cancel_s", workers.CancelSeconds},
 		{"cluster.state.rps", state.RPS}, {"cluster.state.write_rps", state.WriteRPS},
 		{"cluster.state.value_kb", state.ValueKB}, {"cluster.state.txn_ops", float64(state.TxnOps)},
 		{"cluster.cloud.rps", c.Cluster.Cloud.RPS},
@@ -115,12 +115,12 @@
 }
 
 func (c *Config) validateTimings() error {
-	if c.Cluster.Cloud.ListLagS < 0 {
+	if c.Cluster.Cloud.ListLagSeconds < 0 {
 		return invalid("cluster.cloud.list_lag_s", "must not be negative")
 	}
 	// A worker's lease must be able to expire within the time that a cancellation has.
 	// Otherwise no controller could ever continue without the key-value store.
-	if c.Cluster.Workers.CancelS <= c.Cluster.Workers.LeaseS {
+	if c.Cluster.Workers.CancelSeconds <= c.Cluster.Workers.LeaseSeconds {
 		return invalid("cluster.workers.cancel_s", "must be above lease_s")
 	}
 	if c.Cluster.ClockErrorMS < 0 {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -52,7 +52,7 @@
 func NewBenchController(b *testing.B, machines, tasks, gangs int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	cfg := &config.Config{Node: benchShard, Zone: "a"}
-	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 1.5, 10, 30
+	cfg.Cluster.Workers.HeartbeatIntervalSeconds, cfg.Cluster.Workers.LeaseSeconds, cfg.Cluster.Workers.CancelSeconds = 1.5, 10, 30
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 40, 8
 	cfg.Cluster.Teams = []config.Team{{Name: "ops"}}
 	c := New(b.Context(), cfg, unavailableStore{}, unavailableCloud{}, nil, benchIncarnation, func(string) {}, slog.New(slog.DiscardHandler))
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -165,7 +165,7 @@
 		cluster.CrashController("n0")
 	}
 	addMachines(cluster, 6)
-	time.Sleep(2 * time.Duration(cluster.Cfg.Cluster.Workers.CancelS*float64(time.Second)))
+	time.Sleep(2 * time.Duration(cluster.Cfg.Cluster.Workers.CancelSeconds*float64(time.Second)))
 	for _, host := range hosts {
 		if cluster.IsUp(host) { // others were released meanwhile
 			cluster.BlockInbound(host, false)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -138,7 +138,7 @@
 		}
 		requireCancelled(t, cluster, "n1", "wk-2")
 		requireAccepted(t, cluster, "n2", dependentJob("wk-3", 6), 5*time.Second)
-		time.Sleep(time.Duration(cluster.Cfg.Cluster.Workers.CancelS * float64(time.Second)))
+		time.Sleep(time.Duration(cluster.Cfg.Cluster.Workers.CancelSeconds * float64(time.Second)))
 		checkNotRunning(t, cluster, "wk-2", 1)
 		cluster.Store.RefuseNode("n0", false)
 		cluster.SetPeerLink(fake.PeerLink{})
@@ -179,7 +179,7 @@
 	cancelledAt := time.Now()
 	requireAccepted(t, cluster, "n2", fake.JobSpec("wk-7", jobs.Array, 4, 1), 5*time.Second)
 	requireDone(t, cluster, "n1", "wk-7", 60*time.Second)
-	cancelLimit := time.Duration(cluster.Cfg.Cluster.Workers.CancelS * float64(time.Second))
+	cancelLimit := time.Duration(cluster.Cfg.Cluster.Workers.CancelSeconds * float64(time.Second))
 	time.Sleep(time.Until(cancelledAt.Add(cancelLimit)))
 	checkNotRunning(t, cluster, "wk-1", 12)
 	setZonePartition(cluster, hosts, holdsPackets, false)
@@ -262,7 +262,7 @@
 	for i := range 8 {
 		requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(i+1), arrayOrGang(i), 3, 1), 30*time.Second)
 	}
-	lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseS * float64(time.Second))
+	lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseSeconds * float64(time.Second))
 	for range 5 {
 		hosts := cluster.Hosts()
 		for _, host := range hosts {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -157,7 +157,7 @@
 // provably does not, and the quota is available again soon after. The simulated workers check it.
 func TestExhaustedQuotaAcrossOwnerCrash(t *testing.T) {
 	configure := func(cluster *fake.Cluster) {
-		cluster.Cfg.Cluster.Workers.LeaseS, cluster.Cfg.Cluster.Workers.CancelS = 25, 45
+		cluster.Cfg.Cluster.Workers.LeaseSeconds, cluster.Cfg.Cluster.Workers.CancelSeconds = 25, 45
 	}
 	for seed := range uint64(6) {
 		runWithPeersAnd(t, configure, func(t *testing.T, cluster *fake.Cluster) { crashQuotaOwner(t, cluster, seed) })
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -113,7 +113,7 @@
 	const jobCount = 9
 	rnd := rand.New(rand.NewPCG(seed, 12))
 	addMachines(cluster, 9)
-	lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseS * float64(time.Second))
+	lease := time.Duration(cluster.Cfg.Cluster.Workers.LeaseSeconds * float64(time.Second))
 	for i := range jobCount {
 		cluster.SetTaskRunTime(jobs.TaskName(jobRef(i+1), 0), time.Duration(2000+rnd.IntN(4000))*time.Millisecond)
 		requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(i+1), arrayOrGang(i), 3, 1), 40*time.Second)
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -82,7 +82,7 @@
 	zones := map[string]string{"n0": "a", "n1": "b", "n2": "c"}
 	configure := func(cluster *fake.Cluster) {
 		workers := &cluster.Cfg.Cluster.Workers
-		workers.ReportS, workers.LeaseS, workers.CancelS = 5, 26.5, 46.5
+		workers.HeartbeatIntervalSeconds, workers.LeaseSeconds, workers.CancelSeconds = 5, 26.5, 46.5
 		cluster.Cfg.Cluster.Teams = cluster.Cfg.Cluster.Teams[:1]
 		machineType := &cluster.OfferedTypes[0]
 		machineType.CPU, machineType.MemGB, machineType.Zones = 16, 64, []string{"a", "b", "c"}
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -90,8 +90,8 @@
 		{Name: "capped", MaxCPUs: 4},
 		{Name: "sure", GuaranteedCPUs: 2},
 	}
-	cfg.Cluster.Workers.CancelS = 30
-	cfg.Cluster.Workers.GangWaitS, cfg.Cluster.Workers.GangPeerS = 50, 5
+	cfg.Cluster.Workers.CancelSeconds = 30
+	cfg.Cluster.Workers.GangWaitSeconds, cfg.Cluster.Workers.GangPeerTimeoutSeconds = 50, 5
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 40, 8
 	c := newCluster(ctx, cfg)
 	c.OfferedTypes = []cloud.MachineType{{Name: "m4", CPU: 4, GPU: 2, MemGB: 16, HourlyPrice: 1, SpotHourlyPrice: 0.3,
@@ -110,7 +110,7 @@
 
 // newCluster makes a cluster without controllers and machines.
 func newCluster(ctx context.Context, cfg *config.Config) *Cluster {
-	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1.5, 10
+	cfg.Cluster.Workers.HeartbeatIntervalSeconds, cfg.Cluster.Workers.LeaseSeconds = 1.5, 10
 	return &Cluster{
 		ctx:              ctx,
 		Cfg:              cfg,
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -17,7 +17,7 @@
 }
 
 func (e environment) LeaseDuration() time.Duration {
-	return config.Seconds(e.Cfg.Cluster.Workers.LeaseS)
+	return config.Seconds(e.Cfg.Cluster.Workers.LeaseSeconds)
 }
 
 func (e environment) IgnoresStops() bool { return e.IgnoreStops }
--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -54,8 +54,8 @@
 	return RunWith(t, combinedMachines, func(cluster *fake.Cluster) {
 		cluster.ConnectPeers = seed%2 == 1
 		durations := []struct{ lease, cancellation float64 }{{10, 30}, {25, 45}, {35, 60}}[seed%3]
-		cluster.Cfg.Cluster.Workers.LeaseS = durations.lease
-		cluster.Cfg.Cluster.Workers.CancelS = durations.cancellation
+		cluster.Cfg.Cluster.Workers.LeaseSeconds = durations.lease
+		cluster.Cfg.Cluster.Workers.CancelSeconds = durations.cancellation
 		cluster.SetImageFetchTime(time.Duration(seed%4) * 1500 * time.Millisecond)
 		set(cluster)
 	}, func(r *FaultRun) {
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -124,12 +124,12 @@
 
 // leaseDuration is how long a worker's lease lasts.
 func (r *FaultRun) leaseDuration() time.Duration {
-	return config.Seconds(r.Cfg.Cluster.Workers.LeaseS)
+	return config.Seconds(r.Cfg.Cluster.Workers.LeaseSeconds)
 }
 
 // cancelTimeout is how long a cancellation may take.
 func (r *FaultRun) cancelTimeout() time.Duration {
-	return config.Seconds(r.Cfg.Cluster.Workers.CancelS)
+	return config.Seconds(r.Cfg.Cluster.Workers.CancelSeconds)
 }
 
 // runningControllers lists the controllers that run.
--- a/internal/fake/faultinjection/faultinjection_test.go
+++ b/internal/fake/faultinjection/faultinjection_test.go
@@ -19,7 +19,7 @@
 
 // A controller that believes that it may answer for a lease longer than it may.
 func TestCancelTimeoutTooLongIsFound(t *testing.T) {
-	lengthen := func(cfg *config.Config) { cfg.Cluster.Workers.CancelS += cfg.Cluster.Workers.LeaseS }
+	lengthen := func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds }
 	mutate := func(cluster *fake.Cluster) { cluster.AlterConfig = lengthen }
 	if !faultinjection.FindsViolationOf(t, 30, faultinjection.OutageDuringCancellation, mutate, "ran_cancelled") {
 		t.Error("30 runs of the mutation violated no invariant")
--- a/internal/fake/harness/harness.go
+++ b/internal/fake/harness/harness.go
@@ -91,7 +91,7 @@
 
 func newConfig() *config.Config {
 	cfg := &config.Config{Node: Self, Zone: "a", Peers: []config.Peer{{Node: OtherNode, Zone: "b"}}}
-	cfg.Cluster.Workers.CancelS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 30, 10, 5
+	cfg.Cluster.Workers.CancelSeconds, cfg.Cluster.Workers.LeaseSeconds, cfg.Cluster.Workers.HeartbeatIntervalSeconds = 30, 10, 5
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 40, 8
 	return cfg
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -147,7 +147,7 @@
 	for _, char := range host {
 		hash = (hash*31 + int(char)) % 1000
 	}
-	return config.Seconds((0.75 + float64(hash)/2000) * c.Cfg.Cluster.Workers.ReportS)
+	return config.Seconds((0.75 + float64(hash)/2000) * c.Cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 }
 
 // FreezeMachine has a machine stand still while its lease continues to run, or has it continue.
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -84,7 +84,7 @@
 // heartbeatDueAfter is the time without a heartbeat after which the next one is overdue. The
 // response to the last heartbeat may have been delayed, longer if the worker had no task.
 func (m *Manager) heartbeatDueAfter(machine *clusterstate.Machine) time.Duration {
-	interval := config.Seconds(m.cfg.Cluster.Workers.ReportS)
+	interval := config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	isEmpty := machine.AssignmentCount() == 0
 	return interval + interval/4 + m.Sessions.MaxResponseDelay(isEmpty) + tuning.HeartbeatOverdueMargin
 }
@@ -162,7 +162,7 @@
 	if m.State.OwnedShard(machine) == nil || machine.IsReleased() || machine.IsLost() && machine.HasReported() {
 		return false
 	}
-	limit := suspectHeartbeats * config.Seconds(m.cfg.Cluster.Workers.ReportS)
+	limit := suspectHeartbeats * config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	return machine.ProbeUnanswered() || m.timeSinceHeartbeat(machine, now) > limit
 }
 
--- a/internal/machinelifecycle/listing.go
+++ b/internal/machinelifecycle/listing.go
@@ -32,7 +32,7 @@
 // may describe an earlier moment, so only machines that were enrolled before it count as
 // missing: a young machine that boots in a second and is not listed yet may run tasks.
 func (m *Manager) applyCloudListing(listing []cloud.Machine, requestedAt time.Time) {
-	lag := config.Seconds(tuning.MaxListLagFactor * m.cfg.Cluster.Cloud.ListLagS)
+	lag := config.Seconds(tuning.MaxListLagFactor * m.cfg.Cluster.Cloud.ListLagSeconds)
 	statusByHost := map[string]string{}
 	for _, listedMachine := range listing {
 		statusByHost[listedMachine.Host] = listedMachine.Status
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -47,7 +47,7 @@
 // shard until it had missed three heartbeats, although the cloud no longer listed it.
 func TestUnansweredProbeChecksCloudListingAtOnce(t *testing.T) {
 	h := harness.New(t, func(h *harness.Harness) {
-		h.Workers, h.Cfg.Cluster.Cloud.ListLagS = unreachableWorkers{}, 8
+		h.Workers, h.Cfg.Cluster.Cloud.ListLagSeconds = unreachableWorkers{}, 8
 		h.Cloud.Machines = []cloud.Machine{{Host: "i-2", Status: "running"}}
 	})
 	for _, host := range []string{"i-1", "i-2"} {
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -118,7 +118,7 @@
 		if reply := h.Heartbeat("i-1", 1, 5, running); reply.StatusCode != 200 || reply.Response.FencingToken != 6 {
 			t.Fatalf("answered %+v", reply)
 		}
-		leaseExpiresAt := machine.LastHeartbeatAt().Add(config.Seconds(h.Cfg.Cluster.Workers.LeaseS))
+		leaseExpiresAt := machine.LastHeartbeatAt().Add(config.Seconds(h.Cfg.Cluster.Workers.LeaseSeconds))
 		for time.Now().Before(leaseExpiresAt) {
 			h.Reconciler.Check(time.Now())
 			h.Machines.Tick(time.Now())
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -23,7 +23,7 @@
 	Waiting    time.Duration      // since this controller has known the job
 	Age        time.Duration      // since the job could have run
 	Background bool               // has to leave capacity to the classes with an objective
-	Leftover   bool               // only spot machines are scaled out for it
+	BestEffort bool               // only spot machines are scaled out for it
 }
 
 // Demand is what the autoscaler decides by: the jobs that wait and the machines that exist.
@@ -155,7 +155,7 @@
 			Waiting:    now.Sub(job.KnownSince()),
 			Age:        job.Age(now),
 			Background: job.IsBackground(),
-			Leftover:   job.IsBestEffort(),
+			BestEffort: job.IsBestEffort(),
 		})
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -58,7 +58,7 @@
 	if record.Kind == jobs.Gang {
 		// The whole gang stops. One with checkpoints saves one, and loses only that time.
 		if hasCheckpoints {
-			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
+			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 		}
 		return ranSeconds * assignment.Need().CPU * float64(record.Tasks)
 	}
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -95,7 +95,7 @@
 func (r *partitionRun) startCluster(ctx context.Context) {
 	r.cluster = fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "a", "n2": "a"}, func(cluster *fake.Cluster) {
 		workers := &cluster.Cfg.Cluster.Workers
-		workers.LeaseS, workers.CancelS = r.leaseSeconds, r.cancelSeconds
+		workers.LeaseSeconds, workers.CancelSeconds = r.leaseSeconds, r.cancelSeconds
 		cluster.ConnectPeers, cluster.AlterConfig = true, r.mutateConfig
 	})
 	time.Sleep(3 * time.Second)
@@ -238,8 +238,8 @@
 		}
 		t.Errorf("%s: not found", mutation)
 	}
-	requireLateTasks("no bound", func(cfg *config.Config) { cfg.Cluster.Workers.CancelS = 1e6 })
-	requireLateTasks("a lease too long", func(cfg *config.Config) { cfg.Cluster.Workers.CancelS += cfg.Cluster.Workers.LeaseS })
+	requireLateTasks("no bound", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds = 1e6 })
+	requireLateTasks("a lease too long", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds })
 	defer statecache.TimestampReadsByResponse()()
 	requireLateTasks("reads dated by their response", nil)
 }
--- a/internal/workersession/reachability.go
+++ b/internal/workersession/reachability.go
@@ -22,7 +22,7 @@
 			reporting++
 		}
 	}
-	if m.inbound.ShouldProbe(now, reporting, config.Seconds(m.cfg.Cluster.Workers.ReportS)) {
+	if m.inbound.ShouldProbe(now, reporting, config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)) {
 		m.inspectSample(now)
 	}
 }
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -87,7 +87,7 @@
 	if !isIdle {
 		return tuning.BusyHeartbeatAnswerDelay
 	}
-	halfInterval := config.Seconds(m.cfg.Cluster.Workers.ReportS / 2)
+	halfInterval := config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds / 2)
 	return max(tuning.BusyHeartbeatAnswerDelay, min(tuning.IdleHeartbeatAnswerDelay, halfInterval))
 }
 
