--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 
 // Config is the whole file. Unknown fields are ignored: newer platforms may add some.
 type Config struct {
-	// Node is this controller's name, Zone the zone in which it runs.
+	// Node is this controller's name. Zone is the zone in which it runs.
 	Node string `toml:"node"`
 	Zone string `toml:"zone"`
 	// Listen and PeerListen are the addresses (host:port) for users and workers, and for other
@@ -37,7 +37,7 @@
 	State string `toml:"state"` // the key-value store
 }
 
-// Cluster is what holds for all controllers.
+// Cluster are the settings that are the same for all controllers.
 type Cluster struct {
 	Nodes int      `toml:"nodes"` // the number of controllers
 	Zones []string `toml:"zones"`
@@ -51,19 +51,26 @@
 	Limits       ProcessLimits `toml:"limits"`
 }
 
-// WorkerTimings are the durations of the worker protocol (s).
+// WorkerTimings are the durations of the worker protocol, in seconds.
 type WorkerTimings struct {
-	HeartbeatIntervalSeconds float64 `toml:"report_s"`    // the interval of heartbeats
-	LeaseSeconds             float64 `toml:"lease_s"`     // the time after an answer after which a worker stops its tasks
-	GangWaitSeconds          float64 `toml:"gang_wait_s"` // the time after which a gang's waiting task gives up
-	GangPeerTimeoutSeconds   float64 `toml:"gang_peer_s"` // the time after which a gang's tasks fail without one of them
-	CancelSeconds            float64 `toml:"cancel_s"`    // the time in which a cancelled job's tasks must have ended
+	// HeartbeatIntervalSeconds is the time between two heartbeats of a worker.
+	HeartbeatIntervalSeconds float64 `toml:"report_s"`
+	// LeaseSeconds is how long after its last answered heartbeat a worker stops its tasks.
+	LeaseSeconds float64 `toml:"lease_s"`
+	// GangWaitSeconds is how long a gang's started task waits for the others before it fails.
+	GangWaitSeconds float64 `toml:"gang_wait_s"`
+	// GangPeerTimeoutSeconds is how long a gang's tasks continue without one of them before they
+	// fail.
+	GangPeerTimeoutSeconds float64 `toml:"gang_peer_s"`
+	// CancelSeconds is the time in which the tasks of a cancelled job must have ended.
+	CancelSeconds float64 `toml:"cancel_s"`
 }
 
 // StateSettings are the limits of the key-value store.
 type StateSettings struct {
 	StateLimits
-	// Next are the limits that will come into force at some time, without notice; 0: unchanged.
+	// Next are the limits that will replace the current ones at some time, without notice. A limit
+	// of 0 stays as it is.
 	Next StateLimits `toml:"next"`
 }
 
@@ -78,7 +85,7 @@
 // CloudSettings describe the cloud's interface.
 type CloudSettings struct {
 	RPS            float64 `toml:"rps"`        // requests a second
-	ListLagSeconds float64 `toml:"list_lag_s"` // by how much the list of machines may be behind (s)
+	ListLagSeconds float64 `toml:"list_lag_s"` // how old the list of machines may be
 }
 
 // ProcessLimits are what a controller's process may use.
@@ -123,7 +130,7 @@
 	return Team{}, false
 }
 
-// Members returns all controllers, this one first.
+// Members returns all controllers of the cluster, this one first.
 func (c *Config) Members() []Peer {
 	return append([]Peer{{Node: c.Node, Zone: c.Zone, Addr: c.PeerListen}}, c.Peers...)
 }
