--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -58,7 +58,7 @@
 	free, cost, victimCount := c.free, 0.0, 0
 	for !free.Covers(need) && victimCount < len(c.victims) {
 		free = free.Add(c.victims[victimCount].Need)
-		cost += 1 + c.victims[victimCount].LostCPUSeconds
+		cost += 1 + c.victims[victimCount].LostCPUSeconds // a preemption costs something even if no work is lost
 		victimCount++
 	}
 	c.fits = free.Covers(need)
--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -16,7 +16,8 @@
 )
 
 // A team with a quota may use in a shard what is allocated to the shard. An allocation is
-// acquired when work has room and is short of quota only, and released when it is unused.
+// acquired when tasks have room on the shard's machines and lack only quota, and released when it is
+// unused.
 
 // teamShard is the key of what concerns a team in a shard.
 type teamShard struct{ team, shard string }
@@ -99,8 +100,9 @@
 	return quota.TasksThatFit(unused, quota.UsageOf(team, job.Need(), 1))
 }
 
-// RequestQuota acquires what a shard is short of for that many more of a job's tasks, for which
-// it has room. With allOrNothing it acquires all of it or nothing.
+// RequestQuota acquires the quota that a shard lacks to run that many more of a job's tasks, for
+// which its machines have room. With allOrNothing it acquires all of it or nothing. It does not wait
+// for the write: a later scheduling cycle finds the quota if it was acquired.
 func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, allOrNothing bool) {
 	team, _ := w.cfg.Team(job.Record().Team)
 	unused, ok := w.unusedAllocation(team, shard)
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -65,7 +65,8 @@
 			continue
 		}
 		taskRange := job.TaskRange(0)
-		if taskRange == nil || !taskRange.IsOwned() || taskRange.IsTentative() || !taskRange.IsComplete() {
+		isCompletedHere := taskRange != nil && taskRange.IsOwned() && !taskRange.IsTentative() && taskRange.IsComplete()
+		if !isCompletedHere {
 			continue
 		}
 		shardID := taskRange.Record().Shard
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -73,7 +73,7 @@
 	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
 }
 
-// unclaimDelay is for how long the run's tasks must have found no room.
+// unclaimDelay returns for how long the run's tasks must have found no room before they are unclaimed.
 func unclaimDelay(taskRange *clusterstate.TaskRange, run taskRun) time.Duration {
 	switch {
 	case taskRange.Job().IsBackground():
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -11,7 +11,8 @@
 // BeginGangAttempt notes that a gang is to be placed under an attempt number.
 func (s *State) BeginGangAttempt(job *Job, attempt uint64) { entity.BeginGangAttempt(job, attempt) }
 
-// ResetGangAttempt forgets a gang's attempt: its tasks are given back, or their state is unknown.
+// ResetGangAttempt forgets a gang's attempt: its claim failed or was withdrawn, its tasks have left
+// their machines, or it is no longer known what they do.
 func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
 // adoptGangAttempt follows a task that a worker reports to run under an attempt, if its job is a
@@ -119,8 +120,8 @@
 	return true
 }
 
-// StopFailedGang stops what is left of a failed attempt of a gang, which has to be gone before the
-// next attempt. It does nothing for other jobs.
+// StopFailedGang stops what is left of a failed attempt of a gang. All of its tasks must have left
+// their machines before the next attempt. It does nothing for other jobs.
 func (s *State) StopFailedGang(job *Job) {
 	if !job.IsGang() {
 		return
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -49,7 +49,7 @@
 	}
 	isUncertain := r.uncertainHostsRevision == r.revision
 	if len(r.record.GangWorkers) == 0 && !isUncertain {
-		return false
+		return false // the record allows all workers
 	}
 	needsWrite := isUncertain
 	for i := range r.tasks {
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -46,8 +46,8 @@
 	Attempt uint64
 	// Started is set once a start command was sent for a task.
 	Started bool
-	// Failed is set once the attempt cannot succeed any more; all its tasks have to be gone
-	// before the next one.
+	// Failed is set once the attempt cannot succeed any more; all its tasks must have left their
+	// machines before the next one.
 	Failed bool
 }
 
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -61,7 +61,8 @@
 		return IsSplitAt(r, record.Count)
 	}
 	behind := r.behindUnclaimed()
-	return first == r.first+behind && IsSplitAt(r, r.unclaiming.First) && record.Count == len(r.tasks)-behind
+	isRestBehind := first == r.first+behind && record.Count == len(r.tasks)-behind
+	return isRestBehind && IsSplitAt(r, r.unclaiming.First)
 }
 
 // Split divides a range whose tasks in the middle were unclaimed. The tasks behind them, some of
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,7 +57,7 @@
 	HeartbeatIntervalSeconds float64 `toml:"report_s"`
 	// LeaseSeconds is how long after its last answered heartbeat a worker stops its tasks.
 	LeaseSeconds float64 `toml:"lease_s"`
-	// GangWaitSeconds is how long a gang's started task waits for the others before it fails.
+	// GangWaitSeconds is how long a gang's task waits for the others before it gives up.
 	GangWaitSeconds float64 `toml:"gang_wait_s"`
 	// GangPeerTimeoutSeconds is how long a gang's tasks continue without one of them before they
 	// fail.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -88,7 +88,7 @@
 		{"cluster.cloud.rps", c.Cluster.Cloud.RPS},
 		{"cluster.limits.mem_mb", c.Cluster.Limits.MemMB},
 	} {
-		if !(n.value > 0) {
+		if !(n.value > 0) { // also refuses NaN, which TOML allows
 			return invalid(n.field, "must be above 0")
 		}
 	}
@@ -101,7 +101,7 @@
 		{"cluster.state.next.rps", next.RPS}, {"cluster.state.next.write_rps", next.WriteRPS},
 		{"cluster.state.next.value_kb", next.ValueKB}, {"cluster.state.next.txn_ops", float64(next.TxnOps)},
 	} {
-		if !(n.value >= 0) {
+		if !(n.value >= 0) { // also refuses NaN, which TOML allows
 			return invalid(n.field, "must not be negative")
 		}
 	}
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -271,7 +271,8 @@
 		if record.Spread {
 			maxTasks = maxTasksPerZone(record) - record.ClaimedPerZone[zone]
 		}
-		if record.OneZone && !canStayInZone(job, zone) || maxTasks <= 0 || len(s.candidates(job, shard.ID(), zone)) == 0 {
+		mustAvoidZone := record.OneZone && !canStayInZone(job, zone) || maxTasks <= 0
+		if mustAvoidZone || len(s.candidates(job, shard.ID(), zone)) == 0 {
 			continue
 		}
 		fitting := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -26,7 +26,8 @@
 		if len(shapes) >= tuning.MaxPeerHeartbeatShapes {
 			break
 		}
-		if !job.HasEnded() && !job.IsBlocked() && job.Record().Kind == jobs.Gang && len(job.Record().Unclaimed) > 0 {
+		isWaitingGang := !job.HasEnded() && !job.IsBlocked() && job.Record().Kind == jobs.Gang && len(job.Record().Unclaimed) > 0
+		if isWaitingGang {
 			shapes[job.Need()] = job.Record()
 		}
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -97,7 +97,8 @@
 func (s *Scheduler) addMachines(demand *Demand) {
 	for machine := range s.State.Machines() {
 		demand.RecordedMachines[machine.Host()] = true
-		if !machine.IsLost() && !machine.IsReleasing() && !machine.IsCordoned() && !machine.IsPreempted() {
+		isLive := !machine.IsLost() && !machine.IsReleasing() && !machine.IsCordoned() && !machine.IsPreempted()
+		if isLive {
 			demand.LiveMachines[machine.Host()] = machine.Group()
 		}
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -157,7 +157,7 @@
 }
 
 // binpackingMachine describes a machine to the planner. fits is false if not even one task of the
-// job fits with all preemptible tasks gone.
+// job would fit after all preemptible tasks were preempted.
 func (s *Scheduler) binpackingMachine(job *clusterstate.Job, machine *clusterstate.Machine) (bin binpacking.Machine, fits bool) {
 	bin = binpacking.Machine{Zone: machine.Record().Zone, Free: s.State.Free(machine)}
 	if !machine.HasImage(job.Record().Image) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -85,12 +85,18 @@
 			continue
 		}
 		s.placeClaimed(job)
-		if len(job.Record().Unclaimed) > 0 && job.CanWriteAt(s.Cache.AppliedRevision()) && !job.HasReadyTasks() {
+		if s.canClaimMore(job) {
 			s.admit(job)
 		}
 	}
 }
 
+// canClaimMore reports whether more tasks of a job may be claimed now: some are unclaimed, a
+// transaction on the job may begin, and all tasks that were claimed before have a machine.
+func (s *Scheduler) canClaimMore(job *clusterstate.Job) bool {
+	return len(job.Record().Unclaimed) > 0 && job.CanWriteAt(s.Cache.AppliedRevision()) && !job.HasReadyTasks()
+}
+
 // waitingJobs lists the jobs with unclaimed tasks or with claimed tasks that have no machine.
 // Jobs that are blocked by their dependencies are not part of the queue.
 func (s *Scheduler) waitingJobs() []*clusterstate.Job {
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -43,8 +43,8 @@
 	// NoRoomScaleOutDelay is how long an array may find no room at all before a machine is
 	// requested for it whatever the computed demand.
 	NoRoomScaleOutDelay = 15 * time.Second
-	// ScaleOutPlanAttempts is how many times one scale-out is planned anew when the cloud has
-	// less than was requested: types times kinds, of which there are few.
+	// ScaleOutPlanAttempts is how many times one scale-out is planned when the cloud refuses a
+	// part of it: each attempt avoids the machine types, zones and kinds refused before.
 	ScaleOutPlanAttempts = 5
 	// WorkHorizon is the time in which waiting array tasks should be finished if neither a
 	// deadline nor an objective of their class says more.
