--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -79,9 +79,10 @@
 	return victims
 }
 
-// Plan finds machines for a number of tasks of the same need, with at most maxPerZone of them in a zone, and
-// returns the sum of their costs (CPU seconds, with a small amount added to break ties). It places
-// one task after another, each at the least cost. ok is false if there are not enough machines.
+// Plan finds machines for a number of tasks of the same need, with at most maxPerZone of them in a
+// zone, and returns the sum of their costs (CPU seconds, with a small amount added to break ties).
+// It places one task after another, each at the least cost. ok is false if there are not enough
+// machines.
 func Plan(machines []Machine, need capacity.Resources, tasks, maxPerZone int) (placements []Placement, cost float64, ok bool) {
 	candidates := make([]candidate, len(machines))
 	for i := range machines {
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -14,7 +14,7 @@
 // taskRun is a run of consecutive tasks within a range, counted from the range's first task.
 type taskRun struct{ offset, count int }
 
-// end is the offset of the task behind the run.
+// end returns the offset of the task behind the run.
 func (r taskRun) end() int { return r.offset + r.count }
 
 // unclaimUnplaceable withdraws the claim of tasks that have found no room in their shard for a while,
@@ -73,7 +73,8 @@
 	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
 }
 
-// unclaimDelay returns for how long the run's tasks must have found no room before they are unclaimed.
+// unclaimDelay returns for how long the run's tasks must have found no room before they are
+// unclaimed.
 func unclaimDelay(taskRange *clusterstate.TaskRange, run taskRun) time.Duration {
 	switch {
 	case taskRange.Job().IsBackground():
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -19,28 +19,28 @@
 // i-1 of 16 CPUs.
 func newShardWithMachine(t *testing.T) (*harness.Harness, *clusterstate.Machine) {
 	t.Helper()
-	d := harness.New(t, nil)
-	d.OfferMachineTypes("m16")
-	machine := d.AddMachine("i-1", "n0", "m16", false)
-	d.SetOwner("n0", harness.Self, 5)
-	d.SyncCache(5)
-	d.Heartbeat("i-1", 1, 5)
-	return d, machine
+	h := harness.New(t, nil)
+	h.OfferMachineTypes("m16")
+	machine := h.AddMachine("i-1", "n0", "m16", false)
+	h.SetOwner("n0", harness.Self, 5)
+	h.SyncCache(5)
+	h.Heartbeat("i-1", 1, 5)
+	return h, machine
 }
 
 // Tasks whose unclaim had no answer when the shard was lost must not become ready in a later
 // epoch.
 func TestUnclaimFenceEndsWithEpoch(t *testing.T) {
-	d := harness.New(t, nil)
-	d.Cache.ApplyEvents(nil, 5)
-	d.SetOwner("n0", harness.Self, 10)
-	d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 1, CPU: 1}, 0, 11)
-	taskRange := d.AddTaskRange("wk-1", "n0", 1, 11)
+	h := harness.New(t, nil)
+	h.Cache.ApplyEvents(nil, 5)
+	h.SetOwner("n0", harness.Self, 10)
+	h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 1, CPU: 1}, 0, 11)
+	taskRange := h.AddTaskRange("wk-1", "n0", 1, 11)
 	taskRange.BeginUnclaim(taskRange.Len()-1, 1)
-	d.SetOwner("n0", harness.OtherNode, 20)
-	d.SetOwner("n0", harness.Self, 30)
+	h.SetOwner("n0", harness.OtherNode, 20)
+	h.SetOwner("n0", harness.Self, 30)
 	taskRange.CancelUnclaim(0, 1)
-	d.Claims.FenceUnclaim(taskRange, 0, 1, 10)
+	h.Claims.FenceUnclaim(taskRange, 0, 1, 10)
 	if taskRange.TaskState(0) != clusterstate.TaskUnknown || taskRange.HasWriteInFlight() {
 		t.Errorf("task state %d, write in flight: %v", taskRange.TaskState(0), taskRange.HasWriteInFlight())
 	}
@@ -49,24 +49,24 @@
 // A claim that the key-value store refuses leaves nothing behind: its tasks are removed from
 // their machines and the job is unclaimed as before.
 func TestRefusedClaimIsAbandoned(t *testing.T) {
-	d, machine := newShardWithMachine(t)
-	job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 100, CPU: 1}, 100, 6)
-	d.Claims.Claim(job, d.Membership.Shard("n0"), 10, "", func(taskRange *clusterstate.TaskRange) bool {
+	h, machine := newShardWithMachine(t)
+	job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 100, CPU: 1}, 100, 6)
+	h.Claims.Claim(job, h.Membership.Shard("n0"), 10, "", func(taskRange *clusterstate.TaskRange) bool {
 		for i := range 4 {
-			d.State.Place(taskRange, i, machine, 1)
+			h.State.Place(taskRange, i, machine, 1)
 		}
 		taskRange.Truncate(4)
 		return true
 	})
-	if taskRange := job.TaskRange(0); taskRange == nil || !taskRange.IsTentative() || taskRange.Len() != 4 || !job.InTransaction() || d.State.Free(machine).CPU != 12 {
-		t.Fatalf("tentative claim: %+v, %v free", taskRange, d.State.Free(machine))
+	if taskRange := job.TaskRange(0); taskRange == nil || !taskRange.IsTentative() || taskRange.Len() != 4 || !job.InTransaction() || h.State.Free(machine).CPU != 12 {
+		t.Fatalf("tentative claim: %+v, %v free", taskRange, h.State.Free(machine))
 	}
-	if taskRange, _ := d.State.FindTask("wk-1", 2); taskRange != nil {
+	if taskRange, _ := h.State.FindTask("wk-1", 2); taskRange != nil {
 		t.Error("FindTask finds a task of a tentative claim")
 	}
-	d.RunNext() // the transaction is refused
-	if job.TaskRange(0) != nil || job.InTransaction() || d.State.Free(machine).CPU != 16 || machine.AssignmentCount() != 0 {
-		t.Errorf("after the refusal: %+v, in transaction: %v, %v free", job.TaskRange(0), job.InTransaction(), d.State.Free(machine))
+	h.RunNext() // the transaction is refused
+	if job.TaskRange(0) != nil || job.InTransaction() || h.State.Free(machine).CPU != 16 || machine.AssignmentCount() != 0 {
+		t.Errorf("after the refusal: %+v, in transaction: %v, %v free", job.TaskRange(0), job.InTransaction(), h.State.Free(machine))
 	}
 }
 
@@ -74,21 +74,21 @@
 // that was placed.
 func TestUnclaimUnplaceableTail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, machine := newShardWithMachine(t)
-		job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 0, 6)
-		taskRange := d.AddTaskRange("wk-1", "n0", 20, 7)
-		d.State.Place(taskRange, 0, machine, 1)
-		d.Claims.Tick(time.Now())
+		h, machine := newShardWithMachine(t)
+		job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 0, 6)
+		taskRange := h.AddTaskRange("wk-1", "n0", 20, 7)
+		h.State.Place(taskRange, 0, machine, 1)
+		h.Claims.Tick(time.Now())
 		time.Sleep(tuning.UnclaimAfter - time.Second)
-		d.Claims.Tick(time.Now())
-		d.State.Place(taskRange, 1, machine, 2)
+		h.Claims.Tick(time.Now())
+		h.State.Place(taskRange, 1, machine, 2)
 		time.Sleep(2 * time.Second)
-		d.Claims.Tick(time.Now())
+		h.Claims.Tick(time.Now())
 		if job.InTransaction() || taskRange.CountTasks(clusterstate.TaskUnclaiming) > 0 {
 			t.Error("unclaimed although a task has just been placed")
 		}
 		time.Sleep(tuning.UnclaimAfter)
-		d.Claims.Tick(time.Now())
+		h.Claims.Tick(time.Now())
 		if !job.InTransaction() || taskRange.CountTasks(clusterstate.TaskUnclaiming) != 18 || taskRange.CountTasks(clusterstate.TaskPlaced) != 2 {
 			t.Errorf("%d of 18 tasks are unclaimed", taskRange.CountTasks(clusterstate.TaskUnclaiming))
 		}
@@ -99,45 +99,45 @@
 // knows all that runs there; what is being released is not used any more.
 func TestAllocationUseUntilRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := harness.New(t, func(d *harness.Harness) {
-			d.Cfg.Cluster.Teams = []config.Team{{Name: "few", MaxCPUs: 6}}
+		h := harness.New(t, func(h *harness.Harness) {
+			h.Cfg.Cluster.Teams = []config.Team{{Name: "few", MaxCPUs: 6}}
 		})
-		d.OfferMachineTypes("m16")
-		machine := d.AddMachine("i-1", "n0", "m16", false)
-		other := d.AddMachine("i-2", "n0", "m16", false)
-		d.Cache.ApplyEvents(nil, 5)
-		d.SetOwner("n0", harness.Self, 5)
-		d.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 1}}}, 5)
-		d.SyncCache(5)
-		job := d.AddJob(jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 17, 6)
-		taskRange := d.AddTaskRange("wk-1", "n0", 3, 7)
-		shard := d.Membership.Shard("n0")
+		h.OfferMachineTypes("m16")
+		machine := h.AddMachine("i-1", "n0", "m16", false)
+		other := h.AddMachine("i-2", "n0", "m16", false)
+		h.Cache.ApplyEvents(nil, 5)
+		h.SetOwner("n0", harness.Self, 5)
+		h.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 1}}}, 5)
+		h.SyncCache(5)
+		job := h.AddJob(jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 17, 6)
+		taskRange := h.AddTaskRange("wk-1", "n0", 3, 7)
+		shard := h.Membership.Shard("n0")
 		expectAllowed := func(when string, want int) {
 			t.Helper()
-			if got := d.Claims.TasksWithinQuota(job, shard); got != want {
+			if got := h.Claims.TasksWithinQuota(job, shard); got != want {
 				t.Errorf("%s: %d tasks are allowed, want %d", when, got, want)
 			}
 		}
-		d.Heartbeat("i-1", 1, 5)
+		h.Heartbeat("i-1", 1, 5)
 		expectAllowed("before all workers have reported", 0)
-		d.Heartbeat("i-2", 1, 5)
+		h.Heartbeat("i-2", 1, 5)
 		expectAllowed("after all workers have reported", 4)
-		d.State.Place(taskRange, 0, machine, 1)
-		stopping := d.State.Place(taskRange, 1, other, 1)
-		d.State.MarkStartSent(stopping)
-		d.State.Stop(stopping, 5)
+		h.State.Place(taskRange, 0, machine, 1)
+		stopping := h.State.Place(taskRange, 1, other, 1)
+		h.State.MarkStartSent(stopping)
+		h.State.Stop(stopping, 5)
 		expectAllowed("with one task planned and one stopping", 2)
 		time.Sleep(tuning.QuotaShortfallValidity)
-		d.SyncCache(7)
-		d.Claims.Tick(time.Now()) // idle from now on
+		h.SyncCache(7)
+		h.Claims.Tick(time.Now()) // idle from now on
 		time.Sleep(tuning.ContendedAllocationReleaseDelay)
-		d.SyncCache(7)
-		d.Claims.Tick(time.Now())
+		h.SyncCache(7)
+		h.Claims.Tick(time.Now())
 		expectAllowed("during the release", 0)
 		synctest.Wait()
-		d.RunNext() // no answer: the release may have been made
+		h.RunNext() // no answer: the release may have been made
 		expectAllowed("after a release without an answer", 0)
-		d.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 2}}}, 9)
+		h.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 2}}}, 9)
 		expectAllowed("under a newer record, which excludes a late write", 2)
 	})
 }
@@ -146,23 +146,23 @@
 // delivered it, the gang was started, and then the second request was refused: the gang lost its
 // attempt and was stopped.
 func TestClaimCommittedByUnansweredRequest(t *testing.T) {
-	d, machine := newShardWithMachine(t)
+	h, machine := newShardWithMachine(t)
 	spec := jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 1}
-	job := d.AddJob(spec, 2, 6)
-	d.Claims.Claim(job, d.Membership.Shard("n0"), 2, "", func(taskRange *clusterstate.TaskRange) bool {
-		d.State.BeginGangAttempt(job, 9)
+	job := h.AddJob(spec, 2, 6)
+	h.Claims.Claim(job, h.Membership.Shard("n0"), 2, "", func(taskRange *clusterstate.TaskRange) bool {
+		h.State.BeginGangAttempt(job, 9)
 		for i := range 2 {
-			d.State.Place(taskRange, i, machine, 9)
+			h.State.Place(taskRange, i, machine, 9)
 		}
 		return true
 	})
-	d.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1"}}, 7)
-	d.WriteRecord(jobs.JobKey("wk-1"), jobs.JobRecord{Spec: spec}, 7)
-	if !d.State.GangCanStart(job) {
+	h.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1"}}, 7)
+	h.WriteRecord(jobs.JobKey("wk-1"), jobs.JobRecord{Spec: spec}, 7)
+	if !h.State.GangCanStart(job) {
 		t.Fatal("the claim is durable, and the gang cannot start")
 	}
-	d.State.StartGang(job)
-	d.RunNext() // the second write was refused
+	h.State.StartGang(job)
+	h.RunNext() // the second write was refused
 	if attempt, started := job.GangAttempt(); attempt != 9 || !started || job.TaskRange(0) == nil || job.TaskRange(0).CountTasks(clusterstate.TaskPlaced) != 2 {
 		t.Errorf("attempt %d, started: %v", attempt, started)
 	}
@@ -187,18 +187,18 @@
 
 func testRangeSplit(t *testing.T, offset, count int, order []int) {
 	t.Helper()
-	d := harness.New(t, nil)
-	d.Cache.ApplyEvents(nil, 5)
-	d.AddMachine("i-1", "n0", "m16", false)
-	job := d.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 5, CPU: 1}, 0, 4)
-	taskRange := d.AddTaskRange("wk-1", "n0", 5, 4)
-	d.SetOwner("n0", harness.Self, 10)
-	d.SyncCache(10)
+	h := harness.New(t, nil)
+	h.Cache.ApplyEvents(nil, 5)
+	h.AddMachine("i-1", "n0", "m16", false)
+	job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Tasks: 5, CPU: 1}, 0, 4)
+	taskRange := h.AddTaskRange("wk-1", "n0", 5, 4)
+	h.SetOwner("n0", harness.Self, 10)
+	h.SyncCache(10)
 	running := []workerapi.TaskStatus{{Task: "wk-1/4", Attempt: 3, Status: workerapi.StatusRunning}}
 	if offset > 0 {
 		running = append(running, workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning})
 	}
-	d.Heartbeat("i-1", 5, 10, running...)
+	h.Heartbeat("i-1", 5, 10, running...)
 	taskRange.MarkUnknownReady()
 	taskRange.BeginUnclaim(offset, count)
 	record := *job.Record()
@@ -216,7 +216,7 @@
 	for _, i := range order {
 		delivered = append(delivered, written[i])
 	}
-	d.Cache.ApplyEvents(delivered, 20)
+	h.Cache.ApplyEvents(delivered, 20)
 	behind := job.TaskRange(4)
 	if behind == nil || behind.Len() != 1 || behind.TaskState(0) != clusterstate.TaskPlaced || behind.Assignment(0).Machine().Host() != "i-1" {
 		t.Fatalf("range behind: %+v", behind)
@@ -225,10 +225,10 @@
 	if (before != nil) != (offset > 0) || before != nil && (before.Len() != 1 || before.TaskState(0) != clusterstate.TaskPlaced) {
 		t.Errorf("range before: %+v", before)
 	}
-	if taskRange, i := d.State.FindTask("wk-1", 2); taskRange != nil {
+	if taskRange, i := h.State.FindTask("wk-1", 2); taskRange != nil {
 		t.Errorf("an unclaimed task is in a range, at %d", i)
 	}
-	assignment := d.State.Machine("i-1").Assignment("wk-1/4")
+	assignment := h.State.Machine("i-1").Assignment("wk-1/4")
 	if assignment == nil || assignment.Status().Stopping || assignment.Job() != job {
 		t.Errorf("assignment of the task behind: %+v", assignment)
 	}
--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -11,8 +11,8 @@
 // The Apply methods update the state from records of the key-value store. A record is applied only
 // if its revision is newer than what is known.
 
-// ApplyMachineRecord updates the state from a machine's record. moved is whether a machine that was known before
-// is in another shard now.
+// ApplyMachineRecord updates the state from a machine's record. moved is whether a machine that was
+// known before is in another shard now.
 func (s *State) ApplyMachineRecord(host string, record workerapi.Record, revision uint64) (machine *Machine, moved bool) {
 	machine = s.machines[host]
 	if machine == nil {
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -58,7 +58,8 @@
 	return expiryDelay(c.Cluster.Workers.CancelSeconds)
 }
 
-// expiryDelay is a number of seconds by the slowest clock, and a margin.
+// expiryDelay returns how long a number of seconds may last by the slowest clock that the protocol
+// allows, plus a margin.
 func expiryDelay(seconds float64) time.Duration {
 	return Seconds(seconds*(1+2*tuning.MaxClockDrift)) + tuning.LeaseExpiryMargin
 }
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -22,10 +22,10 @@
 	Deadlines jobdag.Deadlines
 }
 
-// StartByMS returns the time of day (Unix ms) by which a job should start: for a service its arrival; for
-// an array its next deadline or objective, less the run time. An array that is too late for one
-// objective is held to the next one, and if there is none left it comes after those that can still
-// meet theirs. For gangs see gangStartByMS.
+// StartByMS returns the time of day (Unix ms) by which a job should start: for a service its
+// arrival; for an array its next deadline or objective, less the run time. An array that is too
+// late for one objective is held to the next one, and if there is none left it comes after those
+// that can still meet theirs. For gangs see gangStartByMS.
 func StartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	switch job.Record.Kind {
 	case jobs.Gang:
@@ -50,8 +50,8 @@
 	return startByMS < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli()
 }
 
-// nextObjectiveStartMS returns the latest start (Unix ms) that meets the first deadline or objective that
-// the job can still meet; ok is false if there is none left.
+// nextObjectiveStartMS returns the latest start (Unix ms) that meets the first deadline or
+// objective that the job can still meet; ok is false if there is none left.
 func nextObjectiveStartMS(job Job, objectives []config.Objective, now time.Time) (startByMS int64, ok bool) {
 	consider := func(latestStartMS int64) {
 		if latestStartMS >= now.UnixMilli() && (!ok || latestStartMS < startByMS) {
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -124,8 +124,8 @@
 	return pause
 }
 
-// countWitnesses counts the machines that are evidence against a job: those on which it failed
-// and which are not suspected themselves.
+// countWitnesses returns how many machines are evidence against a job: those on which it failed,
+// which are not faulty and on which at most one credible job failed.
 func (a *Attributor) countWitnesses(job *jobEvidence) int {
 	count := 0
 	for host := range job.failuresByMachine {
@@ -141,7 +141,7 @@
 type evidenceSummary struct {
 	jobs      int // that failed on it
 	failures  int // of those jobs
-	succeeded int // of the jobs, those that have succeeded elsewhere
+	succeeded int // of the jobs, those that have succeeded somewhere
 }
 
 // isSufficient reports whether the evidence is enough to suspect the machine.
@@ -149,8 +149,9 @@
 	return e.jobs > 1 || e.failures >= thresholds.MachineFailures
 }
 
-// credibleEvidence counts the jobs that succeed elsewhere, and those of which nothing else is
-// known. A job that failed on other machines too and has never succeeded is no evidence.
+// credibleEvidence sums up the failures on a machine of jobs that have succeeded somewhere, and of
+// jobs that have failed only there. A job that has failed on other machines too, or was paused, and
+// has not succeeded is no evidence.
 func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
 	var evidence evidenceSummary
 	for ref, failures := range machine.failuresByJob {
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// ApplyRecord updates the graph from an unfinished job's record. A job without dependencies and dependents is
-// not indexed.
+// ApplyRecord updates the graph from an unfinished job's record. A job without dependencies and
+// dependents is not indexed.
 func (x *Index) ApplyRecord(record *jobs.JobRecord, now time.Time) {
 	n := x.nodes[record.Ref]
 	if n == nil && len(record.DependsOn) == 0 && record.DependenciesDoneAtMS == 0 {
--- a/internal/jobs/final.go
+++ b/internal/jobs/final.go
@@ -47,8 +47,8 @@
 // BatchEntry returns the entry of a job that is done in a completion batch.
 func BatchEntry(ref string, tasks int) string { return TaskName(ref, tasks) }
 
-// ParseBatchEntry decodes an entry of a completion batch, also in the form of early versions: the reference alone, for
-// which tasks is 0.
+// ParseBatchEntry decodes an entry of a completion batch, also in the form of early versions: the
+// reference alone, for which tasks is 0.
 func ParseBatchEntry(entry string) (ref string, tasks int) {
 	if ref, tasks, ok := ParseTask(entry); ok {
 		return ref, tasks
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -61,8 +61,8 @@
 	s.placeArray(job, taskRange, shard, readyTasks, zone, surplus)
 }
 
-// probeLimit returns how many more tasks of a job may start: any number unless it is faulty. Of a faulty job one task runs at a time, to
-// find out whether it works by now.
+// probeLimit returns how many more tasks of a job may start: any number unless it is faulty. Of a
+// faulty job one task runs at a time, to find out whether it works by now.
 func (s *Scheduler) probeLimit(job *clusterstate.Job) int {
 	if !s.Faults.IsJobFaulty(job.Ref()) {
 		return math.MaxInt32
@@ -128,9 +128,9 @@
 	return zone
 }
 
-// score returns how well a machine suits one more task of an array, higher being better: a machine that has the image cached
-// is preferred, then the fullest, so that whole machines become empty and can be scaled in. The
-// score grows as a machine is filled, so the best machine is filled first.
+// score returns how well a machine suits one more task of an array, higher being better: a machine
+// that has the image cached is preferred, then the fullest, so that whole machines become empty and
+// can be scaled in. The score grows as a machine is filled, so the best machine is filled first.
 func (s *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
 	total, _ := s.State.Total(machine)
 	score := 0.0
@@ -288,8 +288,8 @@
 // maxTasksPerZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksPerZone(record *jobs.JobRecord) int { return (record.Tasks + 1) / 2 }
 
-// claimAhead returns how many tasks to claim beyond those that fit now: those for which the tasks that
-// run or start in this shard make room soon. They then start without another transaction. What
+// claimAhead returns how many tasks to claim beyond those that fit now: those for which the tasks
+// that run or start in this shard make room soon. They then start without another transaction. What
 // other shards may need of the remaining tasks is left to them.
 func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, starting int) int {
 	running := starting
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -11,7 +11,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Buffers: capacity that is protected from some of the jobs, sized by what was observed.
+// Buffers reserve capacity that some of the jobs may not use. They are sized by observed arrivals,
+// failures and usage.
 
 // GrowthBuffers sizes the buffers for urgent work that is expected to arrive.
 func (s *Scheduler) GrowthBuffers(now time.Time) []classstats.GrowthBuffer {
@@ -63,8 +64,8 @@
 	return buffers
 }
 
-// guaranteeBuffers returns the buffers that protect from a team what the others have not claimed of their guarantees, as
-// tasks of the shape that each uses most, divided by the number of shards.
+// guaranteeBuffers returns the buffers that protect from a team what the others have not claimed of
+// their guarantees, as tasks of the shape that each uses most, divided by the number of shards.
 func (s *Scheduler) guaranteeBuffers(except string) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	for _, team := range s.cfg.Cluster.Teams {
@@ -159,7 +160,7 @@
 	return []capacity.Buffer{{Shape: largest, Tasks: machines}}
 }
 
-// classLoad is what a class is expected to use, and what it uses now.
+// classLoad is what a class is expected to use, and how many CPUs its claimed tasks use now.
 type classLoad struct {
 	classstats.ExpectedLoad
 	usedCPU float64
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -14,11 +14,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// PendingJob is a job with unclaimed tasks, as the autoscaler sees it.
+// PendingJob is a job with unclaimed tasks for which machines may be scaled out.
 type PendingJob struct {
 	Record     jobs.JobRecord
 	Need       capacity.Resources // of one task
-	Tasks      int                // that are unclaimed and within the team's quota
+	Tasks      int                // number of tasks that are unclaimed and within the team's quota
 	RunSeconds float64            // expected run time of a task
 	Waiting    time.Duration      // since this controller has known the job
 	Age        time.Duration      // since the job could have run
@@ -26,7 +26,7 @@
 	BestEffort bool               // only spot machines are scaled out for it
 }
 
-// Demand is what the autoscaler decides by: the jobs that wait and the machines that exist.
+// Demand is the input of the autoscaler: the jobs that wait and the machines that exist.
 type Demand struct {
 	IsCurrent        bool // false if the cached state may be outdated: then nothing else is reliable
 	Settings         admin.Settings
@@ -37,10 +37,10 @@
 	RecordedMachines map[string]bool // also those that are lost, releasing, cordoned or preempted
 	// FittingTasks is how many tasks of gangs fit if lower work is preempted, by shape and zone.
 	FittingTasks         map[capacity.Resources]map[string]int
-	GangCPU              float64                // used by gangs and services
-	UrgentGangCPU        float64                // beside and for urgent gangs, see cpuForUrgentGangs
+	GangCPU              float64                // CPUs used by gangs and services
+	UrgentGangCPU        float64                // on machines that exist for urgent gangs, see cpuForUrgentGangs
 	Running              map[string]RunningWork // what running array tasks still need, by class
-	BackgroundReserveCPU float64                // that background work has to leave free, see objectiveBuffers
+	BackgroundReserveCPU float64                // CPUs that background work has to leave free, see objectiveBuffers
 }
 
 // RunningWork is the work of a class that is running: the CPUs it uses and for how long.
@@ -60,8 +60,8 @@
 	return r
 }
 
-// CPUSecondsWithin returns how many CPU seconds of the work count against the next horizon seconds. Work
-// with an objective counts in full, also what will not be finished by then: machines that are
+// CPUSecondsWithin returns how many CPU seconds of the work count against the next horizon seconds.
+// Work with an objective counts in full, also what will not be finished by then: machines that are
 // scaled out for it are of use to what follows.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
 	if r.Background {
@@ -104,7 +104,7 @@
 	}
 }
 
-// addFittingTasks sums up the counts of this controller and of its peers.
+// addFittingTasks adds the counts of fitting tasks of this controller and of its peers.
 func (s *Scheduler) addFittingTasks(demand *Demand, now time.Time) {
 	for _, count := range slices.Concat(s.FittingTasks(now), s.Peers.Capacities(now)) {
 		need := capacity.Resources{CPU: count.CPU, GPU: count.GPU, MemGB: count.Mem}
@@ -131,8 +131,8 @@
 	}
 }
 
-// addPendingJobs adds the jobs that have waited long enough for the autoscaler to act, as far as
-// their teams' quotas allow.
+// addPendingJobs adds the jobs that have waited for ScaleOutDelay, as far as their teams' quotas
+// allow.
 func (s *Scheduler) addPendingJobs(demand *Demand, now time.Time) {
 	queue := s.jobsToScaleOutFor(now)
 	s.sortQueue(queue, now)
@@ -174,10 +174,10 @@
 	return queue
 }
 
-// cpuForUrgentGangs returns the number of CPUs, beyond those that gangs use, of machines that exist for
-// urgent gangs anyway: what is left over beside their tasks, and what is kept for those that are
-// likely to arrive. Arrays may rely on it. They may not rely on other on-demand machines, which are
-// to be scaled in and would be kept by an array that uses them.
+// cpuForUrgentGangs returns the number of CPUs, beyond those that gangs use, of machines that exist
+// for urgent gangs anyway: what is left over beside their tasks, and what is kept for those that
+// are likely to arrive. Arrays may rely on it. They may not rely on other on-demand machines, which
+// are to be scaled in and would be kept by an array that uses them.
 func (s *Scheduler) cpuForUrgentGangs(gangCPU float64, now time.Time) float64 {
 	sum := 0.0
 	for _, buffer := range s.GrowthBuffers(now) {
@@ -194,8 +194,8 @@
 	return sum
 }
 
-// leastOverhead returns the ratio of a machine's CPUs to those of the tasks of a buffer that fit on it,
-// for the machine type that they fit best; infinite if no type that they allow is large enough.
+// leastOverhead returns the ratio of a machine's CPUs to those of the tasks of a buffer that fit on
+// it, for the machine type that they fit best; infinite if no type that they allow is large enough.
 func (s *Scheduler) leastOverhead(buffer classstats.GrowthBuffer) float64 {
 	least := math.Inf(1)
 	for name, machineType := range s.MachineTypes.All() {
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -9,9 +9,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// No job may starve. In an overload the order by deadlines serves most jobs, but a large gang finds
-// its capacity taken by smaller ones each time, and an array without an objective is behind all
-// that have one. An overdue job therefore goes first, and for an overdue gang capacity is reserved.
+// No job may starve. In an overload the order by deadlines serves most jobs, but a large gang loses
+// the capacity that it needs to smaller ones each time, and an array without an objective comes
+// after all that have one. An overdue job therefore goes first, and for an overdue gang capacity is
+// reserved.
 
 // isOverdue reports whether no task of a job is claimed although the job could have run for longer
 // than JobOverdueAfter. Services are never overdue.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -79,8 +79,8 @@
 	return free
 }
 
-// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if lower work
-// were preempted.
+// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if lower
+// work were preempted.
 func (s *Scheduler) preemptibleTasks(job *clusterstate.Job, allow func(capacity.Group) bool) int {
 	if s.Faults.IsJobFaulty(job.Ref()) {
 		return 0
@@ -101,9 +101,9 @@
 	return tasks
 }
 
-// fittingWithPreemption returns how many tasks of a job fit if lower work is preempted. The buffers are
-// subtracted also from preemptible capacity: it may be lent to lower work, but is protected from
-// the job.
+// fittingWithPreemption returns how many tasks of a job fit if lower work is preempted. The buffers
+// are subtracted also from preemptible capacity: it may be lent to lower work, but is protected
+// from the job.
 func (s *Scheduler) fittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
 	free := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
 	preemptible := s.preemptibleTasks(job, allow)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -75,7 +75,7 @@
 	return strings.Compare(x.job.Ref(), y.job.Ref())
 }
 
-// trueFirst is the result of a comparison of two different booleans of which the first is x.
+// trueFirst returns the result of comparing x with !x such that true comes first.
 func trueFirst(x bool) int {
 	if x {
 		return -1
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -6,9 +6,9 @@
 	"cherrywall/internal/quota"
 )
 
-// QuotaAllowance distributes what the teams' quotas leave to their waiting jobs. Machines for tasks
-// beyond it would stay empty: a team whose limit was half of its load cost 26 times the price of
-// its useful work (lumenweg-ops-fleet).
+// QuotaAllowance distributes the unused part of the teams' quotas among their waiting jobs, so that
+// machines are scaled out only for tasks within it. Machines for tasks beyond it would stay empty:
+// those of a team whose limit was half of its load cost 26 times the price of its useful work.
 type QuotaAllowance struct {
 	scheduler *Scheduler
 	remaining map[string]quota.Amount // by team
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -19,7 +19,8 @@
 	waitGangZone     // the gang fits, but no single zone has capacity for all of it
 )
 
-// waitReason is why a job waits. It is put into words only when somebody asks.
+// waitReason is why a job waits. Its text is made only when it is asked for, see describe: cycles
+// set reasons for many jobs.
 type waitReason struct {
 	kind         waitKind
 	fittingTasks int // of a gang, when it was last considered
