--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -57,7 +57,7 @@
 // machine.
 func (s *State) OrdinaryTasks(machine *Machine) int { return s.usageOf(machine).OrdinaryTasks }
 
-// ServiceReplicas returns how many replicas of services run on a machine.
+// ServiceReplicas returns how many replicas of services run on a machine and are not to be stopped.
 func (s *State) ServiceReplicas(machine *Machine) int { return s.usageOf(machine).ServiceReplicas }
 
 // PendingCommands returns how many start and stop commands are still to be sent to a machine.
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -15,8 +15,8 @@
 // their machines, or it is no longer known what they do.
 func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
-// adoptGangAttempt follows a task that a worker reports to run under an attempt, if its job is a
-// gang.
+// adoptGangAttempt updates a gang's attempt from a task that a worker reports to run under an
+// attempt: another attempt than the present one makes the gang fail. It does nothing for other jobs.
 func adoptGangAttempt(job *Job, attempt uint64) {
 	if !job.IsGang() {
 		return
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -202,7 +202,7 @@
 // IsGang reports whether the job is a gang, all of whose tasks run at the same time or not at all.
 func (j *Job) IsGang() bool { return j.record.Kind == jobs.Gang }
 
-// SetSpec sets a job's record and what follows from it. spotInUse is whether the autoscaler may
+// SetSpec sets a job's record and all that is derived from it. spotInUse is whether the autoscaler may
 // use spot machines.
 func SetSpec(j *Job, record *jobs.JobRecord, ownDeadlines jobdag.Deadlines, isBackground, spotInUse bool) {
 	j.record = *record
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -17,11 +17,12 @@
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
 	// PendingCommands is how many start and stop commands are still to be sent.
 	PendingCommands int
-	// ServiceReplicas is how many replicas of services the machine runs.
+	// ServiceReplicas is how many replicas of services the machine runs, without leaving ones.
 	ServiceReplicas int
 	// OrdinaryTasks is how many tasks, stopping ones too, may not run on a spot machine.
 	OrdinaryTasks int
-	// ForegroundTasks is how many tasks are a reason to keep the machine: no background work.
+	// ForegroundTasks is how many tasks, without leaving ones, are not background work and so a
+	// reason to keep the machine.
 	ForegroundTasks int
 }
 
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -41,10 +41,10 @@
 	// machineCounts is the result of MachineCounts; nil if it is to be computed again.
 	machineCounts map[ShardGroup]int
 
-	dirty            bool       // see MarkDirty
-	changeCount      uint64     // see ChangeCount
-	urgentStops      []*Machine // see TakeUrgentStops
-	failureTimes     []time.Time
+	dirty            bool        // see MarkDirty
+	changeCount      uint64      // see ChangeCount
+	urgentStops      []*Machine  // see TakeUrgentStops
+	failureTimes     []time.Time // when machines were lost, see RecentMachineFailures
 	lastJobArrivedAt time.Time
 }
 
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -23,8 +23,9 @@
 	// DeadlineMultiple returns up to which multiple of its deadline a job of a class should be
 	// done; 1 if no objective says more.
 	DeadlineMultiple func(class string) float64
-	// OnChange is called for a job that is no longer blocked, can never run, or inherits
-	// something else than before.
+	// OnChange is called for a job that was linked to dependencies or dependents, is no longer
+	// blocked, can never run, or inherits another priority or other deadlines than before. It may
+	// also be called without such a change.
 	OnChange func(ref string)
 }
 
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -54,8 +54,8 @@
 	// DeadlineTargetFraction is the fraction of a deadline that is planned for. The rest is for
 	// wrong estimates, lost machines and image fetches.
 	DeadlineTargetFraction = 0.7
-	// BootTimeoutFactor is after how many times the usual boot time a machine that has not
-	// started is scaled in.
+	// BootTimeoutFactor times the usual boot time is how long a machine may take to start before
+	// it is scaled in.
 	BootTimeoutFactor = 4
 	// MaxBootTimeoutFactor bounds that, in multiples of the type's stated startupS.
 	MaxBootTimeoutFactor = 8
@@ -74,7 +74,7 @@
 	// MaxRecordedMachineFailures bounds how many of them are remembered (entries).
 	MaxRecordedMachineFailures = 256
 	// ArrivalWindow is how far back arrivals count for the growth buffers. A class without
-	// arrivals for so long has no buffer.
+	// arrivals in this window has no buffer.
 	ArrivalWindow = 2 * time.Minute
 	// MaxRecordedArrivals bounds how many arrivals of a class are remembered (entries).
 	MaxRecordedArrivals = 128
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -8,8 +8,8 @@
 	// ones are likely to make room for in this time. Each claim costs changes in the key-value
 	// store, and a task that waits in one shard cannot be claimed by another.
 	ClaimAheadPeriod = 5 * time.Second
-	// UnclaimAfter returns tasks to the unclaimed ones when none of their range has found room
-	// in its shard for so long. It is not shorter than ClaimAheadPeriod.
+	// UnclaimAfter is how long no task of a range must have found room in its shard before its
+	// waiting tasks are unclaimed. It is not shorter than ClaimAheadPeriod.
 	UnclaimAfter = 5 * time.Second
 	// RangeSplitAfter is the same for tasks in the middle of a range, where a machine was lost:
 	// the range is split, which costs one more record. It is well below 90 s, for which no job
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -31,7 +31,7 @@
 	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s;
 	// this is short enough that a watch on a dead connection is noticed.
 	WatchRequestWait = 10 * time.Second
-	// WatchStuckAfter restarts a watch that has been behind a known revision for so long.
+	// WatchStuckAfter is how long a watch may be behind a known revision before it is restarted.
 	WatchStuckAfter = 1200 * time.Millisecond
 	// MinWatchRequestGap is the least time between two watch requests. With many changes the
 	// watches of all controllers would use up the request budget otherwise.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -9,8 +9,8 @@
 	// LeaseExpiryMargin is added to every time after which a worker's lease counts as expired:
 	// timers fire in steps and a busy processor runs late.
 	LeaseExpiryMargin = 500 * time.Millisecond
-	// MaxHeartbeatAge is the age at which a heartbeat is not worth an answer: the worker gives
-	// it up after 4 s.
+	// MaxHeartbeatAge is the age from which a heartbeat is no longer answered: the worker gives it
+	// up after 4 s.
 	MaxHeartbeatAge = 3 * time.Second
 	// BusyHeartbeatAnswerDelay is how long the answer to a heartbeat may wait for commands: a
 	// worker reports no change within half a second of its last heartbeat anyway.
