--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -132,7 +132,8 @@
 func (w *Writer) deleteRanges(job *clusterstate.Job) {
 	for taskRange := range job.TaskRanges() {
 		shard := w.localShard(taskRange)
-		if shard == nil || taskRange.IsDeleting() || taskRange.IsTentative() || taskRange.IsInline() {
+		hasOwnRecord := !taskRange.IsTentative() && !taskRange.IsInline()
+		if shard == nil || taskRange.IsDeleting() || !hasOwnRecord {
 			continue
 		}
 		taskRange.SetDeleting(true)
--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -76,8 +76,9 @@
 		return
 	}
 	shard := s.shards.Shard(claim.Shard)
-	if taskRange != nil && taskRange.IsTentative() && (shard == nil || claim.Epoch != shard.Epoch()) {
-		// The claim was made in an earlier epoch of the shard, though it may look like the tentative
+	isOfOtherEpoch := shard == nil || claim.Epoch != shard.Epoch()
+	if taskRange != nil && taskRange.IsTentative() && isOfOtherEpoch {
+		// The claim was not made in the shard's present epoch, though it may look like the tentative
 		// one: its tasks may be running.
 		s.UnplaceRange(taskRange)
 		entity.RemoveTaskRange(job, 0)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -111,7 +111,8 @@
 	}
 	for taskRange := range job.TaskRanges() {
 		index := task - taskRange.First()
-		if taskRange.IsOwned() && !taskRange.IsTentative() && index >= 0 && index < taskRange.Len() {
+		isInRange := index >= 0 && index < taskRange.Len()
+		if isInRange && taskRange.IsOwned() && !taskRange.IsTentative() {
 			return taskRange, index
 		}
 	}
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -31,9 +31,9 @@
 	// DeadlineAtRiskMargin is how long before its latest start for an objective a gang goes
 	// before those that have more time: a few times in which room for it becomes free.
 	DeadlineAtRiskMargin = 20 * time.Second
-	// AgingPeriod is how long after it could first have run an array without a deadline or objective that it
-	// can still meet counts as having to start, so that it does not starve. A gang that has waited
-	// for longer goes before all others of its priority.
+	// AgingPeriod is how long after it could first have run an array without a deadline or
+	// objective that it can still meet counts as having to start, so that it does not starve. A
+	// gang that has waited for longer goes before all others of its priority.
 	AgingPeriod = 5 * time.Minute
 )
 
