--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -16,7 +16,8 @@
 )
 
 // A team with a quota may use in a shard what is allocated to the shard. An allocation is
-// acquired when work has room and is short of quota only, and released when it is unused.
+// acquired when tasks have room on the shard's machines and lack only quota, and released when it is
+// unused.
 
 // teamShard is the key of what concerns a team in a shard.
 type teamShard struct{ team, shard string }
@@ -32,7 +33,7 @@
 type allocationState struct {
 	writesPending map[string]bool // by team: a write of its record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time    // since when a part of an allocation is unused
+	idleSince     map[teamShard]time.Time    // since when a part of an allocation has been unused
 	usage         map[teamShard]quota.Amount // see usageOf; valid at usageVersion
 	usageVersion  uint64                     // the change count of the cluster state
 }
@@ -77,7 +78,7 @@
 	return usage
 }
 
-// unusedAllocation returns what a team may use more in a shard. ok is false if that is not
+// unusedAllocation returns how much more a team may use in a shard. ok is false if that is not
 // known: the shard is another controller's, or not all its workers have reported.
 func (w *Writer) unusedAllocation(team config.Team, shard *membership.Shard) (unused quota.Amount, ok bool) {
 	if shard == nil || !shard.IsLocal() || !shard.IsReconciled() {
@@ -99,8 +100,9 @@
 	return quota.TasksThatFit(unused, quota.UsageOf(team, job.Need(), 1))
 }
 
-// RequestQuota acquires what a shard is short of for that many more of a job's tasks, for which
-// it has room. With allOrNothing it acquires all of it or nothing.
+// RequestQuota acquires the quota that a shard lacks to run that many more of a job's tasks, for
+// which its machines have room. With allOrNothing it acquires all of it or nothing. It does not wait
+// for the write: a later scheduling cycle finds the quota if it was acquired.
 func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, allOrNothing bool) {
 	team, _ := w.cfg.Team(job.Record().Team)
 	unused, ok := w.unusedAllocation(team, shard)
@@ -129,7 +131,7 @@
 		done(result, err)
 		if isCommitted(result, err) {
 			delete(w.allocations.writesPending, team)
-		} else { // the watch is about to deliver what has changed
+		} else { // time for the watch to deliver the change that made the write fail
 			w.mailbox.SendAfter(2*tuning.MinWatchRequestGap, func() { delete(w.allocations.writesPending, team) })
 		}
 		w.State.MarkDirty()
@@ -186,7 +188,8 @@
 func (w *Writer) releaseIdleAllocation(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
 	key := teamShard{team.Name, shard.ID()}
 	unused, ok := w.unusedAllocation(team, shard)
-	if !ok || unused.IsNegligible() || !w.Cache.HasReachedEpoch(shard) || w.canBeCompleted(team, key, now) {
+	mayRelease := ok && !unused.IsNegligible() && w.Cache.HasReachedEpoch(shard) && !w.canBeCompleted(team, key, now)
+	if !mayRelease {
 		delete(w.allocations.idleSince, key)
 		return false
 	}
@@ -208,7 +211,7 @@
 	if !isSent {
 		return false
 	}
-	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // not to be used from now on
+	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // the outcome is open: it may not be used from now on
 	delete(w.allocations.idleSince, key)
 	return true
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -11,11 +11,12 @@
 // BeginGangAttempt notes that a gang is to be placed under an attempt number.
 func (s *State) BeginGangAttempt(job *Job, attempt uint64) { entity.BeginGangAttempt(job, attempt) }
 
-// ResetGangAttempt forgets a gang's attempt: its tasks are given back, or their state is unknown.
+// ResetGangAttempt forgets a gang's attempt: its claim failed or was withdrawn, its tasks have left
+// their machines, or it is no longer known what they do.
 func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
-// adoptGangAttempt follows a task that a worker reports to run under an attempt, if its job is a
-// gang.
+// adoptGangAttempt updates a gang's attempt from a task that a worker reports to run under an
+// attempt: another attempt than the present one makes the gang fail. It does nothing for other jobs.
 func adoptGangAttempt(job *Job, attempt uint64) {
 	if !job.IsGang() {
 		return
@@ -52,7 +53,7 @@
 // StopGang stops all tasks of a gang with time for a checkpoint.
 func (s *State) StopGang(job *Job) {
 	entity.MutableGang(job).Failed = true
-	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerS)
+	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 }
 
 // stopGangTasks stops what is left of a gang; tasks that are stopping already keep the time that
@@ -77,8 +78,9 @@
 	}
 }
 
-// GangCanStart reports whether a gang's tasks may be started: all of them are placed on
-// machines where they fit within one scheduling cycle.
+// GangCanStart reports whether a gang's tasks may be started: all of them are placed on workers that
+// its records allow, and fit there as soon as the commands of this scheduling cycle are executed.
+// Once one task was started the others may follow without this check; after a failure none may.
 func (s *State) GangCanStart(job *Job) bool {
 	gang := entity.MutableGang(job)
 	if gang.Failed {
@@ -101,8 +103,8 @@
 	return true
 }
 
-// addPlannedNeeds adds what a range's tasks take by machine. It reports whether all of them may be
-// started where they are planned.
+// addPlannedNeeds adds what a range's tasks take to the needs by machine. It reports whether all of
+// them are placed, on workers that the range's record allows.
 func addPlannedNeeds(needs map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
 	if !taskRange.HostsAreRecorded() {
 		return false
@@ -118,8 +120,8 @@
 	return true
 }
 
-// StopFailedGang stops what is left of a failed attempt of a gang, which has to be gone before the
-// next attempt. It does nothing for other jobs.
+// StopFailedGang stops what is left of a failed attempt of a gang. All of its tasks must have left
+// their machines before the next attempt. It does nothing for other jobs.
 func (s *State) StopFailedGang(job *Job) {
 	if !job.IsGang() {
 		return
@@ -133,9 +135,9 @@
 		return
 	}
 	if tasks.ready > 0 {
-		// Some tasks are placed and some are not, since a machine was lost. A gang that still
-		// waited for free resources was once left as it was then: it never started, and kept the
-		// places of its other tasks forever.
+		// Some tasks are placed and some are not, since a machine was lost. A gang that still waits
+		// for free resources would never start, and would occupy the machines of its other tasks
+		// forever.
 		gang.Failed = true
 	}
 	if !gang.Started && tasks.ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -8,19 +8,21 @@
 // Usage is the sum over a machine's assignments. The scheduler reads it far more often than the
 // assignments change.
 type Usage struct {
-	// Free is what is free once all assignments that are to be stopped are gone.
+	// Free is what is free once all assignments that are to be stopped have left.
 	Free capacity.Resources
-	// FreeBelow is Free and what tasks below each priority take.
+	// FreeBelow is, for each priority, Free plus what the tasks below the priority take.
 	FreeBelow [jobs.PriorityCount]capacity.Resources
-	// FreeBelowWithoutGangs is the same for tasks that are stopped one by one.
+	// FreeBelowWithoutGangs is the same without the tasks of gangs, which cannot be stopped one by
+	// one.
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
 	// PendingCommands is how many start and stop commands are still to be sent.
 	PendingCommands int
-	// ServiceReplicas is how many replicas of services the machine runs.
+	// ServiceReplicas is how many replicas of services the machine runs, without leaving ones.
 	ServiceReplicas int
 	// OrdinaryTasks is how many tasks, stopping ones too, may not run on a spot machine.
 	OrdinaryTasks int
-	// ForegroundTasks is how many tasks are a reason to keep the machine: no background work.
+	// ForegroundTasks is how many tasks, without leaving ones, are not background work and so a
+	// reason to keep the machine.
 	ForegroundTasks int
 }
 
@@ -49,8 +51,8 @@
 	return &m.usage
 }
 
-// add adds an assignment; FreeBelow holds only what lower priorities take as long as Free is not
-// final.
+// add adds an assignment. FreeBelow and FreeBelowWithoutGangs contain only what lower priorities
+// take until ComputeUsage adds the final Free to them.
 func (u *Usage) add(a *Assignment) {
 	if a.status.hasPendingCommand() {
 		u.PendingCommands++
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -43,8 +43,8 @@
 	// NoRoomScaleOutDelay is how long an array may find no room at all before a machine is
 	// requested for it whatever the computed demand.
 	NoRoomScaleOutDelay = 15 * time.Second
-	// ScaleOutPlanAttempts is how many times one scale-out is planned anew when the cloud has
-	// less than was requested: types times kinds, of which there are few.
+	// ScaleOutPlanAttempts is how many times one scale-out is planned when the cloud refuses a
+	// part of it: each attempt avoids the machine types, zones and kinds refused before.
 	ScaleOutPlanAttempts = 5
 	// WorkHorizon is the time in which waiting array tasks should be finished if neither a
 	// deadline nor an objective of their class says more.
@@ -54,8 +54,8 @@
 	// DeadlineTargetFraction is the fraction of a deadline that is planned for. The rest is for
 	// wrong estimates, lost machines and image fetches.
 	DeadlineTargetFraction = 0.7
-	// BootTimeoutFactor is after how many times the usual boot time a machine that has not
-	// started is scaled in.
+	// BootTimeoutFactor times the usual boot time is how long a machine may take to start before
+	// it is scaled in.
 	BootTimeoutFactor = 4
 	// MaxBootTimeoutFactor bounds that, in multiples of the type's stated startupS.
 	MaxBootTimeoutFactor = 8
@@ -74,7 +74,7 @@
 	// MaxRecordedMachineFailures bounds how many of them are remembered (entries).
 	MaxRecordedMachineFailures = 256
 	// ArrivalWindow is how far back arrivals count for the growth buffers. A class without
-	// arrivals for so long has no buffer.
+	// arrivals in this window has no buffer.
 	ArrivalWindow = 2 * time.Minute
 	// MaxRecordedArrivals bounds how many arrivals of a class are remembered (entries).
 	MaxRecordedArrivals = 128
