--- a/cmd/cherrywall/progress.go
+++ b/cmd/cherrywall/progress.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"cherrywall/internal/apiclient"
+	"cherrywall/internal/pipelineexec"
 	"cherrywall/internal/pipelinerun"
 	"cherrywall/internal/tuning"
 )
@@ -72,8 +73,8 @@
 			fmt.Fprintf(&lines, "%s  %s: %s\n", time.Now().Format(time.TimeOnly), job.Name, description)
 		}
 	}
-	if run.Status != d.shown[""] {
-		d.shown[""] = run.Status
+	if status := string(run.Status); status != d.shown[""] {
+		d.shown[""] = status
 		fmt.Fprintf(&lines, "%s  run %s: %s\n", time.Now().Format(time.TimeOnly), run.ID, run.Status)
 	}
 	return lines.String()
@@ -81,11 +82,11 @@
 
 // describeJob returns the status of a job with its reason and progress.
 func describeJob(job pipelinerun.JobView) string {
-	text := job.Status
+	text := string(job.Status)
 	if job.Reason != "" {
 		text += " (" + job.Reason + ")"
 	}
-	if job.RunningTasks > 0 || job.Status == "running" && job.DoneTasks > 0 {
+	if job.RunningTasks > 0 || job.Status == pipelineexec.NameActive && job.DoneTasks > 0 {
 		text += fmt.Sprintf(", %d of %d tasks done, %d running", job.DoneTasks, job.Tasks, job.RunningTasks)
 	}
 	if job.Attempt > 0 {
@@ -95,8 +96,17 @@
 }
 
 // statusMarks are the marks of jobs in the tree, by status.
-var statusMarks = map[string]string{"success": "✔", "failed": "✘", "canceled": "⊘", "skipped": "–", "running": "▶", "stopping": "■",
-	"manual": "⏸", "delayed": "⏱", "waiting": "·"}
+var statusMarks = map[pipelineexec.StatusName]string{
+	pipelineexec.NameSucceeded: "✔",
+	pipelineexec.NameFailed:    "✘",
+	pipelineexec.NameCancelled: "⊘",
+	pipelineexec.NameSkipped:   "–",
+	pipelineexec.NameActive:    "▶",
+	pipelineexec.NameStopping:  "■",
+	pipelineexec.NameManual:    "⏸",
+	pipelineexec.NameDelayed:   "⏱",
+	pipelineexec.NameWaiting:   "·",
+}
 
 // renderTree returns a run as a tree of its stages and jobs.
 func renderTree(run *pipelinerun.RunView) string {
--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -9,20 +9,21 @@
 	"cherrywall/internal/pipeline"
 )
 
-// Execution is a run in memory. It has no locks.
+// Execution is a run in memory. It is not safe for concurrent use.
 type Execution struct {
 	Plan       *pipeline.Plan
 	JobStates  []JobState // in the order of the plan's jobs
-	CancelMode string     // "", CancelNow or CancelDrain
+	CancelMode CancelMode
 }
 
-// Observation is what the controller knows of an attempt.
+// Observation is what the controller knows of a job's attempt. The zero value says nothing: an
+// answer is still awaited.
 type Observation struct {
-	IsUnknown    bool // the controller was asked and does not know it
+	IsUnknown    bool // the controller has no such job, as far as is known
 	IsUnfinished bool // it is known and has not ended
 	IsDone       bool
 	IsCancelled  bool
-	IsFaulty     bool  // it fails on several machines where other jobs work
+	IsFaulty     bool  // it fails on several machines where other jobs succeed
 	AcceptedAtMS int64 // Unix ms
 	DoneTasks    int
 	RunningTasks int
@@ -31,16 +32,18 @@
 // ObserveFunc returns what is known of the current attempt of a job.
 type ObserveFunc func(job int) Observation
 
-// Action is to be performed once the states that it rests on are recorded.
+// Action is a submission or cancellation of a job's current attempt. It must be performed only after
+// the job states that Step has left were recorded as far as another controller could not find them
+// out, else that one might take another decision.
 type Action struct {
-	Job           int
-	Submit        bool // cancel otherwise
+	Job           int  // index in the plan
+	Submit        bool // else the attempt is cancelled
 	RequiresGroup bool // submit only while the job owns its resource group
 }
 
-// Step advances the run as far as the observations allow, and returns the actions that are due.
-// It is deterministic: a controller that takes over the run with the same record and the same
-// observations comes to the same states.
+// Step advances the run as far as the observations allow, and returns the actions that are due. An
+// action is returned by each step until its effect is observed. Step is deterministic: a controller
+// that continues the run from the same record with the same observations comes to the same states.
 func (e *Execution) Step(nowMS int64, observe ObserveFunc) []Action {
 	for {
 		var actions []Action
@@ -56,7 +59,7 @@
 	}
 }
 
-// stepJob advances one job; due is whether there is an action.
+// stepJob advances one job; due says whether there is an action.
 func (e *Execution) stepJob(job int, nowMS int64, observe ObserveFunc) (action Action, due bool) {
 	switch e.JobStates[job].Status {
 	case Active:
@@ -73,7 +76,7 @@
 	return Action{}, false
 }
 
-// stepActive advances a job that was submitted, or is to be.
+// stepActive advances a job that was submitted or is to be submitted.
 func (e *Execution) stepActive(index int, nowMS int64, observed Observation) (action Action, due bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
@@ -81,7 +84,7 @@
 		state.Status, state.Cause = Succeeded, ""
 	case observed.IsCancelled:
 		state.Status, state.Cause = Failed, CauseJobCancelled
-	case e.CancelMode == CancelNow || e.CancelMode == CancelDrain && job.Interruptible:
+	case e.cancelsInProgress(job):
 		state.Status, state.Cause = Stopping, CauseRunCancelled
 	case observed.IsUnfinished && observed.IsFaulty:
 		state.Status, state.Cause = Stopping, pipeline.CauseScriptFailure
@@ -93,6 +96,12 @@
 	return Action{}, false
 }
 
+// cancelsInProgress reports whether the run is cancelled in a mode that does not let a job in progress
+// finish.
+func (e *Execution) cancelsInProgress(job *pipeline.Job) bool {
+	return e.CancelMode == CancelNow || e.CancelMode == CancelDrain && job.Interruptible
+}
+
 func timedOut(job *pipeline.Job, elapsedMS int64) bool {
 	return job.TimeoutS > 0 && float64(elapsedMS) > job.TimeoutS*1000
 }
@@ -101,11 +110,11 @@
 func (e *Execution) stepStopping(index int, observed Observation) (action Action, due bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
-	case observed.IsDone: // at the same moment
+	case observed.IsDone: // it completed before the cancellation took effect
 		state.Status, state.Cause = Succeeded, ""
-	case !observed.IsCancelled: // the cancellation also finds out that a job was never submitted
+	case !observed.IsCancelled: // a job that was never submitted is observed as cancelled, too
 		return Action{Job: index}, true
-	case state.Cause == CauseRunCancelled || e.CancelMode != "":
+	case state.Cause == CauseRunCancelled || e.CancelMode != NotCancelled:
 		state.Status, state.Cause = Cancelled, CauseRunCancelled
 	case state.Attempt < job.Retries && slices.Contains(job.RetryOn, state.Cause):
 		*state = JobState{Status: Active, Attempt: state.Attempt + 1, ManuallyStarted: state.ManuallyStarted}
@@ -115,14 +124,14 @@
 	return Action{}, false
 }
 
-// stepHeld starts a job that waits for a user or for its time, if that has come.
-func (e *Execution) stepHeld(job int, start bool) {
-	if !e.cancelUnstarted(job) && start {
+// stepHeld starts a job that waits for a user or for its time, if mayStart is set.
+func (e *Execution) stepHeld(job int, mayStart bool) {
+	if !e.cancelUnstarted(job) && mayStart {
 		e.JobStates[job].Status = Active
 	}
 }
 
-// stepWaiting starts, holds or skips a job whose dependencies have ended.
+// stepWaiting starts, holds back or skips a job whose dependencies have ended.
 func (e *Execution) stepWaiting(index int, nowMS int64) {
 	if e.cancelUnstarted(index) {
 		return
@@ -149,9 +158,10 @@
 	}
 }
 
-// cancelUnstarted cancels a job that was not submitted if the run is cancelled.
+// cancelUnstarted cancels a job that was not submitted, if the run is cancelled, and reports whether
+// it is.
 func (e *Execution) cancelUnstarted(job int) bool {
-	if e.CancelMode == "" {
+	if e.CancelMode == NotCancelled {
 		return false
 	}
 	state := &e.JobStates[job]
@@ -162,8 +172,8 @@
 // dependencyState summarizes the jobs that a job depends on.
 type dependencyState struct {
 	unfinished bool // one has not ended
-	failed     bool // one has failed whose failure is not allowed
-	missing    bool // one that the job needs by name is not run
+	failed     bool // one whose failure is not allowed has failed or was cancelled
+	missing    bool // one that the job needs by name was skipped, or waits for a user and may do so for ever
 }
 
 func (e *Execution) dependencies(job *pipeline.Job) dependencyState {
@@ -185,7 +195,7 @@
 func (e *Execution) addDependency(summary *dependencyState, job *pipeline.Job, dependency int) {
 	status, failureAllowed := e.JobStates[dependency].Status, e.Plan.Jobs[dependency].AllowFailure
 	switch {
-	case status == Manual && failureAllowed: // nobody has to wait for it
+	case status == Manual && failureAllowed: // an optional job that a user may never start
 		summary.missing = summary.missing || !job.Staged
 	case !status.IsFinal():
 		summary.unfinished = true
@@ -196,9 +206,9 @@
 	}
 }
 
-// Status returns the run's status, and whether it is final. Jobs that wait for a user and that no
-// other job has to wait for do not count.
-func (e *Execution) Status() (status string, final bool) {
+// Status returns the run's status, and whether it is final. Jobs that wait for a user and whose
+// failure is allowed do not count: they are optional, and no other job waits for them.
+func (e *Execution) Status() (status RunStatus, final bool) {
 	count := map[Status]int{}
 	failed := false
 	for i, state := range e.JobStates {
@@ -212,7 +222,7 @@
 	inProgress := count[Delayed] + count[Active] + count[Stopping]
 	unfinished := count[Waiting] + inProgress
 	switch {
-	case e.CancelMode != "" && unfinished+count[Manual] > 0:
+	case e.CancelMode != NotCancelled && unfinished+count[Manual] > 0:
 		return RunStopping, false
 	case inProgress == 0 && count[Manual] > 0:
 		return RunManual, false
@@ -226,7 +236,8 @@
 	return RunSucceeded, true
 }
 
-// SkipOptional skips the jobs that no user has started before the run ended.
+// SkipOptional skips the jobs that wait for a user. It is called when the status is final, so that
+// only optional jobs are left to wait.
 func (e *Execution) SkipOptional() {
 	for i := range e.JobStates {
 		if e.JobStates[i].Status == Manual {
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -122,7 +122,7 @@
 }
 
 // expectRun checks the status of the run.
-func (h *harness) expectRun(wantStatus string, wantFinal bool) {
+func (h *harness) expectRun(wantStatus RunStatus, wantFinal bool) {
 	h.t.Helper()
 	if status, final := h.execution.Status(); status != wantStatus || final != wantFinal {
 		h.t.Errorf("run %s, final %v; want %s, %v", status, final, wantStatus, wantFinal)
@@ -301,7 +301,7 @@
 	if !final {
 		t.Error("the run is not finished")
 	}
-	return strings.Join(h.log, " ") + " " + status
+	return strings.Join(h.log, " ") + " " + string(status)
 }
 
 // loadRecord continues with the job states as they are recorded.
@@ -342,7 +342,7 @@
 	}
 	// What the controller knows of is not submitted a second time.
 	oldest := runWithFailover(t, loadOldestRecord)
-	if submissions := strings.Count(oldest, "+"); submissions != 6 || !strings.HasSuffix(oldest, RunSucceeded) {
+	if submissions := strings.Count(oldest, "+"); submissions != 6 || !strings.HasSuffix(oldest, string(RunSucceeded)) {
 		t.Errorf("with the oldest record: %s", oldest)
 	}
 }
--- a/internal/pipelineexec/progress.go
+++ b/internal/pipelineexec/progress.go
@@ -15,13 +15,13 @@
 type JobState struct {
 	Status          Status
 	Attempt         int                   // from 0
-	Salt            int                   // how many ids of the attempt were taken by other jobs
+	Salt            int                   // how many ids of the attempt were taken by other users' jobs, see JobRef
 	DelayedUntilMS  int64                 // Unix ms, for Delayed
 	Cause           pipeline.FailureCause // for Stopping and Failed
 	ManuallyStarted bool
 }
 
-// NewJobStates returns the states of the jobs of a run that begins.
+// NewJobStates returns the states of so many jobs of a new run.
 func NewJobStates(count int) []JobState {
 	states := make([]JobState, count)
 	for i := range states {
@@ -30,8 +30,8 @@
 	return states
 }
 
-// Progress is the recorded form of job states: a letter for each job, and by job what differs from
-// the usual.
+// Progress is the recorded form of job states: a status letter for each job, and by the job's index
+// the fields that do not have their zero value.
 type Progress struct {
 	Status          string                        `json:"st"`
 	Attempts        map[int]int                   `json:"try,omitempty"`
@@ -72,8 +72,8 @@
 	return progress
 }
 
-// JobStates returns the job states that were recorded. It is an error if they are not of so many
-// jobs, or have a status that this version does not know.
+// JobStates returns the job states that were recorded. It returns an error if their number is not
+// count, or one has a status that this version does not know.
 func (p Progress) JobStates(count int) ([]JobState, error) {
 	if len(p.Status) != count {
 		return nil, fmt.Errorf("states of %d jobs, not %d", len(p.Status), count)
@@ -96,9 +96,9 @@
 	return states, nil
 }
 
-// JobRef is the id under which an attempt of a job is submitted. It is the same for all
-// controllers that ever lead the run, so that a step made twice submits once. The platform's
-// protocol prescribes the prefix and the form.
+// JobRef returns the id under which the current attempt of a job is submitted. It depends only on its
+// arguments: controllers that lead the run one after another submit under the same id, so that a
+// repeated step does not run the job twice. The protocol prescribes the prefix and the form.
 func JobRef(run string, job int, state JobState) string {
 	attempt := run + "/" + strconv.Itoa(job) + "/" + strconv.Itoa(state.Attempt) + "/" + strconv.Itoa(state.Salt)
 	return jobs.NumberedRef("pl", xxhash.Sum64String(attempt))
--- a/internal/pipelineexec/status.go
+++ b/internal/pipelineexec/status.go
@@ -2,15 +2,15 @@
 
 import "cherrywall/internal/pipeline"
 
-// Status is the status of a job of a run, as it is recorded.
+// Status is the status of a job of a run, by the letter with which it is recorded.
 type Status byte
 
 // The statuses of jobs that have not ended.
 const (
-	Waiting  Status = 'w' // for other jobs, or for its submission
-	Manual   Status = 'm' // for a user
-	Delayed  Status = 'd' // for its time
-	Active   Status = 'a' // submitted
+	Waiting  Status = 'w' // until the jobs that it depends on have ended
+	Manual   Status = 'm' // until a user starts it
+	Delayed  Status = 'd' // until JobState.DelayedUntilMS
+	Active   Status = 'a' // submitted to the controller, or to be submitted
 	Stopping Status = 'x' // being cancelled, see JobState.Cause
 )
 
@@ -22,23 +22,41 @@
 	Skipped   Status = 'k'
 )
 
-// statusNames are the names of the published format, which users see.
-var statusNames = map[Status]string{
-	Waiting:   "waiting",
-	Manual:    "manual",
-	Delayed:   "delayed",
-	Active:    "running",
-	Stopping:  "stopping",
-	Succeeded: "success",
-	Failed:    "failed",
-	Cancelled: "canceled",
-	Skipped:   "skipped",
+// StatusName is a job's status as users see it: its name in the published format.
+type StatusName string
+
+// The names of the statuses of jobs.
+const (
+	NameWaiting   StatusName = "waiting"
+	NameManual    StatusName = "manual"
+	NameDelayed   StatusName = "delayed"
+	NameActive    StatusName = "running"
+	NameStopping  StatusName = "stopping"
+	NameSucceeded StatusName = "success"
+	NameFailed    StatusName = "failed"
+	NameCancelled StatusName = "canceled"
+	NameSkipped   StatusName = "skipped"
+)
+
+var statusNames = map[Status]StatusName{
+	Waiting:   NameWaiting,
+	Manual:    NameManual,
+	Delayed:   NameDelayed,
+	Active:    NameActive,
+	Stopping:  NameStopping,
+	Succeeded: NameSucceeded,
+	Failed:    NameFailed,
+	Cancelled: NameCancelled,
+	Skipped:   NameSkipped,
 }
 
-// String returns the status's name of the published format.
-func (s Status) String() string { return statusNames[s] }
+// Name returns the status's name in the published format, empty for an unknown status.
+func (s Status) Name() StatusName { return statusNames[s] }
 
-// IsFinal reports whether the job has ended.
+// String returns the status's name in the published format, empty for an unknown status.
+func (s Status) String() string { return string(s.Name()) }
+
+// IsFinal reports whether the job has ended: a final status never changes.
 func (s Status) IsFinal() bool {
 	return s == Succeeded || s == Failed || s == Cancelled || s == Skipped
 }
@@ -50,18 +68,26 @@
 	CauseRejected     pipeline.FailureCause = "refused"   // the controller does not accept the job
 )
 
-// How a run is cancelled: at once, or letting the jobs finish that are not interruptible.
+// CancelMode is whether and how a run is cancelled. The run's record contains it.
+type CancelMode string
+
+// The modes. Once a run is cancelled, in either mode, no further job starts.
 const (
-	CancelNow   = "now"
-	CancelDrain = "drain"
+	NotCancelled CancelMode = ""
+	CancelNow    CancelMode = "now"   // all jobs in progress are cancelled
+	CancelDrain  CancelMode = "drain" // jobs in progress that are not interruptible may finish
 )
 
-// The statuses of a run, by their names of the published format.
+// RunStatus is the status of a run, by its name in the published format. Records of finished runs
+// and the views of users contain it.
+type RunStatus string
+
+// The statuses of a run. The last three are final.
 const (
-	RunRunning   = "running"
-	RunManual    = "manual" // it waits for a user
-	RunStopping  = "canceling"
-	RunSucceeded = "success"
-	RunFailed    = "failed"
-	RunCancelled = "canceled"
+	RunRunning   RunStatus = "running"
+	RunManual    RunStatus = "manual" // it waits for a user to start a job
+	RunStopping  RunStatus = "canceling"
+	RunSucceeded RunStatus = "success"
+	RunFailed    RunStatus = "failed"
+	RunCancelled RunStatus = "canceled"
 )
--- a/internal/pipelinerun/commit.go
+++ b/internal/pipelinerun/commit.go
@@ -8,12 +8,13 @@
 	"cherrywall/internal/tuning"
 )
 
-// unchanged is the precondition that the run's record is the one that is known here.
+// unchanged returns the precondition that the run's record is the one that is known here.
 func (r *runState) unchanged() kvstore.Condition {
 	return kvstore.Condition{Key: runKey(r.id), Revision: r.revision}
 }
 
-// ownedUnder is the precondition that the run's home shard is in an epoch.
+// ownedUnder returns the precondition that the run's home shard is still in an epoch: no other
+// controller has acquired it.
 func (r *runState) ownedUnder(epoch uint64) kvstore.Condition {
 	return kvstore.Condition{Key: jobs.ShardPrefix + r.record.HomeShard, Revision: epoch}
 }
@@ -52,9 +53,9 @@
 	})
 }
 
-// commitAfter executes a transaction after other writes, which need no conditions: nothing refers
-// to them before, and nobody else writes them. They take as many transactions as the limits ask
-// for; if one fails, those before it stay and are never read.
+// commitAfter executes a transaction after other writes, which need no conditions: their keys are
+// new, and no record refers to them yet. The writes are divided into as many transactions as the
+// limits of the store require. If one fails, the records written before it stay and are never read.
 func (l *Leader) commitAfter(writes []kvstore.Write, priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
 	batchSize := min(len(writes), l.cfg.EffectiveStateLimits().TxnOps, max(1, tuning.MaxTxnBytes/l.cfg.MaxValueBytes()))
 	if batchSize == 0 {
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -60,14 +60,14 @@
 // after the cancellation was answered.
 func TestCancellationLeaderCrashAndLastCompletionTogether(t *testing.T) {
 	for i, order := range []cancellationOrder{{0, 0, 0}, {0, 500, 900}, {900, 500, 0}, {500, 0, 900}, {500, 900, 0}, {0, 100, 0}} {
-		mode := []string{pipelineexec.CancelDrain, pipelineexec.CancelNow}[i%2]
+		mode := []pipelineexec.CancelMode{pipelineexec.CancelDrain, pipelineexec.CancelNow}[i%2]
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			runScenario(t, func(t *testing.T, c *testCluster) { cancelDuringFailover(t, c, order, mode) })
 		})
 	}
 }
 
-func cancelDuringFailover(t *testing.T, c *testCluster, order cancellationOrder, mode string) {
+func cancelDuringFailover(t *testing.T, c *testCluster, order cancellationOrder, mode pipelineexec.CancelMode) {
 	t.Helper()
 	const file = head + `
 quick: {stage: one, interruptible: true, cluster: {estimate_s: 30, checkpoint_s: 5, save_s: 2}}
--- a/internal/pipelinerun/groups.go
+++ b/internal/pipelinerun/groups.go
@@ -2,21 +2,22 @@
 
 import "cherrywall/internal/kvstore"
 
-// resourceGroup is a resource group that a job owns: of all jobs of a group, in all runs, only the
-// owner is in progress.
+// resourceGroup is a resource group that a job owns. Of all jobs of a group, in all runs, only the
+// owner may be in progress.
 type resourceGroup struct {
 	groupOwner
 	revision uint64 // of its record
 }
 
-// acquireGroup reports whether a job owns its group, and begins to acquire it if it is free.
+// acquireGroup reports whether a job owns its group, and begins to acquire it if it is free or its
+// owner has finished. A later step finds it acquired.
 func (l *Leader) acquireGroup(run *runState, job int) bool {
 	key := groupKey(run.execution.Plan.Jobs[job].Group)
 	group, taken := l.resourceGroups[key]
 	if taken && group.Run == run.id && group.Job == job {
 		return true
 	}
-	// An owner whose run is not known has finished: its record was written before the group's.
+	// A run that is not known here has finished: its record was written before that of the group.
 	if taken && l.runs[group.Run] != nil && !l.groupOwnerFinished(group) {
 		return false
 	}
@@ -41,7 +42,8 @@
 	return r.execution != nil && r.execution.JobStates[job].Status.IsFinal()
 }
 
-// releaseGroups releases a group that the run owns for a job that has finished.
+// releaseGroups begins to release a group that the run owns for a job that has finished; one at a
+// time, since a run has one write in flight at most.
 func (l *Leader) releaseGroups(run *runState) {
 	for key, group := range l.resourceGroups {
 		if group.Run != run.id || !run.jobIsFinal(group.Job) || run.writeInFlight {
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -152,7 +152,7 @@
 func describeJobs(run *pipelinerun.RunView) string {
 	var statuses []string
 	for _, job := range run.Jobs {
-		statuses = append(statuses, job.Name+" "+job.Status)
+		statuses = append(statuses, job.Name+" "+string(job.Status))
 	}
 	return strings.Join(statuses, ", ")
 }
--- a/internal/pipelinerun/inbox.go
+++ b/internal/pipelinerun/inbox.go
@@ -6,12 +6,12 @@
 	"cherrywall/internal/kvstore"
 )
 
-// inbox takes the controller's events without ever blocking its actor: that one would wait for
-// the leader, which waits for the controller's responses.
+// inbox queues the controller's events for the leader without a limit, so that the controller's actor
+// never blocks on it: the leader waits for the controller's responses, and both would wait for ever.
 type inbox struct {
 	mu     sync.Mutex
 	events []kvstore.Event
-	reload bool
+	reload bool          // events were missed
 	notify chan struct{} // has a message while the inbox is not empty
 }
 
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -27,10 +27,10 @@
 	return pipelineexec.Observation{IsUnknown: !l.callsInFlight[ref]}
 }
 
-// observeLocally returns what this controller has cached of a job's attempt; known is false if
-// that is nothing, or another user's job. A job that became active in this very step is not in the
-// local state yet and is looked up now: a new leader gets to where the run stood at once, and not
-// one stage later with each tick.
+// observeLocally returns what this controller has cached of a job's attempt; known is false if that
+// is nothing, or another user's job. A job that became active in this very step is not in the local
+// state yet and is looked up now, so that a new leader catches up in one tick instead of one tick
+// for each stage.
 func (l *Leader) observeLocally(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
 	localJob, cached := local.Jobs[ref]
 	if !cached {
@@ -53,14 +53,15 @@
 	return observation, known && run.matchesSpec(job, localJob)
 }
 
-// findSubmittedJobs finds out which jobs of a cancelled run were submitted by an earlier leader:
-// the controller is asked for each that could have been. The actions are those of a step in which
-// the run is not cancelled yet.
+// findSubmittedJobs finds out which jobs of a cancelled run an earlier leader has submitted, by
+// polling the controller for each job that may have been. actions are those of a step that took the
+// run for not cancelled: its submissions are the candidates. When all are answered, the jobs that
+// were not submitted wait again and the cancellation applies.
 func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
 	remaining := false
 	for _, action := range actions {
 		if !action.Submit || run.notSubmitted[action.Job] {
-			continue // cancellations wait until all are found
+			continue // cancellations are repeated by the steps after this search
 		}
 		remaining = true
 		ref := run.jobRef(action.Job)
@@ -93,8 +94,9 @@
 	})
 }
 
-// submitJob submits a job's current attempt, provided that the run's record is the one that is
-// known here: after a cancellation, or by a former leader, nothing starts.
+// submitJob submits a job's current attempt, on the precondition that the run's record is the one
+// that is known here. Without it a job could start after the run was cancelled, or through a former
+// leader.
 func (l *Leader) submitJob(run *runState, job int) {
 	state := run.execution.JobStates[job]
 	ref := run.jobRef(job)
@@ -124,13 +126,14 @@
 		state := &run.execution.JobStates[job]
 		state.Status, state.Cause = pipelineexec.Failed, pipelineexec.CauseRejected
 	case http.StatusConflict:
-		run.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay) // as when a write's conditions fail
+		// The record has changed; the watch is about to deliver it.
+		run.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay)
 	}
 }
 
-// verifySubmission checks whether a job that was already known is this run's: submitted by this
-// leader in a call that was not answered, or by an earlier leader. Another user's job has another
-// spec, and the attempt gets another id.
+// verifySubmission handles the answer that a job with the attempt's id exists already. It is the
+// attempt if this leader submitted it in a call that was not answered, or an earlier leader did. If
+// its spec differs it is another user's job, and the attempt gets another id.
 func (l *Leader) verifySubmission(run *runState, job int, ref string, response controller.Response) {
 	local, ok := l.controller.LocalState([]string{ref})
 	if localJob, known := local.Jobs[ref]; ok && known && !run.matchesSpec(job, localJob) {
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -58,7 +58,7 @@
 	inbox         inbox
 	synced        bool // all records were listed
 	loading       bool // a listing is in flight
-	reloads       int  // how often all records had to be listed
+	reloads       int  // how often events were missed, to notice it during a listing
 	pendingEvents []kvstore.Event
 
 	runs           map[string]*runState      // unfinished, by id
@@ -68,7 +68,7 @@
 	callsInFlight  map[string]bool // submissions, cancellations and polls, by job
 }
 
-// New makes the actor, which works from Start until ctx ends.
+// New returns a leader that works from Start until ctx ends.
 func New(ctx context.Context, cfg *config.Config, store Store, controller Controller, tracer *tracing.Tracer, log *slog.Logger) *Leader {
 	finalRuns, err := lru.New[string, runRecord](tuning.MaxCachedEndedRuns)
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Start starts the actor.
+// Start starts the leader's goroutine and subscribes to the controller's events. It is called once.
 func (l *Leader) Start() {
 	go l.run()
 	l.controller.Subscribe(l.inbox.put)
--- a/internal/pipelinerun/plan.go
+++ b/internal/pipelinerun/plan.go
@@ -14,14 +14,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// unreadableRunDelay is after how long a run whose record cannot be read is tried again.
+// unreadableRunDelay is after how long the record of a run or schedule that cannot be read is read
+// again.
 const unreadableRunDelay = time.Minute
 
 var errPlanChunkMissing = errors.New("a chunk of the plan is missing")
 
-// newRunRecord makes the record with which runs of a plan begin, and the writes of the chunks of
-// the plan that do not fit into it: they are to be committed before it, under keys that nobody
-// else uses. owner names the run or schedule that the plan belongs to.
+// newRunRecord makes the first record of a run. The part of the plan that does not fit into it is
+// returned as writes of chunks, under keys that nobody else uses; they have to be committed before
+// the record. owner names the run or schedule that the plan belongs to.
 func (l *Leader) newRunRecord(name string, file []byte, plan *pipeline.Plan, owner string) (record runRecord, chunks []kvstore.Write, err error) {
 	compressed, err := plan.Compress()
 	if err != nil {
@@ -47,12 +48,12 @@
 	return record, chunks, nil
 }
 
-// rawBytes is how many bytes fit into a JSON value of a size: base64 takes a third more.
+// rawBytes returns how many bytes fit into a JSON string of a size: base64 takes a third more.
 func rawBytes(jsonBytes int) int { return jsonBytes * 3 / 4 }
 
-// chooseHomeShard chooses the shard whose owner leads a new run: one that this controller owns,
-// its own if it can, since it need not write the record once more then to begin. epoch is 0 if it
-// owns none.
+// chooseHomeShard chooses the shard whose owner leads a new run. It prefers a shard that this
+// controller owns, since the run then begins without another write of its record, and among these
+// the shard of this controller's name. epoch is 0 if this controller owns no shard.
 func (l *Leader) chooseHomeShard() (shard string, epoch uint64) {
 	local, _ := l.controller.LocalState(nil)
 	shard = l.cfg.Node
@@ -115,17 +116,18 @@
 func (l *Leader) setPlan(run *runState, compressed []byte) {
 	plan, states, err := decodeExecution(run.record, compressed)
 	if err != nil {
-		// It may be the record of a later version: left alone, and tried again now and then.
+		// A later version of the program may have written it, so it is kept and read again.
 		l.log.Error("run cannot be read", "run", run.id, "error", err)
 		run.pausedUntil = time.Now().Add(unreadableRunDelay)
 		return
 	}
 	run.execution = &pipelineexec.Execution{Plan: plan, JobStates: states, CancelMode: run.record.CancelMode}
-	// Jobs that were submitted without being recorded go on, but if the run is cancelled they
-	// have to be found first.
-	if run.epoch != 0 && run.record.CancelMode != "" {
+	// An earlier leader may have submitted jobs whose record still says that they wait. In a
+	// cancelled run the next step would take these for unstarted, and they would run on after the
+	// run has ended; so they are found first, see findSubmittedJobs.
+	if run.epoch != 0 && run.record.CancelMode != pipelineexec.NotCancelled {
 		run.findingSubmitted = true
-		run.notSubmitted, run.execution.CancelMode = map[int]bool{}, ""
+		run.notSubmitted, run.execution.CancelMode = map[int]bool{}, pipelineexec.NotCancelled
 	} else {
 		run.findingSubmitted = false
 	}
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -43,23 +43,23 @@
 // runRecord is a run's record, unfinished or final.
 type runRecord struct {
 	Name         string `json:"name"`
-	Digest       string `json:"digest"` // of the file: a repeated request has the same
+	Digest       string `json:"digest"` // of the file, to recognise a repeated request
 	AcceptedAtMS int64  `json:"at"`     // Unix ms
 	// Plan is the compressed plan, or its beginning: PlanChunks further records contain the rest.
-	// The plan is kept as it was parsed, so that another version of the program goes on with the
-	// same.
-	Plan         []byte                `json:"plan"`
-	PlanChunks   int                   `json:"parts,omitempty"`
-	PlanChunksID string                `json:"plan_id,omitempty"` // of the run, or of its schedule
-	Progress     pipelineexec.Progress `json:"p"`
-	CancelMode   string                `json:"cancel,omitempty"`
-	// HomeShard is the shard whose owner leads the run, and Epoch that shard's epoch under which
-	// this was last written by a leader, or accepted by one.
+	// The parsed plan is stored instead of the file, so that a version of the program that parses
+	// files differently continues the run unchanged.
+	Plan         []byte                  `json:"plan"`
+	PlanChunks   int                     `json:"parts,omitempty"`
+	PlanChunksID string                  `json:"plan_id,omitempty"` // of the run, or of its schedule
+	Progress     pipelineexec.Progress   `json:"p"`
+	CancelMode   pipelineexec.CancelMode `json:"cancel,omitempty"`
+	// HomeShard is the shard whose owner leads the run. Epoch is the shard's epoch under which its
+	// owner wrote this record last; 0 if a controller accepted the run that does not own the shard.
 	HomeShard string `json:"home"`
 	Epoch     uint64 `json:"tenure,omitempty"`
 	// Status and EndedAtMS (Unix ms) are set when the run has finished.
-	Status    string `json:"status,omitempty"`
-	EndedAtMS int64  `json:"end,omitempty"`
+	Status    pipelineexec.RunStatus `json:"status,omitempty"`
+	EndedAtMS int64                  `json:"end,omitempty"`
 }
 
 // groupOwner is the record of a resource group: the job that owns it.
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -14,14 +14,16 @@
 	"cherrywall/internal/tuning"
 )
 
-// Response is the response to a user's request: an HTTP status with an error or a run.
+// Response is the response to a user's request. Code is an HTTP status code; Error is set for codes
+// from 400 on. Run is nil in errors and in responses about schedules.
 type Response struct {
 	Code  int
 	Error string
 	Run   *RunView
 }
 
-// replyRun gets a response with a run, and the digest of the run's file.
+// replyRun takes the response to a request for a run, and the digest of the run's file; the digest is
+// empty in errors.
 type replyRun func(response Response, digest string)
 
 func errorResponse(code int, text string) Response { return Response{Code: code, Error: text} }
@@ -40,8 +42,9 @@
 	}
 }
 
-// Create starts a run of a plan that was parsed from a file. The request is idempotent: a run of
-// the same id and file is started once.
+// Create starts a run of a plan that was parsed from a file. The response has the code 201 once the
+// run's record is durable. The request is idempotent: for a run with the same id and file it has the
+// code 200 and the run's state, and the code 409 if the file is another one.
 func (l *Leader) Create(id, name string, file []byte, plan *pipeline.Plan) Response {
 	record, chunks, err := l.newRunRecord(name, file, plan, id)
 	if err != nil {
@@ -101,8 +104,8 @@
 	})
 }
 
-// lookUpRun passes the state of a run to done. The store is asked whether it has finished: what
-// one controller has answered, another one must not contradict.
+// lookUpRun passes the state of a run to done. The store is asked whether it has finished, since this
+// controller's cache may be older than what another controller has answered already.
 func (l *Leader) lookUpRun(id string, done replyRun) {
 	if record, finished := l.finalRuns.Get(id); finished {
 		l.replyFinished(id, record, done)
@@ -158,8 +161,8 @@
 	l.replyUnfinished(l.runs[id], done)
 }
 
-// replyUnfinished answers with the state of an unfinished run, also of one that another controller
-// leads: what that one has observed but not recorded is found here by the same steps.
+// replyUnfinished answers with the state of an unfinished run. Its leader may have observed more than
+// it has recorded; the same step on a copy of the execution comes to the same states here.
 func (l *Leader) replyUnfinished(run *runState, done replyRun) {
 	if run.execution == nil && !run.writeInFlight {
 		l.readPlan(run)
@@ -235,10 +238,10 @@
 	return view
 }
 
-// Cancel cancels a run: pipelineexec.CancelNow cancels the jobs in progress,
-// pipelineexec.CancelDrain lets those finish that are not interruptible. No job of it starts once
-// this is answered. The response has the run's state; it is final when all jobs have ended.
-func (l *Leader) Cancel(id, mode string) Response {
+// Cancel cancels a run. A drained run can still be cancelled with pipelineexec.CancelNow, but not the
+// other way round. The cancellation is durable, and no job of the run is submitted any more, when it
+// is answered. The response has the run's state, which is final only when all jobs have ended.
+func (l *Leader) Cancel(id string, mode pipelineexec.CancelMode) Response {
 	return l.changeRun(id, func(record *runRecord, _ *pipelineexec.Execution) (changed bool, failure Response) {
 		if record.CancelMode == pipelineexec.CancelNow || record.CancelMode == mode {
 			return false, Response{}
@@ -248,7 +251,8 @@
 	})
 }
 
-// StartManualJob starts a job that waits for a user.
+// StartManualJob has a manual job start as soon as its dependencies allow it. The response has
+// the code 404 for an unknown job, and 409 for one that does not wait for a user.
 func (l *Leader) StartManualJob(id, name string) Response {
 	return l.changeRun(id, func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response) {
 		jobs := execution.Plan.Jobs
@@ -273,11 +277,12 @@
 	})
 }
 
-// recordChange changes a run's record; failure has an error if that is not possible.
+// recordChange changes a run's record. changed is false if the record is as requested already;
+// failure has an error if the request is refused.
 type recordChange func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response)
 
-// changeRun changes a run's record, whichever controller leads it, and responds once the change is
-// durable.
+// changeRun changes a run's record, whichever controller leads it, and responds with the run's state
+// once the change is durable.
 func (l *Leader) changeRun(id string, change recordChange) Response {
 	return l.ask(func(reply func(Response)) { l.tryChangeRun(id, 0, change, reply) })
 }
@@ -324,7 +329,7 @@
 	}
 }
 
-// commitChange writes a changed record of a run, provided that it is unchanged otherwise.
+// commitChange writes a changed record of a run on the precondition that nobody else has changed it.
 func (l *Leader) commitChange(run *runState, record runRecord, done func(result kvstore.TxnResult, err error)) {
 	value := kvstore.Encode(record)
 	txn := kvstore.Txn{
@@ -336,7 +341,7 @@
 		run.writeInFlight = false
 		if err == nil && result.Succeeded {
 			l.applyWrite(runKey(run.id), value, result.Revision)
-			l.log.Info("run changed", "run", run.id, "cancel", record.CancelMode)
+			l.log.Info("run changed", "run", run.id, "cancel", string(record.CancelMode))
 		}
 		done(result, err)
 	})
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -18,16 +18,16 @@
 	id       string
 	record   runRecord
 	revision uint64 // of the record
-	// epoch is that of the home shard under which the run is led here, 0 if it is not.
+	// epoch is the home shard's epoch under which this controller leads the run, 0 if it does not.
 	epoch         uint64
 	execution     *pipelineexec.Execution // nil until the plan was read
 	writeInFlight bool                    // also while the plan is read
-	pausedUntil   time.Time
-	writtenAt     time.Time // of the record, by this leader
+	pausedUntil   time.Time               // no step before
+	writtenAt     time.Time               // when this controller wrote the record last, as the leader
 
 	observations map[string]pipelineexec.Observation // from the controller's responses, by job id
-	// While findingSubmitted, it is found out which jobs an earlier leader has submitted:
-	// notSubmitted are those found not to be. See findSubmittedJobs.
+	// findingSubmitted is set while the leader of a cancelled run finds out which jobs an earlier
+	// leader has submitted; notSubmitted are the jobs that were not. See findSubmittedJobs.
 	findingSubmitted bool
 	notSubmitted     map[int]bool
 
@@ -56,9 +56,9 @@
 	return refs
 }
 
-// unrecordedChanges reports whether the record has to be written before anything that rests on
-// it is done, and how many jobs have changed that the next leader could find out about by asking
-// the controller.
+// unrecordedChanges compares the job states with the record. mustRecord says that the record has to
+// be written before any action: a next leader could not find out a change. changedJobs is the number
+// of jobs with other changes, which a next leader would find out by asking the controller.
 func (r *runState) unrecordedChanges() (mustRecord bool, changedJobs int) {
 	recorded, err := r.record.Progress.JobStates(len(r.execution.JobStates))
 	if err != nil {
@@ -84,7 +84,7 @@
 		after.Status == pipelineexec.Delayed && after.DelayedUntilMS != before.DelayedUntilMS
 }
 
-// recordResponse notes the controller's response on an attempt.
+// recordResponse notes what the controller's response says of an attempt. Errors say nothing.
 func (r *runState) recordResponse(ref string, response controller.Response) {
 	switch {
 	case response.Code/100 != 2:
@@ -97,19 +97,21 @@
 	}
 }
 
-// matchesSpec reports whether a job under an attempt's id has the attempt's spec.
+// matchesSpec reports whether a submitted job can be the attempt that has its id. Another user may
+// have submitted a job under this id; taking that for the attempt would skip the job. The spec of a
+// job that has ended is not known, so that such a job always matches.
 func (r *runState) matchesSpec(job int, local controller.LocalJob) bool {
 	spec := r.execution.Plan.Jobs[job].Spec
 	spec.Ref = local.Spec.Ref
 	return !local.IsUnfinished || reflect.DeepEqual(spec, local.Spec)
 }
 
-// leadRun does the next step of a run, if it is led here or is to be.
+// leadRun does the next step of a run if this controller owns its home shard.
 func (l *Leader) leadRun(run *runState, local controller.LocalState, now time.Time) {
 	epoch := local.Shards[run.record.HomeShard]
 	if epoch == 0 {
 		if run.epoch != 0 {
-			run.epoch, run.execution = 0, nil // another controller leads it now, from the record
+			run.epoch, run.execution = 0, nil // another controller continues from the record
 		}
 		return
 	}
@@ -127,25 +129,25 @@
 	}
 }
 
-// adoptRun begins to lead a run under an epoch of its home shard. Its record is written anew
-// before, under the shard's record, so that nothing that an earlier leader has in flight can take
-// effect later.
+// adoptRun begins to lead a run under an epoch of its home shard. It first writes the run's record
+// anew, on the precondition that the epoch is current: the submissions, acquisitions of groups and
+// writes of the record that an earlier leader still has in flight require the former record and fail.
 func (l *Leader) adoptRun(run *runState, epoch uint64) {
 	lead := func() {
 		run.epoch, run.execution = epoch, nil
 		clear(run.observations)
 		run.startTimes, run.tracedStates = tracing.NewStartTimes(), nil
-		l.log.Info("run led by this controller", "run", run.id, "shard", run.record.HomeShard, "cancel", run.record.CancelMode)
+		l.log.Info("run led by this controller", "run", run.id, "shard", run.record.HomeShard, "cancel", string(run.record.CancelMode))
 	}
 	if run.record.Epoch == epoch {
-		lead() // accepted or led in this epoch: there was no other leader since
+		lead() // this owner accepted the run or wrote its record: there was no other leader since
 		return
 	}
 	l.writeRunRecord(run, epoch, run.record, lead)
 }
 
-// advanceRun steps the execution of a run, and does the first of these that is due: finish the
-// run, write its record, or carry out the actions of the step.
+// advanceRun steps the execution of a run. Then it does the first of these that is due: find out what
+// an earlier leader has submitted, finish the run, write its record, or carry out the actions.
 func (l *Leader) advanceRun(run *runState, local controller.LocalState, now time.Time) {
 	execution := run.execution
 	if run.tracedStates == nil {
@@ -194,8 +196,10 @@
 	l.releaseGroups(run)
 }
 
-// finishRun writes the final record of a run, once and for ever.
-func (l *Leader) finishRun(run *runState, status string, now time.Time) {
+// finishRun replaces the record of a run by its final record, which never changes, and releases its
+// resource groups in the same transaction as far as they fit. An owner whose run is not known counts
+// as finished, so that groups that do not fit are free as well.
+func (l *Leader) finishRun(run *runState, status pipelineexec.RunStatus, now time.Time) {
 	run.execution.SkipOptional()
 	record := run.record
 	record.Progress = pipelineexec.EncodeProgress(run.execution.JobStates)
@@ -217,9 +221,9 @@
 				l.applyDelete(write.DeleteKey, revision)
 			}
 		}
-		l.metrics.ended.WithLabelValues(status).Inc()
+		l.metrics.ended.WithLabelValues(string(status)).Inc()
 		l.tracer.RecordEnd(run.id, record.Name, status, &run.startTimes, run.execution.Plan, time.UnixMilli(record.AcceptedAtMS), now)
-		l.log.Info("run finished", "run", run.id, "name", record.Name, "status", status,
+		l.log.Info("run finished", "run", run.id, "name", record.Name, "status", string(status),
 			"duration_s", float64(record.EndedAtMS-record.AcceptedAtMS)/1000)
 	})
 }
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -19,8 +19,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A schedule is led like a run, by the owner of its home shard. Each time it is due, one
-// transaction begins a run and sets the schedule's next time.
+// A schedule is led like a run, by the owner of its home shard. When it is due, one transaction
+// starts a run and sets the schedule's next time.
 
 // scheduleState is a schedule as this controller knows it.
 type scheduleState struct {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// startDueSchedules begins the runs of the schedules led here whose time has come.
+// startDueSchedules starts a run of each schedule that is led here and due.
 func (l *Leader) startDueSchedules(local controller.LocalState, now time.Time) {
 	for key, schedule := range l.schedules {
 		epoch := local.Shards[schedule.Template.HomeShard]
@@ -59,8 +59,9 @@
 	}
 }
 
-// startScheduledRun begins a schedule's run. After an outage it is one run, for the last time that
-// was missed.
+// startScheduledRun starts a run of a schedule. If several times were missed, as in an outage, one run
+// starts for the last of them. The run's id depends on the schedule and that time alone, so that a
+// repeated transaction does not start a second run.
 func (l *Leader) startScheduledRun(key string, schedule *scheduleState, times *cronschedule.Schedule, epoch uint64, now time.Time) {
 	dueAt, nextAt := times.Due(time.UnixMilli(schedule.NextAtMS), now)
 	id := jobs.NumberedRef("run", xxhash.Sum64String(schedule.Name+"@"+dueAt.UTC().Format(time.RFC3339)))
@@ -94,8 +95,9 @@
 	})
 }
 
-// Schedule stores a schedule for a pipeline file: a cron expression in a time zone. It replaces
-// one of the same name. Its first time is the next one from now on.
+// Schedule stores a schedule that runs a pipeline file at the times of a cron expression in a time
+// zone, the first of them after now. It replaces a schedule of the same name. The response has the
+// code 400 if the name, the expression or the zone is invalid.
 func (l *Leader) Schedule(name, expression, zone string, file []byte, plan *pipeline.Plan) (ScheduleView, Response) {
 	if !scheduleNamePattern.MatchString(name) {
 		return ScheduleView{}, errorResponse(http.StatusBadRequest, "name: must be 1 to 64 letters, digits, dots, dashes and underscores")
@@ -122,7 +124,8 @@
 	})
 }
 
-// RemoveSchedule removes a schedule; runs that it has begun go on.
+// RemoveSchedule removes a schedule; runs that it has started continue. The response has the code 404
+// if there is no such schedule.
 func (l *Leader) RemoveSchedule(name string) Response {
 	return l.ask(func(reply func(Response)) {
 		key := scheduleKey(name)
@@ -144,7 +147,7 @@
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: revision}}, Writes: []kvstore.Write{write}}
 	l.commitAfter(chunks, kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		switch {
-		case err != nil || !result.Succeeded: // it has just begun a run, or another user changes it
+		case err != nil || !result.Succeeded: // it has just started a run, or another user has changed it
 			reply(retryLater("busy"))
 			return
 		case write.DeleteKey != "":
--- a/internal/pipelinerun/sync.go
+++ b/internal/pipelinerun/sync.go
@@ -11,11 +11,12 @@
 	"cherrywall/internal/tuning"
 )
 
-// loadedPrefixes are what a load lists. Groups come after the runs that own them: a group whose
-// run is not known is free, see acquireGroup.
+// loadedPrefixes are the prefixes that a load lists, in this order. A group whose run is not known
+// counts as free, see acquireGroup; a run that starts between the listings becomes known by its event.
 var loadedPrefixes = []string{runPrefix, groupPrefix, schedulePrefix}
 
-// handleEvents takes what the controller's watch has delivered of the run records.
+// handleEvents applies what the controller's watch has delivered, after a load that is in flight.
+// reload says that events were missed and all records have to be listed again.
 func (l *Leader) handleEvents(events []kvstore.Event, reload bool) {
 	if reload {
 		l.reloads++
@@ -136,9 +137,9 @@
 	}
 }
 
-// applyRunRecord applies an unfinished run's record. Of a run that is led here, the progress in
-// memory is newer than any record, but for what users have requested: that may come through any
-// controller.
+// applyRunRecord applies an unfinished run's record. For a run that is led here, the progress in
+// memory is newer than that of any record; only users' requests, which any controller may have
+// written, are taken from the record.
 func (l *Leader) applyRunRecord(id string, record runRecord, revision uint64) {
 	run := l.runs[id]
 	if run == nil {
@@ -152,7 +153,7 @@
 	switch {
 	case run.execution == nil:
 	case run.epoch == 0:
-		run.execution = nil // read again from the record when needed
+		run.execution = nil // made again from the record when needed
 	default:
 		if !run.findingSubmitted {
 			run.execution.CancelMode = record.CancelMode
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -4,16 +4,16 @@
 
 // RunView is a run as users see it. Times are Unix ms.
 type RunView struct {
-	ID           string    `json:"id"`
-	Name         string    `json:"name"`
-	Status       string    `json:"status"`
-	IsFinished   bool      `json:"over"`
-	AcceptedAtMS int64     `json:"accepted_ms"`
-	EndedAtMS    int64     `json:"ended_ms,omitempty"`
-	HomeShard    string    `json:"share,omitempty"`
-	Stages       []string  `json:"stages,omitempty"`
-	Jobs         []JobView `json:"jobs,omitempty"`
-	// The numbers of jobs.
+	ID           string                 `json:"id"`
+	Name         string                 `json:"name"`
+	Status       pipelineexec.RunStatus `json:"status"`
+	IsFinished   bool                   `json:"over"`
+	AcceptedAtMS int64                  `json:"accepted_ms"`
+	EndedAtMS    int64                  `json:"ended_ms,omitempty"`
+	HomeShard    string                 `json:"share,omitempty"`
+	Stages       []string               `json:"stages,omitempty"`
+	Jobs         []JobView              `json:"jobs,omitempty"`
+	// How many jobs wait, are in progress and have ended.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
 	Ended   int `json:"ended"`
@@ -21,18 +21,18 @@
 
 // JobView is a job of a run as users see it.
 type JobView struct {
-	Name         string   `json:"name"`
-	Stage        string   `json:"stage"`
-	Status       string   `json:"status"`
-	Reason       string   `json:"why,omitempty"`
-	Attempt      int      `json:"try"`
-	Retries      int      `json:"retries,omitempty"`
-	Ref          string   `json:"ref,omitempty"` // the id under which it is submitted
-	DoneTasks    int      `json:"tasks_done"`
-	RunningTasks int      `json:"tasks_running"`
-	Tasks        int      `json:"tasks"`
-	Needs        []string `json:"needs,omitempty"`
-	Group        string   `json:"group,omitempty"`
+	Name         string                  `json:"name"`
+	Stage        string                  `json:"stage"`
+	Status       pipelineexec.StatusName `json:"status"`
+	Reason       string                  `json:"why,omitempty"`
+	Attempt      int                     `json:"try"`
+	Retries      int                     `json:"retries,omitempty"`
+	Ref          string                  `json:"ref,omitempty"` // the id under which it is submitted
+	DoneTasks    int                     `json:"tasks_done"`
+	RunningTasks int                     `json:"tasks_running"`
+	Tasks        int                     `json:"tasks"`
+	Needs        []string                `json:"needs,omitempty"`
+	Group        string                  `json:"group,omitempty"`
 }
 
 // ScheduleView is a schedule as users see it.
@@ -52,8 +52,8 @@
 // observeFunc returns what is known of a job's current attempt.
 type observeFunc func(job int) pipelineexec.Observation
 
-// newRunView makes the view of a run. The execution may be nil if the plan was not read, and
-// observe if nothing is known of its jobs.
+// newRunView makes the view of a run. execution is nil if the plan was not read, observe is nil if
+// nothing is known of its jobs.
 func newRunView(id string, record runRecord, execution *pipelineexec.Execution, observe observeFunc) *RunView {
 	view := &RunView{
 		ID:           id,
@@ -69,10 +69,10 @@
 	if view.Status == "" {
 		view.Status, _ = execution.Status()
 	}
-	if execution.CancelMode != "" && view.Status == pipelineexec.RunRunning {
+	if execution.CancelMode != pipelineexec.NotCancelled && view.Status == pipelineexec.RunRunning {
 		view.Status = pipelineexec.RunStopping
 	}
-	view.Stages = execution.Plan.Stages[1 : len(execution.Plan.Stages)-1]
+	view.Stages = execution.Plan.Stages[1 : len(execution.Plan.Stages)-1] // without .pre and .post
 	for job, state := range execution.JobStates {
 		view.countJob(state.Status)
 		view.Jobs = append(view.Jobs, newJobView(id, execution, job, observe))
@@ -97,7 +97,7 @@
 	view := JobView{
 		Name:    job.Name,
 		Stage:   plan.Stages[job.Stage],
-		Status:  state.Status.String(),
+		Status:  state.Status.Name(),
 		Reason:  string(state.Cause),
 		Attempt: state.Attempt,
 		Retries: job.Retries,
--- a/internal/tracing/tracer.go
+++ b/internal/tracing/tracer.go
@@ -1,4 +1,5 @@
-// Package tracing makes traces of runs of pipeline files.
+// Package tracing makes traces of runs of pipeline files: a span for the run, below it those of its
+// stages, their jobs and the attempts of these. Spans are made when they have ended.
 package tracing
 
 import (
@@ -29,11 +30,11 @@
 	tracer trace.Tracer
 }
 
-// NewNoopTracer makes a tracer without output.
+// NewNoopTracer returns a tracer without output.
 func NewNoopTracer() *Tracer { return &Tracer{noop.NewTracerProvider().Tracer("")} }
 
-// NewTracer makes a tracer that writes its spans to w as lines of JSON. shutdown writes the last of
-// them.
+// NewTracer returns a tracer that writes its spans to w as lines of JSON, in batches. shutdown writes
+// what has not been written yet; it must be called before the process ends.
 func NewTracer(w io.Writer, node string) (t *Tracer, shutdown func(context.Context) error, err error) {
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(w))
 	if err != nil {
@@ -44,7 +45,7 @@
 	return &Tracer{tracer}, provider.Shutdown, nil
 }
 
-// deterministicIDs takes the ids of a span from the context in which it is started.
+// deterministicIDs takes the ids of a span from the context in which it is started, see emit.
 type deterministicIDs struct{}
 
 type spanContextKey struct{}
@@ -71,18 +72,19 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-// interval is from when to when a span lasts.
+// interval is the time from the start to the end of a span.
 type interval struct{ start, end time.Time }
 
 // span is a span that has ended.
 type span struct {
-	id, parent string // within the run; equal for the run itself
+	id, parent string // unique within the run; equal in the span of the run itself
 	name       string
 	interval
 	failure    string // "" unless it failed
 	attributes []attribute.KeyValue
 }
 
+// emit passes a span to the exporter. Its ids are derived from those of the run and the span.
 func (t *Tracer) emit(run string, s span) {
 	ctx := context.Background()
 	if s.parent != s.id {
@@ -109,7 +111,7 @@
 }
 
 // RecordStep makes the spans of the attempts and jobs that have ended in a step, which changed the
-// job states from before to after. It notes what has started.
+// job states from before to after. It adds to startTimes what has started.
 func (t *Tracer) RecordStep(run string, startTimes *StartTimes, plan *pipeline.Plan, before, after []pipelineexec.JobState, now time.Time) {
 	for job := range after {
 		if before[job] != after[job] {
@@ -183,14 +185,15 @@
 func jobSpan(job int) string     { return fmt.Sprintf("job/%d", job) }
 func stageSpan(stage int) string { return fmt.Sprintf("stage/%d", stage) }
 
-// RecordEnd makes the spans of the stages and of the run itself.
-func (t *Tracer) RecordEnd(run, name, status string, startTimes *StartTimes, plan *pipeline.Plan, start, end time.Time) {
+// RecordEnd makes the spans of the stages and of the run itself. It is called once, by the leader that
+// has written the run's final record.
+func (t *Tracer) RecordEnd(run, name string, status pipelineexec.RunStatus, startTimes *StartTimes, plan *pipeline.Plan, start, end time.Time) {
 	for stage, lasted := range startTimes.stage {
 		t.emit(run, span{id: stageSpan(stage), parent: runSpan, name: plan.Stages[stage], interval: lasted})
 	}
 	failure := ""
 	if status == pipelineexec.RunFailed {
-		failure = status
+		failure = string(status)
 	}
 	t.emit(run, span{
 		id:         runSpan,
@@ -198,6 +201,6 @@
 		name:       name,
 		interval:   interval{start, end},
 		failure:    failure,
-		attributes: []attribute.KeyValue{attribute.String("run", run), attribute.String("status", status)},
+		attributes: []attribute.KeyValue{attribute.String("run", run), attribute.String("status", string(status))},
 	})
 }
