--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -8,11 +8,13 @@
 	"cherrywall/internal/kvstore"
 )
 
-// maxCancelAttempts is how often a cancellation is attempted anew while the job's record changes.
+// maxCancelAttempts is how often a cancellation is retried because the job's record has changed. A user
+// who is answered 503 after that retries.
 const maxCancelAttempts = 6
 
-// Cancel cancels a job and sends its status to reply, which must have room for it. The
-// cancellation is durable, and no task of the job starts any more, when it is answered.
+// Cancel cancels a job and sends its status to reply, which must have room for it. When it is answered
+// with the status cancelled, the cancellation is durable and no task of the job starts any more. A job
+// that is done stays done.
 func (c *Controller) Cancel(ref string, reply chan Response) {
 	c.mailbox.Send(func() { c.cancelJob(ref, reply, 0) })
 }
@@ -21,7 +23,8 @@
 	c.findJob(ref, true, func(response Response) {
 		job := c.state.Job(ref)
 		isFinal := response.Status == jobs.Done || response.Status == jobs.Cancelled
-		if response.Code != http.StatusOK || isFinal || job == nil || job.HasEnded() {
+		isUnfinished := response.Code == http.StatusOK && !isFinal && job != nil && !job.HasEnded()
+		if !isUnfinished {
 			reply <- response
 			return
 		}
@@ -37,8 +40,9 @@
 	})
 }
 
-// excludeAndCancel cancels a job whose completion its owner may write to a completion batch, where
-// the preconditions of a cancellation would not see it. It is excluded from batches first.
+// excludeAndCancel cancels a job whose completion its owner may write to a completion batch. Such a
+// completion does not change the job's record, so that the preconditions of the cancellation would hold
+// and the job would be both done and cancelled. The job is excluded from batches first.
 func (c *Controller) excludeAndCancel(job *clusterstate.Job, reply chan Response, attempts int) {
 	ref := job.Ref()
 	c.claims.ExcludeFromBatches(job, func(err error) {
@@ -50,6 +54,8 @@
 	})
 }
 
+// storeCancellation writes the final state of a cancelled job, and begins anew if the job's record has
+// changed.
 func (c *Controller) storeCancellation(job *clusterstate.Job, reply chan Response, attempts int) {
 	ref := job.Ref()
 	final := jobs.FinalState{Status: jobs.Cancelled, Tasks: unfinishedResponse(job).DoneTasks}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -11,35 +11,36 @@
 )
 
 // No task of a job starts once its user was answered that it is cancelled (docs/recovery.md, "No start
-// after a cancellation"). So the answer waits until every controller that owns a part of the job
-// has notified its workers, or can no longer start tasks since its lease has expired.
+// after a cancellation"). So the answer waits until every controller that owns tasks of the job has
+// notified its workers, or may no longer start tasks from what it knew before the cancellation.
 
 // cancellation is a cancelled job, as it is announced to the peers.
 type cancellation struct {
 	ref       string
 	doneTasks int
-	revision  uint64    // of the record that cancelled it
+	revision  uint64    // of the final state that cancelled it
 	knownAt   time.Time // when it became known here
 }
 
-// unconfirmedCancellation is a cancellation that no user has been answered yet.
+// unconfirmedCancellation is a cancellation that no user is answered yet: a worker may still be
+// commanded to start a task of the job.
 type unconfirmedCancellation struct {
 	cancellation
-	owners  map[string]bool // other controllers that owned a part of the job
-	waiters []func()        // requests about the job
+	owners  map[string]bool // other controllers that owned tasks of the job
+	waiters []func()        // requests about the job, to be answered after the confirmation
 }
 
 // cancellationLog holds the cancellations that are announced and confirmed.
 type cancellationLog struct {
 	recent           []cancellation
 	unconfirmed      map[string]*unconfirmedCancellation // by job
-	isCheckScheduled bool                                // confirmCancellations will run again
+	isCheckScheduled bool                                // confirmCancellations will run after its poll interval
 }
 
 // pending returns the unconfirmed cancellation of a job, nil if there is none.
 func (l *cancellationLog) pending(ref string) *unconfirmedCancellation { return l.unconfirmed[ref] }
 
-// dropExpired drops cancellations that have been announced for long enough.
+// dropExpired drops the cancellations that have been announced to the peers for long enough.
 func (l *cancellationLog) dropExpired(now time.Time) {
 	l.recent = slices.DeleteFunc(l.recent, func(c cancellation) bool {
 		return now.Sub(c.knownAt) > tuning.CancellationAnnouncePeriod
@@ -62,7 +63,8 @@
 		return
 	}
 	c.cancellations.unconfirmed[ref] = &unconfirmedCancellation{cancellation: cancelled, owners: owners}
-	// The claims are removed with the change that is being applied now; the workers are notified after it.
+	// The claims are removed by the change that is being applied now. Only then are the job's tasks ones
+	// to be stopped, so the workers are notified in a later message.
 	c.mailbox.SendAfter(time.Millisecond, func() {
 		c.sessions.SendCancellations(time.Now())
 		c.sendHeartbeats()
@@ -119,7 +121,7 @@
 		return false
 	}
 	if elapsed >= c.cfg.CancellationEffectiveDelay() {
-		return true // no owner may start tasks by what it knew before the cancellation
+		return true // no owner may start tasks any more from what it knew before the cancellation
 	}
 	for node := range pending.owners {
 		if !c.hasPeerConfirmed(node, pending, elapsed) {
@@ -129,8 +131,8 @@
 	return true
 }
 
-// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation, or
-// has applied it and given them enough time.
+// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation; or
+// has applied it, and tuning.CancellationConfirmWait is over.
 func (c *Controller) hasPeerConfirmed(node string, pending *unconfirmedCancellation, elapsed time.Duration) bool {
 	if c.peers.HasNotifiedWorkers(node, pending.ref) {
 		return true
@@ -138,7 +140,8 @@
 	return elapsed >= tuning.CancellationConfirmWait && c.peers.HasApplied(node, pending.revision)
 }
 
-// applyPeerCancellations takes in the cancellations that another controller announces.
+// applyPeerCancellations applies the cancellations that another controller announces, which arrive
+// before the watch delivers them if it lags.
 func (c *Controller) applyPeerCancellations(cancelled []peer.CancelledJob, now time.Time) {
 	for _, job := range cancelled {
 		c.cache.ApplyPeerCancellation(job.Ref, job.CompletedTasks, job.Revision)
@@ -149,7 +152,8 @@
 	}
 }
 
-// announcedCancellations returns the latest cancellations for the heartbeat to the peers.
+// announcedCancellations returns the latest cancellations for the heartbeat to the peers, at most
+// tuning.MaxAnnouncedCancellations.
 func (c *Controller) announcedCancellations(now time.Time) []peer.CancelledJob {
 	c.cancellations.dropExpired(now)
 	recent := c.cancellations.recent
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
 // Package controller is the actor that decides which tasks run on which machines.
 //
 // A Controller owns one goroutine and the components that share its state: the cluster state and
-// its cache, the scheduler, the sessions of the workers, the reconciliation, the hand-over of
-// shards and the life cycle of the machines. It decides in which sequence they run in a tick, what
-// else follows from a changed record, and answers users, operators and the other actors of the
-// process.
+// its cache of the store, the scheduler, the sessions of the workers, the reconciliation, the
+// handover of shards and the lifecycle of the machines. The package determines the sequence in which
+// they run in a tick and which components a changed record concerns, and it answers users, operators
+// and the other actors of the process.
 package controller
 
 import (
@@ -60,7 +60,7 @@
 	isCyclePending bool // a scheduling cycle will run when MinCycleInterval is over
 	lastCycleAt    time.Time
 	lastRecountAt  time.Time
-	isLeaving      bool
+	isLeaving      bool // Leave was called
 
 	// unstoredClaims is the number of tasks that are claimed by acceptance transactions in flight.
 	unstoredClaims int
@@ -69,7 +69,7 @@
 	dependentCancelsInFlight int
 
 	health    atomic.Pointer[healthStatus]
-	resumedAt time.Time // when this process last went on after a stall
+	resumedAt time.Time // when this process last resumed after a stall
 }
 
 // components are the parts of a controller. They are used only on its goroutine.
@@ -97,9 +97,9 @@
 // them. A nil chunk stands for a heartbeat without a transfer.
 type PeerSender func(to string, chunks []*peer.TransferChunk) bool
 
-// PipelineSubscriber is notified of changes of the records under jobs.ApartPrefix. If reread is set,
+// PipelineSubscriber is notified of changes of the records under jobs.OpaquePrefix. If reread is set,
 // changes may have been missed and all these records have to be read again. It is called on the
-// controller's goroutine and must not block for long.
+// controller's goroutine, which handles nothing else until it returns.
 type PipelineSubscriber = func(events []kvstore.Event, reread bool)
 
 // New returns a controller that works until ctx ends; Start starts it. incarnation identifies
@@ -216,8 +216,8 @@
 	c.lifecycle.Reset()
 }
 
-// Subscribe makes subscriber follow the records of pipelines. It is first notified to read them all
-// as soon as this controller has read the store.
+// Subscribe makes subscriber follow the records of pipelines, instead of a former subscriber. Its first
+// notification has reread set and comes as soon as this controller has read the store.
 func (c *Controller) Subscribe(subscriber PipelineSubscriber) {
 	c.mailbox.Send(func() {
 		c.notifySubscriber = subscriber
@@ -231,8 +231,9 @@
 // of this version. It must be called before Start.
 func (c *Controller) OnFeatureGateOpen(opened func()) { c.onFeatureGateOpen = opened }
 
-// SetPeerSender gives the controller a way to send messages to its peers. It must be called
-// before Start. Without it no shard is handed over.
+// SetPeerSender gives the controller a way to send messages to its peers. It must be called before
+// Start. Without it no shard is handed over, and peers learn of suspicions and cancellations only by
+// the regular heartbeats.
 func (c *Controller) SetPeerSender(send PeerSender) { c.sendToPeer = send }
 
 // Start starts the controller's goroutine, which ends with the context given to New.
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -41,16 +41,17 @@
 }
 
 // runCycleIfDue runs a scheduling cycle if the state has changed and the last cycle is longer ago
-// than tuning.MinHeartbeatCycleInterval. Worker sessions use it to answer a heartbeat with the
-// tasks that follow from it.
+// than tuning.MinHeartbeatCycleInterval. Worker sessions call it before they answer a heartbeat, so
+// that the answer starts tasks on the capacity that the heartbeat reports as free.
 func (c *Controller) runCycleIfDue() {
 	if c.state.IsDirty() && time.Since(c.lastCycleAt) > tuning.MinHeartbeatCycleInterval {
 		c.runCycle()
 	}
 }
 
-// runCycle runs a scheduling cycle and answers the workers that it concerns. A controller that
-// may not renew worker leases only sends cancellations.
+// runCycle runs a scheduling cycle and answers the workers that it concerns. A controller that may
+// not renew worker leases only sends cancellations: another one may own its shards already, and both
+// would start the same tasks.
 func (c *Controller) runCycle() {
 	c.state.ClearDirty()
 	c.lastCycleAt = time.Now()
@@ -62,12 +63,13 @@
 	c.sessions.SendResponses()
 }
 
-// tick does what is due at regular intervals.
+// tick runs the periodic work of all components. Until the cache is synced it only updates the health
+// status and refuses the heartbeats that have waited too long.
 func (c *Controller) tick() {
 	now := time.Now()
 	c.updateHealth(now)
 	if !c.cache.Synced() {
-		c.sessions.ProcessEarlyHeartbeats() // refuses those that have waited too long
+		c.sessions.ProcessEarlyHeartbeats()
 		return
 	}
 	c.detectFailures(now)
@@ -84,7 +86,8 @@
 	}
 }
 
-// recount computes anew what is otherwise kept up to date change by change.
+// recount computes from the whole state what is otherwise updated with each change or depends on the
+// time, stores changed machine types and logs the utilization.
 func (c *Controller) recount(now time.Time) {
 	c.scheduler.Recount(now)
 	c.state.Dependencies().RefreshExpectedRuns()
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -21,7 +21,8 @@
 // asked, since another controller may have accepted that job a moment ago.
 func (c *Controller) resolveDependencies(sub submission) {
 	if !c.gate.IsOpen() {
-		// A retry of an accepted submission is answered, whatever versions the controllers run.
+		// A controller of an older version would start the job without waiting. But a repeated
+		// submission of a known job is answered, whatever versions the controllers run.
 		c.findJob(sub.ref, true, func(response Response) {
 			if response.Code == http.StatusNotFound {
 				response = unavailable("awaits: not before all controllers run this version; missing: " + strings.Join(c.gate.PendingControllers(), ", "))
@@ -107,6 +108,8 @@
 	c.continueFetch(fetch)
 }
 
+// continueFetch begins as many reads as may be in flight. After an error it begins no more, and calls
+// done when the last one in flight has ended.
 func (c *Controller) continueFetch(fetch *finalStateFetch) {
 	for fetch.inFlight < tuning.MaxConcurrentFinalStateReads && fetch.next < len(fetch.refs) && fetch.err == nil {
 		ref := fetch.refs[fetch.next]
@@ -129,9 +132,10 @@
 	}
 }
 
-// cancelDependents stores a final state for jobs that depend on a cancelled one. Their users are
-// answered from the dependency graph from the moment of the cancellation on, so this may happen at
-// any later time; a repetition by another controller fails by the preconditions.
+// cancelDependents stores a final state for jobs that depend on a cancelled one. It may do so at any
+// later time, since users are answered from the dependency graph as soon as the cancellation is known.
+// One controller does it, which saves writes; if another one takes itself for the first live member,
+// too, the second transaction fails by its preconditions.
 func (c *Controller) cancelDependents(now time.Time) {
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
 		return
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -10,10 +10,10 @@
 	"cherrywall/internal/workersession"
 )
 
-// What workers and the autoscaler send to the controller and ask it.
+// The methods in this file are for the workers and the autoscaler.
 
-// HandleHeartbeat passes on a worker's heartbeat. The answer is sent to reply, which must have
-// room for it.
+// HandleHeartbeat handles a worker's heartbeat. The answer is sent to reply, which must have room for
+// it.
 func (c *Controller) HandleHeartbeat(heartbeat *workerapi.Heartbeat, reply chan workersession.HeartbeatReply) {
 	receivedAt := time.Now()
 	c.mailbox.Send(func() { c.sessions.HandleHeartbeat(heartbeat, receivedAt, reply) })
@@ -27,14 +27,14 @@
 	})
 }
 
-// SetBootTimes sets the usual boot times that the autoscaler has observed, in seconds by machine
-// type.
+// SetBootTimes sets the usual boot times by machine type, in seconds, as the autoscaler has observed
+// them.
 func (c *Controller) SetBootTimes(seconds map[string]float64) {
 	c.mailbox.Send(func() { c.machineTypes.LearnBootTimes(seconds, time.Now()) })
 }
 
-// Demand returns what waits for machines, for the autoscaler. It is empty if the controller has
-// ended.
+// Demand returns the jobs that wait and the machines that exist, for the autoscaler. It is the zero
+// value, which does not count as current, if the controller has ended.
 func (c *Controller) Demand() scheduler.Demand {
 	demand, _ := actor.Ask(c.mailbox, func() scheduler.Demand { return c.scheduler.Demand(time.Now(), c.incarnation) })
 	return demand
--- a/internal/controller/localstate.go
+++ b/internal/controller/localstate.go
@@ -9,9 +9,9 @@
 
 // LocalState is what this controller knows of some jobs without asking the key-value store.
 type LocalState struct {
-	Synced bool
+	Synced bool                // all records were read
 	Shards map[string]uint64   // the epochs of the shards owned here
-	Jobs   map[string]LocalJob // all jobs that were asked for
+	Jobs   map[string]LocalJob // an entry for each requested job
 }
 
 // LocalJob is a job in a LocalState. It is the zero value for a job that is not known here.
@@ -25,8 +25,9 @@
 	FinalStatus  string // empty as long as the job is unfinished
 }
 
-// LocalState returns what is known of jobs; ok is false if the controller has ended. It holds
-// no shards and no jobs if the controller may not act on what it knows.
+// LocalState returns what is known of jobs; ok is false if the controller has ended. Shards and Jobs
+// are empty if the cache is not synced, or so old that this controller may not renew worker leases:
+// another one may own its shards, and acting on the state could contradict that one.
 func (c *Controller) LocalState(refs []string) (local LocalState, ok bool) {
 	return actor.Ask(c.mailbox, func() LocalState {
 		now := time.Now()
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -7,8 +7,8 @@
 	"cherrywall/internal/admin"
 )
 
-// Settings returns the operators' settings in force and their version; ok is false as long as
-// they have not been read.
+// Settings returns the operators' settings in force and their version; ok is false as long as they
+// have not been read, and when the controller has ended.
 func (c *Controller) Settings() (settings admin.Settings, version uint64, ok bool) {
 	type answer struct {
 		settings admin.Settings
@@ -42,8 +42,9 @@
 	}
 }
 
-// IsFirstLiveMember reports whether this controller is the first by name of those that are live.
-// Work that any one of them may do is left to that one.
+// IsFirstLiveMember reports whether this controller is the first by name of those that are live. Work
+// that one controller has to do for all is left to it. Two may take themselves for the first for a
+// moment, so that such work must be safe to repeat.
 func (c *Controller) IsFirstLiveMember() bool {
 	isFirst, _ := actor.Ask(c.mailbox, c.isFirstLiveMember)
 	return isFirst
@@ -70,7 +71,7 @@
 	return view, view != nil
 }
 
-// Gauges returns the values of the controller's gauges by metric name; nil if it has ended.
+// Gauges returns the values of the controller's gauges by metric name; nil if the controller has ended.
 func (c *Controller) Gauges() map[string]float64 {
 	gauges, _ := actor.Ask(c.mailbox, func() map[string]float64 { return c.diagnostics.Gauges(time.Now()) })
 	return gauges
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -8,8 +8,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// detectFailures looks for controllers that have failed. New suspicions are sent to the peers at
-// once, since a controller counts as failed only if they suspect it, too.
+// detectFailures looks for controllers that have failed. New suspicions are sent to the peers at once:
+// a controller counts as failed only if its other peers suspect it, too, and each delay of a
+// suspicion delays the failover.
 func (c *Controller) detectFailures(now time.Time) {
 	if !c.detector.Check(now, !c.cache.IsStale(now)) {
 		return
@@ -60,7 +61,8 @@
 	})
 }
 
-// HandlePeerHeartbeat takes in a heartbeat of another controller.
+// HandlePeerHeartbeat handles a heartbeat of another controller, with the transfer chunk that it may
+// contain.
 func (c *Controller) HandlePeerHeartbeat(heartbeat peer.Heartbeat) {
 	c.mailbox.Send(func() {
 		now := time.Now()
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -6,9 +6,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// Leave hands this controller's shards over to its peers and gives up its liveness record. It
-// returns when no shard is left, or none can be handed over, or tuning.ShutdownTransferTimeout is
-// over. The controller is unhealthy from the beginning, so that users are sent elsewhere.
+// Leave hands this controller's shards over to its peers and releases its liveness record. It waits
+// until no shard is left, or no peer can take one, or tuning.ShutdownTransferTimeout is over; then
+// tuning.ShutdownLastWriteTimeout for the last writes. It returns early if the controller's context
+// ends. The controller is unhealthy from the beginning, so that users are sent elsewhere.
 func (c *Controller) Leave() {
 	finished := make(chan struct{})
 	startedAt := time.Now()
@@ -23,8 +24,8 @@
 	}
 }
 
-// awaitHandovers checks at each tick interval whether there is anything left to hand over, and
-// closes finished when this controller has given up its liveness record.
+// awaitHandovers checks at each tick interval whether there is anything left to hand over. When there
+// is not, it releases the liveness record, and closes finished after the time for the last writes.
 func (c *Controller) awaitHandovers(startedAt time.Time, finished chan struct{}) {
 	now := time.Now()
 	isUnavailable := func(node string) bool { return node == c.cfg.Node || c.peers.IsLeaving(node, now) }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/statecache"
 )
 
-// Response is the answer to a user's request. Code is an HTTP status code; Error is set for codes
-// from 400 on, the other fields below that.
+// Response is the answer to a user's request. Code is an HTTP status code; Error is set for codes from
+// 400 on, the other fields for codes below 400.
 type Response struct {
 	Code        int
 	Ref         string
@@ -40,9 +40,10 @@
 // replace it.
 var readBarrier = (*statecache.Cache).ReadBarrier
 
-// findJob calls done with the status of a job, never an older one than any controller has
-// answered: a final state never changes, any other is read behind a read barrier. A read that is
-// not urgent may be delayed to use the barrier of others.
+// findJob calls done with the status of a job, never with an older one than any controller has
+// answered before: a final state never changes, and any other is read behind a read barrier. While a
+// cancellation of the job is unconfirmed, done is called only after its confirmation. A read that is
+// not urgent may wait for a moment to share the read barrier of others.
 func (c *Controller) findJob(ref string, urgent bool, done func(Response)) {
 	retry := func() { c.findJob(ref, urgent, done) }
 	if pending := c.cancellations.pending(ref); pending != nil {
@@ -79,7 +80,8 @@
 func (c *Controller) answerFromCurrentCache(ref string, done func(Response)) {
 	job := c.state.Job(ref)
 	if c.cache.IsQuarantined(jobs.JobKey(ref)) {
-		// The job was accepted, but its record can't be read: it is neither known nor unknown.
+		// The job was accepted, but its record can't be read. Answering that there is no such job
+		// would have users submit it again and run it twice.
 		done(unavailable("the job's record is set aside, see cherrywall doctor"))
 		return
 	}
@@ -87,15 +89,16 @@
 		c.answerFromStore(ref, done)
 		return
 	}
-	// A job that this one depends on may have been cancelled before this controller began to
-	// watch. Then this job is cancelled, too, and must not be called anything else.
+	// A job that this one depends on may have been cancelled before this controller began to watch,
+	// and its final state not be cached. Then this job is cancelled, too; answering that it waits
+	// would contradict what other controllers have answered.
 	unknown := c.state.Dependencies().UnknownAncestors(ref)
 	if len(unknown) == 0 {
 		done(unfinishedResponse(job))
 		return
 	}
 	c.fetchFinalStates(unknown, func(found map[string]jobdag.FinalState, err error) {
-		if err != nil || len(found) < len(unknown) { // one may have become known here since
+		if err != nil || len(found) < len(unknown) { // whether the job is cancelled can't be said without each of them
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
@@ -114,8 +117,9 @@
 	return unavailable(reasonBusy)
 }
 
-// answerFromStore reads the final state of a job from the key-value store. The cache was current
-// and held no such unfinished job, so that a job without a final state did not exist then.
+// answerFromStore answers with the final state of a job in the key-value store, since the cache does
+// not have all of them. It may be called only when the cache is current and has no such unfinished job:
+// without a final state the job was never accepted.
 func (c *Controller) answerFromStore(ref string, done func(Response)) {
 	c.cache.LookUpFinal(ref, func(final jobs.FinalState, exists bool, err error) {
 		switch {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -15,8 +15,8 @@
 	"cherrywall/internal/kvstore"
 )
 
-// maxSubmitRetries is how often a submission is tried again when the cluster changed between the
-// decision and the transaction. A user who is answered 503 after that comes back by himself.
+// maxSubmitRetries is how often a submission is retried because the cluster changed between the
+// decision and the transaction. A user who is answered 503 after that retries.
 const maxSubmitRetries = 3
 
 // errRecordTooLarge refuses a job whose record does not fit into the key-value store.
@@ -26,14 +26,14 @@
 type submission struct {
 	ref  string
 	spec *jobs.Spec
-	// invalid is what is wrong with the request. It is answered only if the job is unknown, since
-	// a repeated submission of a known job is answered with the job's status, whatever it says.
+	// invalid is what is wrong with the request. It is answered only if the job is unknown: a repeated
+	// submission of a known job is answered with the job's status, whatever its content.
 	invalid error
 	// precondition has to hold for the job to be accepted; nil if there is none.
 	precondition *kvstore.Condition
 	priority     kvstore.Priority
 	reply        chan<- Response
-	retries      int
+	retries      int // so far, at most maxSubmitRetries
 	// dependencies are the states of the jobs that it depends on; nil until they were looked up.
 	dependencies map[string]jobdag.FinalState
 }
@@ -46,15 +46,17 @@
 	})
 }
 
-// SubmitIf accepts a job on behalf of another record of the key-value store, as long as the
-// condition holds for that record; if it does not, the answer has the code 409. Users'
-// submissions have priority over it.
+// SubmitIf accepts a job in one transaction with a condition on another record of the key-value store;
+// if the condition does not hold, the answer has the code 409. A job that is known here already is
+// answered with its status, whether or not the condition holds. Users' submissions have priority.
+// reply must have room for the answer.
 func (c *Controller) SubmitIf(spec *jobs.Spec, condition kvstore.Condition, reply chan<- Response) {
 	c.mailbox.Send(func() {
 		c.submit(submission{ref: spec.Ref, spec: spec, precondition: &condition, priority: kvstore.Background, reply: reply})
 	})
 }
 
+// submit validates a submission and accepts its job, or answers with the status of a known job.
 func (c *Controller) submit(sub submission) {
 	if !c.cache.Synced() {
 		sub.reply <- unavailable(reasonNotSynced)
@@ -132,8 +134,8 @@
 	return nil
 }
 
-// Check returns an error if a job can never run here or exceeds the limits of its class.
-// isDecided is false as long as too little is known to say.
+// Check returns an error if a job can never run here or exceeds the limits of its class. isDecided is
+// false as long as too little is known to say, and when the controller has ended.
 func (c *Controller) Check(spec *jobs.Spec) (isDecided bool, err error) {
 	type answer struct {
 		isDecided bool
@@ -153,7 +155,7 @@
 	record       jobs.JobRecord
 	txn          kvstore.Txn
 	status       string // of the job when it is accepted
-	claimedTasks int    // that the transaction also claims for a shard of this controller
+	claimedTasks int    // how many tasks the transaction claims for a shard of this controller
 }
 
 // acceptJob stores a valid new job and answers its submission.
@@ -179,8 +181,9 @@
 	})
 }
 
-// newAcceptance makes the transaction that accepts a job. A small job is claimed with the same
-// transaction, a job that depends on a cancelled one is stored as cancelled.
+// newAcceptance makes the transaction that accepts a job, provided that neither a record nor a final
+// state of it exists. A small job is claimed by the same transaction, which saves the writes of a
+// separate claim; a job that depends on a cancelled one is stored as cancelled.
 func (c *Controller) newAcceptance(sub submission) acceptance {
 	spec := sub.spec
 	accept := acceptance{status: jobs.Queued}
