--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
-// Package examples holds pipeline files to begin with.
+// Package examples embeds example pipeline files.
 package examples
 
 import _ "embed" // for the files
 
-// Dusk is the example that the demo runs.
+// Dusk is the pipeline file that "cherrywall demo" runs.
 //
 //go:embed dusk.yml
 var Dusk []byte
--- a/internal/cronschedule/schedule.go
+++ b/internal/cronschedule/schedule.go
@@ -11,8 +11,8 @@
 	"github.com/robfig/cron/v3"
 )
 
-// The errors of Parse. Their texts are shown to users; unknown zones and malformed expressions are
-// errors of their own texts.
+// The errors of Parse. Their texts are shown to users. For unknown zones and malformed expressions Parse
+// returns other errors.
 var (
 	ErrZoneMissing       = errors.New("zone: missing, such as Europe/Zurich")
 	ErrUnsupportedForm   = errors.New("cron: five fields, or @hourly, @daily, @weekly, @monthly, @yearly; the zone is said apart")
@@ -20,25 +20,26 @@
 )
 
 const (
-	// maxZoneChange bounds how far the clocks of a zone are changed at once.
+	// maxZoneChange bounds by how much a zone is expected to put its clocks forward at once.
 	maxZoneChange = 3 * time.Hour
-	// maxMissedTimes bounds how many missed times Due counts one by one.
+	// maxMissedTimes limits how many missed times Due goes through one by one.
 	maxMissedTimes = 10_000
 )
 
 // Schedule is the times of a cron expression of five fields in a zone. A time of day that the zone
 // skips when its clocks are put forward is due at the change; one that occurs twice is due the
-// first time. For expressions that apply to every hour elapsed time counts instead, as users expect
-// of "every ten minutes".
+// first time. For expressions that apply to every hour elapsed time counts instead: "every ten minutes"
+// is due every ten minutes also in the hour that occurs twice.
 type Schedule struct {
 	zone      *time.Location
-	spec      cron.SpecSchedule // its location is set for each use
+	spec      cron.SpecSchedule // nextIn sets its location for each use
 	everyHour bool
 }
 
 var cronParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
-// Parse parses an expression of five fields, or a descriptor such as @daily, in a named zone.
+// Parse parses an expression of five fields, or a descriptor such as @daily, in a named zone. It returns
+// an error for an expression without a time within five years, as for the 30th of February.
 func Parse(expression, zone string) (*Schedule, error) {
 	if zone == "" {
 		return nil, ErrZoneMissing
@@ -75,7 +76,8 @@
 	if s.everyHour {
 		return s.nextIn(s.zone, after.In(s.zone))
 	}
-	// Search on the wall clock, as if its zone had no changes.
+	// Search on the wall clock as if the zone never changed its clocks: the cron library skips times
+	// that do not exist in a zone, and finds those twice that occur twice.
 	wallClock := onWallClock(after.In(s.zone))
 	for {
 		wallClock = s.nextIn(time.UTC, wallClock)
@@ -85,7 +87,7 @@
 		if next := s.firstInstant(wallClock); next.After(after) {
 			return next
 		}
-		// The first of two such times has passed.
+		// The wall clock shows this time once more; the first occurrence has passed.
 	}
 }
 
@@ -100,8 +102,8 @@
 	return time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), t.Second(), t.Nanosecond(), time.UTC)
 }
 
-// firstInstant returns the first moment at which the clocks of the zone show a time, or have
-// passed it.
+// firstInstant returns the first moment at which the clocks of the zone show a time. If they skip the
+// time, it returns the moment of the change.
 func (s *Schedule) firstInstant(wallClock time.Time) time.Time {
 	at := time.Date(wallClock.Year(), wallClock.Month(), wallClock.Day(), wallClock.Hour(), wallClock.Minute(), wallClock.Second(), 0, s.zone)
 	shows := func(t time.Time) bool { return t.Hour() == wallClock.Hour() && t.Minute() == wallClock.Minute() }
@@ -124,8 +126,8 @@
 	return at
 }
 
-// Due returns the last time that has passed, given the one that was to be next, and the first time
-// after now. After an outage only the last of the missed times is due.
+// Due returns which time is due, given the next one that was planned, which has passed, and the first
+// time after now. If several times were missed, as in an outage, only the last of them is due.
 func (s *Schedule) Due(next, now time.Time) (dueAt, nextAt time.Time) {
 	dueAt = next
 	for range maxMissedTimes {
@@ -135,5 +137,5 @@
 		}
 		dueAt = following
 	}
-	return dueAt, s.Next(now) // very frequent, and missed for very long
+	return dueAt, s.Next(now) // more than maxMissedTimes were missed: dueAt is not the last of them
 }
--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -19,7 +19,7 @@
 	variables map[string]string // besides those of the job
 }
 
-// compileJob adds all copies of a job of the file to the plan.
+// compileJob adds all copies of a job of the file to the plan, or reports what is wrong with it.
 func (c *compiler) compileJob(name string) {
 	node := mergeMappings(c.extendedNode(name, nil), c.defaultNode)
 	var p parallel
@@ -93,7 +93,8 @@
 }
 
 // combinations returns one copy for each combination of the values of a matrix row's variables,
-// named by these. They are more than the caller accepts if they are too many.
+// named after the values. If there are more than maxParallel it returns only a few more than that,
+// which the caller rejects: their number grows exponentially with that of the variables.
 func combinations(row map[string]oneOrMore, variables []string) []jobCopy {
 	all := []jobCopy{{variables: map[string]string{}}}
 	for _, variable := range variables {
@@ -101,7 +102,7 @@
 		for _, combination := range all {
 			for _, value := range row[variable] {
 				if len(extended) > maxParallel {
-					break // rejected by the caller
+					break
 				}
 				extended = append(extended, combination.with(variable, value))
 			}
@@ -148,8 +149,8 @@
 	c.plan.Jobs = append(c.plan.Jobs, j.job)
 }
 
-// expandKeys expands the variables in the keys that are read. Keys without effect here may use
-// variables that are set elsewhere.
+// expandKeys expands the variables in the keys that are read. Keys without effect here are left out:
+// they may use variables that are not set in the file.
 func (c *compiler) expandKeys(base string, tree *yaml.Node, variables map[string]string) {
 	for i := 0; i+1 < len(tree.Content); i += 2 {
 		key := tree.Content[i].Value
@@ -159,7 +160,8 @@
 	}
 }
 
-// at returns the node at a path of keys, as far as the path exists: where a problem is reported.
+// at returns the node where a problem with a key is reported: the deepest one on the path of keys that
+// exists, or the job's name if there is none.
 func (j *jobCompiler) at(path ...string) *yaml.Node {
 	node := j.tree
 	for _, key := range path {
@@ -173,7 +175,7 @@
 	return node
 }
 
-// compile makes the job of the plan from the keys.
+// compile makes the job of the plan from the keys, and reports their problems.
 func (j *jobCompiler) compile(name string) {
 	keys := &j.keys
 	j.job = Job{
@@ -216,7 +218,7 @@
 
 func (j *jobCompiler) compileAllowFailure() {
 	if j.job.When == Manual && !j.keys.AllowFailure.isSet {
-		j.job.AllowFailure = true // as in the published format: no other job has to wait for it
+		j.job.AllowFailure = true // the default of the published format: no other job waits for it
 	}
 	if value := valueOf(j.tree, "allow_failure"); value != nil && value.Kind == yaml.MappingNode {
 		j.addNotice(value, "%s.allow_failure: tasks have no exit codes here, so no failure is allowed", j.base)
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// newSpec makes a spec without kind from a job's keys, with the defaults of what is left out.
+// newSpec makes a spec from a job's keys, with defaults for what is left out. The kind is not set.
 func newSpec(keys *jobKeys) jobs.Spec {
 	cluster := &keys.Cluster
 	spec := jobs.Spec{
@@ -106,7 +106,8 @@
 	}
 }
 
-// isAmount reports whether a number is not negative. NaN is no amount.
+// isAmount reports whether a number is 0 or above. It is false for NaN, which a comparison with < 0
+// would accept.
 func isAmount(number float64) bool { return number >= 0 }
 
 // checkClassLimits checks a job against the operators' limits of its class.
--- a/internal/pipeline/compress.go
+++ b/internal/pipeline/compress.go
@@ -30,7 +30,8 @@
 	return compressed.Bytes(), nil
 }
 
-// DecompressPlan reads a plan in its stored form.
+// DecompressPlan reads a plan in its stored form. It reads at most tuning.MaxPlanBytes of JSON and
+// returns an error for a longer plan, so that a damaged record can't exhaust the memory.
 func DecompressPlan(compressed []byte) (*Plan, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
--- a/internal/pipeline/decode.go
+++ b/internal/pipeline/decode.go
@@ -20,7 +20,8 @@
 }
 
 // decodeMapping decodes a mapping into a struct, key by key, so that the problems of all keys are
-// found; prefix is what their names begin with. unknown is called for keys without a field.
+// reported and not only the first. prefix precedes the keys in the texts of problems. unknown is called
+// for keys without a field.
 func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, into any, unknown func(key, value *yaml.Node)) {
 	target := reflect.ValueOf(into).Elem()
 	fields := fieldsByKey(target.Type())
@@ -57,8 +58,8 @@
 
 var variablePattern = regexp.MustCompile(`\$\$|\$\{[A-Za-z_][A-Za-z0-9_]*\}|\$[A-Za-z_][A-Za-z0-9_]*`)
 
-// expandVariables replaces variables by their values in all texts of a tree, which is changed;
-// $$ stands for a $. name is the key of the tree.
+// expandVariables replaces variables by their values in all texts of a tree, in place; $$ becomes $.
+// name is the tree's key in the texts of problems.
 func (c *problemCollector) expandVariables(node *yaml.Node, name string, variables map[string]string) {
 	for _, child := range node.Content {
 		c.expandVariables(child, name, variables)
--- a/internal/pipeline/duration.go
+++ b/internal/pipeline/duration.go
@@ -17,7 +17,7 @@
 // durationPattern matches one number with its unit at the beginning of the rest.
 var durationPattern = regexp.MustCompile(`^\s*([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)\s*(?:and|,)?`)
 
-// day and week are always of 24 hours.
+// A day always has 24 hours here.
 const (
 	day  = 24 * time.Hour
 	week = 7 * day
@@ -31,7 +31,8 @@
 	"w": week, "week": week, "weeks": week,
 }
 
-// UnmarshalYAML implements yaml.Unmarshaler.
+// UnmarshalYAML implements yaml.Unmarshaler. A number without a unit is in seconds. The duration must be
+// above 0 and at most tuning.MaxPipelineDuration.
 func (d *duration) UnmarshalYAML(node *yaml.Node) error {
 	const wrongForm = "must be a time such as 90s or 1h 30m"
 	rest, sum := node.Value, 0.0
--- a/internal/pipeline/keys.go
+++ b/internal/pipeline/keys.go
@@ -4,8 +4,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The types below are the keys of a file: the JSON schema of files is made from them, so that their
-// tags and descriptions are published. Keys that have several forms implement yaml.Unmarshaler.
+// The types below are the keys of a file. The JSON schema of files is made from them, so that their
+// tags and descriptions are published texts. Keys that have several forms implement yaml.Unmarshaler.
 
 // file is the top of a file. Every other key there is a job.
 type file struct {
@@ -41,7 +41,7 @@
 	Cluster       cluster           `json:"cluster,omitempty" jsonschema:"description=What the job is for the cluster."`
 }
 
-// cluster is the keys for the cluster, which the published format does not have.
+// cluster has the keys of a job for the cluster, an extension of the published format.
 type cluster struct {
 	Class       string   `json:"class,omitempty" jsonschema:"description=Class of jobs; limits and aims belong to it."`
 	Team        string   `json:"team,omitempty" jsonschema:"description=Team whose guarantee and limit apply."`
@@ -117,7 +117,7 @@
 
 // retry is how often a job is retried, and after which causes.
 type retry struct {
-	node *yaml.Node // for problems
+	node *yaml.Node // where problems are reported
 	Max  int        `json:"max"`
 	When oneOrMore  `json:"when,omitempty"`
 }
@@ -205,9 +205,9 @@
 	return nil
 }
 
-// need is a job that has to end first.
+// need is a job that another one needs.
 type need struct {
-	node     *yaml.Node // for problems
+	node     *yaml.Node // where problems are reported
 	Job      string     `json:"job"`
 	Optional bool       `json:"optional,omitempty"`
 }
--- a/internal/pipeline/needs.go
+++ b/internal/pipeline/needs.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// resolveNeeds resolves the names of needed jobs.
+// resolveNeeds resolves the names of needed jobs to indexes in the plan, once all jobs are known.
 func (c *compiler) resolveNeeds() {
 	for _, pending := range c.pendingNeeds {
 		job := &c.plan.Jobs[pending.job]
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// addNeeds adds needed jobs, which must not be in later stages.
+// addNeeds adds needed jobs to a job, and reports those that are in later stages.
 func (c *compiler) addNeeds(job *Job, entry need, needed []int) {
 	for _, i := range needed {
 		if stage := c.plan.Jobs[i].Stage; stage > job.Stage {
@@ -56,15 +56,15 @@
 
 const (
 	unvisited visitState = iota
-	onPath
+	onPath               // the search has not left it: needing it closes a cycle
 	visited
 )
 
 // cycleSearch is a depth-first search for jobs that need each other.
 type cycleSearch struct {
 	*compiler
-	states []visitState
-	path   []int
+	states []visitState // by job
+	path   []int        // from the job where the search began to the current one
 }
 
 // reportCycles reports jobs that need each other.
--- a/internal/pipeline/node.go
+++ b/internal/pipeline/node.go
@@ -67,13 +67,14 @@
 	return &merged
 }
 
-// treeCopier copies trees of nodes. A file may repeat itself by aliases without bound: the number
-// of copied nodes is limited.
+// treeCopier copies trees of nodes. It limits the number of copied nodes, since a small file whose
+// aliases are nested grows exponentially when they are resolved.
 type treeCopier struct {
-	copiedNodes int
+	copiedNodes int // by all calls of copyTree
 }
 
-// copyTree copies a node with aliases resolved and merge keys applied, so that it may be changed.
+// copyTree copies a node with aliases resolved and merge keys applied, so that the copy may be changed.
+// It returns an error if the copies exceed the limits of nodes or depth.
 func (c *treeCopier) copyTree(node *yaml.Node, depth int) (*yaml.Node, error) {
 	node = resolveAlias(node)
 	if c.copiedNodes++; c.copiedNodes > tuning.MaxPipelineNodes || depth > tuning.MaxPipelineDepth {
@@ -100,8 +101,8 @@
 	return &copied, nil
 }
 
-// copyMapping copies the keys and values of a mapping, and then those of merge keys which it does
-// not have itself.
+// copyMapping copies the keys and values of a mapping, and then those keys of merged mappings that it
+// does not have itself.
 func (c *treeCopier) copyMapping(node, copied *yaml.Node, depth int) error {
 	var merged []*yaml.Node
 	for i := 0; i+1 < len(node.Content); i += 2 {
--- a/internal/pipeline/parse.go
+++ b/internal/pipeline/parse.go
@@ -32,7 +32,8 @@
 	"pages", "secrets", "id_tokens", "tags", "hooks", "identity", "inherit", "dependencies", "dast_configuration", "spec", "workflow",
 	"$schema"}
 
-// unsupportedKeys are keys of the published format that would, with what to do instead.
+// unsupportedKeys are keys of the published format that would affect that. They are errors, whose texts
+// say what to use instead.
 var unsupportedKeys = map[string]string{
 	"rules":   "when says whether a job runs",
 	"only":    "when says whether a job runs",
@@ -42,14 +43,15 @@
 	"run":     "a cluster job has an image, no steps",
 }
 
-// ClassLimits returns the operators' limits of a class of jobs; ok is false if there are none.
+// ClassLimits returns the operators' limits of a class of jobs; ok is false if the class has none.
 type ClassLimits func(class string) (limits jobs.ClassLimits, ok bool)
 
-// ValidateSpec checks the spec of a job against the cluster. The error says what would be right.
+// ValidateSpec checks whether the cluster can run a job. The text of the error is shown to the user.
 type ValidateSpec func(spec *jobs.Spec) error
 
-// Parse makes a plan of a file. On failure the error is of type Problems. Notices are about keys
-// that have no effect here. limits and validate may be nil if nothing is known of a cluster.
+// Parse makes a plan of a file. The error is of type Problems and has all errors of the file. Notices
+// are about keys that have no effect here; they are returned with an error as well. limits and validate
+// may be nil: then what they check is not checked.
 func Parse(raw []byte, limits ClassLimits, validate ValidateSpec) (plan *Plan, notices Problems, err error) {
 	if len(raw) > tuning.MaxPipelineFileBytes {
 		return nil, nil, Problems{{1, 1, fmt.Sprintf("the file has %d bytes, more than %d", len(raw), tuning.MaxPipelineFileBytes)}}
@@ -84,18 +86,18 @@
 	file          file
 	variables     map[string]string
 	defaultNode   *yaml.Node            // nil if there is none
-	jobNodes      map[string]*yaml.Node // as written, by name, hidden ones included
-	nameNodes     map[string]*yaml.Node // where the jobs are named
-	extendedNodes map[string]*yaml.Node // with the keys of the jobs that they extend
+	jobNodes      map[string]*yaml.Node // the keys of the jobs as written, by name, hidden jobs included
+	nameNodes     map[string]*yaml.Node // the nodes of the jobs' names, where problems are reported
+	extendedNodes map[string]*yaml.Node // the jobs with the keys of those that they extend, see extendedNode
 
 	plan         Plan
-	copies       map[string][]int // indexes in the plan of a job of the file
+	copies       map[string][]int // indexes in the plan, by the job's name in the file
 	pendingNeeds []pendingNeed
 }
 
-// pendingNeed is the needs of a job of the plan as written, resolved when all jobs are known.
+// pendingNeed has the needs of a job of the plan as written; resolveNeeds resolves them.
 type pendingNeed struct {
-	job   int
+	job   int // index in the plan
 	needs needs
 }
 
@@ -134,8 +136,8 @@
 	c.reportCycles()
 }
 
-// readTop decodes the keys of the top, and collects the jobs. It returns their names in the order
-// of the file.
+// readTop decodes the keys of the file's top, and collects the jobs. It returns the jobs' names in the
+// order of the file.
 func (c *compiler) readTop(top *yaml.Node) []string {
 	var names []string
 	c.decodeMapping(top, "", &c.file, func(key, value *yaml.Node) {
@@ -154,7 +156,8 @@
 	return names
 }
 
-// readDefault checks the keys of default; the jobs inherit them as they are written.
+// readDefault reports the problems of the keys of default. Jobs inherit these keys as written, and each
+// expands the variables in them anew.
 func (c *compiler) readDefault(top *yaml.Node) {
 	c.defaultNode = valueOf(top, "default")
 	if c.defaultNode != nil {
@@ -183,8 +186,8 @@
 	}
 }
 
-// reportForeignKey reports a key of the published format that has no effect here or is not
-// supported. It returns false if the key is none.
+// reportForeignKey reports a key of the published format that has no effect here or is not supported,
+// and returns whether the key is such a one.
 func (c *compiler) reportForeignKey(key *yaml.Node, prefix string) bool {
 	if instead, unsupported := unsupportedKeys[key.Value]; unsupported {
 		c.addProblem(key, "%s%s: not supported; %s", prefix, key.Value, instead)
@@ -197,8 +200,8 @@
 	return false
 }
 
-// extendedNode returns a job with the keys of those that it extends. path are the jobs that extend
-// it.
+// extendedNode returns the keys of a job merged with those of the jobs that it extends. path are the
+// jobs through which the search came here, to find cycles.
 func (c *compiler) extendedNode(name string, path []string) *yaml.Node {
 	if node := c.extendedNodes[name]; node != nil {
 		return node
--- a/internal/pipeline/parse_test.go
+++ b/internal/pipeline/parse_test.go
@@ -267,7 +267,8 @@
 	}
 }
 
-// FuzzParse: no file makes the parser panic, errors are Problems, and plans are consistent.
+// FuzzParse checks that no file makes the parser panic, that errors are Problems and that plans are
+// consistent.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(dusk))
 	f.Add([]byte("a: {extends: [b, c]}\n.b: &x {needs: []}\nc: {<<: *x, parallel: 3}"))
@@ -304,8 +305,8 @@
 	}
 }
 
-// FuzzDecompressPlan: no bytes make the reader of stored plans panic, and a plan is read as it was
-// written.
+// FuzzDecompressPlan checks that no bytes make the reader of stored plans panic, and that a plan is read
+// as it was written.
 func FuzzDecompressPlan(f *testing.F) {
 	plan, _, err := Parse([]byte(dusk), nil, nil)
 	if err != nil {
--- a/internal/pipeline/plan.go
+++ b/internal/pipeline/plan.go
@@ -15,11 +15,11 @@
 type Job struct {
 	Name  string `json:"name"`
 	Stage int    `json:"stage"` // index in the plan's stages
-	// Needs are the indexes of the jobs that have to end first. If Staged is true these are all
-	// jobs of the earlier stages instead.
+	// Needs are the indexes of the jobs that have to end before this one starts. If Staged is true
+	// all jobs of the earlier stages have to end instead.
 	Needs  []int     `json:"needs,omitempty"`
 	Staged bool      `json:"staged,omitempty"`
-	Spec   jobs.Spec `json:"spec"` // without id
+	Spec   jobs.Spec `json:"spec"` // without reference: each attempt is submitted under its own
 	// Retries is how often the job is retried, after the causes in RetryOn.
 	Retries       int            `json:"retries,omitempty"`
 	RetryOn       []FailureCause `json:"retry_on,omitempty"`
@@ -50,11 +50,11 @@
 // The causes that can occur here, by their names of the published format.
 const (
 	CauseTimeout       FailureCause = "job_execution_timeout"
-	CauseScriptFailure FailureCause = "script_failure" // it failed on several machines where other jobs work
+	CauseScriptFailure FailureCause = "script_failure" // it failed on several machines where other jobs succeed
 )
 
-// retryCauses are the names of causes in the published format, with the causes that they stand for
-// here.
+// retryCauses has the names of causes to retry after in the published format, each with the causes that
+// it stands for here; an empty list is for one that can't occur here.
 var retryCauses = map[string][]FailureCause{
 	"always":                     {CauseTimeout, CauseScriptFailure},
 	"script_failure":             {CauseScriptFailure},
--- a/internal/pipeline/problem.go
+++ b/internal/pipeline/problem.go
@@ -41,7 +41,8 @@
 	return slices.Compact(ps)
 }
 
-// positionError is a problem returned by a decoder, which does not know the key it decodes.
+// positionError is a problem that a decoder of a value returns. The decoder does not know the value's
+// key; addError puts it before the text.
 type positionError struct{ Problem }
 
 // Error returns the problem with its position.
@@ -51,7 +52,8 @@
 	return positionError{Problem{node.Line, node.Column, text}}
 }
 
-// syntaxProblem takes the position from the YAML library's text of a syntax error.
+// syntaxProblem makes a problem of a syntax error. The YAML library gives the line only in the error's
+// text.
 func syntaxProblem(err error) Problem {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	rest, found := strings.CutPrefix(text, "line ")
@@ -79,7 +81,8 @@
 	c.notices = append(c.notices, Problem{node.Line, node.Column, fmt.Sprintf(format, args...)})
 }
 
-// addError adds a decoder's error for a key, at the node if it has no better position.
+// addError adds an error of decoding a key's value, at the position of the error if it has one, else at
+// the node.
 func (c *problemCollector) addError(node *yaml.Node, key string, err error) {
 	var positioned positionError
 	if errors.As(err, &positioned) {
@@ -90,7 +93,7 @@
 	c.addProblem(node, "%s: %s", key, describeDecodeError(err))
 }
 
-// expectedTypes are parts of the YAML library's texts of type errors, with what users are told.
+// expectedTypes are parts of the YAML library's texts of type errors, with the texts for users.
 var expectedTypes = []struct{ libraryText, text string }{
 	{"into int", "must be a whole number"},
 	{"into float64", "must be a number"},
@@ -99,7 +102,8 @@
 	{"into string", "must be a text"},
 }
 
-// describeDecodeError says what the YAML library expected where it found a wrong type.
+// describeDecodeError returns a text for users that says what a value must be, or the error's own text
+// if it is no type error.
 func describeDecodeError(err error) string {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) {
--- a/internal/pipeline/schema.go
+++ b/internal/pipeline/schema.go
@@ -54,10 +54,10 @@
 
 func anyOf(forms ...*jsonschema.Schema) *jsonschema.Schema { return &jsonschema.Schema{AnyOf: forms} }
 
-// propertyOrder is the order in which the properties of mappings are listed.
+// propertyOrder is the order in which object lists properties, so that the schema is the same each time.
 var propertyOrder = []string{"name", "max", "when", "exit_codes", "matrix", "job", "optional", "artifacts"}
 
-// object is a mapping with these properties and no others.
+// object returns the schema of a mapping with these properties and no others.
 func object(properties map[string]*jsonschema.Schema) *jsonschema.Schema {
 	schema := &jsonschema.Schema{Type: "object", Properties: jsonschema.NewProperties(), AdditionalProperties: jsonschema.FalseSchema}
 	for _, key := range propertyOrder {
@@ -68,7 +68,8 @@
 	return schema
 }
 
-// Schema returns the JSON schema of pipeline files, made from the types that decode them.
+// Schema returns the JSON schema of pipeline files, made from the types that decode them. Keys of the
+// published format without effect are in it, unsupported ones are not.
 func Schema() ([]byte, error) {
 	reflector := &jsonschema.Reflector{DoNotReference: true, Anonymous: true}
 	schema := reflector.Reflect(&file{})
--- a/internal/pipeline/suggest.go
+++ b/internal/pipeline/suggest.go
@@ -7,17 +7,16 @@
 	"reflect"
 )
 
-// maxSuggestedDistance is the edit distance up to which a known name is suggested for one that is
-// not.
+// maxSuggestedDistance is the edit distance up to which a known name is suggested for an unknown one.
 const maxSuggestedDistance = 2
 
-// suggestKey suggests a key of a struct type for one that is not known.
+// suggestKey suggests a key of a struct type for an unknown key, see suggest.
 func suggestKey(key string, structType reflect.Type) string {
 	return suggest(key, maps.Keys(fieldsByKey(structType)), "%s")
 }
 
-// suggest suggests the known name that is closest to one that is not, in a format. It returns ""
-// if none is close.
+// suggest returns an addition to a problem's text that suggests the known name closest to an unknown
+// one, formatted by format. It returns "" if none is close.
 func suggest(name string, known iter.Seq[string], format string) string {
 	closest, closestDistance := "", maxSuggestedDistance+1
 	for candidate := range known {
@@ -32,7 +31,7 @@
 	return fmt.Sprintf("; "+format+" is meant?", closest)
 }
 
-// editDistance is how many bytes have to be changed, inserted or removed (Levenshtein distance).
+// editDistance returns the Levenshtein distance: how many bytes have to be changed, inserted or removed.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
