--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -122,7 +122,7 @@
 	case http.StatusCreated:
 		run.recordResponse(ref, response)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		l.log.Info("job of a run rejected", "run", run.id, "job", run.jobName(job), "error", response.Error)
+		l.log.Info("job of a run rejected", "run", run.id, "pipeline_job", run.jobName(job), "job", ref, "error", response.Error)
 		state := &run.execution.JobStates[job]
 		state.Status, state.Cause = pipelineexec.Failed, pipelineexec.CauseRejected
 	case http.StatusConflict:
@@ -137,7 +137,7 @@
 func (l *Leader) verifySubmission(run *runState, job int, ref string, response controller.Response) {
 	local, ok := l.controller.LocalState([]string{ref})
 	if localJob, known := local.Jobs[ref]; ok && known && !run.matchesSpec(job, localJob) {
-		l.log.Info("job id taken by another job", "run", run.id, "job", run.jobName(job), "ref", ref)
+		l.log.Info("job id taken by another job", "run", run.id, "pipeline_job", run.jobName(job), "job", ref)
 		run.execution.JobStates[job].Salt++
 		return
 	}
