--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -46,7 +46,7 @@
 	return events, revision, err
 }
 
-// Decisions by facts that are not durable violate an invariant in one of a few runs.
+// Mutations: decisions rest on facts that are not durable. One of a few runs violates an invariant.
 func TestCheckerFindsVolatileDecisions(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -80,8 +80,8 @@
 	}
 }
 
-// A user must never be answered from an old cache: with a lagging watch, in an outage, or at a
-// controller that the store refuses.
+// Mutation: users are answered without a read barrier, and so from an outdated cache while a watch lags,
+// in an outage, or at a controller that the store refuses.
 func TestCheckerFindsStaleReads(t *testing.T) {
 	defer controller.SkipReadBarrier()()
 	if !faultinjection.FindsViolation(t, 20, "went_back") {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A job that can never run must not be accepted.
+// Mutation: jobs are accepted without validation.
 func TestCheckerFindsAcceptedUnsatisfiableJob(t *testing.T) {
 	defer controller.AcceptInvalidJobs()()
 	if !faultinjection.FindsViolationOf(t, 5, faultinjection.InvalidRequests, func(*fake.Cluster) {}, "accepted_odd") {
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -30,16 +30,16 @@
 	answers map[string][]answer
 }
 
-// The kinds of requests that meet a job's completion.
+// The kinds of requests that are sent at a job's completion.
 const (
 	cancelRequest = iota
 	pollRequest
 	resubmitRequest
 )
 
-// Cancellations, polls and repeated submissions meet the completion of a job's last task, before
-// and after it is durable, at different controllers: there is one final state, for ever, and a job
-// that is answered as done has all its tasks done.
+// Cancellations, polls and repeated submissions at different controllers coincide with the completion
+// of a job's last task, before and after it is durable: the job has one final state, which never
+// changes, and when it is answered as done all its tasks are done.
 func TestUserRequestsDuringJobCompletion(t *testing.T) {
 	for seed := range uint64(5) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { requestDuringCompletion(t, cluster, seed) })
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -10,8 +10,8 @@
 )
 
 // The first write of a controller's liveness record is not answered and is applied after the second
-// one. The record used to hang on the first lease, which nobody renewed: it was deleted, and the
-// controller acquired no shard any more.
+// one. The record must not belong to the first lease, which nobody renews: it would be deleted, and the
+// controller would acquire no shard any more.
 func TestDelayedLivenessWriteKeepsLease(t *testing.T) {
 	for seed := range uint64(8) {
 		applyLate := func(cluster *fake.Cluster) { cluster.Store.ApplyLate(rand.New(rand.NewPCG(seed, 1)), 1) }
@@ -35,13 +35,13 @@
 		cluster.Store.Delete(jobs.LivenessPrefix + "n1")
 		time.Sleep(15 * time.Second)
 		if owner := cluster.OwnerOf("n1"); owner != "n1" {
-			t.Errorf("its shard is owned by %q", owner)
+			t.Errorf("the shard of the controller without a liveness record is owned by %q", owner)
 		}
 	})
 }
 
 // Every write of a controller has a precondition, since it may be applied at any later moment. The
-// scenario covers all kinds of writes, with crashes, cancellations and hand-overs.
+// scenario covers all kinds of writes, with crashes, cancellations and handovers.
 func TestEveryWriteHasPrecondition(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 9)
@@ -77,9 +77,9 @@
 	})
 }
 
-// Controllers have to read all records again while they own their shards and commands are still on
-// their way to machines: a task that the answers to their probes do not show may start there a
-// moment later, under the same fencing token.
+// Controllers have to read all records again while they own their shards and commands to machines are
+// still in flight: a task that the answers to their probes do not show may start there a moment later,
+// under the same fencing token.
 func TestCacheReloadDuringTaskStarts(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -94,7 +94,7 @@
 		requireAccepted(t, cluster, "n1", quotaJob("wk-3", jobs.Gang, 2), 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-3", 30*time.Second)
 		if response := cluster.Poll("n1", "wk-2"); response.Status != jobs.Queued {
-			t.Errorf("%+v", response)
+			t.Errorf("the blocked job: %+v", response)
 		}
 		requireDone(t, cluster, "n1", "wk-2", 90*time.Second)
 	})
@@ -123,15 +123,15 @@
 			checkCancelled(t, cluster, "n2", jobRef(i))
 		}
 		if response := cluster.Submit("n2", dependentJob("wk-10", 1, "wk-9"), time.Second); response.Code != http.StatusCreated {
-			t.Errorf("%+v", response)
+			t.Errorf("a submission that depends on a cancelled job was answered %+v", response)
 		}
 		checkCancelled(t, cluster, "n0", "wk-10")
 		if response := cluster.Submit("n0", dependentJob("wk-10", 1, "wk-9"), time.Second); response.Code != http.StatusOK || response.Status != jobs.Cancelled {
-			t.Errorf("a retry: %+v", response)
+			t.Errorf("its retry was answered %+v", response)
 		}
 		requireDone(t, cluster, "n0", "wk-3", 120*time.Second)
 		if response := cluster.Cancel("n2", "wk-3"); response.Status != jobs.Done {
-			t.Errorf("%+v", response)
+			t.Errorf("the cancellation of a done job was answered %+v", response)
 		}
 		requireAccepted(t, cluster, "n0", dependentJob("wk-11", 1, "wk-3"), time.Second)
 		requireDone(t, cluster, "n2", "wk-11", 30*time.Second)
@@ -162,7 +162,7 @@
 		restartControllers(cluster, time.Second)
 		time.Sleep(20 * time.Second)
 		if response := cluster.Poll("n2", "wk-2"); response.Status != jobs.Queued {
-			t.Errorf("%+v", response)
+			t.Errorf("the job with 300 dependencies: %+v", response)
 		}
 		requireDone(t, cluster, "n2", "wk-2", 400*time.Second)
 	})
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Each acquisition of a failed controller's shard used to stop the gangs that ran in the
-// successor's own shard.
+// The acquisition of a failed controller's shard does not stop the gangs that run in the successor's
+// own shard.
 func TestFailoverKeepsRunningGangs(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -19,18 +19,18 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-5", jobs.Gang, 2, 4), 90*time.Second)
 		time.Sleep(30 * time.Second)
-		cluster.CrashController("n2") // n0 is the next in the order of names
+		cluster.CrashController("n2") // n0 follows it by name and becomes the successor
 		time.Sleep(40 * time.Second)
 		cluster.StartController("n2")
 		requireDone(t, cluster, "n1", "wk-5", 40*time.Second)
 		if count := cluster.StartCounts()["wk-5/0"]; count != 1 {
-			t.Errorf("started %d times", count)
+			t.Errorf("the gang's first task started %d times", count)
 		}
 	})
 }
 
-// A new owner that waits until its workers have found it and sent two heartbeats needs 15 s for a
-// failover with heartbeats every 5 s. It probes them instead.
+// A new owner probes its workers at once. If it waited until they have found it and sent two
+// heartbeats, a failover with heartbeats every 5 s would take 15 s.
 func TestNewOwnerProbesWorkersAtOnce(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for range 20 {
@@ -179,8 +179,8 @@
 	}
 }
 
-// Heartbeats are delayed until a successor has acted, and arrive there and at a third controller:
-// neither may believe them.
+// Heartbeats are delayed until a successor has started tasks, and arrive there and at a third
+// controller: neither may act on them.
 func TestDelayedHeartbeatAfterFailover(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
--- a/internal/controller/failuredetection_test.go
+++ b/internal/controller/failuredetection_test.go
@@ -19,8 +19,8 @@
 	return time.Since(startedAt)
 }
 
-// Without failure detection a shard is acquired only when its owner's lease has expired, 3.1 to
-// 4.1 s after a crash.
+// A crash is detected and the shard acquired within 2.2 s. By the expiry of the owner's lease alone it
+// would take 3.1 to 4.1 s.
 func TestCrashDetectedBeforeLeaseExpiry(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A controller whose heartbeats are lost and that has no work is taken for failed once. When it has
-// acquired its shard again, it is trusted.
+// A controller whose heartbeats are lost and that writes nothing is considered failed once. When it has
+// acquired its shard again, it is not suspected any more.
 func TestShardDoesNotFlapDuringOneWayPartition(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -100,8 +100,8 @@
 	})
 }
 
-// A controller that lost only its workers used to keep their shard until all their leases had
-// expired, and every task was lost.
+// A controller that lost only its workers gives up their shard before their leases expire, since every
+// task would be lost then.
 func TestControllerCutOffFromWorkersGivesUpShard(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 4)
@@ -126,7 +126,8 @@
 	})
 }
 
-// If no controller reaches a worker, none of them is at fault: the shards must not wander.
+// If no controller reaches a worker, none of them is at fault: the shards must not change their owners
+// again and again.
 func TestShardsStayWhenNoControllerReachesWorkers(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 3)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A gang that no machines can hold, and one that waits for its team's quota, reserve no capacity:
-// all others would wait with them.
+// A gang that fits on no machines, and one that waits for its team's quota, reserve no capacity: all
+// others would wait with them.
 func TestNoReservationForUnplaceableGangs(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -28,8 +28,9 @@
 	})
 }
 
-// In an overload of small gangs the capacity of a large one used to be taken each time, and an
-// array of a class without objectives came after all of them: both start within four minutes.
+// In an overload of small gangs, a large gang and an array of a class without objectives both start
+// within four minutes: the small gangs neither take the capacity that becomes free for the large one
+// each time, nor always precede the array.
 func TestLargeGangStartsWithinFourMinutesOfOverload(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.Objectives = []config.Objective{{Kind: config.ObjectiveFinished, Class: "c", WithinSeconds: 60}}
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A machine's heartbeats arrive, but nothing that is sent to it. It used to be taken for healthy,
-// and tasks were started there for ever.
+// A machine's heartbeats arrive, but nothing that is sent to it. It must not be taken for healthy: the
+// tasks that are placed there would never start.
 func TestMachineWithNoInboundDoesNotBlockJobs(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -39,8 +39,8 @@
 	})
 }
 
-// All controllers restart while a machine receives nothing, so that no new owner reaches it. What
-// it ran used to be waited for as long as its heartbeats arrived.
+// All controllers restart while two machines receive nothing, so that no new owner reaches them. Their
+// tasks must be started elsewhere although their heartbeats arrive.
 func TestMachineWithNoInboundDoesNotBlockReconciliation(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// The jobs of a team with a quota used to run in one shard. Its machines were full, those of the
-// other shards idle, and as long as these existed the cloud had no more to offer: the job waited.
+// A job of a team with a quota gets idle machines of all shards. Limited to one shard it would wait if
+// that is full, while the idle machines of the others keep the autoscaler from adding any.
 func TestQuotaLimitedJobGetsIdleMachinesOfOtherShards(t *testing.T) {
 	for _, kind := range []string{jobs.Gang, jobs.Array} {
 		runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
@@ -225,7 +225,7 @@
 	t.Helper()
 	for retries := 0; cluster.Cancel(node, ref).Status != jobs.Cancelled; retries++ {
 		if retries > 3 {
-			t.Fatal("not cancelled")
+			t.Fatalf("%s is not cancelled after %d retries", ref, retries)
 		}
 	}
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// A controller that started while the cloud was down used to refuse every submission and to start
-// nothing on its workers until the cloud came back.
+// A controller that starts while the cloud is down uses the machine types that the store keeps. Without
+// them it could neither accept submissions nor start tasks until the cloud is back.
 func TestStartWithoutCloudUsesStoredMachineTypes(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -76,19 +76,19 @@
 	for range 3 {
 		node := controllerName(rnd.IntN(3))
 		if rnd.IntN(2) == 0 {
-			cluster.StopController(node) // hands its shards over
+			cluster.StopController(node) // its shards are handed over
 		} else {
 			cluster.CrashController(node)
 		}
 		sleepUpTo(4 * time.Second)
-		cluster.StartController(node) // gets them back
+		cluster.StartController(node) // they are handed back
 		sleepUpTo(3 * time.Second)
-		order := rnd.Perm(3)
-		for _, i := range order {
+		permutation := rnd.Perm(3)
+		for _, i := range permutation {
 			cluster.CrashController(controllerName(i))
 		}
 		sleepUpTo(900 * time.Millisecond)
-		for _, i := range order {
+		for _, i := range permutation {
 			cluster.StartController(controllerName(i))
 			sleepUpTo(2 * time.Second)
 		}
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Tasks used to be claimed one by one as others ended, with five writes for each; submissions then
-// waited for the rate limit of the store.
+// A long array is claimed many tasks at a time. Claimed one by one as others end, with five writes for
+// each task, it would use up the store's write rate, and submissions would wait.
 func TestLongArrayNeedsFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for _, zone := range []string{"a", "a", "b", "b", "b", "b"} {
@@ -154,8 +154,8 @@
 	})
 }
 
-// A job that is claimed one task at a time has more task ranges than fit into one transaction. Such
-// a job was never called done.
+// A job that is claimed one task at a time has more task ranges than fit into one transaction. It
+// must be called done all the same.
 func TestJobWithManyTaskRangesCompletes(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.State.TxnOps = 4
@@ -171,7 +171,7 @@
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-30000", jobs.Array, 40, 1), 4*time.Second)
 		requireDone(t, cluster, "n2", "wk-30000", 3*time.Minute)
 		if response := cluster.Poll("n1", "wk-30000"); response.Code != http.StatusOK || response.Status != jobs.Done {
-			t.Errorf("%+v", response)
+			t.Errorf("the done job: %+v", response)
 		}
 	})
 }
@@ -198,11 +198,11 @@
 			t.Errorf("%d writes in 30 s for %d tasks", writes, response.DoneTasks)
 		}
 		if response := cluster.Cancel("n2", "wk-1"); response.Status != jobs.Cancelled {
-			t.Errorf("%+v", response)
+			t.Errorf("its cancellation was answered %+v", response)
 		}
 		time.Sleep(10 * time.Second)
 		if response := cluster.Poll("n0", "wk-1"); response.ActiveTasks > 0 || response.Status != jobs.Cancelled {
-			t.Errorf("%+v", response)
+			t.Errorf("10 s after its cancellation: %+v", response)
 		}
 	})
 }
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -17,8 +17,8 @@
 	time.AfterFunc(d, func() { cluster.Store.RefuseNode(node, false) })
 }
 
-// A controller that was stalled for a minute resumes with all that it knew before: a shard that
-// others own now, a job that was cancelled meanwhile.
+// A controller that was stalled for a minute resumes with outdated state: another one owns its shard
+// now, and a job was cancelled meanwhile. It must not answer or start tasks from that state.
 func TestStalledControllerDiscardsOldKnowledge(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -36,7 +36,7 @@
 		requireCancelled(t, cluster, "n1", "wk-1")
 		time.Sleep(45*time.Second + time.Millisecond)
 		if cluster.Nodes["n0"].Controller.Healthy() {
-			t.Error("healthy by what was true a minute ago")
+			t.Error("healthy by a status from before the stall")
 		}
 		for range 40 { // from its first moment on
 			if response := cluster.Poll("n0", "wk-1"); response.Code == http.StatusOK && response.Status != jobs.Cancelled {
@@ -67,8 +67,8 @@
 	})
 }
 
-// The store refuses one controller alone. It used to be healthy for five seconds more, and kept its
-// users.
+// The store refuses one controller alone: it is unhealthy within four seconds, so that its users are
+// sent to others. In an outage for all controllers it stays healthy.
 func TestControllerCutOffFromStoreIsUnhealthy(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		defer exchangeHeartbeats(cluster)()
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// A record larger than a value is stored in chunks, read by a controller that has never seen it,
-// and leaves nothing behind; a larger one than users may send is refused.
+// A record that is larger than a value of the store is written in chunks, read by a restarted
+// controller, and deleted with all its chunks; a body that exceeds the limit of submissions is refused.
 func TestSubmissionLargerThanValueIsChunked(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -52,7 +52,7 @@
 		checkNoRecords(t, cluster, jobs.ChunkPrefix, jobs.JobPrefix)
 		spec.Ref, spec.Class = "wk-71", strings.Repeat("c", 100<<10)
 		if response := cluster.Submit("n0", spec, time.Second); response.Code != http.StatusBadRequest {
-			t.Errorf("answered %+v", response)
+			t.Errorf("a submission that is too large was answered %+v", response)
 		}
 	})
 }
@@ -114,8 +114,8 @@
 const submissionTemplate = `{"ref":"REF","lot":"c","crew":"ops","shape":"sweep","urgency":"normal","shifts":2,"vcpus":1,"cards":0,"ramGb":1,
 "kit":"img","imageGb":1,"builds":null,"valley":null,"oneZone":false,"spread":false,"loaners":false,"guessS":5,"waypointS":0,"stashS":0,"dueS":null}`
 
-// submissionBody returns the template with a reference and further replacements, old and new by
-// turns.
+// submissionBody returns the template with a reference and further replacements, given in pairs of the
+// old and the new text.
 func submissionBody(ref string, replacements ...string) string {
 	return strings.NewReplacer(append([]string{"REF", ref}, replacements...)...).Replace(submissionTemplate)
 }
@@ -158,14 +158,14 @@
 		checkNewSubmissions(t, cluster)
 		for _, node := range []string{"n0", "n2"} { // a refused job stays unknown
 			if response := cluster.Poll(node, "wk-52"); response.Code != http.StatusNotFound {
-				t.Errorf("%+v", response)
+				t.Errorf("a refused job at %s: %+v", node, response)
 			}
 		}
 	})
 }
 
-// checkRepeatedSubmissions checks that a repeated submission is answered with the job's status at
-// each controller, whatever else it says.
+// checkRepeatedSubmissions checks that a repeated submission is answered with the job's status at each
+// controller, whatever its other fields are.
 func checkRepeatedSubmissions(t *testing.T, cluster *fake.Cluster, ref, status string) {
 	t.Helper()
 	for _, body := range []string{
@@ -227,7 +227,7 @@
 		cluster.StartController("n1")
 		time.Sleep(2 * time.Second)
 		if response := cluster.SubmitUntracked("n1", fake.JobSpec("wk-2", jobs.Array, 1, 99), nil); response.Code != http.StatusServiceUnavailable {
-			t.Errorf("answered %+v", response)
+			t.Errorf("a new job was answered %+v", response)
 		}
 		if response := cluster.SubmitUntracked("n1", fake.JobSpec("wk-1", jobs.Array, 1, 99), nil); response.Code != http.StatusOK {
 			t.Errorf("a repeat was answered %+v", response)
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -15,8 +15,9 @@
 // tinyJob returns a job of one task.
 func tinyJob(i int) jobs.Spec { return fake.JobSpec(jobRef(1000+i), jobs.Array, 1, 0.25) }
 
-// A job of one task used to need six writes, and the store takes 50 a second from all controllers;
-// here twelve such jobs arrive each second.
+// A job of one task needs less than two writes, by its claim on acceptance and by completion batches.
+// With six writes for each job the load here, twelve jobs a second, would exceed what the store accepts
+// from all controllers, 50 writes a second.
 func TestTinyJobFloodNeedsFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 8)
@@ -56,8 +57,8 @@
 	}
 }
 
-// The completion of a tiny job is written to a batch, where its own record does not show it. A
-// cancellation at another controller at that moment must respect it.
+// The completion of a tiny job is written to a completion batch and does not change the job's record. A
+// cancellation at another controller at the same moment must not replace it.
 func TestTinyJobCancellationIsFinal(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for range 4 {
@@ -77,7 +78,7 @@
 		for i := range jobCount {
 			response := cluster.Cancel("n2", tinyJob(i).Ref)
 			if response.Code != http.StatusOK {
-				t.Fatalf("%+v", response)
+				t.Fatalf("the cancellation of %s was answered %+v", tinyJob(i).Ref, response)
 			}
 			answered[response.Ref] = response.Status
 			counts[response.Status]++
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -54,7 +54,7 @@
 			return
 		}
 	}
-	h.t.Fatal("there are actions for ever")
+	h.t.Fatal("the execution does not run out of actions")
 }
 
 func (h *harness) perform(action Action) {
@@ -78,7 +78,7 @@
 	h.step()
 }
 
-// observation is that of a job's current attempt, which must be in progress.
+// observation returns the observation of a job's current attempt, which must be in progress.
 func (h *harness) observation(name string) *Observation {
 	h.t.Helper()
 	job := slices.IndexFunc(h.execution.Plan.Jobs, func(job pipeline.Job) bool { return job.Name == name })
@@ -89,7 +89,7 @@
 	return observation
 }
 
-// complete has a job done.
+// complete completes a job.
 func (h *harness) complete(name string) {
 	h.t.Helper()
 	observation := h.observation(name)
@@ -97,7 +97,7 @@
 	h.step()
 }
 
-// fail has a job found faulty.
+// fail makes a job faulty.
 func (h *harness) fail(name string) {
 	h.t.Helper()
 	h.observation(name).IsFaulty = true
@@ -315,8 +315,8 @@
 	h.step()
 }
 
-// loadOldestRecord continues with the oldest record that may be left: the first one, with what has
-// to be recorded before its action.
+// loadOldestRecord continues with the oldest record that a crashed leader may have left: the first one,
+// with the changes that have to be recorded before their actions.
 func loadOldestRecord(h *harness) {
 	states := NewJobStates(len(h.execution.JobStates))
 	for i, state := range h.execution.JobStates {
@@ -332,15 +332,15 @@
 	h.step()
 }
 
-// A controller that takes over a run with its record comes to the same states, wherever the one
-// before crashed.
+// A controller that continues a run from its record comes to the same states, after whichever event the
+// former leader crashed.
 func TestRecordIsSufficientForFailover(t *testing.T) {
 	uninterrupted := runWithFailover(t, func(*harness) {})
 	current := runWithFailover(t, func(h *harness) { loadRecord(t, h) })
 	if uninterrupted != "+a +b +d -a +a +c +e success" || current != uninterrupted {
 		t.Errorf("uninterrupted: %s\nwith failovers: %s", uninterrupted, current)
 	}
-	// What the controller knows of is not submitted a second time.
+	// Jobs that the controller knows are not submitted a second time.
 	oldest := runWithFailover(t, loadOldestRecord)
 	if submissions := strings.Count(oldest, "+"); submissions != 6 || !strings.HasSuffix(oldest, string(RunSucceeded)) {
 		t.Errorf("with the oldest record: %s", oldest)
--- a/internal/pipelineexec/progress_test.go
+++ b/internal/pipelineexec/progress_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A retry and an id taken by another job give the attempt another id; a controller that takes over
-// the run computes the same.
+// A retry gets another id, and so does an attempt whose id another job has taken; a controller that
+// continues the run computes the same ids.
 func TestJobRefsAreDistinctAndStable(t *testing.T) {
 	refs := map[string]bool{}
 	for _, state := range []JobState{{}, {Attempt: 1}, {Salt: 1}} {
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -51,8 +51,8 @@
 	c.checkStartedOnce()
 }
 
-// cancellationOrder is when, from about the same moment, a run is cancelled, its leader crashes,
-// and its last job ends (ms).
+// cancellationOrder has the times at which a run is cancelled, its leader crashes and its last job
+// ends, in ms from a common moment.
 type cancellationOrder struct{ cancel, crash, end time.Duration }
 
 // A run is cancelled while a stage drains, its leader crashes, and the last job ends, all within a
@@ -147,8 +147,8 @@
 	})
 }
 
-// A controller that was partitioned from the store goes on leading a run that another one leads
-// by now: the other one's steps stand.
+// A controller that was partitioned from the store continues to lead a run that another one leads by
+// now: it can't undo the steps of that one.
 func TestPartitionedLeaderCannotUndoSuccessor(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-4", diamond)
@@ -160,7 +160,7 @@
 			t.Fatal("no controller has acquired its shard")
 		}
 		if response := c.leader(other).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
-			t.Fatalf("%+v", response)
+			t.Fatalf("the cancellation of the run was answered %+v", response)
 		}
 		c.Store.RefuseNode(leading, false)
 		before := len(c.StartCounts())
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -51,7 +51,7 @@
 }
 
 // runSingleController runs a scenario with one controller: which of several controllers claims a
-// job first is random if they do not hear of each other.
+// job first is random if they receive no peer heartbeats.
 func runSingleController(t *testing.T, scenario func(t *testing.T, c *testCluster)) {
 	t.Helper()
 	runCluster(t, map[string]string{"n0": "a"}, []string{"a"}, scenario)
--- a/internal/pipelinerun/jobs_test.go
+++ b/internal/pipelinerun/jobs_test.go
@@ -12,8 +12,8 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-// A job that takes too long is retried as often as the file says, and an id that another user has
-// taken is left alone.
+// A job that times out is retried as often as the file says. An attempt whose id another user's job has
+// taken gets another id, and that job is not touched.
 func TestTimeoutRetryAndTakenJobID(t *testing.T) {
 	const file = head + `
 long: {stage: one, timeout: 6s, retry: 1, cluster: {estimate_s: 60}}
@@ -67,8 +67,8 @@
 	})
 }
 
-// The jobs of a resource group run one at a time, whichever runs they are of and whoever leads
-// these; a user starts what waits for one.
+// The jobs of a resource group run one at a time, whichever runs they belong to and whichever controllers
+// lead these. A manual job starts when a user starts it.
 func TestResourceGroupsAndManualJobs(t *testing.T) {
 	const file = head + `
 push: {stage: one, resource_group: lamps}
@@ -86,7 +86,7 @@
 				t.Errorf("%s is %s: %s", id, run.Status, describeJobs(run))
 			}
 			if response := leader.StartManualJob(id, "gate"); response.Code != 200 {
-				t.Errorf("%+v", response)
+				t.Errorf("the start of the manual job of %s was answered %+v", id, response)
 			}
 			c.awaitSuccess("n0", id, 20*time.Second)
 		}
--- a/internal/pipelinerun/schedule_test.go
+++ b/internal/pipelinerun/schedule_test.go
@@ -50,11 +50,11 @@
 		c.checkRunCount(4, "after the leader's crash")
 		all, _ := c.leader("n2").Schedules()
 		if len(all) != 1 || all[0].NextAtMS != time.Date(2000, 1, 1, 0, 16, 0, 0, time.UTC).UnixMilli() {
-			t.Errorf("%+v", all)
+			t.Errorf("schedules after the leader's crash: %+v", all)
 		}
 		c.awaitSuccess("n0", all[0].LastRun, time.Minute)
 		if response := c.leader("n2").RemoveSchedule("lamps"); response.Code != 200 {
-			t.Errorf("%+v", response)
+			t.Errorf("the removal of the schedule was answered %+v", response)
 		}
 		time.Sleep(3 * time.Minute)
 		c.checkRunCount(4, "after the schedule was removed")
