--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -30,9 +30,10 @@
 	waiters []func()        // requests about the job, to be answered after the confirmation
 }
 
-// cancellationLog holds the cancellations that are announced and confirmed.
+// cancellationLog has the cancellations that are announced to the peers, and those that wait for their
+// confirmation.
 type cancellationLog struct {
-	recent           []cancellation
+	recent           []cancellation                      // announced to the peers, the latest last
 	unconfirmed      map[string]*unconfirmedCancellation // by job
 	isCheckScheduled bool                                // confirmCancellations will run after its poll interval
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -125,7 +125,8 @@
 	return c
 }
 
-// buildKnowledge makes the components that hold what is known of the cluster.
+// buildKnowledge makes the components with the state of the cluster, the cache that keeps them up to
+// date with the store, and those that rate peers and faults.
 func (c *Controller) buildKnowledge(store statecache.Store) {
 	var names []string
 	for _, member := range c.cfg.Members() {
@@ -145,7 +146,7 @@
 	}, c.cacheHooks(), c.log)
 }
 
-// buildActors makes the components that act on what is known.
+// buildActors makes the components that act on the state of the cluster.
 func (c *Controller) buildActors(cloud machinelifecycle.Cloud, workers workersession.WorkerClient) {
 	c.claims = claims.New(c.mailbox, c.cfg, claims.Dependencies{
 		State: c.state, Membership: c.members, Cache: c.cache, CompletionBatches: c.completionBatches, Faults: c.faults, Quotas: c.quotas,
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -30,8 +30,8 @@
 	return ""
 }
 
-// Operators can see by name which machine receives nothing, which controller is cut off and from
-// what, and which jobs wait longest and why. Once a problem is over it is not reported any more.
+// Operators can see by name which machine receives nothing, which controller is cut off and from what,
+// and which jobs wait longest and why. A problem that is over is not reported any more.
 func TestProblemsAreReported(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -56,7 +56,7 @@
 			t.Errorf("n1 reports of n0: %q", reason)
 		}
 		if reason := reportedReason(t, cluster, "n1", diagnostics.JobProblem, "wk-1"); reason == "" {
-			t.Error("a gang that no machines can hold is not reported")
+			t.Error("a gang that fits on no machines is not reported")
 		}
 		cluster.Store.RefuseNode("n0", false)
 		if cluster.IsUp(host) {
--- a/internal/pipelinerun/groups.go
+++ b/internal/pipelinerun/groups.go
@@ -18,7 +18,8 @@
 		return true
 	}
 	// A run that is not known here has finished: its record was written before that of the group.
-	if taken && l.runs[group.Run] != nil && !l.groupOwnerFinished(group) {
+	isOwnerInProgress := taken && l.runs[group.Run] != nil && !l.groupOwnerFinished(group)
+	if isOwnerInProgress {
 		return false
 	}
 	owner := groupOwner{Run: run.id, Job: job}
@@ -46,7 +47,8 @@
 // time, since a run has one write in flight at most.
 func (l *Leader) releaseGroups(run *runState) {
 	for key, group := range l.resourceGroups {
-		if group.Run != run.id || !run.jobIsFinal(group.Job) || run.writeInFlight {
+		isReleasable := group.Run == run.id && run.jobIsFinal(group.Job)
+		if !isReleasable || run.writeInFlight {
 			continue
 		}
 		txn := kvstore.Txn{
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -29,7 +29,7 @@
 
 var controllers = []string{"n0", "n1", "n2"}
 
-// nextController is another controller than the given one.
+// nextController has for each controller another one.
 var nextController = map[string]string{"n0": "n1", "n1": "n2", "n2": "n0"}
 
 // testCluster is a cluster whose controllers run pipelines.
@@ -57,7 +57,8 @@
 	runCluster(t, map[string]string{"n0": "a"}, []string{"a"}, scenario)
 }
 
-// runCluster runs a scenario with controllers in zones, and six machines in zones in turn.
+// runCluster runs a scenario with a controller in each of the zones given by its name, and six machines
+// in machineZones by turns.
 func runCluster(t *testing.T, zones map[string]string, machineZones []string, scenario func(t *testing.T, c *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -10,7 +10,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// observe returns what is known of a job's current attempt.
+// observe returns what is known of a job's current attempt: what this controller has cached, else what
+// it has answered to an earlier call, else that it has no such job as long as no call is in flight.
 func (l *Leader) observe(run *runState, job int, local controller.LocalState) pipelineexec.Observation {
 	ref := run.jobRef(job)
 	_, cached := local.Jobs[ref]
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -255,8 +255,8 @@
 // the code 404 for an unknown job, and 409 for one that does not wait for a user.
 func (l *Leader) StartManualJob(id, name string) Response {
 	return l.changeRun(id, func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response) {
-		jobs := execution.Plan.Jobs
-		index := slices.IndexFunc(jobs, func(job pipeline.Job) bool { return job.Name == name })
+		planJobs := execution.Plan.Jobs
+		index := slices.IndexFunc(planJobs, func(job pipeline.Job) bool { return job.Name == name })
 		if index < 0 {
 			return false, errorResponse(http.StatusNotFound, "no such job in this run")
 		}
@@ -264,7 +264,8 @@
 		if state.ManuallyStarted {
 			return false, Response{}
 		}
-		if jobs[index].When != pipeline.Manual || state.Status != pipelineexec.Manual && state.Status != pipelineexec.Waiting {
+		isUnstarted := state.Status == pipelineexec.Manual || state.Status == pipelineexec.Waiting
+		if planJobs[index].When != pipeline.Manual || !isUnstarted {
 			return false, errorResponse(http.StatusConflict, "the job is "+state.Status.String()+" and waits for nobody")
 		}
 		recorded, err := record.Progress.JobStates(len(execution.JobStates))
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -30,6 +30,14 @@
 	pausedUntil   time.Time
 }
 
+// mayStartRun reports whether the schedule is due and nothing prevents a transaction for it: two in
+// flight would contradict each other.
+func (s *scheduleState) mayStartRun(now time.Time) bool {
+	isDue := now.UnixMilli() >= s.NextAtMS
+	return isDue && !s.writeInFlight && !now.Before(s.pausedUntil)
+}
+
+// applyScheduleRecord applies a schedule's record, unless a newer one is known.
 func (l *Leader) applyScheduleRecord(key string, value json.RawMessage, revision uint64) error {
 	if known := l.schedules[key]; known != nil && known.revision >= revision {
 		return nil
@@ -46,7 +54,8 @@
 func (l *Leader) startDueSchedules(local controller.LocalState, now time.Time) {
 	for key, schedule := range l.schedules {
 		epoch := local.Shards[schedule.Template.HomeShard]
-		if epoch == 0 || schedule.writeInFlight || now.UnixMilli() < schedule.NextAtMS || now.Before(schedule.pausedUntil) {
+		isLedHere := epoch != 0
+		if !isLedHere || !schedule.mayStartRun(now) {
 			continue
 		}
 		times, err := cronschedule.Parse(schedule.Cron, schedule.Zone)
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -80,6 +80,7 @@
 	return view
 }
 
+// countJob adds a job to the numbers of jobs.
 func (v *RunView) countJob(status pipelineexec.Status) {
 	switch status {
 	case pipelineexec.Active, pipelineexec.Stopping:
--- a/internal/tracing/tracer_test.go
+++ b/internal/tracing/tracer_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		startTimes := NewStartTimes()
-		if leader == 1 { // what is in progress started for this leader when it took over the run
+		if leader == 1 { // for this leader the jobs in progress started when it began to lead the run
 			startTimes.job[0], startTimes.attempt[0] = at(20), at(20)
 		}
 		for k := 1; k < len(steps); k++ {
