--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -90,8 +90,8 @@
 type GetResult struct {
 	Row   KeyValue
 	Found bool // whether the key exists
-	// StoreRevision is the store's revision at the time of the read. It is set only if the key does
-	// not exist.
+	// StoreRevision is the store's revision at the time of the read, if the store answered that the
+	// key does not exist; else 0.
 	StoreRevision uint64
 }
 
