--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -16,10 +16,6 @@
 // anew, or deleted.
 var errChunkMissing = errors.New("a chunk is missing")
 
-// maxAssembleAttempts bounds how often a record is read that is written anew while its chunks are
-// read.
-const maxAssembleAttempts = tuning.RateLimitedAttempts
-
 // chunkValues are the stored values of chunks that were read already, by key.
 type chunkValues map[string]json.RawMessage
 
@@ -113,7 +109,7 @@
 // If chunks are missing, the record has changed since, and is read as it is now; found is false if
 // it was deleted.
 func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, known chunkValues) (_ kvstore.KeyValue, found bool, err error) {
-	for range maxAssembleAttempts {
+	for range tuning.MaxChunkAssembleAttempts {
 		ref := chunkRefOf(row.Value)
 		if ref == nil {
 			return row, true, nil
--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -161,7 +161,7 @@
 func (w *Writer) teamsWithUnclaimedWork() map[string]bool {
 	teams := map[string]bool{}
 	for job := range w.State.Jobs() {
-		if !job.HasEnded() && !job.IsBlocked() && len(job.Record().Unclaimed) > 0 {
+		if job.IsRunnable() && len(job.Record().Unclaimed) > 0 {
 			teams[job.Record().Team] = true
 		}
 	}
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -95,6 +95,10 @@
 // since one of them is cancelled. It takes part in no quota, reservation, count or claim then.
 func (j *Job) IsBlocked() bool { return j.dependencyNode.IsBlocked() }
 
+// IsRunnable reports whether the job has neither ended nor is blocked by dependencies, so that its
+// tasks may be claimed and run.
+func (j *Job) IsRunnable() bool { return !j.HasEnded() && !j.IsBlocked() }
+
 // IsCancelledByDependency reports whether the job can never run because a dependency, direct or
 // indirect, is cancelled.
 func (j *Job) IsCancelledByDependency() bool { return j.dependencyNode.IsCancelledByDependency() }
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -86,7 +86,7 @@
 	}
 	for job := range m.State.Jobs() {
 		record := job.Record()
-		if job.HasEnded() || job.IsBlocked() || len(record.Unclaimed) == 0 {
+		if !job.IsRunnable() || len(record.Unclaimed) == 0 {
 			continue
 		}
 		target, ok := m.shardForGang(job, now)
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -85,7 +85,7 @@
 	largest, mostTasks := capacity.Resources{CPU: 1}, 0
 	for job := range s.State.Jobs() {
 		record := job.Record()
-		if !job.HasEnded() && !job.IsBlocked() && record.Team == team && record.Tasks > mostTasks {
+		if job.IsRunnable() && record.Team == team && record.Tasks > mostTasks {
 			largest, mostTasks = job.Need(), record.Tasks
 		}
 	}
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -26,7 +26,7 @@
 		if len(shapes) >= tuning.MaxPeerHeartbeatShapes {
 			break
 		}
-		isWaitingGang := !job.HasEnded() && !job.IsBlocked() && job.Record().Kind == jobs.Gang && len(job.Record().Unclaimed) > 0
+		isWaitingGang := job.IsRunnable() && job.Record().Kind == jobs.Gang && len(job.Record().Unclaimed) > 0
 		if isWaitingGang {
 			shapes[job.Need()] = job.Record()
 		}
@@ -77,7 +77,7 @@
 func (s *Scheduler) CapacityTable() []CapacityRow {
 	jobsByShape := map[capacity.Resources]*clusterstate.Job{}
 	for job := range s.State.Jobs() {
-		if !job.HasEnded() && !job.IsBlocked() {
+		if job.IsRunnable() {
 			jobsByShape[job.Need()] = job
 		}
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -117,7 +117,7 @@
 
 func (s *Scheduler) addRunningWork(demand *Demand) {
 	for job := range s.State.Jobs() {
-		if job.HasEnded() || job.IsBlocked() {
+		if !job.IsRunnable() {
 			continue
 		}
 		record := job.Record()
@@ -164,7 +164,7 @@
 func (s *Scheduler) jobsToScaleOutFor(now time.Time) []*clusterstate.Job {
 	var queue []*clusterstate.Job
 	for job := range s.State.Jobs() {
-		if job.HasEnded() || job.IsBlocked() || s.Faults.IsJobFaulty(job.Ref()) {
+		if !job.IsRunnable() || s.Faults.IsJobFaulty(job.Ref()) {
 			continue
 		}
 		if len(job.Record().Unclaimed) > 0 && now.Sub(job.KnownSince()) >= tuning.ScaleOutDelay {
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -103,6 +103,9 @@
 	MaxCachedChunkedRecords = 64
 	// MaxChunkPointerBytes is more than any record takes that names chunks.
 	MaxChunkPointerBytes = 128
+	// MaxChunkAssembleAttempts is how many times in all a record is read that is written anew
+	// while its chunks are read.
+	MaxChunkAssembleAttempts = 4
 	// ChunkCleanupInterval is how often chunks without a record are looked for. What is being
 	// written has its record long before a second look.
 	ChunkCleanupInterval = time.Minute
