--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -273,7 +273,10 @@
 	t.Helper()
 	knownCount := 0
 	for _, key := range cluster.Store.Keys(jobs.Prefix) {
-		value, _ := cluster.Store.Value(key)
+		value, found := cluster.Store.Value(key)
+		if !found {
+			continue // deleted by a controller since the keys were listed
+		}
 		known, err := checkOldProgramCarries(key, json.RawMessage(value))
 		if err != nil {
 			t.Fatal(err)
