--- a/cmd/cherrywall/client.go
+++ b/cmd/cherrywall/client.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cherrywall/internal/apiclient"
-	"cherrywall/internal/controller"
+	"cherrywall/internal/diagnostics"
 	"cherrywall/internal/tuning"
 )
 
@@ -146,14 +146,14 @@
 // Run asks each controller that is named, since each knows its own machines and way best.
 func (c doctorCmd) Run() error {
 	asks, code := 0, 0
-	all := map[string][]controller.Finding{}
+	all := map[string][]diagnostics.Finding{}
 	for _, addr := range c.Addr {
-		var found []controller.Finding
+		var found []diagnostics.Finding
 		ctx, stop := context.WithTimeout(context.Background(), tuning.CLIRequestTimeout)
 		_, err := apiclient.New(addr).Call(ctx, http.MethodGet, "/admin/v1/doctor", nil, &found)
 		stop()
 		if err != nil {
-			found = []controller.Finding{{Problem: err.Error(), Action: "see whether the controller runs"}}
+			found = []diagnostics.Finding{{Problem: err.Error(), Action: "see whether the controller runs"}}
 		}
 		all[addr] = found
 		for _, f := range found {
--- a/cmd/cherrywall/jobs.go
+++ b/cmd/cherrywall/jobs.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"cherrywall/internal/apiclient"
-	"cherrywall/internal/controller"
+	"cherrywall/internal/diagnostics"
 	"cherrywall/internal/jobs"
 	"cherrywall/internal/tuning"
 )
@@ -219,7 +219,7 @@
 }
 
 func (c jobsCmd) Run() error {
-	var all []controller.JobView
+	var all []diagnostics.JobView
 	if err := c.call(http.MethodGet, "/admin/v1/jobs", nil, &all); err != nil {
 		return err
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,9 +24,6 @@
 	View(name string) (any, bool)
 }
 
-// ViewNames are the names of what can be looked at.
-var ViewNames = []string{"shares", "members", "handovers", "start", "workers", "counts", "jobs", "fleet", "upgrade", "doctor", "troubles"}
-
 // RegisterRoutes adds the interface to a router.
 func RegisterRoutes(r *httprouter.Router, controller Controller) {
 	r.GET("/admin/v1/settings", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- /dev/null
+++ b/internal/admin/views.go
@@ -0,0 +1,22 @@
+package admin
+
+// Names of the views, which are also the last part of their paths.
+const (
+	ViewShards         = "shares"
+	ViewMembers        = "members"
+	ViewHandovers      = "handovers"
+	ViewReconciliation = "start"
+	ViewWorkers        = "workers"
+	ViewCapacities     = "counts"
+	ViewJobs           = "jobs"
+	ViewFleet          = "fleet"
+	ViewUpgrade        = "upgrade"
+	ViewFindings       = "doctor"
+	ViewProblems       = "troubles"
+)
+
+// ViewNames are the names of all views.
+var ViewNames = []string{
+	ViewShards, ViewMembers, ViewHandovers, ViewReconciliation, ViewWorkers, ViewCapacities,
+	ViewJobs, ViewFleet, ViewUpgrade, ViewFindings, ViewProblems,
+}
--- /dev/null
+++ b/internal/controller/cancel.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"net/http"
+
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+)
+
+// maxCancelAttempts is how often a cancellation is attempted anew while the job's record changes.
+const maxCancelAttempts = 6
+
+// Cancel cancels a job and sends its status to reply, which must have room for it. The
+// cancellation is durable, and no task of the job starts any more, when it is answered.
+func (c *Controller) Cancel(ref string, reply chan Response) {
+	c.mailbox.Send(func() { c.cancelJob(ref, reply, 0) })
+}
+
+func (c *Controller) cancelJob(ref string, reply chan Response, attempts int) {
+	c.findJob(ref, true, func(response Response) {
+		job := c.state.Job(ref)
+		isFinal := response.Status == jobs.Done || response.Status == jobs.Cancelled
+		if response.Code != http.StatusOK || isFinal || job == nil || job.HasEnded() {
+			reply <- response
+			return
+		}
+		if attempts > maxCancelAttempts {
+			reply <- unavailable(reasonBusy)
+			return
+		}
+		if job.Record().WholeClaim != nil && !job.Record().ExcludedFromBatches {
+			c.excludeAndCancel(job, reply, attempts)
+			return
+		}
+		c.storeCancellation(job, reply, attempts)
+	})
+}
+
+// excludeAndCancel cancels a job whose completion its owner may write to a completion batch, where
+// the preconditions of a cancellation would not see it. It is excluded from batches first.
+func (c *Controller) excludeAndCancel(job *clusterstate.Job, reply chan Response, attempts int) {
+	ref := job.Ref()
+	c.claims.ExcludeFromBatches(job, func(err error) {
+		if err != nil {
+			reply <- unavailable(reasonStoreUnavailable)
+			return
+		}
+		c.cancelJob(ref, reply, attempts+1)
+	})
+}
+
+func (c *Controller) storeCancellation(job *clusterstate.Job, reply chan Response, attempts int) {
+	ref := job.Ref()
+	final := jobs.FinalState{Status: jobs.Cancelled, Tasks: unfinishedResponse(job).DoneTasks}
+	c.cache.Commit(kvstore.Urgent, cancelTxn(job, final), func(result kvstore.TxnResult, err error) {
+		switch {
+		case err != nil:
+			reply <- unavailable(reasonStoreUnavailable)
+		case result.Succeeded:
+			c.log.Info("job cancelled", "job", ref)
+			// findJob answers once no task of the job can start any more.
+			c.findJob(ref, true, func(response Response) { reply <- response })
+		default:
+			c.cancelJob(ref, reply, attempts+1)
+		}
+	})
+}
+
+// cancelTxn replaces the record of an unfinished job by its final state, on the precondition that
+// the record has not changed.
+func cancelTxn(job *clusterstate.Job, final jobs.FinalState) kvstore.Txn {
+	jobKey, finalKey := jobs.JobKey(job.Ref()), jobs.FinalKey(job.Ref())
+	return kvstore.Txn{
+		Conditions: []kvstore.Condition{{Key: jobKey, Revision: job.Revision()}, {Key: finalKey}},
+		Writes:     []kvstore.Write{{Key: finalKey, Value: kvstore.Encode(final)}, {DeleteKey: jobKey}},
+	}
+}
--- /dev/null
+++ b/internal/controller/cycle.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// run is the controller's goroutine: it handles messages and ticks until the context ends.
+func (c *Controller) run() {
+	ticker := time.NewTicker(tuning.TickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-c.mailbox.Context().Done():
+			return
+		case handle := <-c.mailbox.Messages():
+			handle()
+		case <-ticker.C:
+			c.tick()
+		}
+		if c.state.IsDirty() && !c.isCyclePending && c.cache.Synced() {
+			c.scheduleCycle()
+		}
+	}
+}
+
+// scheduleCycle runs a scheduling cycle as soon as tuning.MinCycleInterval has passed since the
+// last one, so that a burst of events causes one cycle.
+func (c *Controller) scheduleCycle() {
+	wait := tuning.MinCycleInterval - time.Since(c.lastCycleAt)
+	if wait <= 0 {
+		c.runCycle()
+		return
+	}
+	c.isCyclePending = true
+	c.mailbox.SendAfter(wait, func() {
+		c.isCyclePending = false
+		c.runCycle()
+	})
+}
+
+// runCycleIfDue runs a scheduling cycle if the state has changed and the last cycle is longer ago
+// than tuning.MinHeartbeatCycleInterval. Worker sessions use it to answer a heartbeat with the
+// tasks that follow from it.
+func (c *Controller) runCycleIfDue() {
+	if c.state.IsDirty() && time.Since(c.lastCycleAt) > tuning.MinHeartbeatCycleInterval {
+		c.runCycle()
+	}
+}
+
+// runCycle runs a scheduling cycle and answers the workers that it concerns. A controller that
+// may not renew worker leases only sends cancellations.
+func (c *Controller) runCycle() {
+	c.state.ClearDirty()
+	c.lastCycleAt = time.Now()
+	c.sessions.SendCancellations(c.lastCycleAt)
+	if !c.cache.MayRenewWorkerLeases(c.lastCycleAt) {
+		return
+	}
+	c.scheduler.RunCycle(c.lastCycleAt)
+	c.sessions.SendResponses()
+}
+
+// tick does what is due at regular intervals.
+func (c *Controller) tick() {
+	now := time.Now()
+	c.updateHealth(now)
+	if !c.cache.Synced() {
+		c.sessions.ProcessEarlyHeartbeats() // refuses those that have waited too long
+		return
+	}
+	c.detectFailures(now)
+	c.cache.Tick(now)
+	c.handover.Tick(now)
+	c.sessions.Tick(now)
+	c.lifecycle.Tick(now)
+	c.claims.Tick(now)
+	c.cancelDependents(now)
+	c.diagnostics.LogProblems(now)
+	if now.Sub(c.lastRecountAt) >= tuning.RecountInterval {
+		c.lastRecountAt = now
+		c.recount(now)
+	}
+}
+
+// recount computes anew what is otherwise kept up to date change by change.
+func (c *Controller) recount(now time.Time) {
+	c.scheduler.Recount(now)
+	c.state.Dependencies().RefreshExpectedRuns()
+	c.cache.StoreMachineTypes(now)
+	c.lifecycle.LogUtilization()
+}
--- /dev/null
+++ b/internal/controller/localstate.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"time"
+
+	"cherrywall/internal/actor"
+	"cherrywall/internal/jobs"
+)
+
+// LocalState is what this controller knows of some jobs without asking the key-value store.
+type LocalState struct {
+	Synced bool
+	Shards map[string]uint64   // the epochs of the shards owned here
+	Jobs   map[string]LocalJob // all jobs that were asked for
+}
+
+// LocalJob is a job in a LocalState. It is the zero value for a job that is not known here.
+type LocalJob struct {
+	IsUnfinished bool
+	Spec         jobs.Spec
+	AcceptedMS   int64 // Unix time in milliseconds
+	IsFaulty     bool  // it fails on several machines where other jobs succeed
+	DoneTasks    int
+	ActiveTasks  int
+	FinalStatus  string // empty as long as the job is unfinished
+}
+
+// LocalState returns what is known of jobs; ok is false if the controller has ended. It holds
+// no shards and no jobs if the controller may not act on what it knows.
+func (c *Controller) LocalState(refs []string) (local LocalState, ok bool) {
+	return actor.Ask(c.mailbox, func() LocalState {
+		now := time.Now()
+		local := LocalState{Synced: c.cache.Synced(), Shards: map[string]uint64{}, Jobs: map[string]LocalJob{}}
+		if !local.Synced || !c.cache.MayRenewWorkerLeases(now) {
+			return local
+		}
+		for _, shard := range c.members.LocalShards() {
+			if c.cache.HasReachedEpoch(shard) {
+				local.Shards[shard.ID()] = shard.Epoch()
+			}
+		}
+		for _, ref := range refs {
+			local.Jobs[ref] = c.localJob(ref, now)
+		}
+		return local
+	})
+}
+
+func (c *Controller) localJob(ref string, now time.Time) LocalJob {
+	if job := c.state.Job(ref); job != nil && !job.HasEnded() {
+		local := LocalJob{
+			IsUnfinished: true,
+			Spec:         job.Record().Spec,
+			AcceptedMS:   job.Record().AcceptedAtMS,
+			IsFaulty:     c.faults.IsJobFaulty(ref) || c.peers.IsFaultyJob(ref, now),
+		}
+		local.DoneTasks, local.ActiveTasks = job.Progress()
+		return local
+	}
+	if final, hasEnded := c.cache.Final(ref); hasEnded {
+		return LocalJob{FinalStatus: final.Status, DoneTasks: final.Tasks}
+	}
+	return LocalJob{}
+}
--- /dev/null
+++ b/internal/controller/shutdown.go
@@ -0,0 +1,40 @@
+package controller
+
+import (
+	"time"
+
+	"cherrywall/internal/tuning"
+)
+
+// Leave hands this controller's shards over to its peers and gives up its liveness record. It
+// returns when no shard is left, or none can be handed over, or tuning.ShutdownTransferTimeout is
+// over. The controller is unhealthy from the beginning, so that users are sent elsewhere.
+func (c *Controller) Leave() {
+	finished := make(chan struct{})
+	startedAt := time.Now()
+	c.mailbox.Send(func() {
+		c.isLeaving = true
+		c.handover.Leave()
+		c.awaitHandovers(startedAt, finished)
+	})
+	select {
+	case <-finished:
+	case <-c.mailbox.Context().Done():
+	}
+}
+
+// awaitHandovers checks at each tick interval whether there is anything left to hand over, and
+// closes finished when this controller has given up its liveness record.
+func (c *Controller) awaitHandovers(startedAt time.Time, finished chan struct{}) {
+	now := time.Now()
+	isUnavailable := func(node string) bool { return node == c.cfg.Node || c.peers.IsLeaving(node, now) }
+	successor := c.members.SuccessorExcluding(c.cfg.Node, isUnavailable)
+	ownedShards := len(c.members.LocalShards())
+	if ownedShards > 0 && successor != "" && now.Sub(startedAt) <= tuning.ShutdownTransferTimeout {
+		c.mailbox.SendAfter(tuning.TickInterval, func() { c.awaitHandovers(startedAt, finished) })
+		return
+	}
+	c.log.Info("controller leaving", "shards_left", ownedShards, "duration_s", time.Since(startedAt).Seconds())
+	c.cache.ReleaseLiveness()
+	c.mailbox.SendAfter(tuning.ShutdownLastWriteTimeout, func() { close(finished) })
+}
--- /dev/null
+++ b/internal/controller/submissions.go
@@ -0,0 +1,236 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"cherrywall/internal/actor"
+	"cherrywall/internal/admission"
+	"cherrywall/internal/claims"
+	"cherrywall/internal/jobdag"
+	"cherrywall/internal/jobs"
+	"cherrywall/internal/kvstore"
+)
+
+// maxSubmitRetries is how often a submission is tried again when the cluster changed between the
+// decision and the transaction. A user who is answered 503 after that comes back by himself.
+const maxSubmitRetries = 3
+
+// submission is a job that is being submitted.
+type submission struct {
+	ref  string
+	spec *jobs.Spec
+	// invalid is what is wrong with the request. It is answered only if the job is unknown, since
+	// a repeated submission of a known job is answered with the job's status, whatever it says.
+	invalid error
+	// precondition has to hold for the job to be accepted; nil if there is none.
+	precondition *kvstore.Condition
+	priority     kvstore.Priority
+	reply        chan<- Response
+	retries      int
+	// dependencies are the states of the jobs that it depends on; nil until they were looked up.
+	dependencies map[string]jobdag.FinalState
+}
+
+// Submit accepts a job. invalid is what is wrong with the request, nil if nothing is; it counts
+// only if the job is not known already. The answer is sent to reply, which must have room for it.
+func (c *Controller) Submit(ref string, spec *jobs.Spec, invalid error, reply chan Response) {
+	c.mailbox.Send(func() {
+		c.submit(submission{ref: ref, spec: spec, invalid: invalid, priority: kvstore.Urgent, reply: reply})
+	})
+}
+
+// SubmitIf accepts a job on behalf of another record of the key-value store, as long as the
+// condition holds for that record; if it does not, the answer has the code 409. Users'
+// submissions have priority over it.
+func (c *Controller) SubmitIf(spec *jobs.Spec, condition kvstore.Condition, reply chan<- Response) {
+	c.mailbox.Send(func() {
+		c.submit(submission{ref: spec.Ref, spec: spec, precondition: &condition, priority: kvstore.Background, reply: reply})
+	})
+}
+
+func (c *Controller) submit(sub submission) {
+	if !c.cache.Synced() {
+		sub.reply <- unavailable(reasonNotSynced)
+		return
+	}
+	_, hasEnded := c.cache.Final(sub.ref)
+	isKnown := hasEnded || c.state.Job(sub.ref) != nil
+	if sub.invalid == nil && !isKnown {
+		if len(sub.spec.DependsOn) > 0 && sub.dependencies == nil {
+			c.resolveDependencies(sub)
+			return
+		}
+		isDecided, err := validateJob(c, sub.spec)
+		if !isDecided {
+			sub.reply <- unavailable("machine types, or the other controllers' versions, not known yet")
+			return
+		}
+		if err == nil {
+			c.acceptJob(sub)
+			return
+		}
+		sub.invalid = err
+	}
+	c.answerSubmission(sub)
+}
+
+// answerSubmission answers a submission with the status of the job if it is known, else with what
+// is wrong with the request.
+func (c *Controller) answerSubmission(sub submission) {
+	c.findJob(sub.ref, true, func(response Response) {
+		if response.Code != http.StatusNotFound {
+			sub.reply <- response
+			return
+		}
+		switch {
+		case sub.invalid == nil && sub.retries < maxSubmitRetries:
+			sub.retries++
+			c.submit(sub)
+		case sub.invalid == nil:
+			sub.reply <- unavailable(reasonBusy)
+		case errors.Is(sub.invalid, admission.ErrUnsatisfiable):
+			sub.reply <- Response{Code: http.StatusUnprocessableEntity, Error: sub.invalid.Error()}
+		default:
+			sub.reply <- Response{Code: http.StatusBadRequest, Error: sub.invalid.Error()}
+		}
+	})
+}
+
+// validateJob is (*Controller).validate, except in tests of invariant checkers, which replace it.
+var validateJob = (*Controller).validate
+
+// validate returns an error if a job can never run here or exceeds the limits of its class.
+// isDecided is false as long as too little is known of machine types or peers to say.
+func (c *Controller) validate(spec *jobs.Spec) (isDecided bool, err error) {
+	if record := (jobs.JobRecord{Spec: *spec}); !c.claims.FitsStore(record) {
+		// Such a record is stored in chunks once all controllers can read them.
+		return c.gate.IsOpen(), errors.New("body: too large to be kept")
+	}
+	if isDecided, err = admission.Check(spec, c.cfg.Team, c.machineTypes.All()); !isDecided || err != nil {
+		return isDecided, err
+	}
+	return true, c.checkClassLimit(spec)
+}
+
+// checkClassLimit returns an error if a job exceeds what the operators allow its class.
+func (c *Controller) checkClassLimit(spec *jobs.Spec) error {
+	settings, _ := c.cache.Settings()
+	limit := settings.ClassLimits[spec.Class] // the zero value limits nothing
+	switch tooManyTasks, tooLong := limit.Exceeded(spec); {
+	case tooManyTasks:
+		return fmt.Errorf("%w: %d tasks, but class %s allows %d", admission.ErrUnsatisfiable, spec.Tasks, spec.Class, limit.MaxTasks)
+	case tooLong:
+		return fmt.Errorf("%w: an estimate of %g s, but class %s allows %g", admission.ErrUnsatisfiable, spec.EstimatedRunSeconds, spec.Class, limit.MaxRunSeconds)
+	}
+	return nil
+}
+
+// Check returns an error if a job can never run here or exceeds the limits of its class.
+// isDecided is false as long as too little is known to say.
+func (c *Controller) Check(spec *jobs.Spec) (isDecided bool, err error) {
+	type answer struct {
+		isDecided bool
+		err       error
+	}
+	result, _ := actor.Ask(c.mailbox, func() (a answer) {
+		if c.cache.Synced() {
+			a.isDecided, a.err = c.validate(spec)
+		}
+		return a
+	})
+	return result.isDecided, result.err
+}
+
+// acceptance is a job with the transaction that accepts it.
+type acceptance struct {
+	record       jobs.JobRecord
+	txn          kvstore.Txn
+	status       string // of the job when it is accepted
+	claimedTasks int    // that the transaction also claims for a shard of this controller
+}
+
+// acceptJob stores a valid new job and answers its submission.
+func (c *Controller) acceptJob(sub submission) {
+	accept := c.newAcceptance(sub)
+	c.unstoredClaims += accept.claimedTasks
+	c.cache.Commit(sub.priority, accept.txn, func(result kvstore.TxnResult, err error) {
+		c.unstoredClaims -= accept.claimedTasks
+		switch {
+		case err != nil:
+			c.log.Debug("submission not stored", "job", sub.ref, "error", err)
+			sub.reply <- unavailable(reasonStoreUnavailable)
+		case result.Succeeded:
+			spec := sub.spec
+			c.log.Info("job accepted", "job", sub.ref, "class", spec.Class, "kind", spec.Kind, "tasks", spec.Tasks,
+				"cpu", spec.CPU, "priority", spec.Urgency, "dependencies", len(accept.record.DependsOn), "status", accept.status)
+			sub.reply <- Response{Code: http.StatusCreated, Ref: sub.ref, Status: accept.status}
+		case sub.precondition != nil && slices.Contains(result.FailedKeys, sub.precondition.Key):
+			sub.reply <- Response{Code: http.StatusConflict, Error: "what it is submitted for has changed"}
+		default:
+			c.handleAcceptanceConflict(sub, accept)
+		}
+	})
+}
+
+// newAcceptance makes the transaction that accepts a job. A small job is claimed with the same
+// transaction, a job that depends on a cancelled one is stored as cancelled.
+func (c *Controller) newAcceptance(sub submission) acceptance {
+	spec := sub.spec
+	accept := acceptance{status: jobs.Queued}
+	accept.record = jobs.JobRecord{
+		Spec:         *spec,
+		AcceptedAtMS: time.Now().UnixMilli(),
+		AcceptedBy:   c.cfg.Node,
+		Unclaimed:    []jobs.TaskInterval{{First: 0, Count: spec.Tasks}},
+	}
+	isDone := func(ref string) bool { return sub.dependencies[ref] == jobdag.Done }
+	isCancelled := func(ref string) bool { return sub.dependencies[ref] == jobdag.Cancelled }
+	accept.record.DependsOn = slices.DeleteFunc(slices.Clone(spec.DependsOn), isDone)
+	accept.txn.Conditions = []kvstore.Condition{{Key: jobs.JobKey(sub.ref)}, {Key: jobs.FinalKey(sub.ref)}}
+	if len(accept.record.DependsOn) == 0 {
+		c.claimImmediately(&accept)
+	}
+	if sub.precondition != nil {
+		accept.txn.Conditions = append(accept.txn.Conditions, *sub.precondition)
+	}
+	if slices.ContainsFunc(accept.record.DependsOn, isCancelled) {
+		accept.status = jobs.Cancelled
+		accept.txn.Writes = []kvstore.Write{{Key: jobs.FinalKey(sub.ref), Value: kvstore.Encode(jobs.FinalState{Status: jobs.Cancelled})}}
+		return accept
+	}
+	accept.txn.Writes = []kvstore.Write{{Key: jobs.JobKey(sub.ref), Value: kvstore.Encode(accept.record)}}
+	return accept
+}
+
+// claimImmediately claims all tasks of a small job for a shard of this controller that has room
+// for them, on the precondition that this controller still owns the shard.
+func (c *Controller) claimImmediately(accept *acceptance) {
+	shard := c.scheduler.ShardForImmediateClaim(&accept.record, c.unstoredClaims)
+	if shard == nil {
+		return
+	}
+	accept.claimedTasks = accept.record.Tasks
+	accept.record.WholeClaim = claims.NewWholeJobClaim(shard, accept.record.Tasks)
+	accept.record.Unclaimed = []jobs.TaskInterval{}
+	accept.txn.Conditions = append(accept.txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + shard.ID(), Revision: shard.Epoch()})
+}
+
+// handleAcceptanceConflict answers a submission whose preconditions failed: the job may be known
+// by now, or the shard that was to run it has a new owner.
+func (c *Controller) handleAcceptanceConflict(sub submission, accept acceptance) {
+	c.findJob(sub.ref, true, func(response Response) {
+		switch {
+		case response.Code == http.StatusNotFound && accept.claimedTasks > 0 && sub.retries < maxSubmitRetries:
+			sub.retries++
+			c.submit(sub)
+		case response.Code == http.StatusNotFound:
+			sub.reply <- unavailable(reasonBusy)
+		default:
+			sub.reply <- response
+		}
+	})
+}
--- /dev/null
+++ b/internal/diagnostics/diagnostics.go
@@ -0,0 +1,88 @@
+// Package diagnostics describes the state of a controller to operators: the views of the
+// administration API, the findings of "cherrywall doctor", the problems that last, the reasons
+// why jobs wait, and the gauges of the metrics endpoint.
+//
+// A Reporter only reads. It uses the same components as the controller and takes no locks, so
+// all its methods must be called on the goroutine of the controller that owns these components.
+package diagnostics
+
+import (
+	"log/slog"
+	"time"
+
+	"cherrywall/internal/admin"
+	"cherrywall/internal/clusterstate"
+	"cherrywall/internal/config"
+	"cherrywall/internal/failuredetector"
+	"cherrywall/internal/faultattribution"
+	"cherrywall/internal/featuregate"
+	"cherrywall/internal/handover"
+	"cherrywall/internal/machinetype"
+	"cherrywall/internal/membership"
+	"cherrywall/internal/peerstatus"
+	"cherrywall/internal/reconciliation"
+	"cherrywall/internal/scheduler"
+	"cherrywall/internal/statecache"
+	"cherrywall/internal/workersession"
+)
+
+// Dependencies are the components of the controller that a Reporter reads.
+type Dependencies struct {
+	State        *clusterstate.State
+	Membership   *membership.Table
+	Cache        *statecache.Cache
+	Scheduler    *scheduler.Scheduler
+	Sessions     *workersession.Manager
+	Reconciler   *reconciliation.Reconciler
+	Handover     *handover.Coordinator
+	MachineTypes *machinetype.Catalog
+	Faults       *faultattribution.Attributor
+	Peers        *peerstatus.Tracker
+	Detector     *failuredetector.Detector
+	FeatureGate  *featuregate.Gate
+	// IsLeaving reports whether this controller is shutting down.
+	IsLeaving func() bool
+}
+
+// Reporter answers operators' questions about the controller that it belongs to.
+type Reporter struct {
+	cfg              *config.Config
+	deps             Dependencies
+	log              *slog.Logger
+	problemsLoggedAt time.Time
+}
+
+// New returns a reporter that reads from deps.
+func New(cfg *config.Config, deps Dependencies, log *slog.Logger) *Reporter {
+	return &Reporter{cfg: cfg, deps: deps, log: log}
+}
+
+// View returns the view of that name, one of admin.ViewNames, as a value to be encoded as JSON.
+// It returns nil for any other name.
+func (r *Reporter) View(name string, now time.Time) any {
+	switch name {
+	case admin.ViewShards:
+		return r.shards()
+	case admin.ViewMembers:
+		return r.members(now)
+	case admin.ViewHandovers:
+		return r.deps.Handover.Transfers(now)
+	case admin.ViewReconciliation:
+		return r.deps.Reconciler.Views(now)
+	case admin.ViewWorkers:
+		return r.workers()
+	case admin.ViewCapacities:
+		return r.deps.Scheduler.CapacityTable()
+	case admin.ViewJobs:
+		return r.jobs(now)
+	case admin.ViewFleet:
+		return r.fleet()
+	case admin.ViewUpgrade:
+		return r.upgrade()
+	case admin.ViewFindings:
+		return r.findings(now)
+	case admin.ViewProblems:
+		return r.problems(now)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/diagnostics/fleet.go
@@ -0,0 +1,63 @@
+package diagnostics
+
+import "slices"
+
+// upgradeView shows which versions the controllers run, and what depends on it.
+type upgradeView struct {
+	// GateOpen reports whether jobs with dependencies are accepted.
+	GateOpen    bool          `json:"open"`
+	WaitsFor    []string      `json:"waits_for"`
+	Controllers []versionView `json:"controllers"`
+	// Limits are the limits of the key-value store in force for writes.
+	Limits map[string]float64 `json:"limits"`
+}
+
+type versionView struct {
+	Node                 string `json:"controller"`
+	Version              int    `json:"version"`
+	SupportsDependencies bool   `json:"knows_awaits"`
+}
+
+func (r *Reporter) upgrade() upgradeView {
+	limits := r.cfg.EffectiveStateLimits()
+	gate := r.deps.FeatureGate
+	view := upgradeView{
+		GateOpen: gate.IsOpen(),
+		WaitsFor: append([]string{}, gate.PendingControllers()...),
+		Limits: map[string]float64{
+			"requests_per_s": limits.RPS,
+			"changes_per_s":  limits.WriteRPS,
+			"value_kb":       limits.ValueKB,
+			"txn_ops":        float64(limits.TxnOps),
+		},
+	}
+	for _, node := range r.deps.Membership.Controllers() {
+		view.Controllers = append(view.Controllers, versionView{
+			Node:                 node,
+			Version:              gate.VersionOf(node),
+			SupportsDependencies: !slices.Contains(view.WaitsFor, node),
+		})
+	}
+	return view
+}
+
+// fleetView counts the machines by "zone/type/ordinary" or "zone/type/spot".
+type fleetView struct {
+	Machines   map[string]int `json:"machines"`
+	HourlyCost float64        `json:"cost_per_hour"`
+}
+
+func (r *Reporter) fleet() fleetView {
+	view := fleetView{Machines: map[string]int{}}
+	for machine := range r.deps.State.Machines() {
+		record := machine.Record()
+		machineType, _ := r.deps.MachineTypes.Get(record.MachineType)
+		market, price := "/ordinary", machineType.HourlyPrice
+		if record.Spot {
+			market, price = "/spot", machineType.SpotHourlyPrice
+		}
+		view.Machines[record.Zone+"/"+record.MachineType+market]++
+		view.HourlyCost += price
+	}
+	return view
+}
--- /dev/null
+++ b/internal/diagnostics/gauges.go
@@ -0,0 +1,39 @@
+package diagnostics
+
+import "time"
+
+// Gauges returns the values of the controller's gauges by metric name, without the prefix of
+// the program. The gauges of the reconciliation ("start_...") are missing if this controller owns no
+// shard.
+func (r *Reporter) Gauges(now time.Time) map[string]float64 {
+	gauges := map[string]float64{
+		"jobs_unfinished":         0,
+		"tasks_unclaimed":         0,
+		"tasks_here":              0,
+		"workers_here":            0,
+		"upgrade_open":            0,
+		"shares_held":             float64(len(r.deps.Membership.LocalShards())),
+		"state_silent_seconds":    now.Sub(r.deps.Cache.LastContactAt()).Seconds(),
+		"jobs_waiting_for_others": float64(r.deps.State.Dependencies().BlockedCount()),
+	}
+	if r.deps.FeatureGate.IsOpen() {
+		gauges["upgrade_open"] = 1
+	}
+	for job := range r.deps.State.Jobs() {
+		if !job.HasEnded() {
+			gauges["jobs_unfinished"]++
+			gauges["tasks_unclaimed"] += float64(job.Record().UnclaimedCount())
+		}
+	}
+	for _, view := range r.deps.Reconciler.Views(now) {
+		gauges["start_machines_waited_for"] += float64(view.UnconfirmedWorkers)
+		gauges["start_tasks_unaccounted"] += float64(view.UnaccountedTasks)
+	}
+	_, machines := r.deps.State.Sizes()
+	gauges["workers"] = float64(machines)
+	for _, machine := range r.deps.State.OwnedMachines() {
+		gauges["workers_here"]++
+		gauges["tasks_here"] += float64(machine.AssignmentCount())
+	}
+	return gauges
+}
