--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -46,9 +46,9 @@
 
 const benchShard, benchIncarnation, benchEpoch = "n0", 7, 5
 
-// NewBenchController returns a controller that owns one shard with every machine full: 16 tasks
-// each, of arrays of 1,000 tasks whose other tasks wait, and gangs that wait. It also returns a
-// heartbeat of each machine.
+// NewBenchController returns a controller that owns one shard whose machines are all full, with 16 running
+// tasks each. The running tasks belong to arrays of 1,000 tasks, of which the others wait; the gangs wait,
+// too. It also returns a heartbeat of each machine.
 func NewBenchController(b *testing.B, machines, tasks, gangs int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	cfg := &config.Config{Node: benchShard, Zone: "a"}
@@ -102,10 +102,10 @@
 	return heartbeat
 }
 
-// Run runs the controller without following a store.
+// Run runs the controller's goroutine without a watch of the key-value store.
 func (c *Controller) Run() { c.run() }
 
-// passReadBarrier makes the cache current.
+// passReadBarrier handles messages until a read barrier has made the cache current.
 func (c *Controller) passReadBarrier() {
 	isCurrent := false
 	c.cache.ReadBarrier(true, func(bool) { isCurrent = true })
@@ -114,7 +114,8 @@
 	}
 }
 
-// drainMailbox keeps a controller that does not run from growing stale or full of messages.
+// drainMailbox handles the queued messages of a controller whose goroutine does not run, and passes a read
+// barrier before the cache becomes stale.
 func drainMailbox(c *Controller) {
 	for len(c.mailbox.Messages()) > 0 {
 		(<-c.mailbox.Messages())()
@@ -124,7 +125,8 @@
 	}
 }
 
-// machineCounts are the sizes of the benchmarks. Each machine has a hundred tasks, of which 16 run.
+// machineCounts are the numbers of machines of the benchmarks. There are a hundred tasks for each machine,
+// of which 16 run.
 var machineCounts = []int{300, 1200, 5000, 20_000}
 
 func forEachMachineCount(b *testing.B, benchmark func(b *testing.B, machines int)) {
@@ -136,17 +138,17 @@
 	}
 }
 
-// newCrowdedController returns a controller whose jobs grow with the machines: see machineCounts,
-// and a gang waits for every ten machines.
-func newCrowdedController(b *testing.B, machines int) (*Controller, []*workerapi.Heartbeat) {
+// newLoadedController returns a controller whose load grows with the number of machines: a hundred tasks
+// for each machine, see machineCounts, and one waiting gang for every ten machines.
+func newLoadedController(b *testing.B, machines int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	return NewBenchController(b, machines, 100*machines, machines/10)
 }
 
-// BenchmarkSchedulingCycle measures a cycle in which nothing fits.
+// BenchmarkSchedulingCycle measures a scheduling cycle in which no waiting task fits on a machine.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, _ := newCrowdedController(b, machines)
+		c, _ := newLoadedController(b, machines)
 		for b.Loop() {
 			drainMailbox(c)
 			c.runCycle()
@@ -154,10 +156,10 @@
 	})
 }
 
-// BenchmarkTaskReplacement measures a cycle after a task has ended, which starts another in its place.
+// BenchmarkTaskReplacement measures the cycle after the end of a task, which starts another in its place.
 func BenchmarkTaskReplacement(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, heartbeats := newCrowdedController(b, machines)
+		c, heartbeats := newLoadedController(b, machines)
 		machine := c.state.Machine(heartbeats[0].Host)
 		for b.Loop() {
 			drainMailbox(c)
@@ -170,10 +172,10 @@
 	})
 }
 
-// BenchmarkHeartbeat measures the handling of a heartbeat without news.
+// BenchmarkHeartbeat measures the handling of a worker's heartbeat that reports no changes.
 func BenchmarkHeartbeat(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, heartbeats := newCrowdedController(b, machines)
+		c, heartbeats := newLoadedController(b, machines)
 		next := 0
 		for b.Loop() {
 			heartbeat := heartbeats[next%len(heartbeats)]
@@ -184,10 +186,10 @@
 	})
 }
 
-// BenchmarkTick measures a tick of the components that depend on the number of machines.
+// BenchmarkTick measures a tick of the components whose work depends on the number of machines.
 func BenchmarkTick(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, _ := newCrowdedController(b, machines)
+		c, _ := newLoadedController(b, machines)
 		for b.Loop() {
 			drainMailbox(c)
 			now := time.Now()
@@ -198,10 +200,10 @@
 	})
 }
 
-// BenchmarkLifecycleMaintenance measures what the machine lifecycle does once a second.
+// BenchmarkLifecycleMaintenance measures the maintenance that the machine lifecycle does once a second.
 func BenchmarkLifecycleMaintenance(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, _ := newCrowdedController(b, machines)
+		c, _ := newLoadedController(b, machines)
 		for b.Loop() {
 			drainMailbox(c)
 			c.lifecycle.Maintain(time.Now())
@@ -209,10 +211,11 @@
 	})
 }
 
-// BenchmarkRecount measures what the controller does every five seconds.
+// BenchmarkRecount measures the scheduler's recount, which the controller does every five seconds, and the
+// scheduling cycle after it.
 func BenchmarkRecount(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, _ := newCrowdedController(b, machines)
+		c, _ := newLoadedController(b, machines)
 		for b.Loop() {
 			drainMailbox(c)
 			c.scheduler.Recount(time.Now())
@@ -221,11 +224,12 @@
 	})
 }
 
-// BenchmarkShardAcquisition measures the acquisition of a shard with all machines: from the record
-// to the last worker's heartbeat, with all tasks reconciled, and the first scheduling cycle.
+// BenchmarkShardAcquisition measures the acquisition of a shard that has all machines: it applies the
+// shard's record and the heartbeats of all workers, which reconciles all tasks, and runs the first
+// scheduling cycle.
 func BenchmarkShardAcquisition(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
-		c, heartbeats := newCrowdedController(b, machines)
+		c, heartbeats := newLoadedController(b, machines)
 		epoch := uint64(100)
 		for b.Loop() {
 			drainMailbox(c)
@@ -240,20 +244,20 @@
 	})
 }
 
-// BenchmarkStartup measures the reading of all records and the first heartbeats of all workers. It
-// reports the bytes held for each machine with its 16 running and 84 waiting tasks.
+// BenchmarkStartup measures the application of all records and of the first heartbeats of all workers. It
+// also reports the heap size in bytes for each machine with its 16 running and 84 waiting tasks.
 func BenchmarkStartup(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c, _ := newCrowdedController(b, machines)
+		c, _ := newLoadedController(b, machines)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		bytesPerMachine := float64(after.HeapAlloc-before.HeapAlloc) / float64(machines)
 		runtime.KeepAlive(c)
 		for b.Loop() {
-			newCrowdedController(b, machines)
+			newLoadedController(b, machines)
 		}
 		b.ReportMetric(bytesPerMachine, "held-B/machine")
 	})
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -8,18 +8,18 @@
 	"cherrywall/internal/kvstore"
 )
 
-// maxCancelAttempts is how often a cancellation is retried because the job's record has changed. A user
-// who is answered 503 after that retries.
-const maxCancelAttempts = 6
+// maxCancelRetries is how often a cancellation is retried because the job's record has changed. After
+// that the request is answered 503, and the client may retry it.
+const maxCancelRetries = 6
 
-// Cancel cancels a job and sends its status to reply, which must have room for it. When it is answered
-// with the status cancelled, the cancellation is durable and no task of the job starts any more. A job
+// Cancel cancels a job and sends the job's status to reply, which must have room for it. Once the answer
+// has the status cancelled, the cancellation is durable and no task of the job starts any more. A job
 // that is done stays done.
 func (c *Controller) Cancel(ref string, reply chan Response) {
 	c.mailbox.Send(func() { c.cancelJob(ref, reply, 0) })
 }
 
-func (c *Controller) cancelJob(ref string, reply chan Response, attempts int) {
+func (c *Controller) cancelJob(ref string, reply chan Response, retries int) {
 	c.findJob(ref, true, func(response Response) {
 		job := c.state.Job(ref)
 		isFinal := response.Status == jobs.Done || response.Status == jobs.Cancelled
@@ -28,35 +28,35 @@
 			reply <- response
 			return
 		}
-		if attempts > maxCancelAttempts {
+		if retries > maxCancelRetries {
 			reply <- unavailable(reasonBusy)
 			return
 		}
 		if job.Record().WholeClaim != nil && !job.Record().ExcludedFromBatches {
-			c.excludeAndCancel(job, reply, attempts)
+			c.excludeAndCancel(job, reply, retries)
 			return
 		}
-		c.storeCancellation(job, reply, attempts)
+		c.storeCancellation(job, reply, retries)
 	})
 }
 
-// excludeAndCancel cancels a job whose completion its owner may write to a completion batch. Such a
-// completion does not change the job's record, so that the preconditions of the cancellation would hold
-// and the job would be both done and cancelled. The job is excluded from batches first.
-func (c *Controller) excludeAndCancel(job *clusterstate.Job, reply chan Response, attempts int) {
+// excludeAndCancel excludes a job from completion batches and then cancels it. It is needed for a job
+// whose completion its owner may write to a batch: such a completion does not change the job's record,
+// so that the preconditions of the cancellation would hold and the job would be both done and cancelled.
+func (c *Controller) excludeAndCancel(job *clusterstate.Job, reply chan Response, retries int) {
 	ref := job.Ref()
 	c.claims.ExcludeFromBatches(job, func(err error) {
 		if err != nil {
 			reply <- unavailable(reasonStoreUnavailable)
 			return
 		}
-		c.cancelJob(ref, reply, attempts+1)
+		c.cancelJob(ref, reply, retries+1)
 	})
 }
 
-// storeCancellation writes the final state of a cancelled job, and begins anew if the job's record has
-// changed.
-func (c *Controller) storeCancellation(job *clusterstate.Job, reply chan Response, attempts int) {
+// storeCancellation writes the final state of a cancelled job, and retries the cancellation if the job's
+// record has changed.
+func (c *Controller) storeCancellation(job *clusterstate.Job, reply chan Response, retries int) {
 	ref := job.Ref()
 	final := jobs.FinalState{Status: jobs.Cancelled, Tasks: unfinishedResponse(job).DoneTasks}
 	c.cache.Commit(kvstore.Urgent, cancelTxn(job, final), func(result kvstore.TxnResult, err error) {
@@ -68,13 +68,13 @@
 			// findJob answers once no task of the job can start any more.
 			c.findJob(ref, true, func(response Response) { reply <- response })
 		default:
-			c.cancelJob(ref, reply, attempts+1)
+			c.cancelJob(ref, reply, retries+1)
 		}
 	})
 }
 
-// cancelTxn replaces the record of an unfinished job by its final state, on the precondition that
-// the record has not changed.
+// cancelTxn returns the transaction that replaces the record of an unfinished job by its final state, on
+// the precondition that the record has not changed.
 func cancelTxn(job *clusterstate.Job, final jobs.FinalState) kvstore.Txn {
 	jobKey, finalKey := jobs.JobKey(job.Ref()), jobs.FinalKey(job.Ref())
 	return kvstore.Txn{
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -12,47 +12,50 @@
 	"cherrywall/internal/tuning"
 )
 
-// No task of a job starts once its user was answered that it is cancelled (docs/recovery.md, "No start
-// after a cancellation"). So the answer waits until every controller that owns tasks of the job has
-// notified its workers, or may no longer start tasks from what it knew before the cancellation.
+// Once a user has been answered that a job is cancelled, no task of the job starts (docs/recovery.md, "No
+// start after a cancellation"). Therefore the answer waits until each controller that owns tasks of the job
+// has notified its workers, or may no longer start tasks based on its state before the cancellation.
 
-// cancellation is a cancelled job, as it is announced to the peers.
+// cancellation describes a cancelled job. It is announced to the peers.
 type cancellation struct {
 	ref       string
 	doneTasks int
-	revision  uint64    // of the final state that cancelled it
-	knownAt   time.Time // when it became known here
+	revision  uint64    // store revision of the final state that cancelled the job
+	knownAt   time.Time // when this controller learned of the cancellation
 }
 
-// unconfirmedCancellation is a cancellation that no user is answered yet: a worker may still be
-// commanded to start a task of the job.
+// unconfirmedCancellation is a cancellation that must not be reported to users yet: a controller may
+// still command a worker to start a task of the job.
 type unconfirmedCancellation struct {
 	cancellation
 	owners  map[string]bool // other controllers that owned tasks of the job
-	waiters []func()        // requests about the job, to be answered after the confirmation
+	waiters []func()        // answer the requests about the job; called after the confirmation
 }
 
-// cancellationLog has the cancellations that are announced to the peers, and those that wait for their
-// confirmation.
+// cancellationLog holds the cancellations that are announced to the peers, and those that are not
+// confirmed yet.
 type cancellationLog struct {
-	recent           []cancellation                      // announced to the peers, the latest last
+	recent           []cancellation                      // announced to the peers, in the order in which they became known
 	unconfirmed      map[string]*unconfirmedCancellation // by job
-	isCheckScheduled bool                                // confirmCancellations will run after its poll interval
+	isCheckScheduled bool                                // confirmCancellations will run once tuning.CancellationConfirmPollInterval has passed
 }
 
 // pending returns the unconfirmed cancellation of a job, nil if there is none.
 func (l *cancellationLog) pending(ref string) *unconfirmedCancellation { return l.unconfirmed[ref] }
 
-// dropExpired drops the cancellations that have been announced to the peers for long enough.
+// dropExpired drops the cancellations that have been announced to the peers for longer than
+// tuning.CancellationAnnouncePeriod.
 func (l *cancellationLog) dropExpired(now time.Time) {
 	l.recent = slices.DeleteFunc(l.recent, func(c cancellation) bool {
 		return now.Sub(c.knownAt) > tuning.CancellationAnnouncePeriod
 	})
 }
 
-// noteCancellation is called when a job becomes known to be cancelled, before its claims are
-// removed from the cluster state.
-func (c *Controller) noteCancellation(ref string, doneTasks int, revision uint64) {
+// recordCancellation records that a job is cancelled, so that the peers are notified and users are
+// answered only after the confirmation. The cache calls it when it learns of the cancellation, before it
+// removes the job's claims from the cluster state. doneTasks is the number of tasks that were done, and
+// revision is that of the final state.
+func (c *Controller) recordCancellation(ref string, doneTasks int, revision uint64) {
 	now := time.Now()
 	cancelled := cancellation{ref, doneTasks, revision, now}
 	c.cancellations.dropExpired(now)
@@ -61,13 +64,13 @@
 	if job == nil || job.HasEnded() || !c.cache.Synced() {
 		return
 	}
-	owners, isPlacedHere := c.taskOwners(job)
-	if !isPlacedHere && len(owners) == 0 {
+	owners, isPlacedLocally := c.taskOwners(job)
+	if !isPlacedLocally && len(owners) == 0 {
 		return
 	}
 	c.cancellations.unconfirmed[ref] = &unconfirmedCancellation{cancellation: cancelled, owners: owners}
-	// The claims are removed by the change that is being applied now. Only then are the job's tasks ones
-	// to be stopped, so the workers are notified in a later message.
+	// The change that is being applied now removes the claims. Only after that do the worker sessions stop
+	// the job's tasks, so the workers are notified in a later message.
 	c.mailbox.SendAfter(time.Millisecond, func() {
 		c.sessions.SendCancellations(time.Now())
 		c.sendHeartbeats()
@@ -75,25 +78,25 @@
 	})
 }
 
-// taskOwners returns the other controllers that own tasks of a job, and whether any task is placed
-// on a worker of this one.
-func (c *Controller) taskOwners(job *clusterstate.Job) (others map[string]bool, isPlacedHere bool) {
+// taskOwners returns the other controllers that own tasks of a job, and whether any task of the job is
+// placed on a worker of this controller.
+func (c *Controller) taskOwners(job *clusterstate.Job) (others map[string]bool, isPlacedLocally bool) {
 	others = map[string]bool{}
 	for taskRange := range job.TaskRanges() {
 		shard := c.members.Shard(taskRange.Record().Shard)
 		switch {
 		case shard == nil:
 		case shard.IsLocal():
-			isPlacedHere = isPlacedHere || taskRange.CountTasks(clusterstate.TaskPlaced) > 0
+			isPlacedLocally = isPlacedLocally || taskRange.CountTasks(clusterstate.TaskPlaced) > 0
 		default:
 			others[shard.Owner()] = true
 		}
 	}
-	return others, isPlacedHere
+	return others, isPlacedLocally
 }
 
-// confirmCancellations answers the requests about jobs whose cancellation is confirmed, and runs
-// again later if there are others.
+// confirmCancellations answers the requests about jobs whose cancellation is confirmed. While others are
+// unconfirmed, it runs again after each tuning.CancellationConfirmPollInterval.
 func (c *Controller) confirmCancellations() {
 	now := time.Now()
 	for _, ref := range slices.Sorted(maps.Keys(c.cancellations.unconfirmed)) {
@@ -124,19 +127,19 @@
 		Subject:       pending.ref,
 		StoreRevision: pending.revision,
 		KnownAt:       c.cache.ConsistentAsOf(),
-		Reason:        fmt.Sprintf("known for %.3f s; tasks of %d other owners", now.Sub(pending.knownAt).Seconds(), len(pending.owners)),
+		Reason:        fmt.Sprintf("known for %.3f s; %d other controllers owned tasks of the job", now.Sub(pending.knownAt).Seconds(), len(pending.owners)),
 	})
 }
 
-// isConfirmed reports whether no task of a cancelled job will be started any more, as far as a
-// controller can prevent it.
+// isConfirmed reports whether no controller will command the start of a task of a cancelled job any more.
+// After tuning.CancellationConfirmWait it does not wait for workers that have not confirmed the stop.
 func (c *Controller) isConfirmed(pending *unconfirmedCancellation, now time.Time) bool {
 	elapsed := now.Sub(pending.knownAt)
 	if elapsed < tuning.CancellationConfirmWait && c.sessions.HasUnconfirmedStop(pending.ref) {
 		return false
 	}
 	if elapsed >= c.cfg.CancellationEffectiveDelay() {
-		return true // no owner may start tasks any more from what it knew before the cancellation
+		return true // no controller may still start tasks based on its state before the cancellation
 	}
 	for node := range pending.owners {
 		if !c.hasPeerConfirmed(node, pending, elapsed) {
@@ -146,8 +149,8 @@
 	return true
 }
 
-// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation; or
-// has applied it, and tuning.CancellationConfirmWait is over.
+// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation. After
+// tuning.CancellationConfirmWait it suffices that the controller has applied the cancellation.
 func (c *Controller) hasPeerConfirmed(node string, pending *unconfirmedCancellation, elapsed time.Duration) bool {
 	if c.peers.HasNotifiedWorkers(node, pending.ref) {
 		return true
@@ -155,8 +158,8 @@
 	return elapsed >= tuning.CancellationConfirmWait && c.peers.HasApplied(node, pending.revision)
 }
 
-// applyPeerCancellations applies the cancellations that another controller announces, which arrive
-// before the watch delivers them if it lags.
+// applyPeerCancellations applies the cancellations that another controller announces. They arrive before
+// the watch of the key-value store delivers them if the watch lags.
 func (c *Controller) applyPeerCancellations(cancelled []peer.CancelledJob, now time.Time) {
 	for _, job := range cancelled {
 		c.cache.ApplyPeerCancellation(job.Ref, job.CompletedTasks, job.Revision)
@@ -167,8 +170,8 @@
 	}
 }
 
-// announcedCancellations returns the latest cancellations for the heartbeat to the peers, at most
-// tuning.MaxAnnouncedCancellations.
+// announcedCancellations returns the cancellations to announce in the heartbeat to the peers: the latest
+// ones, at most tuning.MaxAnnouncedCancellations.
 func (c *Controller) announcedCancellations(now time.Time) []peer.CancelledJob {
 	c.cancellations.dropExpired(now)
 	recent := c.cancellations.recent
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -15,10 +15,11 @@
 	"cherrywall/internal/kvstore"
 )
 
-// The tests in this file check the invariant checker: each runs a mutation of the program that
-// breaks an invariant, and the checker has to find it.
+// The tests in this file check the invariant checker: each runs a mutation of the program that breaks an
+// invariant, and the checker has to report the violation.
 
-// volatileCancellations is a mutation: it answers cancellations without storing them.
+// volatileCancellations is a mutation: the store answers that a cancellation succeeded, but does not store
+// it.
 type volatileCancellations struct{ chunkedstore.Service }
 
 func (s volatileCancellations) Commit(ctx context.Context, priority kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error) {
@@ -30,8 +31,8 @@
 	return s.Service.Commit(ctx, priority, txn)
 }
 
-// prematureFinalStates is a mutation: it reports a job's final state as soon as some of its tasks
-// are recorded as done.
+// prematureFinalStates is a mutation: the watch reports that a job is done as soon as the record of one of
+// its task ranges is written, which happens when some of its tasks are done.
 type prematureFinalStates struct{ chunkedstore.Service }
 
 func (s prematureFinalStates) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
@@ -46,18 +47,19 @@
 	return events, revision, err
 }
 
-// Mutations: decisions rest on facts that are not durable. One of a few runs violates an invariant.
+// The mutations decide by completions or cancellations that are not durable. Of ten runs of a mutation, at
+// least one has to violate the invariant.
 func TestCheckerFindsVolatileDecisions(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		invariant string
 		mutate    func(node string, service chunkedstore.Service) chunkedstore.Service
 	}{
-		{"a start by a volatile completion", "too_early",
+		{"start after a completion that is not durable", "too_early",
 			func(_ string, service chunkedstore.Service) chunkedstore.Service {
 				return prematureFinalStates{service}
 			}},
-		{"a cancellation in memory only", "went_back",
+		{"cancellation only in memory", "went_back",
 			func(_ string, service chunkedstore.Service) chunkedstore.Service {
 				return volatileCancellations{service}
 			}},
@@ -68,31 +70,31 @@
 				crashAndRestart(run.Cluster)
 				time.Sleep(5 * time.Second)
 			}
-			isWanted := func(violation string) bool { return strings.HasPrefix(violation, c.invariant) }
+			breaksInvariant := func(violation string) bool { return strings.HasPrefix(violation, c.invariant) }
 			for seed := range uint64(10) {
 				violations, _ := runDependencyGraphs(t, seed, configure)
-				if slices.ContainsFunc(violations, isWanted) {
+				if slices.ContainsFunc(violations, breaksInvariant) {
 					return
 				}
 			}
-			t.Errorf("ten runs of the mutation kept the invariant %s", c.invariant)
+			t.Errorf("the checker found no violation of %s in ten runs of the mutation", c.invariant)
 		})
 	}
 }
 
-// Mutation: users are answered without a read barrier, and so from an outdated cache while a watch lags,
-// in an outage, or at a controller that the store refuses.
+// The mutation answers users without a read barrier. While the watch lags, during an outage of the store,
+// or at a controller that the store refuses, the answers come from an outdated cache.
 func TestCheckerFindsStaleReads(t *testing.T) {
 	defer controller.SkipReadBarrier()()
 	if !faultinjection.FindsViolation(t, 20, "went_back") {
-		t.Error("20 runs of the mutation kept the invariant")
+		t.Error("the checker found no violation in 20 runs of the mutation")
 	}
 }
 
-// Mutation: jobs are accepted without validation.
+// The mutation accepts jobs without validation.
 func TestCheckerFindsAcceptedUnsatisfiableJob(t *testing.T) {
 	defer controller.AcceptInvalidJobs()()
 	if !faultinjection.FindsViolationOf(t, 5, faultinjection.InvalidRequests, func(*fake.Cluster) {}, "accepted_odd") {
-		t.Error("5 runs of the mutation kept the invariant")
+		t.Error("the checker found no violation in 5 runs of the mutation")
 	}
 }
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -14,15 +14,15 @@
 // answer is a job's status as a user received it.
 type answer struct {
 	status      jobs.Status
-	isComplete  bool // all tasks of the job were done when it was received
+	isComplete  bool // all tasks of the job were done when the answer was received
 	requestedAt time.Time
 	receivedAt  time.Time
 }
 
 func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
-// completionRequests sends requests about jobs at the time of their completion and collects the
-// answers.
+// completionRequests sends requests about jobs at about the time of their completion and collects the
+// answers by job.
 type completionRequests struct {
 	cluster *fake.Cluster
 	senders sync.WaitGroup
@@ -30,16 +30,16 @@
 	answers map[string][]answer
 }
 
-// The kinds of requests that are sent at a job's completion.
+// Kinds of requests that are sent at about the time of a job's completion.
 const (
 	cancelRequest = iota
 	pollRequest
 	resubmitRequest
 )
 
-// Cancellations, polls and repeated submissions at different controllers coincide with the completion
-// of a job's last task, before and after it is durable: the job has one final state, which never
-// changes, and when it is answered as done all its tasks are done.
+// Cancellations, polls and repeated submissions at different controllers coincide with the completion of a
+// job's last task, before and after the completion is durable. The job must have one final state that never
+// changes, and a job that is answered as done must have no unfinished task.
 func TestUserRequestsDuringJobCompletion(t *testing.T) {
 	for seed := range uint64(5) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { requestDuringCompletion(t, cluster, seed) })
@@ -49,7 +49,7 @@
 func requestDuringCompletion(t *testing.T, cluster *fake.Cluster, seed uint64) {
 	const jobCount = 12
 	rnd := rand.New(rand.NewPCG(seed, 15))
-	kinds := []struct {
+	shapes := []struct {
 		kind  jobs.Kind
 		tasks int
 	}{{jobs.Array, 1}, {jobs.Array, 3}, {jobs.Array, 40}, {jobs.Gang, 3}}
@@ -59,8 +59,8 @@
 	}
 	requests := &completionRequests{cluster: cluster, answers: map[string][]answer{}}
 	for i := range jobCount {
-		kind := kinds[i%len(kinds)]
-		spec := fake.JobSpec(jobRef(i+1), kind.kind, kind.tasks, 1)
+		shape := shapes[i%len(shapes)]
+		spec := fake.JobSpec(jobRef(i+1), shape.kind, shape.tasks, 1)
 		requireAccepted(t, cluster, controllerName(i), spec, time.Duration(2000+rnd.IntN(1000))*time.Millisecond)
 		if i%4 == 3 {
 			requireAccepted(t, cluster, "n1", dependentJob(jobRef(100+i), 1, spec.Ref), time.Second)
@@ -80,7 +80,7 @@
 		ref := jobRef(i + 1)
 		finalStatus[ref] = cluster.Poll("n0", ref).Status
 		if !isFinal(finalStatus[ref]) {
-			t.Errorf("seed %d: %s is called %s 3 s after its completion", seed, ref, finalStatus[ref])
+			t.Errorf("seed %d: %s has the status %s 3 s after its completion", seed, ref, finalStatus[ref])
 		}
 		checkAnswers(t, seed, ref, requests.answers[ref], finalStatus[ref])
 	}
@@ -89,14 +89,15 @@
 	for ref, status := range finalStatus {
 		for _, node := range controllerNames {
 			if response := cluster.Poll(node, ref); response.Status != status {
-				t.Errorf("seed %d: %s was called %s, and after a restart %+v by %s", seed, ref, status, response, node)
+				t.Errorf("seed %d: %s had the status %s, and after a restart a poll was answered %+v by %s", seed, ref, status, response, node)
 			}
 		}
 	}
 }
 
-// send sends one request at about the time of a job's completion: with a negative delay before it
-// or close to it, else so long after it.
+// send sends one request at about the time of a job's completion and records the answer. If delay is
+// negative, the request is sent 2 s after the call, which is before the completion or close to it;
+// otherwise it is sent that long after the completion.
 func (r *completionRequests) send(t *testing.T, node string, spec jobs.Spec, request int, delay time.Duration) {
 	if delay < 0 {
 		time.Sleep(2 * time.Second)
@@ -118,7 +119,7 @@
 	case resubmitRequest:
 		response := r.cluster.Resubmit(node, spec)
 		if response.Code != http.StatusOK {
-			t.Errorf("%s: a repeat was answered %+v", spec.Ref, response)
+			t.Errorf("%s: a repeated submission was answered %+v", spec.Ref, response)
 		}
 		status = response.Status
 	}
@@ -138,21 +139,22 @@
 	}
 }
 
-// checkAnswers checks that no answer takes back a final status that was received before the
-// request, that a job called done was complete, and that each final status is the last one.
+// checkAnswers checks the answers about one job. No answer may contradict a final status that was received
+// before the request was sent; all tasks must be complete when the job is answered as done; and each final
+// status must equal finalStatus.
 func checkAnswers(t *testing.T, seed uint64, ref string, answers []answer, finalStatus jobs.Status) {
 	t.Helper()
 	for i, later := range answers {
 		for _, earlier := range answers[:i] {
 			if isFinal(earlier.status) && later.requestedAt.After(earlier.receivedAt) && later.status != earlier.status {
-				t.Errorf("seed %d: %s was called %s, then %s", seed, ref, earlier.status, later.status)
+				t.Errorf("seed %d: %s was answered as %s, and later as %s", seed, ref, earlier.status, later.status)
 			}
 		}
 		switch {
 		case later.status == jobs.Done && !later.isComplete:
-			t.Errorf("seed %d: %s was called done before it was", seed, ref)
+			t.Errorf("seed %d: %s was answered as done before all its tasks were done", seed, ref)
 		case isFinal(later.status) && later.status != finalStatus:
-			t.Errorf("seed %d: %s was called %s and is called %s", seed, ref, later.status, finalStatus)
+			t.Errorf("seed %d: %s was answered as %s, but its final status is %s", seed, ref, later.status, finalStatus)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller is the actor that decides which tasks run on which machines.
+// Package controller implements the actor that decides which tasks run on which machines.
 //
-// A Controller owns one goroutine and the components that share its state: the cluster state and
-// its cache of the store, the scheduler, the sessions of the workers, the reconciliation, the
-// handover of shards and the lifecycle of the machines. The package determines the sequence in which
-// they run in a tick and which components a changed record concerns, and it answers users, operators
-// and the other actors of the process.
+// A Controller runs all its components on one goroutine, so that they can share state without locks.
+// The components are the cluster state, the cache of the key-value store, the scheduler, the worker
+// sessions, the reconciler, the handover of shards and the machine lifecycle. The package defines the
+// order in which the components run in a tick and which of them are notified of a changed record. It
+// also answers requests of users, of operators and of the other actors of the process.
 package controller
 
 import (
@@ -40,7 +40,7 @@
 )
 
 // Controller schedules the tasks of the shards that it owns. Its exported methods may be called
-// from any goroutine: they send a message to the one goroutine that uses the components.
+// from any goroutine: they send a message to the goroutine that runs the components.
 type Controller struct {
 	cfg         *config.Config
 	log         *slog.Logger
@@ -56,25 +56,25 @@
 	sendToPeer PeerSender
 	// onFeatureGateOpen is called when the feature gate opens; may be nil.
 	onFeatureGateOpen func()
-	// notifySubscriber passes on changes of the records of pipelines; nil without a subscriber.
-	notifySubscriber PipelineSubscriber
+	// pipelineSubscriber is notified of changes of pipeline records; nil if there is no subscriber.
+	pipelineSubscriber PipelineSubscriber
 
-	isCyclePending bool // a scheduling cycle will run when MinCycleInterval is over
+	isCyclePending bool // a scheduling cycle will run once tuning.MinCycleInterval has passed
 	lastCycleAt    time.Time
 	lastRecountAt  time.Time
 	isLeaving      bool // Leave was called
 
-	// unstoredClaims is the number of tasks that are claimed by acceptance transactions in flight.
-	unstoredClaims int
-	cancellations  cancellationLog
-	// dependentCancelsInFlight counts the transactions in flight of cancelDependents.
-	dependentCancelsInFlight int
+	// inFlightClaimedTasks is the number of tasks that the acceptance transactions in flight claim.
+	inFlightClaimedTasks int
+	cancellations        cancellationLog
+	// inFlightDependentCancels is the number of transactions of cancelDependents in flight.
+	inFlightDependentCancels int
 
 	health    atomic.Pointer[healthStatus]
 	resumedAt time.Time // when this process last resumed after a stall
 }
 
-// components are the parts of a controller. They are used only on its goroutine.
+// components are the parts of a controller. They may be used only on the controller's goroutine.
 type components struct {
 	members           *membership.Table
 	machineTypes      *machinetype.Catalog
@@ -97,16 +97,16 @@
 	violations        *decisionlog.Violations
 }
 
-// PeerSender queues messages to the named controller and reports whether there was room for
-// them. A nil chunk stands for a heartbeat without a transfer.
+// PeerSender queues messages to the named controller and reports whether the queue had room for
+// them. Each chunk is sent with a heartbeat; a nil chunk is a heartbeat without a transfer chunk.
 type PeerSender func(to string, chunks []*peer.TransferChunk) bool
 
 // PipelineSubscriber is notified of changes of the records under jobs.OpaquePrefix. If reread is set,
-// changes may have been missed and all these records have to be read again. It is called on the
-// controller's goroutine, which handles nothing else until it returns.
+// changes may have been missed and the subscriber has to read all these records again. It is called on
+// the controller's goroutine, which handles nothing else until the subscriber returns.
 type PipelineSubscriber = func(events []kvstore.Event, reread bool)
 
-// New returns a controller that works until ctx ends; Start starts it. incarnation identifies
+// New returns a controller that runs from the call of Start until ctx ends. incarnation identifies
 // this run of the process. setLogLevel is called with the log level that the operators set.
 func New(ctx context.Context, cfg *config.Config, store statecache.Store, cloud machinelifecycle.Cloud, workers workersession.WorkerClient,
 	incarnation uint64, setLogLevel func(level string), log *slog.Logger) *Controller {
@@ -118,8 +118,8 @@
 		setLogLevel:   setLogLevel,
 		cancellations: cancellationLog{unconfirmed: map[string]*unconfirmedCancellation{}},
 	}
-	c.buildKnowledge(store) //nolint:contextcheck // its hooks run later, with the context of the mailbox
-	c.buildActors(cloud, workers)
+	c.buildStateComponents(store) //nolint:contextcheck // its hooks run later, with the context of the mailbox
+	c.buildSchedulingComponents(cloud, workers)
 	c.diagnostics = diagnostics.New(cfg, diagnostics.Dependencies{
 		State: c.state, Membership: c.members, Cache: c.cache, Scheduler: c.scheduler, Sessions: c.sessions,
 		Reconciler: c.reconciler, Handover: c.handover, MachineTypes: c.machineTypes, Faults: c.faults,
@@ -129,9 +129,9 @@
 	return c
 }
 
-// buildKnowledge makes the components with the state of the cluster, the cache that keeps them up to
-// date with the store, and those that rate peers and faults.
-func (c *Controller) buildKnowledge(store statecache.Store) {
+// buildStateComponents creates the components that hold the state of the cluster, the cache that keeps
+// them up to date with the key-value store, and the components that track peers, failures and faults.
+func (c *Controller) buildStateComponents(store statecache.Store) {
 	var names []string
 	for _, member := range c.cfg.Members() {
 		names = append(names, member.Node)
@@ -150,8 +150,9 @@
 	}, c.cacheHooks(), c.log)
 }
 
-// buildActors makes the components that act on the state of the cluster.
-func (c *Controller) buildActors(cloud machinelifecycle.Cloud, workers workersession.WorkerClient) {
+// buildSchedulingComponents creates the components that decide and act on the state of the cluster. It
+// must be called after buildStateComponents.
+func (c *Controller) buildSchedulingComponents(cloud machinelifecycle.Cloud, workers workersession.WorkerClient) {
 	c.decisions = decisionlog.New(c.log)
 	c.violations = decisionlog.NewViolations(c.decisions, c.log)
 	c.claims = claims.New(c.mailbox, c.cfg, claims.Dependencies{
@@ -178,8 +179,8 @@
 	}, cloud, c.log)
 }
 
-// cacheHooks returns what has to follow from changed records in components that the cache does
-// not know.
+// cacheHooks returns the functions by which the cache notifies components on which it does not
+// depend.
 func (c *Controller) cacheHooks() statecache.Hooks {
 	return statecache.Hooks{
 		Reset:               c.resetComponents,
@@ -201,7 +202,7 @@
 				c.detector.ObserveActivity(shard.Owner(), time.Now())
 			}
 		},
-		JobCancelled: c.noteCancellation,
+		JobCancelled: c.recordCancellation,
 		SetLogLevel:  c.setLogLevel,
 		FeaturesEnabled: func() {
 			if c.onFeatureGateOpen != nil {
@@ -209,28 +210,29 @@
 			}
 		},
 		PipelineEvents: func(events []kvstore.Event, reread bool) {
-			if c.notifySubscriber != nil {
-				c.notifySubscriber(events, reread)
+			if c.pipelineSubscriber != nil {
+				c.pipelineSubscriber(events, reread)
 			}
 		},
 	}
 }
 
-// resetComponents drops what was derived from records, which are about to be read anew.
+// resetComponents drops the state that components have derived from records, since the cache is about
+// to read all records again.
 func (c *Controller) resetComponents() {
 	c.claims.Reset()
-	c.dependentCancelsInFlight = 0
+	c.inFlightDependentCancels = 0
 	c.reconciler.Reset()
 	c.handover.Reset()
 	c.sessions.Reset()
 	c.lifecycle.Reset()
 }
 
-// Subscribe makes subscriber follow the records of pipelines, instead of a former subscriber. Its first
-// notification has reread set and comes as soon as this controller has read the store.
+// Subscribe registers the subscriber for changes of pipeline records, in place of any previous one. Its
+// first notification has reread set and is sent as soon as this controller has read the key-value store.
 func (c *Controller) Subscribe(subscriber PipelineSubscriber) {
 	c.mailbox.Send(func() {
-		c.notifySubscriber = subscriber
+		c.pipelineSubscriber = subscriber
 		if c.cache.Synced() {
 			subscriber(nil, true)
 		}
@@ -242,11 +244,11 @@
 func (c *Controller) OnFeatureGateOpen(opened func()) { c.onFeatureGateOpen = opened }
 
 // SetPeerSender gives the controller a way to send messages to its peers. It must be called before
-// Start. Without it no shard is handed over, and peers learn of suspicions and cancellations only by
-// the regular heartbeats.
+// Start. Without a sender no shard is handed over, and peers learn of suspicions and cancellations only
+// from the regular heartbeats.
 func (c *Controller) SetPeerSender(send PeerSender) { c.sendToPeer = send }
 
-// Start starts the controller's goroutine, which ends with the context given to New.
+// Start starts the cache and the controller's goroutine, which ends with the context given to New.
 func (c *Controller) Start() {
 	c.cache.Start()
 	go c.run()
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -26,7 +26,7 @@
 }
 
 // scheduleCycle runs a scheduling cycle as soon as tuning.MinCycleInterval has passed since the
-// last one, so that a burst of events causes one cycle.
+// previous one, so that a burst of events causes only one cycle.
 func (c *Controller) scheduleCycle() {
 	wait := tuning.MinCycleInterval - time.Since(c.lastCycleAt)
 	if wait <= 0 {
@@ -40,18 +40,19 @@
 	})
 }
 
-// runCycleIfDue runs a scheduling cycle if the state has changed and the last cycle is longer ago
-// than tuning.MinHeartbeatCycleInterval. Worker sessions call it before they answer a heartbeat, so
-// that the answer starts tasks on the capacity that the heartbeat reports as free.
+// runCycleIfDue runs a scheduling cycle if the state has changed and more than
+// tuning.MinHeartbeatCycleInterval has passed since the previous cycle. Worker sessions call it before
+// they answer a heartbeat, so that the answer can start tasks on the capacity that the heartbeat
+// reports as free.
 func (c *Controller) runCycleIfDue() {
 	if c.state.IsDirty() && time.Since(c.lastCycleAt) > tuning.MinHeartbeatCycleInterval {
 		c.runCycle()
 	}
 }
 
-// runCycle runs a scheduling cycle and answers the workers that it concerns. A controller that may
-// not renew worker leases only sends cancellations: another one may own its shards already, and both
-// would start the same tasks.
+// runCycle runs a scheduling cycle and answers the pending heartbeats of workers that now have
+// commands. A controller that may not renew worker leases only sends cancellations: another controller
+// may already own its shards, and both would start the same tasks.
 func (c *Controller) runCycle() {
 	c.state.ClearDirty()
 	c.lastCycleAt = time.Now()
@@ -63,8 +64,8 @@
 	c.sessions.SendResponses()
 }
 
-// tick runs the periodic work of all components. Until the cache is synced it only updates the health
-// status and refuses the heartbeats that have waited too long.
+// tick runs the periodic work of all components. Until the cache is synced, it only updates the health
+// status and refuses the worker heartbeats that have waited too long.
 func (c *Controller) tick() {
 	now := time.Now()
 	c.updateHealth(now)
@@ -86,8 +87,9 @@
 	}
 }
 
-// recount computes from the whole state what is otherwise updated with each change or depends on the
-// time, stores changed machine types and logs the utilization.
+// recount recomputes derived values from the whole state: those that are otherwise updated with each
+// change, and those that depend on the time. It also stores changed machine types and logs the
+// utilization.
 func (c *Controller) recount(now time.Time) {
 	c.scheduler.Recount(now)
 	c.state.Dependencies().RefreshExpectedRuns()
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -9,9 +9,9 @@
 	"cherrywall/internal/jobs"
 )
 
-// The first write of a controller's liveness record is not answered and is applied after the second
-// one. The record must not belong to the first lease, which nobody renews: it would be deleted, and the
-// controller would acquire no shard any more.
+// The first write of a controller's liveness record gets no answer and is applied after the second write.
+// The record must not belong to the first lease, which nobody renews: the store would delete the record
+// when that lease expires, and the controller could not acquire a shard any more.
 func TestDelayedLivenessWriteKeepsLease(t *testing.T) {
 	for seed := range uint64(8) {
 		applyLate := func(cluster *fake.Cluster) { cluster.Store.ApplyLate(rand.New(rand.NewPCG(seed, 1)), 1) }
@@ -22,14 +22,14 @@
 			for _, node := range controllerNames {
 				_, isLive := cluster.Store.Value(jobs.LivenessPrefix + node)
 				if owner := cluster.OwnerOf(node); !isLive || owner != node {
-					t.Errorf("seed %d: %s has a liveness record: %v; its shard is owned by %q", seed, node, isLive, owner)
+					t.Errorf("seed %d: %s: liveness record exists: %v; its shard is owned by %q", seed, node, isLive, owner)
 				}
 			}
 		})
 	}
 }
 
-// A liveness record that was deleted for whatever reason is written again.
+// A controller writes its liveness record again after the record was deleted, whatever the reason.
 func TestLostLivenessRecordIsRewritten(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Store.Delete(jobs.LivenessPrefix + "n1")
@@ -40,8 +40,8 @@
 	})
 }
 
-// Every write of a controller has a precondition, since it may be applied at any later moment. The
-// scenario covers all kinds of writes, with crashes, cancellations and handovers.
+// Every write of a controller needs a precondition, since the store may apply the write at any later time.
+// The scenario covers all kinds of writes, with crashes, cancellations and handovers.
 func TestEveryWriteHasPrecondition(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 9)
@@ -68,18 +68,18 @@
 			jobs.CompletionBatchPrefix, jobs.QuotaPrefix, jobs.FinalPrefix,
 		} {
 			if cluster.Store.WriteCountOf(prefix) == 0 {
-				t.Errorf("no record under %s was written: the scenario covers too little", prefix)
+				t.Errorf("no record under %s was written, so the scenario does not cover it", prefix)
 			}
 		}
 		if keys := cluster.Store.UnconditionalWrites(); len(keys) > 0 {
-			t.Errorf("written without a precondition: %v", keys)
+			t.Errorf("keys written without a precondition: %v", keys)
 		}
 	})
 }
 
-// Controllers have to read all records again while they own their shards and commands to machines are
-// still in flight: a task that the answers to their probes do not show may start there a moment later,
-// under the same fencing token.
+// Controllers have to read all records again while they own their shards and while commands to machines
+// are in flight. A task that a worker's answer to a probe does not list may start on that worker a moment
+// later, under the same fencing token; it must not be started elsewhere.
 func TestCacheReloadDuringTaskStarts(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,15 +12,16 @@
 	"cherrywall/internal/jobs"
 )
 
-// dependentJob returns an array that depends on other jobs.
+// dependentJob returns the spec of an array job that depends on other jobs.
 func dependentJob(ref string, tasks int, dependsOn ...string) jobs.Spec {
 	spec := fake.JobSpec(ref, jobs.Array, tasks, 1)
 	spec.DependsOn = dependsOn
 	return spec
 }
 
-// A chain of 20 jobs, submitted one after another at all controllers, runs in its order through a
-// crash of all controllers. The simulated workers check that no task starts too early.
+// A chain of 20 jobs, each submitted at the next controller, runs in order in spite of a crash of all
+// controllers. The simulated workers check that no task starts before the jobs that it depends on have
+// ended.
 func TestDependencyChainRunsInOrder(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
@@ -38,7 +39,7 @@
 		}
 		time.Sleep(12 * time.Second)
 		if response := cluster.Poll("n1", "wk-20"); response.Status != jobs.Queued {
-			t.Errorf("the last job: %+v", response)
+			t.Errorf("a poll of the last job was answered %+v", response)
 		}
 		restartControllers(cluster, 2*time.Second)
 		requireDone(t, cluster, "n2", "wk-20", 200*time.Second)
@@ -50,6 +51,9 @@
 	})
 }
 
+// A submission that depends on an unknown job or on a service is rejected. A dependency
+// on an accepted job is valid, also after a restart of the controllers. During an outage of the store a
+// submission with an unknown dependency is refused as unavailable.
 func TestSubmissionDependencyValidation(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 2)
@@ -66,24 +70,26 @@
 			{http.StatusUnprocessableEntity, "", dependentJob("wk-11", 1, "wk-3", "wk-2")},
 			{http.StatusCreated, jobs.Queued, dependentJob("wk-12", 1, "wk-1")},
 			{http.StatusCreated, jobs.Queued, dependentJob("wk-13", 1, "wk-1", "wk-3")},
-			{http.StatusOK, jobs.Queued, dependentJob("wk-13", 1, "wk-99")}, // a retry, whatever it depends on now
+			{http.StatusOK, jobs.Queued, dependentJob("wk-13", 1, "wk-99")}, // a repeated submission of a known job, whatever its dependencies
 		} {
 			if response := cluster.Submit("n1", c.spec, time.Second); response.Code != c.code || response.Status != c.status {
-				t.Errorf("%s after %v: %+v", c.spec.Ref, c.spec.DependsOn, response)
+				t.Errorf("%s, which depends on %v, was answered %+v", c.spec.Ref, c.spec.DependsOn, response)
 			}
 		}
-		// A restarted controller does not know wk-1 any more and reads it from the store.
+		// A restarted controller does not have the final state of wk-1 in its cache and reads it from the
+		// store.
 		restartControllers(cluster, time.Second)
 		requireDone(t, cluster, "n0", "wk-12", 30*time.Second)
 		cluster.Store.SetOutage(true)
 		if response := cluster.Submit("n2", dependentJob("wk-14", 1, "wk-98"), time.Second); response.Code != http.StatusServiceUnavailable && response.Code != 0 {
-			t.Errorf("in an outage of the store: %+v", response)
+			t.Errorf("a submission during an outage of the store was answered %+v", response)
 		}
 		cluster.Store.SetOutage(false)
 	})
 }
 
-// A blocked job uses nothing of the team's quota, and is an ordinary job once it is unblocked.
+// A job that is blocked by its dependencies uses nothing of the team's quota, and runs like any other job
+// once it is unblocked.
 func TestBlockedJobUsesNoQuota(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
@@ -94,14 +100,15 @@
 		requireAccepted(t, cluster, "n1", quotaJob("wk-3", jobs.Gang, 2), 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-3", 30*time.Second)
 		if response := cluster.Poll("n1", "wk-2"); response.Status != jobs.Queued {
-			t.Errorf("the blocked job: %+v", response)
+			t.Errorf("a poll of the blocked job was answered %+v", response)
 		}
 		requireDone(t, cluster, "n1", "wk-2", 90*time.Second)
 	})
 }
 
-// Cancelling a job cancels all its dependents, at once at every controller and for ever, also those
-// submitted later. If the job is done by then, they go on.
+// Cancelling a job cancels all its direct and indirect dependents, including those that are submitted
+// later. Every controller reports them as cancelled at once and permanently. The cancellation of a job
+// that is done has no effect on its dependents.
 func TestCancellationPropagatesToDependents(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 2)
@@ -111,7 +118,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		requireCancelled(t, cluster, "n1", "wk-4")
-		cluster.CrashController("n1") // in an outage of the store, before the dependents' final states are stored
+		cluster.CrashController("n1") // followed by an outage of the store, before the dependents' final states are stored
 		cluster.Store.SetOutage(true)
 		time.Sleep(10 * time.Second)
 		cluster.Store.SetOutage(false)
@@ -127,7 +134,7 @@
 		}
 		checkCancelled(t, cluster, "n0", "wk-10")
 		if response := cluster.Submit("n0", dependentJob("wk-10", 1, "wk-9"), time.Second); response.Code != http.StatusOK || response.Status != jobs.Cancelled {
-			t.Errorf("its retry was answered %+v", response)
+			t.Errorf("a repeated submission that depends on a cancelled job was answered %+v", response)
 		}
 		requireDone(t, cluster, "n0", "wk-3", 120*time.Second)
 		if response := cluster.Cancel("n2", "wk-3"); response.Status != jobs.Done {
@@ -139,14 +146,16 @@
 	})
 }
 
+// checkCancelled checks that a controller answers that a job is cancelled.
 func checkCancelled(t *testing.T, cluster *fake.Cluster, node, ref string) {
 	t.Helper()
 	if response := cluster.Poll(node, ref); response.Status != jobs.Cancelled {
-		t.Errorf("%s at %s: %+v", ref, node, response)
+		t.Errorf("a poll of the cancelled job %s at %s was answered %+v", ref, node, response)
 	}
 }
 
-// Hundreds of jobs depend on one, and one depends on hundreds, so that its record is chunked.
+// Hundreds of jobs depend on one job, and one job depends on hundreds, so that its record is stored in
+// chunks.
 func TestWideDependencyFanInAndFanOut(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 8)
@@ -162,16 +171,16 @@
 		restartControllers(cluster, time.Second)
 		time.Sleep(20 * time.Second)
 		if response := cluster.Poll("n2", "wk-2"); response.Status != jobs.Queued {
-			t.Errorf("the job with 300 dependencies: %+v", response)
+			t.Errorf("a poll of the job with 300 dependencies was answered %+v", response)
 		}
 		requireDone(t, cluster, "n2", "wk-2", 400*time.Second)
 	})
 }
 
-// runDependencyGraphs runs jobs with random dependencies among crashes, partitions, lost and late
-// transactions, refusals, outages and failovers. It returns the violations found and the number of
-// jobs that ended.
-func runDependencyGraphs(t *testing.T, seed uint64, configure func(run *faultinjection.FaultRun)) (violations []string, ended int) {
+// runDependencyGraphs runs jobs with random dependencies under random faults: crashes, partitions, lost and
+// late transactions, refusals, outages and failovers. It returns the violations that the invariant checker
+// found and the number of jobs that ended.
+func runDependencyGraphs(t *testing.T, seed uint64, configure func(run *faultinjection.FaultRun)) (violations []string, endedJobs int) {
 	t.Helper()
 	violations = faultinjection.Run(t, 12, seed%2 == 1, func(run *faultinjection.FaultRun) {
 		run.WithDependencies = true
@@ -179,23 +188,23 @@
 			configure(run)
 		}
 		run.InjectFaults(rand.New(rand.NewPCG(seed, 29)), 200)
-		ended = run.Finish()
+		endedJobs = run.Finish()
 	})
-	return violations, ended
+	return violations, endedJobs
 }
 
 func TestDependencyGraphsUnderRandomFaults(t *testing.T) {
-	total := 0
+	totalEndedJobs := 0
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			violations, ended := runDependencyGraphs(t, seed, nil)
+			violations, endedJobs := runDependencyGraphs(t, seed, nil)
 			for _, violation := range violations {
 				t.Error(violation)
 			}
-			total += ended
+			totalEndedJobs += endedJobs
 		})
 	}
-	if total < 200 {
-		t.Errorf("the runs cover too little: %d jobs ended", total)
+	if totalEndedJobs < 200 {
+		t.Errorf("the runs cover too little: only %d jobs ended", totalEndedJobs)
 	}
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-5", jobs.Gang, 2, 4), 90*time.Second)
 		time.Sleep(30 * time.Second)
-		cluster.CrashController("n2") // n0 follows it by name and becomes the successor
+		cluster.CrashController("n2") // n0 is next in the order of the names and becomes the successor
 		time.Sleep(40 * time.Second)
 		cluster.StartController("n2")
 		requireDone(t, cluster, "n1", "wk-5", 40*time.Second)
@@ -29,8 +29,8 @@
 	})
 }
 
-// A new owner probes its workers at once. If it waited until they have found it and sent two
-// heartbeats, a failover with heartbeats every 5 s would take 15 s.
+// A new owner of a shard probes the shard's workers at once. If it waited until the workers have found it
+// and have sent two heartbeats, a failover with a heartbeat interval of 5 s would take 15 s.
 func TestNewOwnerProbesWorkersAtOnce(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for range 20 {
@@ -39,12 +39,12 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-6", jobs.Array, 60, 1), 20*time.Second)
 		time.Sleep(3 * time.Second)
-		unreachable := "i-000007" // must not delay the others
+		unreachable := "i-000007" // must not delay the probes of the other workers
 		cutLinks(cluster, unreachable, true, controllerNames...)
 		cluster.CrashController("n0")
 		time.Sleep(5500 * time.Millisecond)
 		if count := cluster.ProbeCount(); count != 19 {
-			t.Errorf("%d workers were probed", count)
+			t.Errorf("%d workers were probed, want 19", count)
 		}
 		cutLinks(cluster, unreachable, false, controllerNames...)
 		requireDone(t, cluster, "n2", "wk-6", 90*time.Second)
@@ -66,9 +66,9 @@
 	})
 }
 
-// One task of a job completes long before the others, and the owner that knew it crashes in
-// between, with or without the machine that ran it: no completion is lost or counted twice, and no
-// job is called done before all its tasks are.
+// One task of a job completes long before the others. Before the others complete, the owner that knew of
+// the completion crashes, and in one case the machine that ran the task is lost as well. No completion may
+// be lost or counted twice, and no job may be answered as done before all its tasks are done.
 func TestTaskCompletionsAcrossOwnerCrash(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -117,14 +117,15 @@
 			t.Errorf("%s: %d of %d tasks are done", jobRef(i+1), response.DoneTasks, tasks)
 		}
 	}
-	if !losesMachines { // a completion that only a lost machine knew is run again
+	if !losesMachines { // a task whose completion only a lost machine knew runs again
 		checkStartedOnce(t, cluster)
 	}
 }
 
-// An owner crashes, or is isolated with its workers, while its machines run long tasks and can't
-// be reached by the other controllers or don't receive their answers: no task starts a second time
-// before the first has ended, and all complete.
+// A shard's owner crashes, or is isolated together with its workers, while the machines run long tasks. The
+// links between the machines and the other controllers are cut; or some machines receive neither commands nor
+// answers, while their heartbeats still arrive. No task may start a second time before its first run has
+// ended, and all tasks must complete.
 func TestOwnerCrashWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -167,7 +168,7 @@
 	addMachines(cluster, 6)
 	time.Sleep(2 * time.Duration(cluster.Cfg.Cluster.Workers.CancelSeconds*float64(time.Second)))
 	for _, host := range hosts {
-		if cluster.IsUp(host) { // others were released meanwhile
+		if cluster.IsUp(host) { // the others have been released meanwhile
 			cluster.BlockInbound(host, false)
 			cutLinks(cluster, host, false, "n1", "n2")
 		}
@@ -179,14 +180,14 @@
 	}
 }
 
-// Heartbeats are delayed until a successor has started tasks, and arrive there and at a third
-// controller: neither may act on them.
+// Heartbeats are delayed until the successor of a crashed owner has started tasks. They arrive at the
+// successor and at the third controller, and neither may act on them.
 func TestDelayedHeartbeatAfterFailover(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 			addMachines(cluster, 8)
-			delayed := cluster.Heartbeats() // sent before any task was there
+			delayed := cluster.Heartbeats() // sent before any task had started
 			requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 7, 1), time.Duration(8+rnd.IntN(20))*time.Second)
 			requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 3, 1), time.Duration(8+rnd.IntN(20))*time.Second)
 			time.Sleep(time.Duration(500+rnd.IntN(4000)) * time.Millisecond)
@@ -214,8 +215,8 @@
 	}
 }
 
-// Owners change ten times in two minutes, with or without an outage of the store: there is no
-// storm of writes or probes, tasks go on, and each shard has an owner soon after.
+// The owners of shards change ten times in two minutes, with or without an outage of the store. The number
+// of writes and probes must stay small, tasks must continue, and each shard must have an owner soon after.
 func TestTenOwnerChangesInTwoMinutes(t *testing.T) {
 	for _, hasOutage := range []bool{false, true} {
 		t.Run(fmt.Sprint("outage ", hasOutage), func(t *testing.T) {
--- a/internal/controller/failuredetection_test.go
+++ b/internal/controller/failuredetection_test.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// waitForOwnerChange waits until another controller owns a shard, and returns how long that took;
-// limit if it took longer.
+// waitForOwnerChange waits until owner does not own the shard any more, at most for limit, and returns for
+// how long it has waited.
 func waitForOwnerChange(cluster *fake.Cluster, shard, owner string, limit time.Duration) time.Duration {
 	startedAt := time.Now()
 	for cluster.OwnerOf(shard) == owner && time.Since(startedAt) < limit {
@@ -19,14 +19,14 @@
 	return time.Since(startedAt)
 }
 
-// A crash is detected and the shard acquired within 2.2 s. By the expiry of the owner's lease alone it
-// would take 3.1 to 4.1 s.
+// A crash of a controller is detected and its shard is acquired within 2.2 s. Without failure detection,
+// the acquisition would wait for the expiry of the owner's lease and take 3.1 to 4.1 s.
 func TestCrashDetectedBeforeLeaseExpiry(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 24, 1), 60*time.Second)
 		time.Sleep(5 * time.Second)
-		total := time.Duration(0)
+		totalFailoverTime := time.Duration(0)
 		for i := range 6 {
 			node := controllerName(i)
 			time.Sleep(time.Duration(70*i) * time.Millisecond)
@@ -35,18 +35,18 @@
 			if failoverTime > 2200*time.Millisecond {
 				t.Errorf("the shard of %s was acquired after %v", node, failoverTime)
 			}
-			total += failoverTime
+			totalFailoverTime += failoverTime
 			cluster.StartController(node)
-			time.Sleep(70 * time.Second) // until it owns its shard again and may be suspected at once
+			time.Sleep(70 * time.Second) // until the controller owns its shard again and may be suspected without delay
 		}
-		t.Log("mean", total/6)
+		t.Log("mean failover time", totalFailoverTime/6)
 		requireDone(t, cluster, "n1", "wk-1", 60*time.Second)
 	})
 }
 
-// Controllers stall for a moment, links are cut, and the heartbeats of one are lost while it works:
-// no shard changes its owner.
-func TestShardsStayDuringShortStallsAndSlowLinks(t *testing.T) {
+// No shard changes its owner while controllers stall for less than a second, while the links between the
+// controllers are cut, or while the heartbeats of a controller that still works are lost.
+func TestShardOwnersStableDuringStallsAndPeerPartitions(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
 		time.Sleep(6 * time.Second)
@@ -62,15 +62,15 @@
 		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(5 * time.Second)
 		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
-		for i := range 40 { // n0 works, as its claims show
+		for i := range 40 { // the peers see from the claims of n0 that it works
 			requireAccepted(t, cluster, "n0", fake.JobSpec(jobRef(i+1), jobs.Array, 6, 0.5), 2*time.Second)
 			time.Sleep(500 * time.Millisecond)
 		}
-		requireOwnShards(t, cluster, "n0 is isolated from its peers, but works")
+		requireOwnShards(t, cluster, "n0 is isolated from its peers, but still claims tasks")
 	})
 }
 
-// requireOwnShards requires that each controller owns the shard of its name.
+// requireOwnShards requires that each controller owns the shard that has the controller's name.
 func requireOwnShards(t *testing.T, cluster *fake.Cluster, situation string) {
 	t.Helper()
 	for _, node := range controllerNames {
@@ -80,8 +80,8 @@
 	}
 }
 
-// A controller whose heartbeats are lost and that writes nothing is considered failed once. When it has
-// acquired its shard again, it is not suspected any more.
+// A controller whose heartbeats are lost and that writes no records is considered failed, but only once.
+// After it has acquired its shard again, it is not suspected any more.
 func TestShardDoesNotFlapDuringOneWayPartition(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -100,23 +100,23 @@
 	})
 }
 
-// A controller that lost only its workers gives up their shard before their leases expire, since every
-// task would be lost then.
+// A controller that loses the connection to all its workers, but not to the store, gives up its shard before
+// the leases of the workers expire, since all tasks would be lost then.
 func TestControllerCutOffFromWorkersGivesUpShard(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 4)
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-1", jobs.Array, 46, 1), 60*time.Second)
 		time.Sleep(4 * time.Second)
-		cutAllMachines(cluster, 12, true, "n0")
+		cutMachineLinks(cluster, 12, true, "n0")
 		time.Sleep(9 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner == "n0" {
 			t.Error("the shard is still owned by the controller that reaches no worker")
 		}
-		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Array, 2, 1), 5*time.Second) // it still serves users
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Array, 2, 1), 5*time.Second) // n0 still serves users
 		requireDone(t, cluster, "n1", "wk-2", 20*time.Second)
 		time.Sleep(10 * time.Second)
-		cutAllMachines(cluster, 12, false, "n0")
+		cutMachineLinks(cluster, 12, false, "n0")
 		time.Sleep(12 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner != "n0" {
 			t.Errorf("the shard is owned by %s after the partition", owner)
@@ -126,21 +126,21 @@
 	})
 }
 
-// If no controller reaches a worker, none of them is at fault: the shards must not change their owners
-// again and again.
-func TestShardsStayWhenNoControllerReachesWorkers(t *testing.T) {
+// If no controller reaches any worker, no controller is at fault and a change of the shards' owners does not
+// help. The shards must not change their owners again and again.
+func TestShardOwnersStableWhenWorkersUnreachable(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 3)
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-1", jobs.Array, 36, 1), 5*time.Minute)
 		time.Sleep(4 * time.Second)
 		writesBefore := cluster.Store.WriteCount()
-		cutAllMachines(cluster, 9, true, controllerNames...)
+		cutMachineLinks(cluster, 9, true, controllerNames...)
 		time.Sleep(25 * time.Second)
 		if writes := cluster.Store.WriteCount() - writesBefore; writes > 30 {
 			t.Errorf("%d writes while no worker could be reached", writes)
 		}
-		cutAllMachines(cluster, 9, false, controllerNames...)
+		cutMachineLinks(cluster, 9, false, controllerNames...)
 		time.Sleep(10 * time.Second)
 		for range 20 {
 			if cluster.Poll("n2", "wk-1").ActiveTasks == 36 {
@@ -152,8 +152,9 @@
 	})
 }
 
-// cutAllMachines cuts or restores the links between the first machines and controllers.
-func cutAllMachines(cluster *fake.Cluster, count int, isCut bool, nodes ...string) {
+// cutMachineLinks cuts or restores the links between the first count machines and the named
+// controllers.
+func cutMachineLinks(cluster *fake.Cluster, count int, isCut bool, nodes ...string) {
 	for i := range count {
 		cutLinks(cluster, fmt.Sprintf("i-%06d", i+1), isCut, nodes...)
 	}
--- a/internal/controller/faulty_test.go
+++ b/internal/controller/faultattribution_test.go
@@ -8,6 +8,7 @@
 	"cherrywall/internal/jobs"
 )
 
+// A machine on which the tasks of several jobs fail is released, and the jobs complete on another machine.
 func TestFaultyMachineIsReleased(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false).FailTasks = true
@@ -23,7 +24,9 @@
 	})
 }
 
-func TestFaultyJobsBesideFaultyMachine(t *testing.T) {
+// Two jobs fail on every machine, and one machine fails every task. The faulty machine is released, the
+// healthy machines are not, and the faulty jobs are attempted only rarely.
+func TestFaultyJobsDoNotBlameHealthyMachines(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		setSpareMachines(t, cluster, "n0", 8)
 		faulty := cluster.AddMachine("a", false)
@@ -37,7 +40,7 @@
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-1", jobs.Array, 6, 1), 2*time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 3, 1), 2*time.Second)
 		for i := range 6 {
-			// so many that the faulty machine gets some, too
+			// enough tasks for all machines, so that the faulty machine gets some of them
 			requireAccepted(t, cluster, "n1", fake.JobSpec(jobRef(10+i), jobs.Array, 18, 1), 4*time.Second)
 			time.Sleep(6 * time.Second)
 		}
@@ -47,20 +50,20 @@
 		time.Sleep(30 * time.Second)
 		for _, host := range healthy {
 			if !cluster.IsUp(host) {
-				t.Errorf("%s is healthy and was released for faulty jobs", host)
+				t.Errorf("%s is healthy, but was released because of faulty jobs", host)
 			}
 		}
 		if cluster.IsUp(faulty.Host) {
-			t.Error("the faulty machine stays in use")
+			t.Error("the faulty machine was not released")
 		}
 		attempts := func() int { return cluster.StartCounts()["wk-1/0"] + cluster.StartCounts()["wk-1/1"] }
 		attemptsBefore := attempts()
 		time.Sleep(40 * time.Second)
 		if count := attempts() - attemptsBefore; count > 2 {
-			t.Errorf("a job found faulty was attempted %d times in 40 s", count)
+			t.Errorf("a job known to be faulty was attempted %d times in 40 s", count)
 		}
 		if response := cluster.Cancel("n2", "wk-1"); response.Status != jobs.Cancelled {
-			t.Errorf("its cancellation was answered %+v", response)
+			t.Errorf("the cancellation of a faulty job was answered %+v", response)
 		}
 	})
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// healthStatus is what the last tick found out about this controller.
+// healthStatus is the health of this controller as determined in a tick.
 type healthStatus struct {
 	isHealthy bool
 	checkedAt time.Time
@@ -15,8 +15,8 @@
 // updateHealth updates the status that Healthy reports.
 func (c *Controller) updateHealth(now time.Time) {
 	if last := c.health.Load(); last != nil && now.Sub(last.checkedAt) > tuning.ProcessStallThreshold {
-		// The process was stalled, so that nothing could arrive. Taking that for an outage of the
-		// store would keep users at a controller that has lost its shards.
+		// The process was stalled, so that no message could arrive. If the silence were taken for an
+		// outage of the store, users would stay at a controller that has lost its shards.
 		c.resumedAt = now
 	}
 	storeSilentFor := now.Sub(c.cache.LastContactAt())
@@ -26,20 +26,22 @@
 	c.health.Store(&healthStatus{isHealthy, now})
 }
 
-// isStoreOutage reports whether the key-value store answers no controller, so that users would be
-// served no better elsewhere.
+// isStoreOutage reports whether the key-value store answers no controller. In that case this controller
+// stays healthy, since no other controller would serve users any better.
 func (c *Controller) isStoreOutage(now time.Time) bool {
 	if now.Sub(c.resumedAt) <= tuning.HealthGracePeriod || !c.peers.IsStoreDownForAll(now) {
 		return false
 	}
-	// A controller that neither the store nor a live peer reaches is cut off itself. Taking that for
-	// an outage would keep users at it for as long as the partition lasts.
+	// A controller that receives nothing from the store or from any live peer is partitioned itself. If
+	// that were taken for an outage of the store, users would stay at this controller for as long as the
+	// partition lasts.
 	return c.peers.HasRecentHeartbeat(now) || !c.members.HasLivePeer()
 }
 
-// Healthy reports whether this controller can take requests. It does not wait for the controller's
-// goroutine, since a health check must not queue behind a burst of requests. If the status is older
-// than tuning.MaxHealthStatusAge, as after a stall of the process, the controller is not healthy.
+// Healthy reports whether this controller can serve requests. It does not wait for the controller's
+// goroutine, since a health check must not queue behind a burst of requests. The controller is not
+// healthy if its status is older than tuning.MaxHealthStatusAge, for example after the process was
+// stalled.
 func (c *Controller) Healthy() bool {
 	status := c.health.Load()
 	return status != nil && status.isHealthy && time.Since(status.checkedAt) < tuning.MaxHealthStatusAge
--- a/internal/controller/http_bench_test.go
+++ b/internal/controller/http_bench_test.go
@@ -15,9 +15,9 @@
 	"cherrywall/internal/workerapi"
 )
 
-// BenchmarkIdleHeartbeatOverHTTP measures heartbeats without news from the socket to the answer, the
-// client's part included. Answers are delayed for a moment, so that many requests are sent at the
-// same time, and what counts is the processor time (cpu-ns/op), not the elapsed time.
+// BenchmarkIdleHeartbeatOverHTTP measures heartbeats that report no changes, over HTTP and including the
+// work of the client. The server delays its answers for a moment, so many requests are sent at the same
+// time. The relevant result is therefore the processor time (cpu-ns/op), not the elapsed time.
 func BenchmarkIdleHeartbeatOverHTTP(b *testing.B) {
 	c, heartbeats := controller.NewBenchController(b, 1000, 100_000, 50)
 	go c.Run()
@@ -56,7 +56,7 @@
 	b.ReportMetric(float64(processorTimeNS(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTimeNS returns the processor time that this process has used, in nanoseconds.
+// processorTimeNS returns the processor time that this process has used so far, in nanoseconds.
 func processorTimeNS(b testing.TB) int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -65,8 +65,8 @@
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
-// BenchmarkPollOverHTTP measures polls by many users from the socket to the answer, the client's
-// part included.
+// BenchmarkPollOverHTTP measures polls of one job by many users, over HTTP and including the work of the
+// client.
 func BenchmarkPollOverHTTP(b *testing.B) {
 	c, _ := controller.NewBenchController(b, 100, 100_000, 50)
 	go c.Run()
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/workersession"
 )
 
-// The methods in this file are for the workers and the autoscaler.
+// The methods in this file handle input from the workers and the autoscaler.
 
 // HandleHeartbeat handles a worker's heartbeat. The answer is sent to reply, which must have room for
 // it.
@@ -19,7 +19,7 @@
 	c.mailbox.Send(func() { c.sessions.HandleHeartbeat(heartbeat, receivedAt, reply) })
 }
 
-// SetMachineTypes sets the machine types that the cloud offers.
+// SetMachineTypes sets the machine types that the cloud offers and updates the counts of all machines.
 func (c *Controller) SetMachineTypes(types []cloud.MachineType) {
 	c.mailbox.Send(func() {
 		c.machineTypes.SetFromCloud(types)
@@ -27,14 +27,14 @@
 	})
 }
 
-// SetBootTimes sets the usual boot times by machine type, in seconds, as the autoscaler has observed
-// them.
+// SetBootTimes sets the usual boot time of each machine type, in seconds. The autoscaler observes the
+// boot times.
 func (c *Controller) SetBootTimes(seconds map[string]float64) {
 	c.mailbox.Send(func() { c.machineTypes.LearnBootTimes(seconds, time.Now()) })
 }
 
-// Demand returns the jobs that wait and the machines that exist, for the autoscaler. It is the zero
-// value, which does not count as current, if the controller has ended.
+// Demand returns the waiting jobs and the existing machines, for the autoscaler. If the controller has
+// ended, it returns the zero value, which does not count as current.
 func (c *Controller) Demand() scheduler.Demand {
 	demand, _ := actor.Ask(c.mailbox, func() scheduler.Demand { return c.scheduler.Demand(time.Now(), c.incarnation) })
 	return demand
--- a/internal/controller/localstate.go
+++ b/internal/controller/localstate.go
@@ -7,27 +7,28 @@
 	"cherrywall/internal/jobs"
 )
 
-// LocalState is what this controller knows of some jobs without asking the key-value store.
+// LocalState is the state of some jobs as this controller knows it, without a read of the key-value store.
 type LocalState struct {
-	Synced bool                // all records were read
-	Shards map[string]uint64   // the epochs of the shards owned here
-	Jobs   map[string]LocalJob // an entry for each requested job
+	Synced bool                // the cache has read all records
+	Shards map[string]uint64   // epochs of the shards that this controller owns, by shard
+	Jobs   map[string]LocalJob // by job, with an entry for each requested job
 }
 
-// LocalJob is a job in a LocalState. It is the zero value for a job that is not known here.
+// LocalJob is a job in a LocalState. It is the zero value for a job that this controller does not know.
 type LocalJob struct {
 	IsUnfinished bool
 	Spec         jobs.Spec
 	AcceptedMS   int64 // Unix time in milliseconds
-	IsFaulty     bool  // it fails on several machines where other jobs succeed
+	IsFaulty     bool  // the job fails on several machines on which other jobs succeed
 	DoneTasks    int
 	ActiveTasks  int
 	FinalStatus  jobs.Status // empty as long as the job is unfinished
 }
 
-// LocalState returns what is known of jobs; ok is false if the controller has ended. Shards and Jobs
-// are empty if the cache is not synced, or so old that this controller may not renew worker leases:
-// another one may own its shards, and acting on the state could contradict that one.
+// LocalState returns the state of jobs as this controller knows it; ok is false if the controller has
+// ended. Shards and Jobs are empty if the cache is not synced, or if it is so old that this controller may
+// not renew worker leases: another controller may own the shards by now, and the state could contradict
+// what that controller does.
 func (c *Controller) LocalState(refs []string) (local LocalState, ok bool) {
 	return actor.Ask(c.mailbox, func() LocalState {
 		now := time.Now()
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -7,8 +7,8 @@
 	"cherrywall/internal/admin"
 )
 
-// Settings returns the operators' settings in force and their version; ok is false as long as they
-// have not been read, and when the controller has ended.
+// Settings returns the current settings of the operators and their version; ok is false as long as the
+// settings have not been read, and if the controller has ended.
 func (c *Controller) Settings() (settings admin.Settings, version uint64, ok bool) {
 	type answer struct {
 		settings admin.Settings
@@ -23,8 +23,8 @@
 	return result.settings, result.version, result.isSynced
 }
 
-// ChangeSettings stores new settings if they still have the given version, and returns the new
-// version. The error is admin.ErrVersionConflict or admin.ErrUnavailable.
+// ChangeSettings stores new settings if the stored settings still have the given version, and returns
+// the new version. The error is admin.ErrVersionConflict or admin.ErrUnavailable.
 func (c *Controller) ChangeSettings(settings admin.Settings, version uint64) (uint64, error) {
 	type answer struct {
 		version uint64
@@ -42,9 +42,9 @@
 	}
 }
 
-// IsFirstLiveMember reports whether this controller is the first by name of those that are live. Work
-// that one controller has to do for all is left to it. Two may take themselves for the first for a
-// moment, so that such work must be safe to repeat.
+// IsFirstLiveMember reports whether this controller has the first name, in alphabetical order, of the live
+// controllers. That controller does the work that one has to do for all. Two controllers may consider
+// themselves the first for a moment, so that such work must be safe to repeat.
 func (c *Controller) IsFirstLiveMember() bool {
 	isFirst, _ := actor.Ask(c.mailbox, c.isFirstLiveMember)
 	return isFirst
@@ -59,8 +59,8 @@
 	return false
 }
 
-// View returns the view of that name, see admin.ViewNames, as a value to be encoded as JSON. It
-// is nil and ok is false as long as the records have not been read.
+// View returns the named view as a value to be encoded as JSON; admin.ViewNames lists the names. View
+// returns nil and false as long as the records have not been read, and if the controller has ended.
 func (c *Controller) View(name string) (view any, ok bool) {
 	view, _ = actor.Ask(c.mailbox, func() any {
 		if !c.cache.Synced() {
@@ -71,7 +71,7 @@
 	return view, view != nil
 }
 
-// Gauges returns the values of the controller's gauges by metric name; nil if the controller has ended.
+// Gauges returns the values of the controller's gauges by metric name, or nil if the controller has ended.
 func (c *Controller) Gauges() map[string]float64 {
 	gauges, _ := actor.Ask(c.mailbox, func() map[string]float64 { return c.diagnostics.Gauges(time.Now()) })
 	return gauges
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -8,9 +8,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// detectFailures looks for controllers that have failed. New suspicions are sent to the peers at once:
-// a controller counts as failed only if its other peers suspect it, too, and each delay of a
-// suspicion delays the failover.
+// detectFailures runs the failure detector and sends new suspicions to the peers at once: a controller
+// counts as failed only if its other peers suspect it as well, and each delay of a suspicion delays the
+// failover.
 func (c *Controller) detectFailures(now time.Time) {
 	if !c.detector.Check(now, !c.cache.IsStale(now)) {
 		return
@@ -19,7 +19,7 @@
 	c.sendHeartbeats()
 }
 
-// sendHeartbeats sends a heartbeat to each peer ahead of time.
+// sendHeartbeats sends a heartbeat to each peer without waiting for the heartbeat interval.
 func (c *Controller) sendHeartbeats() {
 	if c.sendToPeer == nil {
 		return
@@ -61,8 +61,8 @@
 	})
 }
 
-// HandlePeerHeartbeat handles a heartbeat of another controller, with the transfer chunk that it may
-// contain.
+// HandlePeerHeartbeat handles a heartbeat of another controller, and the transfer chunk in it if there is
+// one.
 func (c *Controller) HandlePeerHeartbeat(heartbeat peer.Heartbeat) {
 	c.mailbox.Send(func() {
 		now := time.Now()
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -7,9 +7,10 @@
 )
 
 // Leave hands this controller's shards over to its peers and releases its liveness record. It waits
-// until no shard is left, or no peer can take one, or tuning.ShutdownTransferTimeout is over; then
+// until no shard is left, no peer can take one, or tuning.ShutdownTransferTimeout has passed. Then it waits
 // tuning.ShutdownLastWriteTimeout for the last writes. It returns early if the controller's context
-// ends. The controller is unhealthy from the beginning, so that users are sent elsewhere.
+// ends. The controller reports itself as unhealthy from the beginning, so that users are sent to other
+// controllers.
 func (c *Controller) Leave() {
 	finished := make(chan struct{})
 	startedAt := time.Now()
@@ -24,8 +25,9 @@
 	}
 }
 
-// awaitHandovers checks at each tick interval whether there is anything left to hand over. When there
-// is not, it releases the liveness record, and closes finished after the time for the last writes.
+// awaitHandovers checks every tuning.TickInterval whether the handover of the shards has finished or has
+// timed out. Then it releases the liveness record, and closes finished after
+// tuning.ShutdownLastWriteTimeout.
 func (c *Controller) awaitHandovers(startedAt time.Time, finished chan struct{}) {
 	now := time.Now()
 	isUnavailable := func(node string) bool { return node == c.cfg.Node || c.peers.IsLeaving(node, now) }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/statecache"
 )
 
-// Response is the answer to a user's request. Code is an HTTP status code; Error is set for codes from
-// 400 on, the other fields for codes below 400.
+// Response is the answer to a user's request. Code is an HTTP status code. Error is set if the code is 400
+// or higher, the other fields if it is lower.
 type Response struct {
 	Code        int
 	Ref         string
@@ -20,10 +20,10 @@
 	Error       string
 }
 
-// Reasons for answering 503. Users see them.
+// Reasons for an answer with the code 503, which users see as the error.
 const (
 	reasonNotSynced        = "state not read yet"
-	reasonStoreUnavailable = "state service"
+	reasonStoreUnavailable = "state service unavailable"
 	reasonBusy             = "busy"
 )
 
@@ -36,14 +36,14 @@
 	c.mailbox.Send(func() { c.findJob(ref, false, func(response Response) { reply <- response }) })
 }
 
-// readBarrier is (*statecache.Cache).ReadBarrier, except in tests of invariant checkers, which
-// replace it.
+// readBarrier is (*statecache.Cache).ReadBarrier. It is a variable so that tests of the invariant checker
+// can replace it.
 var readBarrier = (*statecache.Cache).ReadBarrier
 
-// findJob calls done with the status of a job, never with an older one than any controller has
-// answered before: a final state never changes, and any other is read behind a read barrier. While a
-// cancellation of the job is unconfirmed, done is called only after its confirmation. A read that is
-// not urgent may wait for a moment to share the read barrier of others.
+// findJob calls done with the status of a job. The status is at least as recent as each one that any
+// controller has answered before: a final state never changes, and any other status is read after a read
+// barrier. While a cancellation of the job is unconfirmed, done is called only after its confirmation. A
+// read that is not urgent may wait for a moment to share a read barrier with other reads.
 func (c *Controller) findJob(ref string, urgent bool, done func(Response)) {
 	retry := func() { c.findJob(ref, urgent, done) }
 	if pending := c.cancellations.pending(ref); pending != nil {
@@ -63,7 +63,7 @@
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
-		if c.cancellations.pending(ref) != nil { // cancelled since the request
+		if c.cancellations.pending(ref) != nil { // cancelled during the read barrier
 			retry()
 			return
 		}
@@ -75,39 +75,39 @@
 	})
 }
 
-// answerFromCurrentCache calls done with the status of a job without a known final state. It may
-// be called only when the cache is current.
+// answerFromCurrentCache calls done with the status of a job whose final state, if it has one, is not
+// cached. It may be called only when the cache is current.
 func (c *Controller) answerFromCurrentCache(ref string, done func(Response)) {
 	job := c.state.Job(ref)
 	if c.cache.IsQuarantined(jobs.JobKey(ref)) {
-		// The job was accepted, but its record can't be read. Answering that there is no such job
-		// would have users submit it again and run it twice.
-		done(unavailable("the job's record is set aside, see cherrywall doctor"))
+		// The job was accepted, but its record can't be decoded. If the answer were that there is no
+		// such job, users would submit it again and it would run twice.
+		done(unavailable("the job's record is quarantined, see cherrywall doctor"))
 		return
 	}
 	if job == nil || job.HasEnded() {
 		c.answerFromStore(ref, done)
 		return
 	}
-	// A job that this one depends on may have been cancelled before this controller began to watch,
-	// and its final state not be cached. Then this job is cancelled, too; answering that it waits
-	// would contradict what other controllers have answered.
+	// A job that this one depends on may have been cancelled before this controller began to watch the
+	// store, so that its final state is not cached. Then this job is cancelled as well; an answer that
+	// it waits would contradict the answers of other controllers.
 	unknown := c.state.Dependencies().UnknownAncestors(ref)
 	if len(unknown) == 0 {
 		done(unfinishedResponse(job))
 		return
 	}
 	c.fetchFinalStates(unknown, func(found map[string]jobdag.FinalState, err error) {
-		if err != nil || len(found) < len(unknown) { // whether the job is cancelled can't be said without each of them
+		if err != nil || len(found) < len(unknown) { // one unknown final state leaves open whether the job is cancelled
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
-		done(c.cachedStatus(ref))
+		done(c.statusFromCache(ref))
 	})
 }
 
-// cachedStatus returns the status of a job by what the cache holds now.
-func (c *Controller) cachedStatus(ref string) Response {
+// statusFromCache returns the status of a job from the current content of the cache.
+func (c *Controller) statusFromCache(ref string) Response {
 	if final, hasEnded := c.cache.Final(ref); hasEnded {
 		return finalResponse(ref, final)
 	}
@@ -117,9 +117,9 @@
 	return unavailable(reasonBusy)
 }
 
-// answerFromStore answers with the final state of a job in the key-value store, since the cache does
-// not have all of them. It may be called only when the cache is current and has no such unfinished job:
-// without a final state the job was never accepted.
+// answerFromStore answers with the final state of a job in the key-value store, since the cache does not
+// hold all final states. It may be called only when the cache is current and holds no unfinished job of
+// this name: if there is no final state in the store either, the job was never accepted.
 func (c *Controller) answerFromStore(ref string, done func(Response)) {
 	c.cache.LookUpFinal(ref, func(final jobs.FinalState, exists bool, err error) {
 		switch {
@@ -139,7 +139,7 @@
 
 func unfinishedResponse(job *clusterstate.Job) Response {
 	response := Response{Code: http.StatusOK, Ref: job.Ref(), Status: jobs.Queued}
-	if job.IsCancelledByDependency() { // it has not run and never will; its final state is stored later
+	if job.IsCancelledByDependency() { // the job has not run and never will; its final state is stored later
 		response.Status = jobs.Cancelled
 		return response
 	}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -16,40 +16,42 @@
 )
 
 // maxSubmitRetries is how often a submission is retried because the cluster changed between the
-// decision and the transaction. A user who is answered 503 after that retries.
+// decision and the transaction. After that the request is answered 503, and the client may retry it.
 const maxSubmitRetries = 3
 
-// errRecordTooLarge refuses a job whose record does not fit into the key-value store.
-var errRecordTooLarge = errors.New("body: too large to be kept")
+// errRecordTooLarge rejects a job whose record does not fit into the key-value store.
+var errRecordTooLarge = errors.New("body: too large to be stored")
 
 // submission is a job that is being submitted.
 type submission struct {
 	ref  string
 	spec *jobs.Spec
-	// invalid is what is wrong with the request. It is answered only if the job is unknown: a repeated
-	// submission of a known job is answered with the job's status, whatever its content.
-	invalid error
+	// validationErr says why the request is invalid; nil if it is valid. The error is answered only if the
+	// job is unknown: a repeated submission of a known job is answered with the job's status, whatever
+	// the content of the request.
+	validationErr error
 	// precondition has to hold for the job to be accepted; nil if there is none.
 	precondition *kvstore.Condition
 	priority     kvstore.Priority
 	reply        chan<- Response
-	retries      int // so far, at most maxSubmitRetries
-	// dependencies are the states of the jobs that it depends on; nil until they were looked up.
+	retries      int // number of retries so far, at most maxSubmitRetries
+	// dependencies are the states of the jobs on which this one depends, by job; nil until they have been
+	// looked up.
 	dependencies map[string]jobdag.FinalState
 }
 
-// Submit accepts a job. invalid is what is wrong with the request, nil if nothing is; it counts
-// only if the job is not known already. The answer is sent to reply, which must have room for it.
-func (c *Controller) Submit(ref string, spec *jobs.Spec, invalid error, reply chan Response) {
+// Submit accepts a job. validationErr says why the request is invalid, nil if it is valid; it is ignored
+// if the job is already known. The answer is sent to reply, which must have room for it.
+func (c *Controller) Submit(ref string, spec *jobs.Spec, validationErr error, reply chan Response) {
 	c.mailbox.Send(func() {
-		c.submit(submission{ref: ref, spec: spec, invalid: invalid, priority: kvstore.Urgent, reply: reply})
+		c.submit(submission{ref: ref, spec: spec, validationErr: validationErr, priority: kvstore.Urgent, reply: reply})
 	})
 }
 
-// SubmitIf accepts a job in one transaction with a condition on another record of the key-value store;
-// if the condition does not hold, the answer has the code 409. A job that is known here already is
-// answered with its status, whether or not the condition holds. Users' submissions have priority.
-// reply must have room for the answer.
+// SubmitIf accepts a job if a condition on another record of the key-value store holds, which is checked
+// in the transaction that stores the job. If it does not hold, the answer has the code 409. A job that
+// this controller already knows is answered with its status, whether or not the condition holds.
+// Submissions of users have priority over it. The answer is sent to reply, which must have room for it.
 func (c *Controller) SubmitIf(spec *jobs.Spec, condition kvstore.Condition, reply chan<- Response) {
 	c.mailbox.Send(func() {
 		c.submit(submission{ref: spec.Ref, spec: spec, precondition: &condition, priority: kvstore.Background, reply: reply})
@@ -64,7 +66,7 @@
 	}
 	_, hasEnded := c.cache.Final(sub.ref)
 	isKnown := hasEnded || c.state.Job(sub.ref) != nil
-	if sub.invalid == nil && !isKnown {
+	if sub.validationErr == nil && !isKnown {
 		if len(sub.spec.DependsOn) > 0 && sub.dependencies == nil {
 			c.resolveDependencies(sub)
 			return
@@ -72,20 +74,20 @@
 		decision := validateJob(c, sub.spec)
 		switch decision.Verdict {
 		case admission.Undecided:
-			sub.reply <- unavailable("machine types, or the other controllers' versions, not known yet")
+			sub.reply <- unavailable("machine types or versions of the other controllers not known yet")
 			return
 		case admission.Admitted:
 			c.acceptJob(sub)
 			return
 		case admission.Rejected:
-			sub.invalid = decision.Err
+			sub.validationErr = decision.Err
 		}
 	}
 	c.answerSubmission(sub)
 }
 
-// answerSubmission answers a submission with the status of the job if it is known, else with what
-// is wrong with the request.
+// answerSubmission answers a submission with the status of the job if the job is known, else with the
+// error that makes the request invalid. A valid submission of an unknown job is retried.
 func (c *Controller) answerSubmission(sub submission) {
 	c.findJob(sub.ref, true, func(response Response) {
 		if response.Code != http.StatusNotFound {
@@ -93,27 +95,28 @@
 			return
 		}
 		switch {
-		case sub.invalid == nil && sub.retries < maxSubmitRetries:
+		case sub.validationErr == nil && sub.retries < maxSubmitRetries:
 			sub.retries++
 			c.submit(sub)
-		case sub.invalid == nil:
+		case sub.validationErr == nil:
 			sub.reply <- unavailable(reasonBusy)
-		case errors.Is(sub.invalid, admission.ErrUnsatisfiable):
-			sub.reply <- Response{Code: http.StatusUnprocessableEntity, Error: sub.invalid.Error()}
+		case errors.Is(sub.validationErr, admission.ErrUnsatisfiable):
+			sub.reply <- Response{Code: http.StatusUnprocessableEntity, Error: sub.validationErr.Error()}
 		default:
-			sub.reply <- Response{Code: http.StatusBadRequest, Error: sub.invalid.Error()}
+			sub.reply <- Response{Code: http.StatusBadRequest, Error: sub.validationErr.Error()}
 		}
 	})
 }
 
-// validateJob is (*Controller).validate, except in tests of invariant checkers, which replace it.
+// validateJob is (*Controller).validate. It is a variable so that tests of the invariant checker can
+// replace it.
 var validateJob = (*Controller).validate
 
-// validate rejects a job that can never run here or exceeds the limits of its class. A job is
-// undecided as long as too little is known of machine types or peers to say.
+// validate rejects a job that can never run in this cluster or exceeds the limits of its class. The
+// verdict is undecided as long as the machine types or the versions of the peers are not known.
 func (c *Controller) validate(spec *jobs.Spec) admission.Decision {
 	if record := (jobs.JobRecord{Spec: *spec}); !c.claims.FitsStore(record) {
-		// Such a record is stored in chunks once all controllers can read them.
+		// Such a record is stored in chunks once all controllers can read chunks.
 		if !c.gate.IsOpen() {
 			return admission.Decision{Verdict: admission.Undecided}
 		}
@@ -125,10 +128,10 @@
 	return admission.Decide(c.checkClassLimit(spec))
 }
 
-// checkClassLimit returns an error if a job exceeds what the operators allow its class.
+// checkClassLimit returns an error if a job exceeds the limits that the operators have set for its class.
 func (c *Controller) checkClassLimit(spec *jobs.Spec) error {
 	settings, _ := c.cache.Settings()
-	limit := settings.ClassLimits[spec.Class] // the zero value limits nothing
+	limit := settings.ClassLimits[spec.Class] // the zero value sets no limit
 	switch {
 	case limit.ExceededByTasks(spec):
 		return fmt.Errorf("%w: %d tasks, but class %s allows %d", admission.ErrUnsatisfiable, spec.Tasks, spec.Class, limit.MaxTasks)
@@ -138,8 +141,9 @@
 	return nil
 }
 
-// Check rejects a job that can never run here or exceeds the limits of its class. A job is
-// undecided as long as too little is known to say, and when the controller has ended.
+// Check validates a job without submitting it: it rejects a job that can never run in this cluster or
+// exceeds the limits of its class. The verdict is undecided as long as the records, the machine types or the
+// versions of the peers are not known, and if the controller has ended.
 func (c *Controller) Check(spec *jobs.Spec) admission.Decision {
 	decision, _ := actor.Ask(c.mailbox, func() admission.Decision {
 		if !c.cache.Synced() {
@@ -150,20 +154,20 @@
 	return decision
 }
 
-// acceptance is a job with the transaction that accepts it.
+// acceptance is a new job with the transaction that accepts it.
 type acceptance struct {
 	record       jobs.JobRecord
 	txn          kvstore.Txn
-	status       jobs.Status // of the job when it is accepted
-	claimedTasks int         // how many tasks the transaction claims for a shard of this controller
+	status       jobs.Status // status of the job once the transaction has succeeded
+	claimedTasks int         // number of tasks that the transaction claims for a shard of this controller
 }
 
 // acceptJob stores a valid new job and answers its submission.
 func (c *Controller) acceptJob(sub submission) {
 	accept := c.newAcceptance(sub)
-	c.unstoredClaims += accept.claimedTasks
+	c.inFlightClaimedTasks += accept.claimedTasks
 	c.cache.Commit(sub.priority, accept.txn, func(result kvstore.TxnResult, err error) {
-		c.unstoredClaims -= accept.claimedTasks
+		c.inFlightClaimedTasks -= accept.claimedTasks
 		switch {
 		case err != nil:
 			c.log.Debug("submission not stored", "job", sub.ref, "error", err)
@@ -174,16 +178,16 @@
 				"cpu", spec.CPU, "priority", spec.Urgency, "dependencies", len(accept.record.DependsOn), "status", accept.status)
 			sub.reply <- Response{Code: http.StatusCreated, Ref: sub.ref, Status: accept.status}
 		case sub.precondition != nil && slices.Contains(result.FailedKeys, sub.precondition.Key):
-			sub.reply <- Response{Code: http.StatusConflict, Error: "what it is submitted for has changed"}
+			sub.reply <- Response{Code: http.StatusConflict, Error: "the record that the submission depends on has changed"}
 		default:
 			c.handleAcceptanceConflict(sub, accept)
 		}
 	})
 }
 
-// newAcceptance makes the transaction that accepts a job, provided that neither a record nor a final
-// state of it exists. A small job is claimed by the same transaction, which saves the writes of a
-// separate claim; a job that depends on a cancelled one is stored as cancelled.
+// newAcceptance returns the transaction that accepts a job. Its preconditions are that the job has
+// neither a record nor a final state. The same transaction claims the tasks of a small job, which saves
+// the writes of a separate claim. A job that depends on a cancelled one is stored as cancelled.
 func (c *Controller) newAcceptance(sub submission) acceptance {
 	spec := sub.spec
 	accept := acceptance{status: jobs.Queued}
@@ -212,10 +216,11 @@
 	return accept
 }
 
-// claimImmediately claims all tasks of a small job for a shard of this controller that has room
-// for them, on the precondition that this controller still owns the shard.
+// claimImmediately adds to an acceptance the claim of all tasks of a small job for a shard of this
+// controller whose machines have room for them, on the precondition that this controller still owns the
+// shard. It changes nothing if there is no such shard.
 func (c *Controller) claimImmediately(accept *acceptance) {
-	shard := c.scheduler.ShardForImmediateClaim(&accept.record, c.unstoredClaims)
+	shard := c.scheduler.ShardForImmediateClaim(&accept.record, c.inFlightClaimedTasks)
 	if shard == nil {
 		return
 	}
@@ -225,8 +230,9 @@
 	accept.txn.Conditions = append(accept.txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + shard.ID(), Revision: shard.Epoch()})
 }
 
-// handleAcceptanceConflict answers a submission whose preconditions failed: the job may be known
-// by now, or the shard that was to run it has a new owner.
+// handleAcceptanceConflict handles a submission whose transaction failed by its preconditions: the job
+// has been stored meanwhile, and its status is answered; or the shard that was to run the job has a new
+// owner, and the submission is retried at most maxSubmitRetries times.
 func (c *Controller) handleAcceptanceConflict(sub submission, accept acceptance) {
 	c.findJob(sub.ref, true, func(response Response) {
 		switch {
