--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -6,16 +6,16 @@
 	"cherrywall/internal/membership"
 )
 
-// NewTentativeRange returns a shard's claim of a job's tasks that is not durable yet. It is not
-// part of the state until AddTentativeRange; its tasks may be placed. zone is where they are to
-// run, "" for any.
+// NewTentativeRange returns a range for a shard's claim of a job's tasks that is not durable yet. It
+// is not part of the state until AddTentativeRange, but its tasks may already be placed. zone is the
+// zone in which they have to run, "" for any zone.
 func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
 	record := jobs.RangeRecord{Shard: shard.ID(), Count: interval.Count, Zone: zone}
 	return entity.NewTentativeTaskRange(job, interval.First, record)
 }
 
-// AddTentativeRange adds a tentative claim to the state; inline is whether it is made in the
-// job's own record.
+// AddTentativeRange adds a tentative claim to the state. inline tells whether the claim is made in
+// the job's own record.
 func (s *State) AddTentativeRange(taskRange *TaskRange, inline bool) {
 	entity.SetInline(taskRange, inline)
 	entity.AddTaskRange(taskRange)
@@ -33,12 +33,12 @@
 	s.dirty = true
 }
 
-// UnplaceRange removes the assignments of a tentative claim, which are only planned, and cancels
-// its preemptions.
+// UnplaceRange removes the assignments of a tentative claim and cancels its preemptions. These
+// assignments are only planned.
 func (s *State) UnplaceRange(taskRange *TaskRange) {
 	for _, assignment := range entity.TakePreemptions(taskRange) {
 		entity.CancelPreemption(assignment)
-		s.markChanged(assignment.Machine())
+		s.markMachineChanged(assignment.Machine())
 	}
 	for i := range taskRange.Len() {
 		if assignment := taskRange.Assignment(i); assignment != nil {
@@ -47,27 +47,28 @@
 	}
 }
 
-// ApplyRangeRecord updates the state from the record of a claimed range. complete is whether the
-// first load of all records is over: a range of a shard owned here that appears after it was
-// claimed in the shard's present epoch.
-func (s *State) ApplyRangeRecord(ref string, first int, record jobs.RangeRecord, revision uint64, complete bool) {
+// ApplyRangeRecord updates the state from the record of a claimed range. initialLoadDone tells whether
+// the first load of all records is over: a range of a shard owned here that appears after this load
+// was claimed in the shard's current epoch.
+func (s *State) ApplyRangeRecord(ref string, first int, record jobs.RangeRecord, revision uint64, initialLoadDone bool) {
 	job := s.jobs[ref]
 	if job == nil {
-		// The job has ended, or its record comes later in the same reading.
+		// The job has ended, or its record follows later in the same read.
 		job = entity.NewJob(ref)
 		entity.SetEnded(job)
 		s.jobs[ref] = job
 	}
 	shard := s.shards.Shard(record.Shard)
-	// Only a shard's owner writes its ranges, under the shard's epoch: one that appears after this
-	// controller acquired the shard was claimed by it, and its tasks were never started. One read
-	// together with the shard, in the first load, was there before: its tasks are unknown.
-	neverStarted := shard != nil && shard.IsLocal() && complete && revision > shard.Epoch()
+	// Only a shard's owner writes its ranges, under the shard's epoch. A range that appears after
+	// this controller acquired the shard was therefore claimed by this controller, and its tasks
+	// were never started. A range that is read together with the shard in the first load existed
+	// before: its tasks are unknown.
+	neverStarted := shard != nil && shard.IsLocal() && initialLoadDone && revision > shard.Epoch()
 	s.applyClaim(job, first, record, revision, neverStarted)
 }
 
 // applyInlineClaim updates the state from the claim of a small job in the job's own record.
-func (s *State) applyInlineClaim(job *Job, revision uint64, complete bool) {
+func (s *State) applyInlineClaim(job *Job, revision uint64, initialLoadDone bool) {
 	taskRange, claim := job.TaskRange(0), job.Record().WholeClaim
 	if claim == nil {
 		if taskRange != nil && taskRange.IsInline() && !taskRange.IsTentative() {
@@ -76,10 +77,10 @@
 		return
 	}
 	shard := s.shards.Shard(claim.Shard)
-	isOfOtherEpoch := shard == nil || claim.Epoch != shard.Epoch()
-	if taskRange != nil && taskRange.IsTentative() && isOfOtherEpoch {
-		// The claim was not made in the shard's present epoch, though it may look like the tentative
-		// one: its tasks may be running.
+	isFromOtherEpoch := shard == nil || claim.Epoch != shard.Epoch()
+	if taskRange != nil && taskRange.IsTentative() && isFromOtherEpoch {
+		// The durable claim was not made in the shard's current epoch, even if it looks like the
+		// tentative claim: its tasks may be running.
 		s.UnplaceRange(taskRange)
 		entity.RemoveTaskRange(job, 0)
 		taskRange = nil
@@ -88,16 +89,16 @@
 		entity.SetRangeRevision(taskRange, revision)
 		return
 	}
-	// Others may write the record again, so its revision does not show when the claim was made. If
-	// it was made by this controller in the shard's present epoch and is new here, nothing was
-	// started.
-	neverStarted := shard != nil && shard.IsLocal() && complete && claim.Epoch == shard.Epoch()
+	// Other controllers may rewrite the job's record, so its revision does not show when the claim
+	// was made. If this controller made the claim in the shard's current epoch and the claim is new
+	// here, none of its tasks was started.
+	neverStarted := shard != nil && shard.IsLocal() && initialLoadDone && claim.Epoch == shard.Epoch()
 	s.applyClaim(job, 0, jobs.RangeRecord{Shard: claim.Shard, Count: claim.Count}, revision, neverStarted)
 	entity.SetInline(job.TaskRange(0), true)
 }
 
-// applyClaim updates the state from a durable claim. neverStarted is whether, if the claim is new
-// here, none of its tasks was ever started.
+// applyClaim updates the state from a durable claim. neverStarted tells whether the claim's tasks were
+// never started, which matters only if the claim is new here.
 func (s *State) applyClaim(job *Job, first int, record jobs.RangeRecord, revision uint64, neverStarted bool) {
 	applySplit(job, first, record, revision)
 	taskRange := job.TaskRange(first)
@@ -105,7 +106,7 @@
 		return
 	}
 	if taskRange != nil && taskRange.IsTentative() && !claimsSameTasks(taskRange.Record(), &record) {
-		// Another controller's claim came first, or an earlier one of this controller.
+		// Another controller's claim came first, or an earlier claim of this controller.
 		s.UnplaceRange(taskRange)
 		taskRange = nil
 	}
@@ -116,11 +117,11 @@
 	entity.ConfirmClaim(taskRange, revision)
 	s.executePreemptions(taskRange)
 	entity.SetRangeRecord(taskRange, record)
-	s.clearUntrustedHosts(taskRange)
+	s.clearUnreliableGangWorkers(taskRange)
 	entity.FollowRecordedDone(taskRange)
 }
 
-// applySplit splits the range whose split a record shows to be durable, if there is one.
+// applySplit splits the job's range whose split is shown by the record to be durable, if there is one.
 func applySplit(job *Job, first int, record jobs.RangeRecord, revision uint64) {
 	for taskRange := range job.TaskRanges() {
 		if entity.IsSplitBy(taskRange, first, record, revision) {
@@ -130,26 +131,29 @@
 	}
 }
 
+// claimsSameTasks reports whether two records of ranges with the same first task claim the same tasks
+// for the same shard.
 func claimsSameTasks(a, b *jobs.RangeRecord) bool {
 	return a.Shard == b.Shard && a.Count == b.Count
 }
 
-// addClaim adds a claim that is new here, in place of another shard's if there is one.
+// addClaim adds a claim that is new here. It replaces the claim of another shard if there is one.
 func (s *State) addClaim(job *Job, first int, record jobs.RangeRecord, revision uint64, neverStarted bool) {
 	taskRange := entity.NewTaskRange(job, first, record, revision)
 	entity.AddTaskRange(taskRange)
-	initial := TaskUnknown
+	initialState := TaskUnknown
 	if neverStarted {
-		initial = TaskReady
+		initialState = TaskReady
 	}
 	shard := s.shards.Shard(record.Shard)
-	entity.ResetTasks(taskRange, shard != nil && shard.IsLocal(), initial)
-	s.clearUntrustedHosts(taskRange)
+	entity.ResetTasks(taskRange, shard != nil && shard.IsLocal(), initialState)
+	s.clearUnreliableGangWorkers(taskRange)
 }
 
-// clearUntrustedHosts forgets the workers that a gang's range names if an owner of the shard since
-// that record may have started the gang's tasks on others (see membership.Shard.TrustsMark).
-func (s *State) clearUntrustedHosts(taskRange *TaskRange) {
+// clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if a later
+// owner of the shard may have started the gang's tasks on other workers without recording them (see
+// membership.Shard.TrustsMark).
+func (s *State) clearUnreliableGangWorkers(taskRange *TaskRange) {
 	shard := s.shards.Shard(taskRange.Record().Shard)
 	if shard == nil || !shard.TrustsMark(taskRange.Revision()) {
 		entity.ClearGangWorkers(taskRange)
@@ -172,6 +176,7 @@
 	s.removeRange(taskRange)
 }
 
+// removeRange removes a range whose record is gone and stops its tasks.
 func (s *State) removeRange(taskRange *TaskRange) {
 	s.abandonTasks(taskRange)
 	entity.RemoveTaskRange(taskRange.Job(), taskRange.First())
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// NewUnrecordedJob returns a job for a record that is not written yet. It is not part of the
-// state. spotInUse is whether the autoscaler may use spot machines.
+// NewUnrecordedJob returns a job for a record that is not written yet. The job is not part of the
+// state. spotInUse tells whether the autoscaler may use spot machines.
 func (s *State) NewUnrecordedJob(record *jobs.JobRecord, spotInUse bool) *Job {
 	job := entity.NewJob(record.Ref)
 	s.setSpec(job, record, spotInUse)
@@ -21,18 +21,19 @@
 	entity.SetSpec(job, record, ownDeadlines, s.IsBackground(record), spotInUse)
 }
 
-// IsBackground reports whether a job is background work, which gets only capacity that no other
-// job needs: an array of the lowest priority without a deadline or objective. Without this
-// distinction 3,800 long tasks of one team took every machine that could be added within seconds,
+// IsBackground reports whether a job is background work: an array of the lowest priority without a
+// deadline or objective. Background work gets only capacity that no other job needs. Without this
+// distinction, 3,800 long tasks of one team took every machine that could be added within seconds,
 // and for four minutes no deadline of other teams was met.
 func (s *State) IsBackground(record *jobs.JobRecord) bool {
 	return record.Kind == jobs.Array && record.Priority() == 0 && record.DeadlineSeconds == nil &&
 		!s.cfg.HasObjective(record.Class)
 }
 
-// ApplyJobRecord updates the state from a job's record. complete is whether the first load of all
-// records is over, see ApplyRangeRecord; spotInUse is whether the autoscaler may use spot machines.
-func (s *State) ApplyJobRecord(record *jobs.JobRecord, revision uint64, complete, spotInUse bool) {
+// ApplyJobRecord updates the state from a job's record. initialLoadDone tells whether the first load
+// of all records is over, see ApplyRangeRecord. spotInUse tells whether the autoscaler may use spot
+// machines.
+func (s *State) ApplyJobRecord(record *jobs.JobRecord, revision uint64, initialLoadDone, spotInUse bool) {
 	job := s.jobs[record.Ref]
 	if job == nil {
 		job = entity.NewJob(record.Ref)
@@ -46,15 +47,15 @@
 	entity.SetJobRevision(job, revision)
 	s.setSpec(job, record, spotInUse)
 	s.dependencies.ApplyRecord(job.Record(), time.Now())
-	s.updateInherited(job.Ref())
+	s.updateDependencyState(job.Ref())
 	isBlocked := entity.SetBlocked(job)
 	if !hadRecord && !isBlocked {
 		s.classStats.RecordArrival(record, job.RunnableSinceMS(), time.Now())
 	}
-	s.applyInlineClaim(job, revision, complete)
+	s.applyInlineClaim(job, revision, initialLoadDone)
 }
 
-// unfinishedRecord returns a job's record, nil if none is known or the job has ended.
+// unfinishedRecord returns a job's record, or nil if no record is known or the job has ended.
 func (s *State) unfinishedRecord(ref string) *jobs.JobRecord {
 	job := s.jobs[ref]
 	if job == nil || !job.HasRecord() || job.HasEnded() {
@@ -63,14 +64,15 @@
 	return job.Record()
 }
 
-// updateInherited updates what a job inherits from its dependencies and dependents after a change.
-func (s *State) updateInherited(ref string) {
+// updateDependencyState updates the attributes that a job gets from its dependencies and dependents:
+// its priority, whether it is background work, and whether it is blocked.
+func (s *State) updateDependencyState(ref string) {
 	job := s.jobs[ref]
 	if job == nil || !job.HasRecord() {
 		return
 	}
 	if entity.SetDependencyNode(job, s.dependencies.Node(ref)) {
-		s.markMachinesChanged(job)
+		s.markJobMachinesChanged(job)
 	}
 	entity.EndBackground(job)
 	if entity.Unblock(job, time.Now()) {
@@ -79,12 +81,12 @@
 	s.dirty = true
 }
 
-// markMachinesChanged notes that the usage of all machines that run tasks of a job has changed.
-func (s *State) markMachinesChanged(job *Job) {
+// markJobMachinesChanged marks all machines that have tasks of a job as changed.
+func (s *State) markJobMachinesChanged(job *Job) {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
 			if assignment := taskRange.Assignment(i); assignment != nil {
-				s.markChanged(assignment.Machine())
+				s.markMachineChanged(assignment.Machine())
 			}
 		}
 	}
@@ -97,8 +99,8 @@
 	}
 }
 
-// EndJob notes that a job is done or cancelled. Its tasks that are still on machines are stopped;
-// the records of ranges of shards owned here are still to be deleted.
+// EndJob marks a job as ended, since it is done or cancelled, and stops its tasks that are still on
+// machines. The caller still has to delete the records of its ranges in shards owned here.
 func (s *State) EndJob(job *Job) {
 	entity.SetEnded(job)
 	s.attributor.ForgetJob(job.Ref())
@@ -112,7 +114,7 @@
 	s.removeIfEnded(job)
 }
 
-// removeIfEnded removes a job that has ended and of which no range is left.
+// removeIfEnded removes a job from the state if it has ended and has no ranges left.
 func (s *State) removeIfEnded(job *Job) {
 	if job.HasEnded() && !entity.HasTaskRanges(job) && s.jobs[job.Ref()] == job {
 		delete(s.jobs, job.Ref())
--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -9,16 +9,16 @@
 )
 
 // The Apply methods update the state from records of the key-value store. A record is applied only
-// if its revision is newer than what is known.
+// if its revision is newer than the known one.
 
-// ApplyMachineRecord updates the state from a machine's record. moved is whether a machine that was
-// known before is in another shard now.
+// ApplyMachineRecord updates the state from a machine's record. moved reports whether a machine that
+// was already known has changed to another shard.
 func (s *State) ApplyMachineRecord(host string, record workerapi.Record, revision uint64) (machine *Machine, moved bool) {
 	machine = s.machines[host]
 	if machine == nil {
 		machine = entity.NewMachine(host)
 		s.machines[host] = machine
-		s.forgetTasks(machine)
+		s.resetMachineState(machine)
 	}
 	if machine.Revision() >= revision {
 		return machine, false
@@ -26,20 +26,20 @@
 	isNew := machine.Revision() == 0
 	changesShard := machine.Record().Shard != record.Shard
 	if changesShard {
-		s.forgetTasks(machine)
+		s.resetMachineState(machine)
 		flags := entity.MutableFlags(machine)
 		flags.Reported, flags.Lost = false, false
 	}
 	entity.SetMachineRecord(machine, record, revision)
-	s.machinesChanged()
+	s.invalidateMachineLists()
 	entity.MutableTimes(machine).JoinedShardAt = time.Now()
-	s.markChanged(machine)
+	s.markMachineChanged(machine)
 	return machine, changesShard && !isNew
 }
 
-// forgetTasks forgets what is known of the tasks on a machine, and of its condition under the
-// owner of its shard until now.
-func (s *State) forgetTasks(machine *Machine) {
+// resetMachineState removes all assignments of a machine, sets their tasks to TaskUnknown, and clears
+// its idle time and the flags that were valid only under the previous owner of its shard.
+func (s *State) resetMachineState(machine *Machine) {
 	for assignment := range machine.Assignments() {
 		entity.ReleaseTask(assignment, TaskUnknown)
 	}
@@ -49,11 +49,11 @@
 	flags.ReportedEmpty, flags.ProbeUnanswered = false, false
 	flags.NoInbound, flags.HeartbeatOverdue = false, false
 	entity.MutableTimes(machine).IdleSince = time.Time{}
-	s.markChanged(machine)
+	s.markMachineChanged(machine)
 }
 
-// ApplyMachineDeletion removes a machine whose record was deleted, and returns the machine; nil
-// if it is not known or the deletion is older than its record.
+// ApplyMachineDeletion removes a machine whose record was deleted, and returns the machine. It returns
+// nil if the machine is not known or the deletion is older than its record.
 func (s *State) ApplyMachineDeletion(host string, revision uint64) *Machine {
 	machine := s.machines[host]
 	if machine == nil || machine.Revision() > revision {
@@ -62,37 +62,38 @@
 	s.MarkLost(machine)
 	s.attributor.ForgetMachine(host)
 	delete(s.machines, host)
-	s.machinesChanged()
-	s.markChanged(machine)
+	s.invalidateMachineLists()
+	s.markMachineChanged(machine)
 	return machine
 }
 
-// ApplyShardRecord updates the state after a shard's owner has changed: nothing is known of its
-// machines and tasks until the workers report. It returns the machines that are not released.
+// ApplyShardRecord updates the state after a shard's owner has changed: the state of the shard's
+// machines and tasks is unknown until the workers report. It returns the shard's machines that are
+// not released.
 func (s *State) ApplyShardRecord(shard *membership.Shard) []*Machine {
 	s.ownedMachinesStale = true
-	remaining := s.forgetShardMachines(shard)
+	remaining := s.resetShardMachines(shard)
 	for taskRange := range s.TaskRangesIn(shard.ID()) {
 		entity.ResetTasks(taskRange, shard.IsLocal(), TaskUnknown)
-		s.clearUntrustedHosts(taskRange)
-		// The workers will report the gang's present attempt. Gangs of other shards owned here
-		// keep theirs: without it they would look like plans that have waited too long, and would
-		// be stopped.
+		s.clearUnreliableGangWorkers(taskRange)
+		// The workers will report the gang's current attempt. Gangs of other shards owned here
+		// keep their attempts: without an attempt they would look like plans that have waited too
+		// long, and would be stopped.
 		s.ResetGangAttempt(taskRange.Job())
 	}
 	s.dirty = true
 	return remaining
 }
 
-// forgetShardMachines forgets what is known of a shard's machines, and returns those that are not
+// resetShardMachines resets the state of a shard's machines, and returns the machines that are not
 // released.
-func (s *State) forgetShardMachines(shard *membership.Shard) []*Machine {
+func (s *State) resetShardMachines(shard *membership.Shard) []*Machine {
 	var remaining []*Machine
 	for _, machine := range s.machines {
 		if machine.Record().Shard != shard.ID() {
 			continue
 		}
-		s.forgetTasks(machine)
+		s.resetMachineState(machine)
 		flags := entity.MutableFlags(machine)
 		flags.Reported, flags.Lost = false, flags.Released
 		if !flags.Released {
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -17,38 +17,39 @@
 	entity.AddAssignment(assignment)
 	entity.AssignTask(assignment, taskRange, index)
 	entity.SetLastPlacedAt(taskRange, time.Now())
-	s.markChanged(machine)
+	s.markMachineChanged(machine)
 	return assignment
 }
 
-// Unplace removes an assignment whose task is certainly not on the machine (any more). The task
-// is ready again.
+// Unplace removes an assignment whose task certainly does not run on the machine, because it was never
+// started there or has stopped. The task is ready again.
 func (s *State) Unplace(assignment *Assignment) {
 	entity.RemoveAssignment(assignment)
 	if entity.ReleaseTask(assignment, TaskReady) {
-		failGangAttemptOf(assignment)
+		failGangAttempt(assignment)
 	}
-	s.markChanged(assignment.Machine())
+	s.markMachineChanged(assignment.Machine())
 }
 
-// abandonTasks stops all tasks of a range whose results are no longer needed.
+// abandonTasks detaches and stops all assigned tasks of a range, whose results are no longer needed.
 func (s *State) abandonTasks(taskRange *TaskRange) {
 	for i := range taskRange.Len() {
 		if assignment := taskRange.Assignment(i); assignment != nil {
-			s.abandon(assignment)
+			s.abandonAssignment(assignment)
 		}
 	}
 }
 
-// abandon stops an assignment whose task's result is no longer needed.
-func (s *State) abandon(assignment *Assignment) {
+// abandonAssignment detaches an assignment from its task, whose result is no longer needed, and stops
+// the task on the machine.
+func (s *State) abandonAssignment(assignment *Assignment) {
 	entity.Abandon(assignment)
 	if assignment.Status().IsPlanned() {
 		s.Unplace(assignment)
 		return
 	}
 	machine := assignment.Machine()
-	s.markChanged(machine) // Stop does nothing if the task is stopping already
+	s.markMachineChanged(machine) // Stop may do nothing if the task is already stopping
 	s.Stop(assignment, 0)
 	mayNotHaveStarted := !assignment.Status().HasStarted()
 	if mayNotHaveStarted || machine.HeartbeatOverdue() {
@@ -56,28 +57,28 @@
 	}
 }
 
-// TakeUrgentStops returns the machines to which stop commands have to be sent at once, and clears
-// the list: on them a task was abandoned that may not have started yet, or whose machine does not
-// report. A machine may be listed more than once.
+// TakeUrgentStops returns the machines to which stop commands have to be sent immediately, and clears
+// the list. A machine is listed if a task on it was abandoned and the task may not have started yet or
+// the machine's heartbeat is overdue. A machine may be listed more than once.
 func (s *State) TakeUrgentStops() []*Machine {
 	machines := s.urgentStops
 	s.urgentStops = nil
 	return machines
 }
 
-// Stop notes that an assignment is to be stopped, with graceS seconds for a checkpoint. A task
-// that is stopping already never gets more time than before.
+// Stop marks an assignment as to be stopped, with graceS seconds for a checkpoint. A task that is
+// already stopping never gets more time than before.
 func (s *State) Stop(assignment *Assignment, graceS float64) {
 	status := entity.MutableStatus(assignment)
 	if status.Stopping && graceS >= status.GraceS {
 		return
 	}
 	status.Stopping, status.GraceS, status.StopSent = true, graceS, false
-	s.markChanged(assignment.Machine())
+	s.markMachineChanged(assignment.Machine())
 }
 
-// Preempt stops a task to make room for another one. Of a gang it stops all tasks. A task that is
-// only planned is unplaced instead.
+// Preempt stops a task to free its resources for another one. If the task belongs to a gang, all
+// tasks of the gang are stopped. A task that is only planned is unplaced instead.
 func (s *State) Preempt(assignment *Assignment) {
 	job := assignment.Job()
 	switch {
@@ -90,55 +91,56 @@
 	}
 }
 
-// PreemptFor stops a task to make room for those of a claim, once the claim is durable. Stopped
-// before, it would be lost for nothing if another controller's claim of the same job came first:
-// over slow links 248 tasks were preempted for 160 urgent ones.
+// PreemptFor stops a task to free its resources for the tasks of a claim, once the claim is durable.
+// If the task were stopped earlier and another controller's claim of the same job came first, the
+// preemption would be useless: over slow links 248 tasks were preempted for 160 urgent ones.
 func (s *State) PreemptFor(taskRange *TaskRange, assignment *Assignment) {
 	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
 		s.Preempt(assignment)
 		return
 	}
 	entity.AddPreemption(taskRange, assignment)
-	s.markChanged(assignment.Machine())
+	s.markMachineChanged(assignment.Machine())
 }
 
-// executePreemptions stops the tasks that a claim preempts, once the claim is durable.
+// executePreemptions stops the tasks that a claim preempts. It is called once the claim is durable.
 func (s *State) executePreemptions(taskRange *TaskRange) {
 	for _, assignment := range entity.TakePreemptions(taskRange) {
 		entity.CancelPreemption(assignment)
 		if entity.IsOnMachine(assignment) {
 			s.Preempt(assignment)
 		}
-		s.markChanged(assignment.Machine())
+		s.markMachineChanged(assignment.Machine())
 	}
 }
 
-// MarkStartSent notes that a start command was sent.
+// MarkStartSent records that a start command was sent for a task.
 func (s *State) MarkStartSent(assignment *Assignment) {
 	entity.MutableStatus(assignment).StartSent = true
 	entity.SetLastRefusal(assignment, "")
 	entity.MarkUsageStale(assignment.Machine())
 }
 
-// NoteStartRefused notes why the start command of a task is not sent, and reports whether that is
-// another reason than before.
+// NoteStartRefused records why the start command of a task is not sent, and reports whether the reason
+// differs from the previous one.
 func (s *State) NoteStartRefused(assignment *Assignment, refusal string) (isNew bool) {
 	return entity.SetLastRefusal(assignment, refusal)
 }
 
-// MarkStopSent notes that a stop command was sent.
+// MarkStopSent records that a stop command was sent for a task.
 func (s *State) MarkStopSent(assignment *Assignment) {
 	entity.MutableStatus(assignment).StopSent = true
 	entity.MarkUsageStale(assignment.Machine())
 }
 
-// ClearStartSent notes that a start command never arrived, or that its agent session is over.
+// ClearStartSent records that a start command never arrived, or that the agent session to which it was
+// sent is over.
 func (s *State) ClearStartSent(assignment *Assignment) {
 	entity.MutableStatus(assignment).StartSent = false
 }
 
-// UpdateStatus notes a task's status as reported by its worker, and reports whether it is the same
-// as before.
+// UpdateStatus sets a task's status as reported by its worker, and reports whether it is the same as
+// before.
 func (s *State) UpdateStatus(assignment *Assignment, workerStatus workerapi.TaskState, now time.Time) (unchanged bool) {
 	status := entity.MutableStatus(assignment)
 	unchanged = status.Reported && status.WorkerStatus == workerStatus
@@ -146,28 +148,29 @@
 		status.RunningSince = now
 	}
 	status.Reported, status.StartSent, status.WorkerStatus = true, true, workerStatus
-	noteImage(assignment)
+	recordImage(assignment)
 	return unchanged
 }
 
-// noteImage notes that a machine has the image of a task that is reported to be beyond pulling it.
-func noteImage(assignment *Assignment) {
+// recordImage records that a machine has a task's image, if the task is reported to have been started,
+// which comes after pulling the image.
+func recordImage(assignment *Assignment) {
 	job := assignment.Job()
 	if job != nil && assignment.Status().HasStarted() {
 		entity.AddImage(assignment.Machine(), job.Record().Image)
 	}
 }
 
-// RemoveExited removes the assignment of a task that is done from its machine. Until MarkDone, the
-// task is on no machine and not ready.
+// RemoveExited removes the assignment of a task that is done from its machine. Until MarkDone is
+// called, the task is not on any machine and not ready.
 func (s *State) RemoveExited(assignment *Assignment) {
 	entity.MutableStatus(assignment).Reported = true
 	entity.RemoveAssignment(assignment)
-	s.markChanged(assignment.Machine())
+	s.markMachineChanged(assignment.Machine())
 }
 
-// MarkDone notes that a task, numbered within its range, is done. assignment is the one that it
-// left by RemoveExited, nil if there is none.
+// MarkDone marks a task, numbered within its range, as done. assignment is the one that RemoveExited
+// has removed for the task, or nil if there is none.
 func (s *State) MarkDone(taskRange *TaskRange, index int, assignment *Assignment) {
 	if assignment != nil && taskRange.Assignment(index) == assignment {
 		entity.SetTask(taskRange, index, TaskReady, nil)
@@ -175,12 +178,14 @@
 	s.markDone(taskRange, index)
 }
 
+// markDone marks a task as done unless it already is, and stops an assignment that it still has. If the
+// task belongs to a gang, the whole gang is done.
 func (s *State) markDone(taskRange *TaskRange, index int) {
 	if taskRange.TaskState(index) == TaskFinished {
 		return
 	}
 	if assignment := taskRange.Assignment(index); assignment != nil {
-		s.abandon(assignment)
+		s.abandonAssignment(assignment)
 	}
 	entity.MarkTaskDone(taskRange, index)
 	if job := taskRange.Job(); job.IsGang() {
@@ -189,8 +194,8 @@
 	s.dirty = true
 }
 
-// markGangDone notes that all tasks of a gang are done: a gang completes as a whole, as soon as
-// one of its tasks does.
+// markGangDone marks all tasks of a gang as done: the whole gang is complete as soon as one of its
+// tasks is.
 func (s *State) markGangDone(job *Job) {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -1,11 +1,11 @@
-// Package clusterstate keeps what a controller knows of the cluster: jobs, their claimed task
-// ranges, and machines with the tasks assigned to them, and the counts of free capacity that
-// follow from these.
+// Package clusterstate keeps a controller's view of the cluster: the jobs, their claimed task
+// ranges, the machines with the tasks assigned to them, and the free capacity that is computed
+// from these.
 //
-// State is the only place where a task changes its state. Records of the key-value store arrive
-// through the state cache, heartbeats through the worker sessions, and decisions come from the
-// scheduler. State has no locks: the controller's actor owns it, and everything that it returns
-// is to be used by that actor alone.
+// State is the only place where a task changes its state. The state cache applies the records of
+// the key-value store to it, the worker sessions apply heartbeats, and the scheduler applies its
+// decisions. State has no locks: the controller's actor owns it, and only that actor may use the
+// objects that it returns.
 package clusterstate
 
 import "cherrywall/internal/clusterstate/internal/entity"
@@ -13,26 +13,28 @@
 // The objects of the cluster state are defined in a package of their own, so that other packages
 // can read them while only State can change them.
 type (
-	// Job is an unfinished job, or one that has ended while claimed ranges of it still exist.
+	// Job is an unfinished job, or an ended job that still has claimed ranges.
 	Job = entity.Job
 	// TaskRange is a claimed range of a job's tasks.
 	TaskRange = entity.TaskRange
-	// TaskState is what is known of a task of a range whose shard this controller owns.
+	// TaskState is the state of a task in a range whose shard this controller owns.
 	TaskState = entity.TaskState
-	// Machine is a worker as this controller knows it.
+	// Machine is this controller's view of a worker.
 	Machine = entity.Machine
-	// Assignment is a task on a machine, from when it is planned there until it has left.
+	// Assignment is the assignment of a task to a machine. It exists from when the task is planned
+	// there until the task has left the machine.
 	Assignment = entity.Assignment
-	// AssignmentStatus is how far a task on a machine is.
+	// AssignmentStatus is the progress of a task on a machine.
 	AssignmentStatus = entity.AssignmentStatus
 )
 
 // The states of a task.
 const (
-	// TaskUnknown is a task that may run on some machine: it was claimed before this controller
-	// acquired its shard, or its machine changed the shard, and no heartbeat has settled it yet.
+	// TaskUnknown is a task that may be running on some machine: it was claimed before this
+	// controller acquired its shard, or its machine moved to another shard, and no heartbeat has
+	// shown yet whether it runs.
 	TaskUnknown = entity.TaskUnknown
-	// TaskReady is a task that is on no machine and may be started.
+	// TaskReady is a task that is not on any machine and may be started.
 	TaskReady = entity.TaskReady
 	// TaskPlaced is a task with an assignment to a machine.
 	TaskPlaced = entity.TaskPlaced
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/workerapi"
 )
 
-// claimedArray is a harness with a machine of 16 processors, and an array of three tasks of four
-// processors claimed by a shard that is owned here.
+// claimedArray is a test fixture: a harness with one machine of 16 CPUs, and an array of three tasks
+// with 4 CPUs each that is claimed by a shard owned here.
 type claimedArray struct {
 	*harness.Harness
 	machine   *clusterstate.Machine
@@ -30,18 +30,18 @@
 	return &claimedArray{Harness: h, machine: machine, taskRange: h.AddTaskRange("wk-1", "n0", 3, 7)}
 }
 
-// fitCount returns how many tasks of the array fit by the table of free capacity.
+// fitCount returns how many tasks of the array fit according to the table of free capacity.
 func (c *claimedArray) fitCount() int {
 	job := c.State.Job("wk-1")
 	return c.State.FreeCapacity().Count(job.Need(), job.Record().Allows)
 }
 
-// The free capacity follows each step of a task from the plan to its end.
-func TestFreeCapacityFollowsTask(t *testing.T) {
+// The free capacity is up to date after each step of a task, from being planned to being done.
+func TestFreeCapacityDuringTaskLifecycle(t *testing.T) {
 	c := newClaimedArray(t)
 	state, machine, taskRange := c.State, c.machine, c.taskRange
 	if taskRange.CountTasks(clusterstate.TaskReady) != 3 || c.fitCount() != 4 {
-		t.Fatalf("claimed in the present epoch: %d of 3 are ready, %d fit", taskRange.CountTasks(clusterstate.TaskReady), c.fitCount())
+		t.Fatalf("claimed in the current epoch: %d of 3 are ready, %d fit", taskRange.CountTasks(clusterstate.TaskReady), c.fitCount())
 	}
 	assignment := state.Place(taskRange, 1, machine, 9)
 	if c.fitCount() != 3 || !assignment.Status().IsPlanned() || state.PendingCommands(machine) != 1 {
@@ -49,15 +49,15 @@
 	}
 	state.MarkStartSent(assignment)
 	if unchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); unchanged || state.PendingCommands(machine) != 0 {
-		t.Errorf("running: known before %v, %d pending commands", unchanged, state.PendingCommands(machine))
+		t.Errorf("running: unchanged %v, %d pending commands", unchanged, state.PendingCommands(machine))
 	}
 	state.Stop(assignment, 5)
-	if c.fitCount() != 4 || state.FreeNow(machine).CPU != 16 { // without checkpoints it is gone with the command
+	if c.fitCount() != 4 || state.FreeNow(machine).CPU != 16 { // without checkpoints, the task stops as soon as the command arrives
 		t.Errorf("stopping: %d fit, %v free now", c.fitCount(), state.FreeNow(machine))
 	}
 	state.Stop(assignment, 8)
 	if assignment.Status().GraceS != 5 {
-		t.Error("given more time than before")
+		t.Error("a stopping task was given more time than before")
 	}
 	state.RemoveExited(assignment)
 	state.MarkDone(taskRange, 1, assignment)
@@ -66,12 +66,12 @@
 		t.Errorf("state %v, done %d, progress: %d done, %d active", taskRange.TaskState(1), taskRange.DoneTasks(), done, active)
 	}
 	if !taskRange.RecordWithDone().Done.Has(1) || taskRange.Record().Done.Has(1) {
-		t.Error("the record to be written does not have the task as done, or the present one has")
+		t.Error("the record to be written does not list the task as done, or the current record does")
 	}
 }
 
-// An attempt on two workers must not count twice, and neither of the two may vanish from the
-// state while it runs.
+// A task that is on two workers must not count twice, and neither of its two assignments may be
+// removed from the state while it runs.
 func TestTaskOnSecondWorkerIsStopped(t *testing.T) {
 	c := newClaimedArray(t)
 	state, taskRange := c.State, c.taskRange
@@ -81,20 +81,20 @@
 	reported := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 7, Status: workerapi.StatusRunning}
 	lookup := state.LookupTask(other, reported)
 	if want := (clusterstate.TaskLookup{JobKnown: true, IsClaimed: true, PlacedElsewhere: true}); lookup != want {
-		t.Errorf("found %+v", lookup)
+		t.Errorf("lookup: %+v", lookup)
 	}
 	second := state.Adopt(other, reported, false)
 	if !second.Status().Stopping || second.Job() != nil || other.AssignmentCount() != 1 || taskRange.Assignment(0).Machine() != c.machine {
-		t.Errorf("the second: %+v, the first on %s", second.Status(), taskRange.Assignment(0).Machine().Host())
+		t.Errorf("second assignment: %+v; first assignment is on %s", second.Status(), taskRange.Assignment(0).Machine().Host())
 	}
 	state.EndJob(taskRange.Job())
 	if first := taskRange.Assignment(0); first == nil || !first.Status().Stopping || first.Job() != nil {
-		t.Error("a task of a job that has ended keeps running")
+		t.Error("a task of an ended job is not stopped")
 	}
 }
 
-// A gang starts as a whole; when one of its tasks is lost, the others have to go before the next
-// attempt.
+// A gang's tasks are started only if all of them are placed. When one of its tasks is lost, the other
+// tasks have to be stopped before the next attempt.
 func TestGangRunsUnderOneAttempt(t *testing.T) {
 	c := newClaimedArray(t)
 	state, machine := c.State, c.machine
@@ -103,31 +103,31 @@
 	state.BeginGangAttempt(job, 4)
 	first := state.Place(taskRange, 0, machine, 4)
 	if state.GangCanStart(job) {
-		t.Error("half a gang may start")
+		t.Error("the gang may start while only half of its tasks are placed")
 	}
 	second := state.Place(taskRange, 1, machine, 4)
 	if !state.GangCanStart(job) || !state.StartGang(job) || state.StartGang(job) {
-		t.Error("the whole gang may not start, or starts twice")
+		t.Error("the gang may not start although all its tasks are placed, or its first start is reported twice")
 	}
 	state.MarkStartSent(first)
 	state.MarkStartSent(second)
-	state.Unplace(first) // lost
+	state.Unplace(first) // as if its machine were lost
 	if state.GangCanStart(job) {
-		t.Error("a failed attempt goes on")
+		t.Error("tasks of a failed attempt may be started")
 	}
 	state.StopFailedGang(job)
 	if !second.Status().Stopping {
-		t.Error("the rest of a failed attempt is not stopped")
+		t.Error("the remaining task of a failed attempt is not stopped")
 	}
 	state.Unplace(second)
 	state.StopFailedGang(job)
 	if attempt, started := job.GangAttempt(); attempt != 0 || started {
-		t.Errorf("the next attempt begins with %d, started %v", attempt, started)
+		t.Errorf("the failed attempt was not reset: attempt %d, started %v", attempt, started)
 	}
 }
 
-// An assignment of the shard's former owner is restored as it was, unless its job has ended: then
-// it is stopped if it runs, and ignored if it was only planned.
+// An assignment of the shard's previous owner is restored unchanged, unless its job is not known: then
+// the task is stopped if it runs, and the assignment is ignored if it was only planned.
 func TestRestoreAssignment(t *testing.T) {
 	now := time.Now()
 	running := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
@@ -156,7 +156,7 @@
 		c := newClaimedArray(t)
 		c.State.RestoreAssignment(c.machine, previous("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
 		if c.machine.Assignment("wk-9/1") != nil {
-			t.Error("it takes resources")
+			t.Error("the planned task was restored and takes resources")
 		}
 	})
 }
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -8,13 +8,14 @@
 	"cherrywall/internal/jobs"
 )
 
-// Total returns the resources of a machine of this type; known is false as long as no worker of the
+// Total returns the total resources of a machine, by its type. known is false until a worker of the
 // type has reported them.
 func (s *State) Total(machine *Machine) (total capacity.Resources, known bool) {
 	return s.machineTypes.Capacity(machine.Record().MachineType)
 }
 
-func (s *State) usageOf(machine *Machine) *entity.Usage {
+// machineUsage returns a machine's usage and computes it first if the assignments have changed.
+func (s *State) machineUsage(machine *Machine) *entity.Usage {
 	if usage := entity.CurrentUsage(machine); usage != nil {
 		return usage
 	}
@@ -22,17 +23,18 @@
 	return entity.ComputeUsage(machine, total)
 }
 
-// Free returns what is free on a machine once all tasks that are to be stopped have left it.
-func (s *State) Free(machine *Machine) capacity.Resources { return s.usageOf(machine).Free }
+// Free returns the resources that are free on a machine once all tasks that are to be stopped have
+// left it.
+func (s *State) Free(machine *Machine) capacity.Resources { return s.machineUsage(machine).Free }
 
-// FreeBelow returns Free plus what the tasks below a priority take. Gangs are left out, since their
-// tasks cannot be stopped one by one.
+// FreeBelow returns Free plus the resources of the tasks below a priority. Tasks of gangs are not
+// included, since they cannot be stopped one by one.
 func (s *State) FreeBelow(machine *Machine, priority jobs.Priority) capacity.Resources {
-	return s.usageOf(machine).FreeBelowWithoutGangs[priority]
+	return s.machineUsage(machine).FreeBelowWithoutGangs[priority]
 }
 
-// FreeNow returns what is free on a machine when the commands of the present scheduling cycle are
-// executed: tasks that write a checkpoint before they exit still take their resources.
+// FreeNow returns the resources that are free on a machine when the commands of the current scheduling
+// cycle are executed. Tasks that save a checkpoint before they exit still take their resources then.
 func (s *State) FreeNow(machine *Machine) capacity.Resources {
 	free, _ := s.Total(machine)
 	for assignment := range machine.Assignments() {
@@ -43,8 +45,8 @@
 	return free
 }
 
-// UsedCPUFraction returns the fraction (0 to 1) of a machine's CPUs that tasks take; 0 if its type
-// is not known.
+// UsedCPUFraction returns the fraction (0 to 1) of a machine's CPUs that its tasks take, or 0 if the
+// machine's total resources are not known.
 func (s *State) UsedCPUFraction(machine *Machine) float64 {
 	total, known := s.Total(machine)
 	if !known || total.CPU <= 0 {
@@ -53,19 +55,19 @@
 	return 1 - s.Free(machine).CPU/total.CPU
 }
 
-// OrdinaryTasks returns how many tasks on a machine, stopping ones too, may not run on a spot
+// OrdinaryTasks returns how many tasks on a machine, including stopping ones, may not run on a spot
 // machine.
-func (s *State) OrdinaryTasks(machine *Machine) int { return s.usageOf(machine).OrdinaryTasks }
+func (s *State) OrdinaryTasks(machine *Machine) int { return s.machineUsage(machine).OrdinaryTasks }
 
 // ServiceReplicas returns how many replicas of services run on a machine and are not to be stopped.
-func (s *State) ServiceReplicas(machine *Machine) int { return s.usageOf(machine).ServiceReplicas }
+func (s *State) ServiceReplicas(machine *Machine) int { return s.machineUsage(machine).ServiceReplicas }
 
-// PendingCommands returns how many start and stop commands are still to be sent to a machine.
-func (s *State) PendingCommands(machine *Machine) int { return s.usageOf(machine).PendingCommands }
+// PendingCommands returns how many start and stop commands have not been sent to a machine yet.
+func (s *State) PendingCommands(machine *Machine) int { return s.machineUsage(machine).PendingCommands }
 
-// markChanged notes that a machine, or the tasks on it, have changed. The tables of free capacity
-// follow when they are asked for, see FreeCapacity.
-func (s *State) markChanged(machine *Machine) {
+// markMachineChanged records that a machine or the tasks on it have changed. The tables of free
+// capacity are updated when they are next requested, see FreeCapacity.
+func (s *State) markMachineChanged(machine *Machine) {
 	entity.MarkUsageStale(machine)
 	if entity.BeginRecount(machine) {
 		s.changedMachines = append(s.changedMachines, machine)
@@ -79,37 +81,39 @@
 func (s *State) RecountAllMachines() {
 	s.dirty = true
 	for _, machine := range s.machines {
-		s.markChanged(machine)
+		s.markMachineChanged(machine)
 	}
 }
 
-// FreeCapacity returns the table of how many tasks fit into free capacity, up to date with the
+// FreeCapacity returns the table of how many tasks fit into free capacity, after updating it for all
 // machines that have changed.
 func (s *State) FreeCapacity() *capacity.Table {
 	for _, machine := range s.changedMachines {
 		entity.EndRecount(machine)
 		if current := s.machines[machine.Host()]; current != nil && current != machine {
-			continue // the machine was removed, and recorded anew under its name
+			continue // the machine was removed, and another one was recorded under its name
 		}
 		s.updateFreeCapacity(machine)
 	}
 	s.changedMachines = s.changedMachines[:0]
-	return s.free
+	return s.freeCapacity
 }
 
+// updateFreeCapacity updates a machine's entries in the tables of free capacity, and removes them if
+// no tasks may be started on the machine.
 func (s *State) updateFreeCapacity(machine *Machine) {
 	host := machine.Host()
 	if _, known := s.Total(machine); !known || !s.IsUsable(machine) || s.machines[host] == nil {
-		s.free.Remove(host)
-		for p := range s.freeBelow {
-			s.freeBelow[p].Remove(host)
+		s.freeCapacity.Remove(host)
+		for p := range s.freeCapacityBelow {
+			s.freeCapacityBelow[p].Remove(host)
 		}
 		return
 	}
-	usage, group := s.usageOf(machine), machine.Group()
-	s.free.Set(host, group, usage.Free)
-	for p := range s.freeBelow {
-		s.freeBelow[p].Set(host, group, usage.FreeBelow[p])
+	usage, group := s.machineUsage(machine), machine.Group()
+	s.freeCapacity.Set(host, group, usage.Free)
+	for p := range s.freeCapacityBelow {
+		s.freeCapacityBelow[p].Set(host, group, usage.FreeBelow[p])
 	}
 }
 
@@ -117,23 +121,23 @@
 // gangs included, were preempted.
 func (s *State) FreeCapacityBelow(priority jobs.Priority) *capacity.Table {
 	s.FreeCapacity()
-	return s.freeBelow[priority]
+	return s.freeCapacityBelow[priority]
 }
 
-// RecountCapacity drops the counts of shapes that no job needs any more and computes the others
-// anew. It also determines anew which jobs are best-effort work; spotInUse is whether the
+// RecountCapacity recomputes the counts for all task shapes that jobs need, and drops the counts for
+// other shapes. It also determines again which jobs are best-effort work; spotInUse tells whether the
 // autoscaler may use spot machines.
 func (s *State) RecountCapacity(now time.Time, spotInUse bool) {
-	wanted := map[capacity.Resources]bool{}
+	neededShapes := map[capacity.Resources]bool{}
 	for _, job := range s.jobs {
 		if !job.HasEnded() {
-			wanted[job.Need()] = true
+			neededShapes[job.Need()] = true
 			entity.UpdateBestEffort(job, now, spotInUse)
 		}
 	}
-	s.FreeCapacity().Recount(wanted)
-	for p := range s.freeBelow {
-		s.freeBelow[p].Recount(nil) // filled again when it is asked for
+	s.FreeCapacity().Recount(neededShapes)
+	for p := range s.freeCapacityBelow {
+		s.freeCapacityBelow[p].Recount(nil) // filled again when it is requested
 	}
 	s.dirty = true
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -6,17 +6,18 @@
 	"cherrywall/internal/tuning"
 )
 
-// All tasks of a gang run under one attempt number, or none does.
+// All tasks of a gang run under one attempt number, or none of them runs.
 
-// BeginGangAttempt notes that a gang is to be placed under an attempt number.
+// BeginGangAttempt begins an attempt to place a gang, under an attempt number.
 func (s *State) BeginGangAttempt(job *Job, attempt uint64) { entity.BeginGangAttempt(job, attempt) }
 
-// ResetGangAttempt forgets a gang's attempt: its claim failed or was withdrawn, its tasks have left
-// their machines, or it is no longer known what they do.
+// ResetGangAttempt removes a gang's attempt. It is called when the gang's claim failed or was
+// withdrawn, when its tasks have left their machines, and when their state is no longer known.
 func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
-// adoptGangAttempt updates a gang's attempt from a task that a worker reports to run under an
-// attempt: another attempt than the present one makes the gang fail. It does nothing for other jobs.
+// adoptGangAttempt updates a gang's attempt from the attempt number of a task that a worker reports.
+// An attempt that was not started is replaced by the reported one. A started attempt fails if the
+// reported number differs from its own. It does nothing for other jobs.
 func adoptGangAttempt(job *Job, attempt uint64) {
 	if !job.IsGang() {
 		return
@@ -30,8 +31,9 @@
 	}
 }
 
-// failGangAttemptOf notes that a task was lost, which fails the gang attempt that it was of.
-func failGangAttemptOf(assignment *Assignment) {
+// failGangAttempt marks a gang's attempt as failed after a task of it was lost, if the attempt was
+// started. It does nothing for other jobs.
+func failGangAttempt(assignment *Assignment) {
 	job := assignment.Job()
 	if !job.IsGang() {
 		return
@@ -41,8 +43,8 @@
 	}
 }
 
-// StartGang notes that a start command is sent for a task of a gang, and reports whether it is the
-// first.
+// StartGang marks a gang's attempt as started when a start command is sent for one of its tasks, and
+// reports whether it is the first start command of the attempt.
 func (s *State) StartGang(job *Job) (first bool) {
 	gang := entity.MutableGang(job)
 	first = !gang.Started
@@ -50,14 +52,14 @@
 	return first
 }
 
-// StopGang stops all tasks of a gang with time for a checkpoint.
+// StopGang fails a gang's attempt and stops all its tasks, with time to save a checkpoint.
 func (s *State) StopGang(job *Job) {
 	entity.MutableGang(job).Failed = true
 	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 }
 
-// stopGangTasks stops what is left of a gang; tasks that are stopping already keep the time that
-// they were given.
+// stopGangTasks stops the remaining tasks of a gang, with graceS seconds for a checkpoint. Tasks that
+// are already stopping keep their grace period.
 func (s *State) stopGangTasks(job *Job, graceS float64) {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
@@ -68,6 +70,7 @@
 	}
 }
 
+// stopGangTask unplaces a task that is only planned, and stops any other task that is not stopping yet.
 func (s *State) stopGangTask(assignment *Assignment, graceS float64) {
 	status := assignment.Status()
 	switch {
@@ -80,7 +83,8 @@
 
 // GangCanStart reports whether a gang's tasks may be started: all of them are placed on workers that
 // its records allow, and fit there as soon as the commands of this scheduling cycle are executed.
-// Once one task was started the others may follow without this check; after a failure none may.
+// Once one task was started, the others may be started without this check. If the attempt has failed,
+// no task may be started.
 func (s *State) GangCanStart(job *Job) bool {
 	gang := entity.MutableGang(job)
 	if gang.Failed {
@@ -89,13 +93,13 @@
 	if gang.Started {
 		return true
 	}
-	needs := map[*Machine]capacity.Resources{}
+	needByMachine := map[*Machine]capacity.Resources{}
 	for taskRange := range job.TaskRanges() {
-		if !addPlannedNeeds(needs, taskRange) {
+		if !addPlannedResources(needByMachine, taskRange) {
 			return false
 		}
 	}
-	for machine, need := range needs {
+	for machine, need := range needByMachine {
 		if !s.FreeNow(machine).Covers(need) {
 			return false
 		}
@@ -103,9 +107,9 @@
 	return true
 }
 
-// addPlannedNeeds adds what a range's tasks take to the needs by machine. It reports whether all of
-// them are placed, on workers that the range's record allows.
-func addPlannedNeeds(needs map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
+// addPlannedResources adds the resources of a range's tasks to the totals by machine. It reports
+// whether all tasks are placed, on workers that the range's record allows.
+func addPlannedResources(needByMachine map[*Machine]capacity.Resources, taskRange *TaskRange) bool {
 	if !taskRange.HostsAreRecorded() {
 		return false
 	}
@@ -115,13 +119,13 @@
 			return false
 		}
 		machine := assignment.Machine()
-		needs[machine] = needs[machine].Add(assignment.Need())
+		needByMachine[machine] = needByMachine[machine].Add(assignment.Need())
 	}
 	return true
 }
 
-// StopFailedGang stops what is left of a failed attempt of a gang. All of its tasks must have left
-// their machines before the next attempt. It does nothing for other jobs.
+// StopFailedGang stops the remaining tasks of a gang whose attempt has failed. All of them must have
+// left their machines before the next attempt. It does nothing for other jobs.
 func (s *State) StopFailedGang(job *Job) {
 	if !job.IsGang() {
 		return
@@ -136,22 +140,23 @@
 	}
 	if tasks.ready > 0 {
 		// Some tasks are placed and some are not, since a machine was lost. A gang that still waits
-		// for free resources would never start, and would occupy the machines of its other tasks
+		// for free resources would never start, and its other tasks would occupy their machines
 		// forever.
 		gang.Failed = true
 	}
 	if !gang.Started && tasks.ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
-		gang.Failed = true // the resources that it waited for did not become free
+		gang.Failed = true // the resources that the gang waited for did not become free in time
 	}
 	if gang.Failed {
 		s.stopGangTasks(job, 0)
 	}
 }
 
-// gangTaskCounts are the numbers of a gang's tasks by state, of shards owned here.
+// gangTaskCounts holds the numbers of a gang's tasks by state, in shards owned here.
 type gangTaskCounts struct{ placed, ready, unknown int }
 
-// countGangTasks counts in one pass: every waiting gang is looked at in each scheduling cycle.
+// countGangTasks counts a gang's tasks by state. It counts all states in one pass, since it is called
+// for every waiting gang in each scheduling cycle.
 func countGangTasks(job *Job) gangTaskCounts {
 	var counts gangTaskCounts
 	for taskRange := range job.TaskRanges() {
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -10,13 +10,14 @@
 	"cherrywall/internal/membership"
 )
 
-// Machine returns a recorded machine; nil if there is none of the name.
+// Machine returns the recorded machine with a name, or nil if there is none.
 func (s *State) Machine(host string) *Machine { return s.machines[host] }
 
 // Machines yields all recorded machines, in no order.
 func (s *State) Machines() iter.Seq[*Machine] { return maps.Values(s.machines) }
 
-// IsCurrentMachine reports whether a machine is still the one that is recorded under its name.
+// IsCurrentMachine reports whether a machine is still part of the state: its record was not deleted,
+// and no other machine was recorded under its name since.
 func (s *State) IsCurrentMachine(machine *Machine) bool { return s.machines[machine.Host()] == machine }
 
 // OwnedShard returns the machine's shard if this controller owns it, else nil.
@@ -33,8 +34,8 @@
 	return machine.AcceptsTasks() && s.OwnedShard(machine) != nil
 }
 
-// OwnedMachines returns the machines of the shards owned here, in the order of their names. The
-// list is for reading only, and valid until the next change.
+// OwnedMachines returns the machines of the shards owned here, sorted by name. The list is for reading
+// only, and valid until the next change of the state.
 func (s *State) OwnedMachines() []*Machine {
 	if !s.ownedMachinesStale {
 		return s.ownedMachines
@@ -50,8 +51,7 @@
 	return s.ownedMachines
 }
 
-// OwnedMachinesIn yields the machines of one shard if it is owned here, in the order of their
-// names.
+// OwnedMachinesIn yields the machines of one shard if it is owned here, sorted by name.
 func (s *State) OwnedMachinesIn(shard string) iter.Seq[*Machine] {
 	return func(yield func(*Machine) bool) {
 		for _, machine := range s.OwnedMachines() {
@@ -62,14 +62,15 @@
 	}
 }
 
-// ShardGroup is a group of machines of a shard.
+// ShardGroup identifies the machines of one capacity group in one shard.
 type ShardGroup struct {
 	Shard string
 	Group capacity.Group
 }
 
-// MachineCounts returns the numbers of recorded machines by shard and group, surplus or not, without
-// released ones. The result is for reading only. It is cached: callers count for each waiting job.
+// MachineCounts returns the numbers of recorded machines by shard and group. Surplus machines count,
+// released ones don't. The result is for reading only. It is cached, since callers need it for each
+// waiting job.
 func (s *State) MachineCounts() map[ShardGroup]int {
 	if s.machineCounts != nil {
 		return s.machineCounts
@@ -83,7 +84,7 @@
 	return s.machineCounts
 }
 
-// MachineCountIn returns how many recorded machines a shard has.
+// MachineCountIn returns how many recorded machines a shard has, without released ones.
 func (s *State) MachineCountIn(shard string) int {
 	total := 0
 	for group, count := range s.MachineCounts() {
@@ -94,7 +95,8 @@
 	return total
 }
 
-// machinesChanged notes that machines were added, removed or moved to another shard.
-func (s *State) machinesChanged() {
+// invalidateMachineLists drops the cached lists and counts of machines, after machines were added,
+// removed or moved to another shard.
+func (s *State) invalidateMachineLists() {
 	s.ownedMachinesStale, s.machineCounts = true, nil
 }
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -8,17 +8,18 @@
 	"cherrywall/internal/workerapi"
 )
 
-// TaskLookup is what is recorded of a task that a worker lists and that has no assignment there.
+// TaskLookup describes what this controller knows about a task that a worker lists and that has no
+// assignment to that worker.
 type TaskLookup struct {
-	JobKnown        bool // its job is known and has a record here
+	JobKnown        bool // the task's job is known and has a record here
 	JobEnded        bool // the job is done or cancelled
-	IsClaimed       bool // the worker's shard has claimed it
-	IsFinished      bool // it is done already
-	PlacedElsewhere bool // it has an assignment to another worker
-	ReportedDone    bool // the worker says that it is done
+	IsClaimed       bool // the worker's shard has claimed the task
+	IsFinished      bool // the task is already done
+	PlacedElsewhere bool // the task has an assignment to another worker
+	ReportedDone    bool // the worker reports that the task is done
 }
 
-// LookupTask returns what is recorded of a task that a worker lists.
+// LookupTask returns what this controller knows about a task that a worker lists.
 func (s *State) LookupTask(machine *Machine, reported workerapi.TaskStatus) TaskLookup {
 	lookup := TaskLookup{ReportedDone: reported.Status == workerapi.StatusEnded && reported.Cause == workerapi.CauseDone}
 	ref, task, ok := jobs.ParseTask(reported.Task)
@@ -38,9 +39,9 @@
 	return lookup
 }
 
-// Adopt adds an assignment for a task that a worker reports and that has none there. If keepsRunning
-// is false, the assignment only accounts for the task's resources until the task has stopped; what
-// it takes is not known if its job's record was deleted (see UsageBound).
+// Adopt adds an assignment for a task that a worker reports and that has no assignment there. If
+// keepsRunning is false, the assignment only accounts for the task's resources until the task has
+// stopped; these resources are not known if the job's record was deleted (see Assignment.NeedKnown).
 func (s *State) Adopt(machine *Machine, reported workerapi.TaskStatus, keepsRunning bool) *Assignment {
 	status := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: reported.Status}
 	assignment := entity.NewAssignment(machine, reported.Task, reported.Attempt, status)
@@ -49,10 +50,10 @@
 	if job := s.jobs[ref]; job != nil {
 		entity.SetJobNeeds(assignment, job)
 	}
-	s.markChanged(machine)
+	s.markMachineChanged(machine)
 	taskRange, index := s.FindTask(ref, task)
 	if taskRange == nil || !keepsRunning {
-		s.logDuplicate(assignment, taskRange, index)
+		s.logDuplicateTask(assignment, taskRange, index)
 		entity.MutableStatus(assignment).Stopping = true
 		return assignment
 	}
@@ -61,8 +62,8 @@
 	return assignment
 }
 
-// logDuplicate logs an assignment that is to be stopped if its task is on another worker as well.
-func (s *State) logDuplicate(assignment *Assignment, taskRange *TaskRange, index int) {
+// logDuplicateTask logs an assignment that will be stopped if its task is also on another worker.
+func (s *State) logDuplicateTask(assignment *Assignment, taskRange *TaskRange, index int) {
 	machine := assignment.Machine()
 	if taskRange == nil || taskRange.Record().Shard != machine.Record().Shard || taskRange.TaskState(index) != TaskPlaced {
 		return
@@ -71,19 +72,19 @@
 		"attempt", assignment.Attempt(), "other_worker", taskRange.Assignment(index).Machine().Host())
 }
 
-// PreviousAssignment is a task on a machine as the former owner of its shard knew it.
+// PreviousAssignment describes a task on a machine as known to the previous owner of the shard.
 type PreviousAssignment struct {
 	workerapi.TaskStatus
 	Progress AssignmentStatus
-	RanFor   time.Duration // 0: not known to run
+	RanFor   time.Duration // how long the task has been running; 0 if it is not known to run
 }
 
-// RestoreAssignment adds an assignment as the former owner of the shard had it. If keepsRunning is
-// false, the assignment only waits for the task to stop.
+// RestoreAssignment adds an assignment with the status that the previous owner of the shard reported.
+// If keepsRunning is false, the task is stopped, and an assignment that is only planned is not added.
 func (s *State) RestoreAssignment(machine *Machine, previous PreviousAssignment, keepsRunning bool, now time.Time) {
 	if previous.Progress.IsPlanned() && !keepsRunning {
-		// No command for it was ever sent: the worker does not know it and could never report that
-		// it has stopped, so the assignment would stay forever.
+		// No command was ever sent for the task: the worker does not know the task and could never
+		// report that it has stopped, so the assignment would stay forever.
 		return
 	}
 	assignment := s.Adopt(machine, previous.TaskStatus, keepsRunning)
@@ -96,6 +97,6 @@
 	if previous.RanFor > 0 {
 		status.RunningSince = now.Add(-previous.RanFor)
 	}
-	noteImage(assignment)
-	s.markChanged(machine)
+	recordImage(assignment)
+	s.markMachineChanged(machine)
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -17,7 +17,7 @@
 	"cherrywall/internal/membership"
 )
 
-// State is the cluster as one controller knows it. It is not safe for concurrent use.
+// State is one controller's view of the cluster. It is not safe for concurrent use.
 type State struct {
 	cfg          *config.Config
 	log          *slog.Logger
@@ -30,15 +30,15 @@
 	machines map[string]*Machine
 	jobs     map[string]*Job
 
-	// free counts the tasks that fit into free capacity. freeBelow[p] counts those that would fit
-	// if all tasks below priority p were preempted. See FreeCapacity.
-	free            *capacity.Table
-	freeBelow       [jobs.PriorityCount]*capacity.Table
-	changedMachines []*Machine // whose entries in these tables are to be updated
+	// freeCapacity counts the tasks that fit into free capacity. freeCapacityBelow[p] counts the
+	// tasks that would fit if all tasks below priority p were preempted. See FreeCapacity.
+	freeCapacity      *capacity.Table
+	freeCapacityBelow [jobs.PriorityCount]*capacity.Table
+	changedMachines   []*Machine // machines whose entries in these tables have to be updated
 
 	ownedMachines      []*Machine // see OwnedMachines
 	ownedMachinesStale bool       // a machine or the owner of a shard has changed
-	// machineCounts is the result of MachineCounts; nil if it is to be computed again.
+	// machineCounts is the cached result of MachineCounts; nil if it has to be computed again.
 	machineCounts map[ShardGroup]int
 
 	dirty            bool        // see MarkDirty
@@ -48,7 +48,8 @@
 	lastJobArrivedAt time.Time
 }
 
-// New returns an empty state that uses the given shard table, catalog, statistics and evidence.
+// New returns an empty state that uses the given shard table, machine type catalog, class statistics
+// and fault attributor.
 func New(cfg *config.Config, shards *membership.Table, machineTypes *machinetype.Catalog, classStats *classstats.Stats,
 	attributor *faultattribution.Attributor, log *slog.Logger) *State {
 	s := &State{cfg: cfg, log: log, shards: shards, machineTypes: machineTypes, classStats: classStats, attributor: attributor}
@@ -56,18 +57,18 @@
 		UnfinishedRecord:   s.unfinishedRecord,
 		ExpectedRunSeconds: classStats.ExpectedJobSeconds,
 		DeadlineMultiple:   cfg.DeadlineMultiple,
-		OnChange:           s.updateInherited,
+		OnChange:           s.updateDependencyState,
 	})
 	s.Reset()
 	return s
 }
 
-// Reset removes all jobs and machines, before the records are read anew.
+// Reset removes all jobs and machines. It is called before all records are read again.
 func (s *State) Reset() {
 	s.machines, s.jobs = map[string]*Machine{}, map[string]*Job{}
-	s.free = capacity.NewTable()
-	for p := range s.freeBelow {
-		s.freeBelow[p] = capacity.NewTable()
+	s.freeCapacity = capacity.NewTable()
+	for p := range s.freeCapacityBelow {
+		s.freeCapacityBelow[p] = capacity.NewTable()
 	}
 	s.changedMachines, s.ownedMachines, s.ownedMachinesStale, s.machineCounts = nil, nil, true, nil
 	s.dependencies.Reset()
@@ -76,30 +77,31 @@
 // Dependencies returns the dependency graph of the jobs.
 func (s *State) Dependencies() *jobdag.Index { return s.dependencies }
 
-// MarkDirty notes that something has changed on which scheduling decisions depend.
+// MarkDirty marks the state as changed in a way that scheduling decisions depend on.
 func (s *State) MarkDirty() { s.dirty = true }
 
-// IsDirty reports whether anything has changed since ClearDirty on which scheduling decisions
-// depend.
+// IsDirty reports whether anything that scheduling decisions depend on has changed since the last
+// ClearDirty.
 func (s *State) IsDirty() bool { return s.dirty }
 
-// ClearDirty notes that a scheduling cycle decides on what is known now.
+// ClearDirty resets IsDirty at the start of a scheduling cycle, which takes all changes so far into
+// account.
 func (s *State) ClearDirty() { s.dirty = false }
 
-// ChangeCount returns a number that rises with every change of a machine or of the tasks on it.
+// ChangeCount returns a counter that increases with every change of a machine or of the tasks on it.
 func (s *State) ChangeCount() uint64 { return s.changeCount }
 
-// Sizes returns the numbers of known jobs and machines.
+// Sizes returns the number of known jobs and the number of known machines.
 func (s *State) Sizes() (jobs, machines int) { return len(s.jobs), len(s.machines) }
 
-// Job returns an unfinished job, or one that has ended while claimed ranges of it still exist;
-// nil if it is not known.
+// Job returns the job with a reference: an unfinished job, or an ended job that still has claimed
+// ranges. It returns nil if the job is not known.
 func (s *State) Job(ref string) *Job { return s.jobs[ref] }
 
 // Jobs yields all known jobs, in no order.
 func (s *State) Jobs() iter.Seq[*Job] { return maps.Values(s.jobs) }
 
-// LastJobArrivedAt returns when the last new job became known.
+// LastJobArrivedAt returns when this controller last learned of a new job.
 func (s *State) LastJobArrivedAt() time.Time { return s.lastJobArrivedAt }
 
 // FindTask returns the range that contains a job's task, and the task's number within the range.
@@ -119,7 +121,7 @@
 	return nil, 0
 }
 
-// TaskRangesIn yields the ranges that a shard has claimed, in no order; their jobs may have ended.
+// TaskRangesIn yields the ranges that a shard has claimed, in no order. Their jobs may have ended.
 func (s *State) TaskRangesIn(shard string) iter.Seq[*TaskRange] {
 	return func(yield func(*TaskRange) bool) {
 		for _, job := range s.jobs {
@@ -133,7 +135,7 @@
 }
 
 // IsCurrentTaskRange reports whether a range is still part of the state: its job has not ended, and
-// no other range has taken its place.
+// the range was not removed or replaced by another one.
 func (s *State) IsCurrentTaskRange(taskRange *TaskRange) bool {
 	job := taskRange.Job()
 	return entity.IsCurrent(taskRange) && s.jobs[job.Ref()] == job && !job.HasEnded()
