--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -8,49 +8,50 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Assignment is a task on a machine, from when it is planned there until it has left.
+// Assignment is the assignment of a task to a machine. It exists from when the task is planned there
+// until the task has left the machine.
 type Assignment struct {
 	machine *Machine
 	name    string
-	// taskRange and index identify the task. taskRange is nil if the task is not one of this
-	// controller's and is only to be stopped.
+	// taskRange and index identify the task. taskRange is nil if the task does not belong to this
+	// controller and only has to be stopped.
 	taskRange *TaskRange
 	index     int
 	attempt   uint64
-	// need is what the task takes if needKnown, else zero: see SetJobNeeds.
+	// need is the resources that the task takes; zero unless needKnown is set, see SetJobNeeds.
 	need      capacity.Resources
 	needKnown bool
-	// checkpointIntervalSeconds is the job's, 0 if it saves no checkpoints.
+	// checkpointIntervalSeconds is the checkpoint interval of the job; 0 if it saves no checkpoints.
 	checkpointIntervalSeconds float64
 	status                    AssignmentStatus
-	// preemptedFor is the claim that preempts the task as soon as the claim is durable; nil for none.
-	preemptedFor *TaskRange
-	// lastRefusal is why the start command was last not sent, for operators.
-	lastRefusal string
+	// preemptingClaim is the claim that preempts the task as soon as the claim is durable; nil for none.
+	preemptingClaim *TaskRange
+	// lastStartRefusal is the reason why the start command was last not sent, shown to operators.
+	lastStartRefusal string
 }
 
-// AssignmentStatus is the progress of a task on a machine: which commands were sent for it and what
-// its worker has reported.
+// AssignmentStatus is the progress of a task on a machine: the commands sent for the task and the
+// state reported by its worker.
 type AssignmentStatus struct {
 	StartSent    bool                // a start command was sent
 	Reported     bool                // the worker has reported the task
 	WorkerStatus workerapi.TaskState // as last reported
-	RunningSince time.Time           // as far as known
+	RunningSince time.Time           // as far as known, else zero
 	Stopping     bool                // the task is to be stopped
-	GraceS       float64             // seconds that it has to stop
+	GraceS       float64             // seconds that the task has to save a checkpoint and stop
 	StopSent     bool                // a stop command was sent
 }
 
-// IsPlanned reports whether the task is only planned for the machine: no start command was sent, and
+// IsPlanned reports whether the task is only planned on the machine: no start command was sent, and
 // the worker has not reported the task.
 func (s AssignmentStatus) IsPlanned() bool { return !s.StartSent && !s.Reported }
 
-// HasStarted reports whether the worker has reported the task to be beyond pulling its image.
+// HasStarted reports whether the worker has reported the task in any state after pulling its image.
 func (s AssignmentStatus) HasStarted() bool {
 	return s.Reported && s.WorkerStatus != workerapi.StatusPulling
 }
 
-// hasPendingCommand reports whether a start or stop command is still to be sent.
+// hasPendingCommand reports whether a start or stop command still has to be sent.
 func (s AssignmentStatus) hasPendingCommand() bool {
 	if s.Stopping {
 		return s.StartSent && !s.StopSent
@@ -58,19 +59,21 @@
 	return !s.StartSent
 }
 
-// NewAssignment returns an assignment of an attempt of a task to a machine, by the task's name.
-// It is to be added to both ends.
+// NewAssignment returns an assignment of an attempt of a task to a machine, by the task's name. The
+// caller has to add it to the machine with AddAssignment and, if the task belongs to this controller,
+// to the task with AssignTask.
 func NewAssignment(machine *Machine, name string, attempt uint64, status AssignmentStatus) *Assignment {
 	return &Assignment{machine: machine, name: name, attempt: attempt, status: status}
 }
 
-// Machine returns the machine that the task is on.
+// Machine returns the machine that the task is assigned to.
 func (a *Assignment) Machine() *Machine { return a.machine }
 
 // Name returns the task's name.
 func (a *Assignment) Name() string { return a.name }
 
-// Job returns the task's job; nil if this is no task of this controller and only to be stopped.
+// Job returns the task's job. It returns nil if the task does not belong to this controller and only
+// has to be stopped.
 func (a *Assignment) Job() *Job {
 	if a.taskRange == nil {
 		return nil
@@ -78,18 +81,19 @@
 	return a.taskRange.job
 }
 
-// TaskRange returns the claimed range that the task is of; nil if this is no task of this controller
-// and only to be stopped.
+// TaskRange returns the claimed range that contains the task. It returns nil if the task does not
+// belong to this controller and only has to be stopped.
 func (a *Assignment) TaskRange() *TaskRange { return a.taskRange }
 
-// HoldsTask reports whether the assignment is the present one of its task.
+// HoldsTask reports whether the assignment is the current one of its task.
 func (a *Assignment) HoldsTask() bool {
 	r := a.taskRange
 	return r != nil && a.index < len(r.tasks) && r.tasks[a.index].assignment == a
 }
 
-// LastRefusal returns why the start of the task was last refused; empty if it was not.
-func (a *Assignment) LastRefusal() string { return a.lastRefusal }
+// LastRefusal returns why the start of the task was last refused, or an empty string if it was not
+// refused.
+func (a *Assignment) LastRefusal() string { return a.lastStartRefusal }
 
 // IsTentative reports whether the task's claim is not durable yet.
 func (a *Assignment) IsTentative() bool { return a.taskRange != nil && a.taskRange.tentative }
@@ -97,19 +101,19 @@
 // Attempt returns the number of the task's attempt.
 func (a *Assignment) Attempt() uint64 { return a.attempt }
 
-// Need returns what the task takes, zero if that is not known: see NeedKnown.
+// Need returns the resources that the task takes, or zero if they are not known, see NeedKnown.
 func (a *Assignment) Need() capacity.Resources { return a.need }
 
-// NeedKnown reports whether it is known what the task takes. Workers report no resources, so it is
-// not known of a task that a worker reports after its job's record was deleted.
+// NeedKnown reports whether the resources that the task takes are known. Workers do not report
+// resources, so they are not known for a task that a worker reports after the job's record was deleted.
 func (a *Assignment) NeedKnown() bool { return a.needKnown }
 
-// Status returns how far the task is.
+// Status returns the progress of the task on the machine.
 func (a *Assignment) Status() AssignmentStatus { return a.status }
 
 // IsLeaving reports whether the task is to be stopped, or will be once the claim that preempts it
 // is durable.
-func (a *Assignment) IsLeaving() bool { return a.status.Stopping || a.preemptedFor != nil }
+func (a *Assignment) IsLeaving() bool { return a.status.Stopping || a.preemptingClaim != nil }
 
 // stopsImmediately reports whether a stop command ends the task without a checkpoint.
 func (a *Assignment) stopsImmediately() bool {
@@ -119,8 +123,9 @@
 	return a.status.GraceS == 0 || a.checkpointIntervalSeconds == 0 || a.status.WorkerStatus != workerapi.StatusRunning
 }
 
-// OccupiesNow reports whether the task still takes its resources after the commands of the present
-// scheduling cycle are executed: it was sent or reported, and does not stop immediately.
+// OccupiesNow reports whether the task still takes its resources after the commands of the current
+// scheduling cycle are executed: its start was sent or it was reported, and it does not stop
+// immediately.
 func (a *Assignment) OccupiesNow() bool {
 	if a.status.IsPlanned() {
 		return false
@@ -128,25 +133,26 @@
 	return !a.status.Stopping || !a.stopsImmediately()
 }
 
-// needsOrdinaryMachine reports whether the task may not run on a spot machine: only tasks of arrays
-// that allow spot machines may.
-func (a *Assignment) needsOrdinaryMachine() bool {
+// needsOnDemandMachine reports whether the task may not run on a spot machine. Only tasks of arrays
+// that allow spot machines may run on one.
+func (a *Assignment) needsOnDemandMachine() bool {
 	job := a.Job()
 	return job != nil && (job.record.Kind != jobs.Array || !job.record.Spot)
 }
 
-// MutableStatus returns an assignment's status, to be changed.
+// MutableStatus returns an assignment's status for modification.
 func MutableStatus(a *Assignment) *AssignmentStatus { return &a.status }
 
-// SetLastRefusal notes why the start command of a task is not sent, and reports whether that is another
-// reason than before.
+// SetLastRefusal sets the reason why the start command of a task is not sent, and reports whether it
+// differs from the previous reason.
 func SetLastRefusal(a *Assignment, refusal string) (isNew bool) {
-	isNew = a.lastRefusal != refusal
-	a.lastRefusal = refusal
+	isNew = a.lastStartRefusal != refusal
+	a.lastStartRefusal = refusal
 	return isNew
 }
 
-// SetJobNeeds sets what an assignment takes by its job, unless the job's record is not known.
+// SetJobNeeds sets the resources and the checkpoint interval of an assignment from its job. It does
+// nothing if the job's record is not known.
 func SetJobNeeds(a *Assignment, job *Job) {
 	if !job.HasRecord() {
 		return
@@ -155,18 +161,19 @@
 	a.needKnown = true
 }
 
-// AssignTask makes an assignment the one of a task of a range.
+// AssignTask sets an assignment as the one of a task, numbered within its range, and the task's state
+// to TaskPlaced.
 func AssignTask(a *Assignment, r *TaskRange, index int) {
 	a.taskRange, a.index = r, index
 	SetTask(r, index, TaskPlaced, a)
 }
 
-// Abandon detaches an assignment from its task, so that it is only to be stopped. The task's state
-// is unchanged.
+// Abandon detaches an assignment from its task, so that the assignment only has to be stopped. The
+// task's state and its link to the assignment do not change.
 func Abandon(a *Assignment) { a.taskRange = nil }
 
 // ReleaseTask removes an assignment from its task and sets the task's state. It does nothing and
-// returns false if the task has another assignment by now, or none.
+// returns false if the assignment is no longer the one of the task.
 func ReleaseTask(a *Assignment, state TaskState) bool {
 	r := a.taskRange
 	if r == nil || a.index >= len(r.tasks) || r.tasks[a.index].assignment != a {
@@ -176,5 +183,5 @@
 	return true
 }
 
-// CancelPreemption notes that an assignment no longer waits to be preempted by a claim.
-func CancelPreemption(a *Assignment) { a.preemptedFor = nil }
+// CancelPreemption clears the claim that an assignment was to be preempted by.
+func CancelPreemption(a *Assignment) { a.preemptingClaim = nil }
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -25,8 +25,8 @@
 	return r
 }
 
-// place assigns a task of a range to a machine.
-func place(r *TaskRange, index int, machine *Machine, attempt uint64) *Assignment {
+// placeTask assigns a task of a range to a machine.
+func placeTask(r *TaskRange, index int, machine *Machine, attempt uint64) *Assignment {
 	a := NewAssignment(machine, jobs.TaskName(r.job.ref, r.first+index), attempt, AssignmentStatus{})
 	SetJobNeeds(a, r.job)
 	AddAssignment(a)
@@ -34,8 +34,9 @@
 	return a
 }
 
-// states returns the states of a range's tasks, and fails the test if the counts differ from them.
-func states(t *testing.T, r *TaskRange) []TaskState {
+// checkTaskStates returns the states of a range's tasks, and fails the test if the range's counts by
+// state are wrong.
+func checkTaskStates(t *testing.T, r *TaskRange) []TaskState {
 	t.Helper()
 	var list []TaskState
 	counts := [taskStateCount]int{}
@@ -44,22 +45,22 @@
 		counts[r.TaskState(i)]++
 	}
 	if counts != r.taskCounts {
-		t.Errorf("counts %v of states %v", r.taskCounts, list)
+		t.Errorf("counts by state %v are wrong for states %v", r.taskCounts, list)
 	}
 	return list
 }
 
-func TestResetTasksFollowsRecord(t *testing.T) {
+func TestResetTasksUsesRecordedDone(t *testing.T) {
 	record := jobs.RangeRecord{Shard: "n0", Count: 3}
 	record.Done = record.Done.With(1)
 	r := NewTaskRange(newTestJob(jobs.Array, 3), 0, record, 5)
 	ResetTasks(r, true, TaskUnknown)
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTasks() != 1 {
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTasks() != 1 {
 		t.Errorf("owned: %v, %d done", got, r.DoneTasks())
 	}
 	r.MarkUnknownReady()
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskFinished, TaskReady}) {
-		t.Errorf("unknown tasks are on no machine: %v", got)
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskFinished, TaskReady}) {
+		t.Errorf("unknown tasks marked ready: %v", got)
 	}
 	ResetTasks(r, false, TaskUnknown)
 	if r.IsOwned() || r.Len() != 0 || r.DoneTasks() != 1 {
@@ -67,10 +68,10 @@
 	}
 }
 
-func TestSplitMovesTasksBehindUnclaimed(t *testing.T) {
+func TestSplitMovesTasksAfterUnclaimed(t *testing.T) {
 	job := newTestJob(jobs.Array, 6)
 	r, machine := newTestRange(job, 10, 6), NewMachine("i-1")
-	a := place(r, 4, machine, 7)
+	a := placeTask(r, 4, machine, 7)
 	MarkTaskDone(r, 5)
 	r.BeginUnclaim(1, 2)
 	for _, test := range []struct {
@@ -80,49 +81,49 @@
 		revision uint64
 		want     bool
 	}{
-		{"record of what is before", 10, 1, 6, true},
-		{"record of what is behind", 13, 3, 6, true},
-		{"of another length", 10, 2, 6, false},
-		{"of another beginning", 12, 4, 6, false},
-		{"not newer", 10, 1, 5, false},
+		{"record of the tasks before", 10, 1, 6, true},
+		{"record of the tasks after", 13, 3, 6, true},
+		{"another length", 10, 2, 6, false},
+		{"another first task", 12, 4, 6, false},
+		{"not newer than the range", 10, 1, 5, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			record := jobs.RangeRecord{Shard: "n0", Count: test.count}
 			if got := IsSplitBy(r, test.first, record, test.revision); got != test.want {
-				t.Errorf("it shows the split: %v, want %v", got, test.want)
+				t.Errorf("the record shows the split: %v, want %v", got, test.want)
 			}
 		})
 	}
 	Split(r)
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady}) || r.record.Count != 1 {
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady}) || r.record.Count != 1 {
 		t.Errorf("before: %v, recorded %d", got, r.record.Count)
 	}
-	behind := job.TaskRange(13)
-	if got := states(t, behind); !slices.Equal(got, []TaskState{TaskReady, TaskPlaced, TaskFinished}) {
-		t.Errorf("behind: %v", got)
+	tail := job.TaskRange(13)
+	if got := checkTaskStates(t, tail); !slices.Equal(got, []TaskState{TaskReady, TaskPlaced, TaskFinished}) {
+		t.Errorf("after: %v", got)
 	}
-	if behind.Assignment(1) != a || a.taskRange != behind || a.index != 1 {
-		t.Error("the assignment does not follow its task")
+	if tail.Assignment(1) != a || a.taskRange != tail || a.index != 1 {
+		t.Error("the assignment was not moved with its task")
 	}
-	if r.DoneTasks() != 0 || behind.DoneTasks() != 1 || !slices.Equal(behind.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
-		t.Errorf("done: %d before, %d behind, %v", r.DoneTasks(), behind.DoneTasks(), behind.UnrecordedDoneTasks())
+	if r.DoneTasks() != 0 || tail.DoneTasks() != 1 || !slices.Equal(tail.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
+		t.Errorf("done: %d before, %d after, %v", r.DoneTasks(), tail.DoneTasks(), tail.UnrecordedDoneTasks())
 	}
 }
 
 func TestCancelUnclaim(t *testing.T) {
 	r := newTestRange(newTestJob(jobs.Array, 3), 0, 3)
 	r.BeginUnclaim(1, 2)
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskUnclaiming, TaskUnclaiming}) {
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskUnclaiming, TaskUnclaiming}) {
 		t.Fatalf("begun: %v", got)
 	}
 	r.CancelUnclaim(1, 2)
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskReady, TaskReady}) {
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskReady, TaskReady}) {
 		t.Errorf("cancelled: %v", got)
 	}
 	r.BeginUnclaim(1, 2)
 	ResetTasks(r, true, TaskUnknown) // the shard was lost and acquired again
 	r.CancelUnclaim(1, 2)
-	if got := states(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskUnknown, TaskUnknown}) {
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskUnknown, TaskUnknown}) {
 		t.Errorf("cancelled after the shard was acquired again: %v", got)
 	}
 }
@@ -149,7 +150,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := newTestRange(newTestJob(jobs.Gang, 2), 0, 2)
 			for i := range 2 {
-				place(r, i, NewMachine(fmt.Sprintf("i-%d", i)), 1)
+				placeTask(r, i, NewMachine(fmt.Sprintf("i-%d", i)), 1)
 			}
 			r.record.GangWorkers = test.recorded
 			test.prepare(r)
@@ -160,7 +161,7 @@
 	}
 }
 
-// What a machine's assignments add up to in each phase of a task.
+// The usage of a machine is correct in each phase of a task that is assigned to it.
 func TestComputeUsage(t *testing.T) {
 	total := capacity.Resources{CPU: 16, MemGB: 64}
 	running := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
@@ -175,14 +176,14 @@
 		{"planned", AssignmentStatus{}, 0, 12, 1, false},
 		{"start sent", AssignmentStatus{StartSent: true}, 0, 12, 0, true},
 		{"running", running, 0, 12, 0, true},
-		{"to be stopped", withStop(running, 5, false), 0, 16, 1, false},
-		{"to be stopped with a checkpoint", withStop(running, 5, false), 30, 16, 1, true},
-		{"to be stopped at once", withStop(running, 0, false), 30, 16, 1, false},
-		{"stop sent", withStop(running, 5, true), 30, 16, 0, true},
+		{"to be stopped", withStopRequested(running, 5, false), 0, 16, 1, false},
+		{"to be stopped with a checkpoint", withStopRequested(running, 5, false), 30, 16, 1, true},
+		{"to be stopped at once", withStopRequested(running, 0, false), 30, 16, 1, false},
+		{"stop sent", withStopRequested(running, 5, true), 30, 16, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			machine := NewMachine("i-1")
-			a := place(newTestRange(newTestJob(jobs.Array, 1), 0, 1), 0, machine, 1)
+			a := placeTask(newTestRange(newTestJob(jobs.Array, 1), 0, 1), 0, machine, 1)
 			a.status, a.checkpointIntervalSeconds = test.status, test.checkpointS
 			usage := ComputeUsage(machine, total)
 			if usage.Free.CPU != test.freeCPU || usage.PendingCommands != test.pendingCommands {
@@ -198,7 +199,9 @@
 	}
 }
 
-func withStop(status AssignmentStatus, graceS float64, sent bool) AssignmentStatus {
+// withStopRequested returns a status in which the task is to be stopped within graceS seconds. sent tells
+// whether the stop command was sent.
+func withStopRequested(status AssignmentStatus, graceS float64, sent bool) AssignmentStatus {
 	status.Stopping, status.GraceS, status.StopSent = true, graceS, sent
 	return status
 }
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -11,8 +11,9 @@
 // become durable with the claim, and again before a later attempt is started on other workers.
 // docs/recovery.md shows why this is safe.
 
-// PlannedHosts returns the workers that the record of a gang's range should name for the
-// assignments planned: none if there is no plan, or if they are too many to be named.
+// PlannedHosts returns the workers that the record of a gang's range should name for the current
+// assignments, sorted by name. It returns nil if the job is not a gang, if not all tasks are planned,
+// or if there are more workers than a record may name.
 func (r *TaskRange) PlannedHosts() []string {
 	if !r.job.IsGang() {
 		return nil
@@ -33,7 +34,7 @@
 	return hosts
 }
 
-// SetPlannedHosts names the planned workers in the record of a claim that is about to be made.
+// SetPlannedHosts sets the planned workers in the record of a tentative claim, before it is written.
 func (r *TaskRange) SetPlannedHosts() {
 	if r.tentative {
 		r.record.GangWorkers = r.PlannedHosts()
@@ -41,17 +42,17 @@
 }
 
 // NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks
-// may be started: none was started in this attempt, and they are planned on workers that the
-// record does not name, or it is not known which workers it names.
+// may be started: no task was started in this attempt, and tasks are planned on workers that the
+// record does not name, or it is not known which workers the record names.
 func (r *TaskRange) NeedsHostsWrite() bool {
-	if r.tentative || r.job.gang.Started {
+	if r.tentative || r.job.gangAttempt.Started {
 		return false
 	}
-	isUncertain := r.uncertainHostsRevision == r.revision
-	if len(r.record.GangWorkers) == 0 && !isUncertain {
+	outcomeUnknown := r.uncertainHostsRevision == r.revision
+	if len(r.record.GangWorkers) == 0 && !outcomeUnknown {
 		return false // the record allows all workers
 	}
-	needsWrite := isUncertain
+	needsWrite := outcomeUnknown
 	for i := range r.tasks {
 		a := r.tasks[i].assignment
 		if a == nil {
@@ -62,29 +63,31 @@
 	return needsWrite
 }
 
-// MayBeOn reports whether, by the range's record, a task of it may ever have been started on a
-// worker. A record that names no workers allows all.
+// MayBeOn reports whether a task of the range may ever have been started on a worker, according to
+// the range's record. A record that names no workers allows all workers.
 func (r *TaskRange) MayBeOn(host string) bool {
 	return len(r.record.GangWorkers) == 0 || slices.Contains(r.record.GangWorkers, host)
 }
 
-// BeginHostsWrite notes that a write of the range's workers begins.
+// BeginHostsWrite marks the beginning of a write of the range's workers.
 func (r *TaskRange) BeginHostsWrite() { r.hostsWriteInFlight = true }
 
 // HasHostsWriteInFlight reports whether a write of the range's workers is in flight.
 func (r *TaskRange) HasHostsWriteInFlight() bool { return r.hostsWriteInFlight }
 
-// EndHostsWrite notes that a write of the range's workers ended, and whether its outcome is known.
-func (r *TaskRange) EndHostsWrite(known bool) {
+// EndHostsWrite marks the end of a write of the range's workers. If its outcome is not known, the
+// workers that the record names are unknown until the record has a new revision.
+func (r *TaskRange) EndHostsWrite(outcomeKnown bool) {
 	r.hostsWriteInFlight = false
-	if !known {
+	if !outcomeKnown {
 		r.uncertainHostsRevision = r.revision
 	}
 }
 
-// HostsAreRecorded reports whether a gang's tasks may be started where they are planned.
+// HostsAreRecorded reports whether a gang's tasks may be started where they are planned: no write of
+// the range's workers is in flight, and none is needed.
 func (r *TaskRange) HostsAreRecorded() bool { return !r.hostsWriteInFlight && !r.NeedsHostsWrite() }
 
-// ClearGangWorkers forgets the workers that a range's record names, so that its tasks may be on
-// any.
+// ClearGangWorkers clears the workers that a range's record names, so that its tasks may be on any
+// worker.
 func ClearGangWorkers(r *TaskRange) { r.record.GangWorkers = nil }
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -12,64 +12,65 @@
 	"cherrywall/internal/tuning"
 )
 
-// Job is an unfinished job, or one that has ended while claimed ranges of it still exist.
+// Job is an unfinished job, or an ended job that still has claimed ranges.
 type Job struct {
 	ref        string
 	record     jobs.JobRecord
 	revision   uint64
 	need       capacity.Resources
 	ended      bool
-	ranges     map[int]*TaskRange // by their first task
+	taskRanges map[int]*TaskRange // by the number of their first task
 	knownSince time.Time
 
 	inTransaction bool
-	// awaitedRevision is the revision at which a transaction of this controller on the job
-	// failed its preconditions: what has changed is not known here before the cache of the
-	// store has reached it.
+	// awaitedRevision is the revision at which a transaction of this controller on the job failed
+	// its preconditions. The change that made it fail becomes visible here only when the cache of
+	// the store has reached this revision.
 	awaitedRevision uint64
 
-	gang          GangAttempt
-	gangPlannedAt time.Time // since when the planned gang waits for free resources
+	gangAttempt   GangAttempt
+	gangPlannedAt time.Time // since when the gang's plan has been waiting for free resources
 
-	dependencyNode *jobdag.Node // nil: the job has neither dependencies nor dependents
-	priority       jobs.Priority
-	ownDeadlines   jobdag.Deadlines // without inherited ones, see Deadlines
-	blocked        bool             // by dependencies, when SetBlocked or Unblock last looked
+	dependencyNode     *jobdag.Node // nil if the job has neither dependencies nor dependents
+	priority           jobs.Priority
+	ownDeadlines       jobdag.Deadlines // without the deadlines of dependents, see Deadlines
+	blockedAtLastCheck bool             // by dependencies, when SetBlocked or Unblock last checked
 
 	background bool
 	bestEffort bool
 }
 
 // GangAttempt is one attempt to run a gang: all its tasks run under one attempt number. The zero
-// value is no attempt.
+// value means that there is no attempt.
 type GangAttempt struct {
 	Attempt uint64
-	// Started is set once a start command was sent for a task.
+	// Started is set once a start command was sent for any task.
 	Started bool
-	// Failed is set once the attempt cannot succeed any more; all its tasks must have left their
-	// machines before the next one.
+	// Failed is set once the attempt can no longer succeed. All its tasks must have left their
+	// machines before the next attempt.
 	Failed bool
 }
 
-// NewJob returns a job of which nothing but the reference is known.
+// NewJob returns a job with a reference but without a record.
 func NewJob(ref string) *Job {
-	return &Job{ref: ref, ranges: map[int]*TaskRange{}, knownSince: time.Now()}
+	return &Job{ref: ref, taskRanges: map[int]*TaskRange{}, knownSince: time.Now()}
 }
 
 // Ref returns the job's reference, which is unique.
 func (j *Job) Ref() string { return j.ref }
 
-// Record returns the job's record, for reading only. It is empty as long as only claimed ranges
-// of the job are known, see HasRecord.
+// Record returns the job's record, for reading only. The record is empty as long as only claimed
+// ranges of the job are known, see HasRecord.
 func (j *Job) Record() *jobs.JobRecord { return &j.record }
 
-// HasRecord reports whether the job's record is known, and not only ranges of it.
+// HasRecord reports whether the job's record is known. If not, only claimed ranges of the job are
+// known.
 func (j *Job) HasRecord() bool { return j.record.Ref != "" }
 
 // Revision returns the revision of the job's record in the key-value store.
 func (j *Job) Revision() uint64 { return j.revision }
 
-// Need returns what one task of the job takes.
+// Need returns the resources that one task of the job takes.
 func (j *Job) Need() capacity.Resources { return j.need }
 
 // HasEnded reports whether the job is done or cancelled.
@@ -78,37 +79,38 @@
 // KnownSince returns when this controller learned of the job, or when the job became unblocked.
 func (j *Job) KnownSince() time.Time { return j.knownSince }
 
-// IsBackground reports whether the job is background work, which gets only capacity that no other
-// job needs: an array of the lowest priority without a deadline or objective.
+// IsBackground reports whether the job is background work: an array of the lowest priority without a
+// deadline or objective. Background work gets only capacity that no other job needs.
 func (j *Job) IsBackground() bool { return j.background }
 
 // IsBestEffort reports whether the job is background work for which only spot machines are scaled
-// out or kept. It uses free capacity of other machines as long as they are there for other work,
-// but avoids surplus ones. After tuning.BackgroundSpotOnlyPeriod it is no longer best-effort work,
-// so that it does not wait forever.
+// out or kept. Such a job uses free capacity of other machines as long as other work keeps them
+// running, but avoids surplus machines. After tuning.BackgroundSpotOnlyPeriod it is no longer
+// best-effort work, so that it does not wait forever.
 func (j *Job) IsBestEffort() bool { return j.bestEffort }
 
 // Priority returns the highest priority among the job and its dependents.
 func (j *Job) Priority() jobs.Priority { return j.priority }
 
 // IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run
-// since one of them is cancelled. It takes part in no quota, reservation, count or claim then.
+// since one of them is cancelled. A blocked job is not included in quotas, reservations, counts or
+// claims.
 func (j *Job) IsBlocked() bool { return j.dependencyNode.IsBlocked() }
 
-// IsRunnable reports whether the job has neither ended nor is blocked by dependencies, so that its
-// tasks may be claimed and run.
+// IsRunnable reports whether the job's tasks may be claimed and run: the job has not ended and is not
+// blocked by dependencies.
 func (j *Job) IsRunnable() bool { return !j.HasEnded() && !j.IsBlocked() }
 
 // IsCancelledByDependency reports whether the job can never run because a dependency, direct or
 // indirect, is cancelled.
 func (j *Job) IsCancelledByDependency() bool { return j.dependencyNode.IsCancelledByDependency() }
 
-// DependencyNode returns the job's node in the dependency graph; nil, which is valid to use, if
-// it has neither dependencies nor dependents.
+// DependencyNode returns the job's node in the dependency graph. It returns nil if the job has neither
+// dependencies nor dependents; the methods of the nil node may be called.
 func (j *Job) DependencyNode() *jobdag.Node { return j.dependencyNode }
 
-// Deadlines returns the times by which the job should be done for its own sake and for that of
-// its dependents.
+// Deadlines returns the times by which the job should be done, according to its own deadlines and
+// those of its dependents.
 func (j *Job) Deadlines() jobdag.Deadlines {
 	if j.dependencyNode == nil {
 		return j.ownDeadlines
@@ -116,8 +118,8 @@
 	return j.dependencyNode.Deadlines()
 }
 
-// RunnableSinceMS returns the time (Unix ms) from which on the job could have run: when it was
-// accepted, or when its last dependency was done.
+// RunnableSinceMS returns the time (Unix ms) since which the job could have run: when it was accepted,
+// or when its last dependency was done.
 func (j *Job) RunnableSinceMS() int64 {
 	if readyAt := j.dependencyNode.ReadyAt(); !readyAt.IsZero() {
 		return max(j.record.AcceptedAtMS, readyAt.UnixMilli())
@@ -126,25 +128,25 @@
 }
 
 // RecordWithoutDependencies returns the job's record without its dependencies, all of which must
-// be done. Writes of the record by claims, unclaims and compactions start from it.
+// be done. Claims, unclaims and compactions base their writes of the record on it.
 func (j *Job) RecordWithoutDependencies() jobs.JobRecord {
 	return j.record.WithDependenciesDone(time.UnixMilli(j.RunnableSinceMS()))
 }
 
-// Age returns the time since the job could have run.
+// Age returns the time since the job became runnable, see RunnableSinceMS.
 func (j *Job) Age(now time.Time) time.Duration {
 	return time.Duration(now.UnixMilli()-j.RunnableSinceMS()) * time.Millisecond
 }
 
 // TaskRanges yields the job's claimed ranges, in no order.
-func (j *Job) TaskRanges() iter.Seq[*TaskRange] { return maps.Values(j.ranges) }
+func (j *Job) TaskRanges() iter.Seq[*TaskRange] { return maps.Values(j.taskRanges) }
 
-// TaskRange returns the range that begins with a task, nil if there is none.
-func (j *Job) TaskRange(first int) *TaskRange { return j.ranges[first] }
+// TaskRange returns the range that begins with a task, or nil if there is none.
+func (j *Job) TaskRange(first int) *TaskRange { return j.taskRanges[first] }
 
-// HasReadyTasks reports whether some of the job's claimed tasks are ready to be placed.
+// HasReadyTasks reports whether any of the job's claimed tasks is ready to be placed.
 func (j *Job) HasReadyTasks() bool {
-	for _, taskRange := range j.ranges {
+	for _, taskRange := range j.taskRanges {
 		if taskRange.CountTasks(TaskReady) > 0 {
 			return true
 		}
@@ -152,32 +154,32 @@
 	return false
 }
 
-// OpenTasks returns how many of the job's tasks are claimed, by any shard, and not done.
+// OpenTasks returns how many of the job's tasks are claimed by any shard and not done.
 func (j *Job) OpenTasks() int {
 	count := 0
-	for _, taskRange := range j.ranges {
+	for _, taskRange := range j.taskRanges {
 		count += taskRange.record.Count - taskRange.DoneTasks()
 	}
 	return count
 }
 
-// Progress returns how many of the job's tasks are durably done, and how many are with workers.
-// All open tasks of shards that other controllers own are taken to be with workers.
+// Progress returns how many of the job's tasks are durably done, and how many are on workers. All open
+// tasks of shards that other controllers own are counted as on workers.
 func (j *Job) Progress() (done, active int) {
 	done = j.record.Completed
-	for _, taskRange := range j.ranges {
+	for _, taskRange := range j.taskRanges {
 		if taskRange.tentative {
 			continue
 		}
-		done += taskRange.recordedDone
+		done += taskRange.recordedDoneCount
 		active += taskRange.activeTasks()
 	}
 	return done, active
 }
 
 // CanWriteAt reports whether a transaction on the job may begin while the cache of the store is at a
-// revision: none of this controller's is in flight, and the cache has caught up with the change that
-// made the last one fail its preconditions.
+// revision: no transaction of this controller on the job is in flight, and if one failed its
+// preconditions, the cache has reached the change that made it fail.
 func (j *Job) CanWriteAt(revision uint64) bool {
 	return !j.inTransaction && j.awaitedRevision <= revision
 }
@@ -185,13 +187,13 @@
 // InTransaction reports whether a transaction of this controller on the job is in flight.
 func (j *Job) InTransaction() bool { return j.inTransaction }
 
-// BeginTransaction notes that a transaction on the job begins.
+// BeginTransaction marks the beginning of a transaction on the job.
 func (j *Job) BeginTransaction() { j.inTransaction = true }
 
-// EndTransaction notes how the job's transaction ended. After failed preconditions the next one
-// waits until the cache shows what has changed. Retried before, it would fail again and again: each
-// gang that two controllers claimed at the same moment cost six requests and twelve changes for
-// nothing.
+// EndTransaction marks the end of the job's transaction. If its preconditions failed, the next
+// transaction waits until the cache shows what has changed. If it were retried earlier, it would fail
+// repeatedly: each gang that two controllers claimed at the same moment cost six requests and twelve
+// changes without any effect.
 func (j *Job) EndTransaction(result kvstore.TxnResult, err error) {
 	j.inTransaction = false
 	if err == nil && !result.Succeeded {
@@ -199,15 +201,17 @@
 	}
 }
 
-// GangAttempt returns the number of the gang's present attempt, 0 if there is none, and whether a
-// start command was sent for a task of it.
-func (j *Job) GangAttempt() (attempt uint64, started bool) { return j.gang.Attempt, j.gang.Started }
+// GangAttempt returns the number of the gang's current attempt, 0 if there is none, and whether a
+// start command was sent for any of its tasks in this attempt.
+func (j *Job) GangAttempt() (attempt uint64, started bool) {
+	return j.gangAttempt.Attempt, j.gangAttempt.Started
+}
 
-// IsGang reports whether the job is a gang, all of whose tasks run at the same time or not at all.
+// IsGang reports whether the job is a gang: all its tasks run at the same time, or none of them runs.
 func (j *Job) IsGang() bool { return j.record.Kind == jobs.Gang }
 
-// SetSpec sets a job's record and all that is derived from it. spotInUse is whether the autoscaler may
-// use spot machines.
+// SetSpec sets a job's record and everything that is derived from it. spotInUse tells whether the
+// autoscaler may use spot machines.
 func SetSpec(j *Job, record *jobs.JobRecord, ownDeadlines jobdag.Deadlines, isBackground, spotInUse bool) {
 	j.record = *record
 	j.need = record.Need()
@@ -217,22 +221,23 @@
 	UpdateBestEffort(j, time.Now(), spotInUse)
 }
 
-// SetJobRevision sets the revision of a job's record. A job with a record has not ended.
+// SetJobRevision sets the revision of a job's record, and marks the job as not ended, since a record
+// exists only until then.
 func SetJobRevision(j *Job, revision uint64) {
 	j.revision = revision
 	j.ended = false
 }
 
-// SetEnded notes that a job is done or cancelled.
+// SetEnded marks a job as ended: done or cancelled.
 func SetEnded(j *Job) { j.ended = true }
 
-// UpdateBestEffort determines whether a background job is best-effort work for now.
+// UpdateBestEffort determines whether a job is best-effort work now, see Job.IsBestEffort.
 func UpdateBestEffort(j *Job, now time.Time, spotInUse bool) {
 	j.bestEffort = j.background && j.record.Spot && spotInUse && j.Age(now) < tuning.BackgroundSpotOnlyPeriod
 }
 
-// SetDependencyNode sets a job's node in the dependency graph and reports whether its priority has
-// changed by it.
+// SetDependencyNode sets a job's node in the dependency graph, and reports whether this has changed
+// the job's priority.
 func SetDependencyNode(j *Job, node *jobdag.Node) (priorityChanged bool) {
 	j.dependencyNode = node
 	priority := node.Priority(j.record.Priority())
@@ -243,50 +248,51 @@
 	return true
 }
 
-// EndBackground makes a background job an ordinary one if a dependent has a priority or
-// deadline.
+// EndBackground makes a background job a foreground job if it gets a priority above the lowest or a
+// deadline from a dependent.
 func EndBackground(j *Job) {
 	if j.background && (j.priority > 0 || j.dependencyNode.Deadlines().DueMS != jobdag.NoDeadline) {
 		j.background, j.bestEffort = false, false
 	}
 }
 
-// SetBlocked notes whether a job is blocked by dependencies now, and reports whether it is.
+// SetBlocked updates and returns whether a job is blocked by dependencies.
 func SetBlocked(j *Job) bool {
-	j.blocked = j.dependencyNode.IsBlocked()
-	return j.blocked
+	j.blockedAtLastCheck = j.dependencyNode.IsBlocked()
+	return j.blockedAtLastCheck
 }
 
-// Unblock reports whether a job that was blocked by dependencies no longer is. It counts as known
-// from this moment on.
+// Unblock reports whether a job that was blocked by dependencies no longer is. If so, it sets the time
+// since when the job is known to now.
 func Unblock(j *Job, now time.Time) bool {
-	if !j.blocked || j.dependencyNode.IsBlocked() {
+	if !j.blockedAtLastCheck || j.dependencyNode.IsBlocked() {
 		return false
 	}
-	j.blocked, j.knownSince = false, now
+	j.blockedAtLastCheck, j.knownSince = false, now
 	return true
 }
 
-// MutableGang returns a job's present gang attempt, to be changed.
-func MutableGang(j *Job) *GangAttempt { return &j.gang }
+// MutableGang returns a job's current gang attempt for modification.
+func MutableGang(j *Job) *GangAttempt { return &j.gangAttempt }
 
-// BeginGangAttempt begins an attempt to place a gang.
+// BeginGangAttempt begins an attempt to place a gang, under an attempt number.
 func BeginGangAttempt(j *Job, attempt uint64) {
-	j.gang = GangAttempt{Attempt: attempt}
+	j.gangAttempt = GangAttempt{Attempt: attempt}
 	j.gangPlannedAt = time.Now()
 }
 
-// GangPlannedFor returns for how long the gang attempt that was begun last has been planned.
+// GangPlannedFor returns the time since the last BeginGangAttempt.
 func GangPlannedFor(j *Job) time.Duration { return time.Since(j.gangPlannedAt) }
 
 // AddTaskRange adds a range to its job.
-func AddTaskRange(r *TaskRange) { r.job.ranges[r.first] = r }
+func AddTaskRange(r *TaskRange) { r.job.taskRanges[r.first] = r }
 
 // RemoveTaskRange removes the range that begins with a task from a job.
-func RemoveTaskRange(j *Job, first int) { delete(j.ranges, first) }
+func RemoveTaskRange(j *Job, first int) { delete(j.taskRanges, first) }
 
 // HasTaskRanges reports whether any range of a job is claimed.
-func HasTaskRanges(j *Job) bool { return len(j.ranges) > 0 }
+func HasTaskRanges(j *Job) bool { return len(j.taskRanges) > 0 }
 
-// IsCurrent reports whether a range is the one that its job knows by its first task.
-func IsCurrent(r *TaskRange) bool { return r.job.ranges[r.first] == r }
+// IsCurrent reports whether a range still belongs to its job: it was not removed, and not replaced by
+// another range with the same first task.
+func IsCurrent(r *TaskRange) bool { return r.job.taskRanges[r.first] == r }
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -6,8 +6,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// TaskRange is a claimed range of a job's tasks. What its tasks do is known only if this
-// controller owns the shard that claimed it.
+// TaskRange is a claimed range of a job's tasks. The state of its tasks is known only if this
+// controller owns the shard that claimed the range.
 type TaskRange struct {
 	job      *Job
 	first    int
@@ -21,19 +21,20 @@
 	tasks        []task // nil unless the shard is owned here
 	taskCounts   [taskStateCount]int
 	lastPlacedAt time.Time
-	// unclaiming are the tasks whose claim is being withdrawn, numbered within the range.
-	unclaiming jobs.TaskInterval
-	// preemptions are assignments of other jobs to be stopped once the claim is durable.
-	preemptions []*Assignment
-
-	recordedDone    int          // tasks done by the record
-	unrecordedDone  map[int]bool // tasks done and not yet recorded so
-	unrecordedSince time.Time
-	writeInFlight   bool // a write of this controller that records done tasks
-
-	hostsWriteInFlight bool // a write of the record's gang workers
-	// uncertainHostsRevision is the record's revision when a write of its gang workers went
-	// unanswered: which workers are recorded is not known until the record has a new revision.
+	// unclaimInterval is the interval of tasks whose claim is being withdrawn, numbered within the
+	// range.
+	unclaimInterval jobs.TaskInterval
+	// pendingPreemptions are assignments of other jobs that are stopped once the claim is durable.
+	pendingPreemptions []*Assignment
+
+	recordedDoneCount   int          // number of tasks that the record lists as done
+	unrecordedDone      map[int]bool // tasks that are done but not yet recorded as done
+	unrecordedSince     time.Time    // see UnrecordedDone
+	recordWriteInFlight bool         // see HasWriteInFlight
+
+	hostsWriteInFlight bool // see HasHostsWriteInFlight
+	// uncertainHostsRevision is the record's revision when a write of its gang workers got no
+	// answer: the recorded workers are not known until the record has a new revision.
 	uncertainHostsRevision uint64
 }
 
@@ -42,7 +43,7 @@
 	assignment *Assignment
 }
 
-// NewTaskRange returns a range by its record. Its tasks are to be set by ResetTasks.
+// NewTaskRange returns a range with a record. The caller has to set its tasks with ResetTasks.
 func NewTaskRange(job *Job, first int, record jobs.RangeRecord, revision uint64) *TaskRange {
 	return &TaskRange{job: job, first: first, record: record, revision: revision}
 }
@@ -54,7 +55,7 @@
 	return r
 }
 
-// Job returns the job whose tasks these are.
+// Job returns the job that the range's tasks belong to.
 func (r *TaskRange) Job() *Job { return r.job }
 
 // First returns the number, within the job, of the range's first task.
@@ -63,30 +64,31 @@
 // Record returns the range's record, for reading only.
 func (r *TaskRange) Record() *jobs.RangeRecord { return &r.record }
 
-// Revision returns the revision of the range's record in the key-value store; of an inline claim,
-// that of the job's record.
+// Revision returns the revision of the range's record in the key-value store. For an inline claim, it
+// returns the revision of the job's record.
 func (r *TaskRange) Revision() uint64 { return r.revision }
 
-// IsOwned reports whether the range's tasks are known, since this controller owns its shard.
+// IsOwned reports whether this controller owns the range's shard, so that the state of its tasks is
+// known.
 func (r *TaskRange) IsOwned() bool { return r.tasks != nil }
 
-// Len returns the number of tasks that are known here; 0 if the shard is not owned here.
+// Len returns the number of the range's tasks, or 0 if the shard is not owned here.
 func (r *TaskRange) Len() int { return len(r.tasks) }
 
 // TaskState returns the state of a task, numbered within the range.
 func (r *TaskRange) TaskState(index int) TaskState { return r.tasks[index].state }
 
-// Assignment returns the assignment of a task, numbered within the range; nil if it has none.
+// Assignment returns the assignment of a task, numbered within the range, or nil if it has none.
 func (r *TaskRange) Assignment(index int) *Assignment { return r.tasks[index].assignment }
 
 // CountTasks returns how many of the range's tasks are in a state.
 func (r *TaskRange) CountTasks(state TaskState) int { return r.taskCounts[state] }
 
-// activeTasks returns how many tasks are with workers. Of a shard that is not owned here, it is
-// all that are not recorded as done.
+// activeTasks returns how many tasks are on workers. If the shard is not owned here, all tasks that
+// are not recorded as done are counted.
 func (r *TaskRange) activeTasks() int {
 	if !r.IsOwned() {
-		return r.record.Count - r.recordedDone
+		return r.record.Count - r.recordedDoneCount
 	}
 	if r.CountTasks(TaskPlaced) == 0 {
 		return 0
@@ -100,7 +102,7 @@
 	return count
 }
 
-// LastPlacedAt returns when a task of the range was last placed on a machine, zero if none was.
+// LastPlacedAt returns when a task of the range was last placed on a machine, or zero if none was.
 func (r *TaskRange) LastPlacedAt() time.Time { return r.lastPlacedAt }
 
 // IsTentative reports whether the range's claim is not durable yet.
@@ -112,10 +114,10 @@
 // IsDeleting reports whether a deletion of the range's record is in flight.
 func (r *TaskRange) IsDeleting() bool { return r.deleting }
 
-// SetDeleting notes whether a deletion of the range's record is in flight.
+// SetDeleting sets whether a deletion of the range's record is in flight.
 func (r *TaskRange) SetDeleting(deleting bool) { r.deleting = deleting }
 
-// Truncate keeps the first count tasks; the others belong to other ranges now.
+// Truncate removes all tasks except the first count ones; the others now belong to other ranges.
 func (r *TaskRange) Truncate(count int) {
 	for i := count; i < len(r.tasks); i++ {
 		r.taskCounts[r.tasks[i].state]--
@@ -123,8 +125,8 @@
 	r.tasks, r.record.Count = r.tasks[:count], count
 }
 
-// MarkUnknownReady notes that the range's unknown tasks are on no machine, so that they may be
-// started.
+// MarkUnknownReady sets the range's unknown tasks to TaskReady. The caller has to know that they are
+// not on any machine, so that they may be started.
 func (r *TaskRange) MarkUnknownReady() {
 	if r.CountTasks(TaskUnknown) == 0 {
 		return
@@ -136,12 +138,13 @@
 	}
 }
 
-// ResetTasks forgets what is known of a range's tasks. If the shard is owned here, it then sets those
-// that are not recorded as done to the given state.
+// ResetTasks clears the state of a range's tasks, including unrecorded done tasks, an unclaim and a
+// write that are in progress. If the shard is owned here, it then sets the tasks that are recorded as
+// done to TaskFinished and the others to the given state.
 func ResetTasks(r *TaskRange, isOwned bool, state TaskState) {
-	r.tasks, r.unrecordedDone, r.writeInFlight, r.unclaiming = nil, map[int]bool{}, false, jobs.TaskInterval{}
+	r.tasks, r.unrecordedDone, r.recordWriteInFlight, r.unclaimInterval = nil, map[int]bool{}, false, jobs.TaskInterval{}
 	r.taskCounts = [taskStateCount]int{}
-	r.recordedDone = r.record.Done.Count(r.record.Count)
+	r.recordedDoneCount = r.record.Done.Count(r.record.Count)
 	if !isOwned {
 		return
 	}
@@ -156,31 +159,31 @@
 	}
 }
 
-// SetTask sets a task's state and assignment. It is the only way a task changes its state, and
-// keeps the counts by state up to date: the scheduler reads the counts, so that its cost does not
-// grow with the number of tasks.
+// SetTask sets a task's state and assignment. Every change of a task's state goes through it, so that
+// the counts by state are always up to date. The scheduler reads these counts, so that its cost does
+// not grow with the number of tasks.
 func SetTask(r *TaskRange, index int, state TaskState, assignment *Assignment) {
 	r.taskCounts[r.tasks[index].state]--
 	r.tasks[index] = task{state: state, assignment: assignment}
 	r.taskCounts[state]++
 }
 
-// SetInline notes that a range's claim is in the job's own record.
+// SetInline sets whether a range's claim is in the job's own record.
 func SetInline(r *TaskRange, inline bool) { r.inline = inline }
 
-// SetLastPlacedAt notes when a task of a range was placed.
+// SetLastPlacedAt sets when a task of a range was last placed.
 func SetLastPlacedAt(r *TaskRange, at time.Time) { r.lastPlacedAt = at }
 
 // SetRangeRevision sets the revision of a range's record.
 func SetRangeRevision(r *TaskRange, revision uint64) { r.revision = revision }
 
-// ConfirmClaim notes that a range's claim is durable.
+// ConfirmClaim marks a range's claim as durable and sets its revision.
 func ConfirmClaim(r *TaskRange, revision uint64) {
 	r.revision, r.tentative = revision, false
 }
 
-// SetRangeRecord sets the record of a range whose claim is durable. Tasks beyond its end are
-// dropped.
+// SetRangeRecord sets the record of a range whose claim is durable. Tasks beyond the end of the
+// recorded range are removed.
 func SetRangeRecord(r *TaskRange, record jobs.RangeRecord) {
 	if r.tasks != nil && record.Count < len(r.tasks) {
 		r.Truncate(record.Count)
@@ -188,15 +191,15 @@
 	r.record = record
 }
 
-// AddPreemption notes that an assignment is to be stopped once a tentative claim is durable.
+// AddPreemption adds an assignment to those that are stopped once a range's tentative claim is durable.
 func AddPreemption(r *TaskRange, a *Assignment) {
-	a.preemptedFor = r
-	r.preemptions = append(r.preemptions, a)
+	a.preemptingClaim = r
+	r.pendingPreemptions = append(r.pendingPreemptions, a)
 }
 
-// TakePreemptions removes and returns the assignments that a range's claim is to preempt.
+// TakePreemptions removes and returns the assignments that a range's claim preempts.
 func TakePreemptions(r *TaskRange) []*Assignment {
-	preemptions := r.preemptions
-	r.preemptions = nil
+	preemptions := r.pendingPreemptions
+	r.pendingPreemptions = nil
 	return preemptions
 }
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -6,20 +6,20 @@
 	"cherrywall/internal/jobs"
 )
 
-// DoneTasks returns how many of the range's tasks are done, recorded or not.
-func (r *TaskRange) DoneTasks() int { return r.recordedDone + len(r.unrecordedDone) }
+// DoneTasks returns how many of the range's tasks are done, whether recorded as done or not.
+func (r *TaskRange) DoneTasks() int { return r.recordedDoneCount + len(r.unrecordedDone) }
 
 // IsComplete reports whether all of the range's tasks are done.
 func (r *TaskRange) IsComplete() bool { return r.DoneTasks() == r.record.Count }
 
-// UnrecordedDone returns how many tasks are done without being recorded so, and when their wait for
-// a write began: when the first of them was done, or when the last write ended if that is later.
-// Both are zero if there are none.
+// UnrecordedDone returns how many tasks are done but not yet recorded as done, and since when they
+// wait for a write: since the first of them was done, or since the last write ended if that is later.
+// Both are zero if there are no such tasks.
 func (r *TaskRange) UnrecordedDone() (count int, since time.Time) {
 	return len(r.unrecordedDone), r.unrecordedSince
 }
 
-// UnrecordedDoneTasks returns the names of the tasks that are done without being recorded so.
+// UnrecordedDoneTasks returns the names of the tasks that are done but not yet recorded as done.
 func (r *TaskRange) UnrecordedDoneTasks() []string {
 	var names []string
 	for i := range r.unrecordedDone {
@@ -28,7 +28,7 @@
 	return names
 }
 
-// RecordWithDone returns the range's record with all tasks that are known to be done.
+// RecordWithDone returns the range's record with all tasks that are known to be done listed as done.
 func (r *TaskRange) RecordWithDone() jobs.RangeRecord {
 	var indexes []int
 	for i := range r.unrecordedDone {
@@ -39,25 +39,25 @@
 	return record
 }
 
-// HasWriteInFlight reports whether a write of this controller that records done tasks is in flight.
-func (r *TaskRange) HasWriteInFlight() bool { return r.writeInFlight }
+// HasWriteInFlight reports whether a write of the range's record begun with BeginWrite is in flight.
+func (r *TaskRange) HasWriteInFlight() bool { return r.recordWriteInFlight }
 
-// BeginWrite notes that a write of the range's record begins.
-func (r *TaskRange) BeginWrite() { r.writeInFlight = true }
+// BeginWrite marks the beginning of a write of the range's record.
+func (r *TaskRange) BeginWrite() { r.recordWriteInFlight = true }
 
-// EndWrite notes that the write of the range's record has ended.
-func (r *TaskRange) EndWrite() { r.writeInFlight = false }
+// EndWrite marks the end of a write of the range's record that does not record done tasks.
+func (r *TaskRange) EndWrite() { r.recordWriteInFlight = false }
 
-// EndDoneWrite notes that a write that records done tasks has ended. The wait of those that are
-// still unrecorded begins anew.
+// EndDoneWrite marks the end of a write that records done tasks. The wait of tasks that are still not
+// recorded as done starts again.
 func (r *TaskRange) EndDoneWrite() {
-	r.writeInFlight, r.unrecordedSince = false, time.Now()
+	r.recordWriteInFlight, r.unrecordedSince = false, time.Now()
 	if len(r.unrecordedDone) == 0 {
 		r.unrecordedSince = time.Time{}
 	}
 }
 
-// MarkTaskDone notes that a task is done without being recorded so.
+// MarkTaskDone marks a task, numbered within its range, as done but not yet recorded as done.
 func MarkTaskDone(r *TaskRange, index int) {
 	SetTask(r, index, TaskFinished, nil)
 	r.unrecordedDone[index] = true
@@ -66,10 +66,10 @@
 	}
 }
 
-// FollowRecordedDone marks the tasks as finished that the range's record lists as done.
+// FollowRecordedDone marks the tasks that the range's record lists as done as finished.
 func FollowRecordedDone(r *TaskRange) {
-	r.recordedDone = r.record.Done.Count(r.record.Count)
-	if r.recordedDone == 0 {
+	r.recordedDoneCount = r.record.Done.Count(r.record.Count)
+	if r.recordedDoneCount == 0 {
 		return
 	}
 	for i := range r.tasks {
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -2,20 +2,20 @@
 
 import "cherrywall/internal/jobs"
 
-// BeginUnclaim keeps count tasks, beginning with first within the range, from being started, since
-// their claim is being withdrawn. When that is durable, the tasks behind them become a range of
-// their own.
+// BeginUnclaim sets count tasks, beginning with first within the range, to TaskUnclaiming, so that
+// they are not started while their claim is being withdrawn. When the withdrawal is durable, the tasks
+// after them become a separate range.
 func (r *TaskRange) BeginUnclaim(first, count int) {
 	for i := first; i < first+count; i++ {
 		SetTask(r, i, TaskUnclaiming, nil)
 	}
-	r.unclaiming = jobs.TaskInterval{First: first, Count: count}
+	r.unclaimInterval = jobs.TaskInterval{First: first, Count: count}
 }
 
-// CancelUnclaim makes tasks ready again whose claim was not withdrawn. If the shard was lost and
-// acquired again meanwhile, its tasks are no longer unclaiming but unknown, and stay so.
+// CancelUnclaim makes tasks ready again because their claim was not withdrawn. If the shard was lost
+// and acquired again meanwhile, its tasks are unknown instead of unclaiming, and stay unknown.
 func (r *TaskRange) CancelUnclaim(first, count int) {
-	r.unclaiming = jobs.TaskInterval{}
+	r.unclaimInterval = jobs.TaskInterval{}
 	for i := first; i < first+count && i < len(r.tasks); i++ {
 		if r.tasks[i].state == TaskUnclaiming {
 			SetTask(r, i, TaskReady, nil)
@@ -23,7 +23,8 @@
 	}
 }
 
-// Subrange returns the record of count tasks, beginning with first within the range, as a range.
+// Subrange returns the record of a range that consists of count tasks, beginning with first within
+// this range.
 func (r *TaskRange) Subrange(first, count int) jobs.RangeRecord {
 	record := r.record
 	record.Count, record.Done = count, nil
@@ -39,20 +40,22 @@
 	return record
 }
 
-// behindUnclaimed returns the number, within the range, of the first task behind those whose claim
-// is being withdrawn.
-func (r *TaskRange) behindUnclaimed() int { return r.unclaiming.First + r.unclaiming.Count }
+// firstAfterUnclaimed returns the number, within the range, of the first task after the tasks whose
+// claim is being withdrawn.
+func (r *TaskRange) firstAfterUnclaimed() int {
+	return r.unclaimInterval.First + r.unclaimInterval.Count
+}
 
-// IsSplitAt reports whether a record that ends the range before a task shows that a split of the
+// IsSplitAt reports whether a record that ends the range after count tasks shows that a split of the
 // range, written by this controller, is durable.
 func IsSplitAt(r *TaskRange, count int) bool {
-	return r != nil && r.tasks != nil && r.unclaiming.Count > 0 &&
-		count == r.unclaiming.First && r.behindUnclaimed() < len(r.tasks)
+	return r != nil && r.tasks != nil && r.unclaimInterval.Count > 0 &&
+		count == r.unclaimInterval.First && r.firstAfterUnclaimed() < len(r.tasks)
 }
 
-// IsSplitBy reports whether a range record shows that a split of the range is durable: it is the
-// record of what is left before the unclaimed tasks, or of what is behind them, whichever is seen
-// first.
+// IsSplitBy reports whether a range record shows that a split of the range is durable. It is either
+// the record of the tasks before the unclaimed ones or the record of the tasks after them, whichever
+// arrives first.
 func IsSplitBy(r *TaskRange, first int, record jobs.RangeRecord, revision uint64) bool {
 	if revision <= r.revision || record.Shard != r.record.Shard {
 		return false
@@ -60,30 +63,30 @@
 	if first == r.first {
 		return IsSplitAt(r, record.Count)
 	}
-	behind := r.behindUnclaimed()
-	isRestBehind := first == r.first+behind && record.Count == len(r.tasks)-behind
-	return isRestBehind && IsSplitAt(r, r.unclaiming.First)
+	tailStart := r.firstAfterUnclaimed()
+	isTail := first == r.first+tailStart && record.Count == len(r.tasks)-tailStart
+	return isTail && IsSplitAt(r, r.unclaimInterval.First)
 }
 
-// Split divides a range whose tasks in the middle were unclaimed. The tasks behind them, some of
-// which may be on machines, become a range of their own.
+// Split divides a range whose tasks in the middle were unclaimed. The tasks after them become a
+// separate range. Some of these tasks may be on machines.
 func Split(r *TaskRange) {
-	at := r.behindUnclaimed()
-	behind := &TaskRange{job: r.job, first: r.first + at, record: r.Subrange(at, len(r.tasks)-at), lastPlacedAt: r.lastPlacedAt}
-	ResetTasks(behind, true, TaskUnknown)
-	for i := range behind.tasks {
-		t := r.tasks[at+i]
-		SetTask(behind, i, t.state, t.assignment)
-		if t.assignment != nil {
-			t.assignment.taskRange, t.assignment.index = behind, i
+	tailStart := r.firstAfterUnclaimed()
+	tail := &TaskRange{job: r.job, first: r.first + tailStart, record: r.Subrange(tailStart, len(r.tasks)-tailStart), lastPlacedAt: r.lastPlacedAt}
+	ResetTasks(tail, true, TaskUnknown)
+	for i := range tail.tasks {
+		movedTask := r.tasks[tailStart+i]
+		SetTask(tail, i, movedTask.state, movedTask.assignment)
+		if movedTask.assignment != nil {
+			movedTask.assignment.taskRange, movedTask.assignment.index = tail, i
 		}
-		if r.unrecordedDone[at+i] {
-			delete(r.unrecordedDone, at+i)
-			behind.unrecordedDone[i] = true
-			behind.unrecordedSince = r.unrecordedSince
+		if r.unrecordedDone[tailStart+i] {
+			delete(r.unrecordedDone, tailStart+i)
+			tail.unrecordedDone[i] = true
+			tail.unrecordedSince = r.unrecordedSince
 		}
 	}
-	r.Truncate(r.unclaiming.First)
-	r.unclaiming = jobs.TaskInterval{}
-	AddTaskRange(behind)
+	r.Truncate(r.unclaimInterval.First)
+	r.unclaimInterval = jobs.TaskInterval{}
+	AddTaskRange(tail)
 }
--- a/internal/clusterstate/internal/entity/taskstate.go
+++ b/internal/clusterstate/internal/entity/taskstate.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// TaskState is what is known of a task of a range whose shard this controller owns.
+// TaskState is the state of a task in a range whose shard this controller owns.
 type TaskState uint8
 
 // The states of a task.
 const (
-	// TaskUnknown is a task that may run on some machine: it was claimed before this controller
-	// acquired its shard, or its machine changed the shard, and no heartbeat has settled it yet.
+	// TaskUnknown is a task that may be running on some machine: it was claimed before this
+	// controller acquired its shard, or its machine moved to another shard, and no heartbeat has
+	// shown yet whether it runs.
 	TaskUnknown TaskState = iota
-	// TaskReady is a task that is on no machine and may be started.
+	// TaskReady is a task that is not on any machine and may be started.
 	TaskReady
 	// TaskPlaced is a task with an assignment to a machine.
 	TaskPlaced
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -5,31 +5,32 @@
 	"cherrywall/internal/jobs"
 )
 
-// Usage is the sum over a machine's assignments. The scheduler reads it far more often than the
-// assignments change.
+// Usage holds the free resources and task counts of a machine, computed from its assignments. It is
+// cached, since the scheduler reads it far more often than the assignments change.
 type Usage struct {
-	// Free is what is free once all assignments that are to be stopped have left.
+	// Free is the resources that are free once all assignments that are to be stopped have left.
 	Free capacity.Resources
-	// FreeBelow is, for each priority, Free plus what the tasks below the priority take.
+	// FreeBelow is, for each priority, Free plus the resources of the tasks below the priority.
 	FreeBelow [jobs.PriorityCount]capacity.Resources
-	// FreeBelowWithoutGangs is the same without the tasks of gangs, which cannot be stopped one by
-	// one.
+	// FreeBelowWithoutGangs is FreeBelow without the resources of gangs' tasks, which cannot be
+	// stopped one by one.
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
-	// PendingCommands is how many start and stop commands are still to be sent.
+	// PendingCommands is how many start and stop commands still have to be sent.
 	PendingCommands int
-	// ServiceReplicas is how many replicas of services the machine runs, without leaving ones.
+	// ServiceReplicas is how many replicas of services the machine runs, except those that are to
+	// be stopped.
 	ServiceReplicas int
-	// OrdinaryTasks is how many tasks, stopping ones too, may not run on a spot machine.
+	// OrdinaryTasks is how many tasks, including stopping ones, may not run on a spot machine.
 	OrdinaryTasks int
-	// ForegroundTasks is how many tasks, without leaving ones, are not background work and so a
-	// reason to keep the machine.
+	// ForegroundTasks is how many tasks, except those that are to be stopped, are not background
+	// work and are therefore a reason to keep the machine.
 	ForegroundTasks int
 }
 
-// MarkUsageStale notes that a machine's assignments have changed.
+// MarkUsageStale marks a machine's usage as outdated, because its assignments have changed.
 func MarkUsageStale(m *Machine) { m.usageStale = true }
 
-// CurrentUsage returns a machine's usage, nil if it is to be computed again.
+// CurrentUsage returns a machine's usage, or nil if it has to be computed again.
 func CurrentUsage(m *Machine) *Usage {
 	if m.usageStale {
 		return nil
@@ -51,13 +52,13 @@
 	return &m.usage
 }
 
-// add adds an assignment. FreeBelow and FreeBelowWithoutGangs contain only what lower priorities
-// take until ComputeUsage adds the final Free to them.
+// add adds an assignment to the usage. FreeBelow and FreeBelowWithoutGangs contain only the resources
+// of tasks of lower priorities until ComputeUsage adds the final Free to them.
 func (u *Usage) add(a *Assignment) {
 	if a.status.hasPendingCommand() {
 		u.PendingCommands++
 	}
-	if a.needsOrdinaryMachine() {
+	if a.needsOnDemandMachine() {
 		u.OrdinaryTasks++
 	}
 	if a.IsLeaving() {
