--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -13,9 +13,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// Scheduling of arrays and services: their tasks are claimed and assigned as far as they fit.
+// Scheduling of arrays and services: as many of their tasks are claimed and assigned as fit.
 
-// placeClaimed assigns tasks that are claimed and have no machine.
+// placeClaimed assigns machines to the claimed tasks of a job that have none.
 func (s *Scheduler) placeClaimed(job *clusterstate.Job) {
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() || taskRange.IsTentative() {
@@ -37,12 +37,12 @@
 // placeClaimedArray assigns as many ready tasks of a claimed range as fit.
 func (s *Scheduler) placeClaimedArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) {
 	ready := taskRange.CountTasks(clusterstate.TaskReady)
-	starting := min(ready, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
-	if starting > 0 {
-		starting = s.withinQuota(job, shard, min(starting, s.probeLimit(job)))
+	startCount := min(ready, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
+	if startCount > 0 {
+		startCount = s.withinQuota(job, shard, min(startCount, s.probeLimit(job)))
 	}
 	var readyTasks []int
-	for i := 0; i < taskRange.Len() && len(readyTasks) < starting; i++ {
+	for i := 0; i < taskRange.Len() && len(readyTasks) < startCount; i++ {
 		if taskRange.TaskState(i) == clusterstate.TaskReady {
 			readyTasks = append(readyTasks, i)
 		}
@@ -61,8 +61,8 @@
 	s.placeArray(job, taskRange, shard, readyTasks, zone, surplus)
 }
 
-// probeLimit returns how many more tasks of a job may start: any number unless it is faulty. Of a
-// faulty job one task runs at a time, to find out whether it works by now.
+// probeLimit returns how many more tasks of a job may start. The number is unlimited unless the job
+// is faulty: a faulty job runs one task at a time, to find out whether it works again.
 func (s *Scheduler) probeLimit(job *clusterstate.Job) int {
 	if !s.Faults.IsJobFaulty(job.Ref()) {
 		return math.MaxInt32
@@ -75,8 +75,8 @@
 	return 1
 }
 
-// withinQuota returns how many of the given number of fitting tasks the team's quota allocation of a
-// shard allows. If it does not allow all, more quota is requested for the shard.
+// withinQuota limits a number of fitting tasks to those that the team's quota allocation in a shard
+// allows. If it does not allow all of them, more quota is requested for the shard.
 func (s *Scheduler) withinQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
 	allowed := s.Claims.TasksWithinQuota(job, shard)
 	if allowed < tasks {
@@ -85,8 +85,8 @@
 	return min(allowed, tasks)
 }
 
-// surplusUse is whether an array may use surplus machines. They are to be drained and scaled in, so
-// only work that fits nowhere else uses them.
+// surplusUse tells whether an array may use surplus machines. These are to be drained and scaled in,
+// so only work that fits nowhere else uses them.
 type surplusUse int
 
 const (
@@ -128,9 +128,10 @@
 	return zone
 }
 
-// score returns how well a machine suits one more task of an array, higher being better: a machine
-// that has the image cached is preferred, then the fullest, so that whole machines become empty and
-// can be scaled in. The score grows as a machine is filled, so the best machine is filled first.
+// score returns how well a machine suits one more task of an array; a higher score is better. A
+// machine that has the image cached is preferred, then the fullest machine, so that whole machines
+// become empty and can be scaled in. The score grows as a machine is filled, so the best machine is
+// filled first.
 func (s *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
 	total, _ := s.State.Total(machine)
 	score := 0.0
@@ -141,25 +142,25 @@
 		score += 1 - s.State.Free(machine).CPU/total.CPU
 	}
 	if !machine.IsSurplus() {
-		// Machines that are retained for urgent work are paid for anyway: they are used before
-		// spot machines, and surplus machines last.
+		// Machines that are retained for urgent work are paid for in any case, so they are used
+		// before spot machines. Surplus machines are used last.
 		score += tuning.ScoreRetained
 		if !machine.Record().Spot {
 			score += tuning.ScoreOnDemand
 		}
 	}
 	if !s.allowsUrgentGangs(machine) {
-		// Preferred above all are machines on which no urgent gang will preempt the task, and that
-		// need not stay free for one.
+		// Machines that urgent gangs can not use are preferred to all others: no such gang will
+		// preempt the task there, and the machine need not stay free for one.
 		score += tuning.ScoreGangSafe
 	}
 	return score
 }
 
 // allowsUrgentGangs reports whether urgent gangs of the known classes may run on a machine,
-// whether or not it is large enough for them. Machines that are too small are deliberately not
-// preferred for arrays: the large machines would become empty and be scaled in, and the next gang
-// would have to wait until others have booted.
+// whether or not it is large enough for them. Machines that are too small for gangs are deliberately
+// not preferred for arrays: otherwise the large machines would become empty and be scaled in, and
+// the next gang would have to wait until other large machines have booted.
 func (s *Scheduler) allowsUrgentGangs(machine *clusterstate.Machine) bool {
 	return s.ClassStats.AnyUrgentGang(func(record *jobs.JobRecord) bool { return record.Allows(machine.Group()) })
 }
@@ -170,8 +171,8 @@
 	score   float64
 }
 
-// placeArray assigns the given tasks of a range to the machines with the best scores, as far as
-// they fit, and returns how many it assigned. An empty zone stands for all zones.
+// placeArray assigns as many of the given tasks of a range as fit to the machines with the best
+// scores, and returns how many it assigned. An empty zone stands for all zones.
 func (s *Scheduler) placeArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard, tasks []int, zone string, surplus surplusUse) int {
 	var scored []scoredMachine
 	for _, machine := range s.candidates(job, shard.ID(), zone) {
@@ -193,14 +194,14 @@
 	return placed
 }
 
-// arrayZone is where the next tasks of an array may run, and how many of them.
+// arrayZone is the zone in which the next tasks of an array may run, and how many of them may.
 type arrayZone struct {
 	name     string // empty for all zones
 	maxTasks int
 }
 
 // admitArray claims and assigns the unclaimed tasks of an array or service that fit on the machines
-// of a shard. If none fits, it tries to preempt lower work.
+// of a shard. If none fits, it tries to preempt lower-priority work.
 func (s *Scheduler) admitArray(job *clusterstate.Job, shard *membership.Shard, buffers []capacity.Buffer) {
 	record := job.Record()
 	surplus := s.surplusUseFor(job, time.Now())
@@ -218,32 +219,33 @@
 	allow := func(g capacity.Group) bool {
 		return record.Allows(g) && (zone.name == "" || g.Zone == zone.name) && surplus.allows(g)
 	}
-	starting := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
+	startCount := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
 	if isOverdue(job, time.Now()) {
-		starting = min(starting, 1) // once one task is claimed the job is no longer overdue
+		startCount = min(startCount, 1) // once one task is claimed the job is no longer overdue
 	}
-	if starting > 0 {
-		if starting = s.withinQuota(job, shard, starting); starting == 0 {
+	if startCount > 0 {
+		if startCount = s.withinQuota(job, shard, startCount); startCount == 0 {
 			s.waitReasons[job.Ref()] = waitReason{kind: waitQuota}
 			return
 		}
 	}
-	if starting <= 0 {
+	if startCount <= 0 {
 		s.waitReasons[job.Ref()] = waitReason{kind: waitNothingFits}
 		s.claimByPreemption(job, shard, zone.name, min(zone.maxTasks, s.fittingWithPreemption(job, allow, buffers)))
 		return
 	}
-	s.claimArray(job, shard, starting, zone.name, surplus)
+	s.claimArray(job, shard, startCount, zone.name, surplus)
 }
 
-// claimArray claims starting tasks of an array and assigns them; beyond them it claims some ahead.
-func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, starting int, zone string, surplus surplusUse) {
-	ahead := 0
+// claimArray claims startCount tasks of an array and assigns them. In the same transaction it claims
+// the tasks that are expected to fit soon, see claimAhead.
+func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, startCount int, zone string, surplus surplusUse) {
+	aheadCount := 0
 	if zone == "" && !s.Faults.IsJobFaulty(job.Ref()) {
-		ahead = s.claimAhead(job, shard, starting)
+		aheadCount = s.claimAhead(job, shard, startCount)
 	}
-	s.Claims.Claim(job, shard, starting+ahead, zone, func(taskRange *clusterstate.TaskRange) bool {
-		tasks := make([]int, min(starting, taskRange.Len()))
+	s.Claims.Claim(job, shard, startCount+aheadCount, zone, func(taskRange *clusterstate.TaskRange) bool {
+		tasks := make([]int, min(startCount, taskRange.Len()))
 		for i := range tasks {
 			tasks[i] = i
 		}
@@ -251,8 +253,9 @@
 		if placed == 0 {
 			return false
 		}
-		// Claim no more than was assigned and will soon fit: the rest is left to other shards.
-		if claimed := min(placed+ahead, taskRange.Len()); claimed < taskRange.Len() {
+		// Claim only the tasks that were assigned and those that will soon fit. The rest is left
+		// to other shards.
+		if claimed := min(placed+aheadCount, taskRange.Len()); claimed < taskRange.Len() {
 			taskRange.Truncate(claimed)
 		}
 		return true
@@ -260,12 +263,12 @@
 }
 
 // zoneForArray selects the zone for the next tasks of an array that must run in one zone or is
-// spread over zones: of the zones that it may use the one with the most free capacity. The name is
-// empty if there is none. With any other choice an array might wait for a full zone beside an empty
-// one.
+// spread over zones. Of the zones that the array may use, it selects the one with the most free
+// capacity: with any other choice the array might wait for a full zone while another one is empty.
+// The result has an empty name if the array may use no zone.
 func (s *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, surplus surplusUse, buffers []capacity.Buffer) arrayZone {
 	record := job.Record()
-	best, mostFitting := arrayZone{}, -1
+	best, maxFitting := arrayZone{}, -1
 	for _, zone := range s.zones() {
 		maxTasks := record.Tasks
 		if record.Spread {
@@ -278,8 +281,8 @@
 		fitting := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
 			return record.Allows(g) && g.Zone == zone && surplus.allows(g)
 		}, buffers))
-		if fitting > mostFitting {
-			best, mostFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fitting
+		if fitting > maxFitting {
+			best, maxFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fitting
 		}
 	}
 	return best
@@ -288,22 +291,24 @@
 // maxTasksPerZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksPerZone(record *jobs.JobRecord) int { return (record.Tasks + 1) / 2 }
 
-// claimAhead returns how many tasks to claim beyond those that fit now: those for which the tasks
-// that run or start in this shard make room soon. They then start without another transaction. What
-// other shards may need of the remaining tasks is left to them.
-func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, starting int) int {
-	running := starting
+// claimAhead returns how many tasks to claim in addition to the startCount tasks that fit now. It is
+// the number of tasks for which the job's running and starting tasks in this shard are expected to
+// make room within ClaimAheadPeriod, so that they then start without another transaction. It is
+// limited to this shard's equal share of the remaining unclaimed tasks; the others are left to the
+// other shards.
+func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, startCount int) int {
+	running := startCount
 	for taskRange := range job.TaskRanges() {
 		if taskRange.Record().Shard == shard.ID() {
 			running += taskRange.CountTasks(clusterstate.TaskPlaced)
 		}
 	}
-	turns := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
-	return min(int(float64(running)*turns), max(0, job.Record().UnclaimedCount()-starting)/s.Membership.Size())
+	rounds := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
+	return min(int(float64(running)*rounds), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
 }
 
-// canStayInZone reports whether all claimed ranges of an array that must run in one zone are in a
-// zone.
+// canStayInZone reports whether an array that must run in one zone can use the given zone: none of
+// its claimed ranges is bound to another zone.
 func canStayInZone(job *clusterstate.Job, zone string) bool {
 	for taskRange := range job.TaskRanges() {
 		if claimedIn := taskRange.Record().Zone; claimedIn != "" && claimedIn != zone {
@@ -313,9 +318,9 @@
 	return true
 }
 
-// ShardForImmediateClaim returns the owned shard whose machines fit a small job at the moment at
-// which it is submitted, nil if there is none. pendingTasks is how many tasks were claimed this way
-// that are not in the cluster state yet.
+// ShardForImmediateClaim returns an owned shard whose machines have room for a small job when it is
+// submitted, or nil if there is none. pendingTasks is the number of tasks that were claimed this way
+// and are not in the cluster state yet.
 func (s *Scheduler) ShardForImmediateClaim(record *jobs.JobRecord, pendingTasks int) *membership.Shard {
 	if !s.Claims.IsSmallJob(record) || !s.Cache.MayRenewWorkerLeases(time.Now()) {
 		return nil
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -11,10 +11,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// Buffers reserve capacity that some of the jobs may not use. They are sized by observed arrivals,
-// failures and usage.
+// Buffers reserve capacity that some of the jobs may not use. Their sizes follow from observed
+// arrivals, failures and usage.
 
-// GrowthBuffers sizes the buffers for urgent work that is expected to arrive.
+// GrowthBuffers returns the buffers for urgent work that is expected to arrive.
 func (s *Scheduler) GrowthBuffers(now time.Time) []classstats.GrowthBuffer {
 	var running []classstats.RunningJob
 	for job := range s.State.Jobs() {
@@ -31,13 +31,13 @@
 }
 
 // ExpectedRunSeconds returns the expected run time of a task in seconds: the submitted estimate,
-// corrected by what tasks of its class took.
+// corrected by the actual run times of tasks of its class.
 func (s *Scheduler) ExpectedRunSeconds(record *jobs.JobRecord) float64 {
 	return s.ClassStats.ExpectedTaskSeconds(record)
 }
 
-// LendableTasks returns how many tasks of a growth buffer would fit on a machine if lower work were
-// preempted.
+// LendableTasks returns how many tasks of a growth buffer would fit on a machine if lower-priority
+// work were preempted.
 func (s *Scheduler) LendableTasks(machine *clusterstate.Machine, buffer classstats.GrowthBuffer) int {
 	if !buffer.Record.Allows(machine.Group()) {
 		return 0
@@ -45,8 +45,9 @@
 	return capacity.FitCount(s.State.FreeBelow(machine, buffer.Record.Priority()), buffer.Need)
 }
 
-// buffersFor returns the buffers that a job has to leave free. Protected capacity is lent to work
-// that its claimant can preempt, so a job sees only the buffers of those that could not preempt it.
+// buffersFor returns the buffers that a job has to leave free. Buffered capacity may be used by work
+// that the owner of the buffer can preempt, so a job has to leave free only the buffers of owners
+// that could not preempt it.
 func (s *Scheduler) buffersFor(job *clusterstate.Job) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	isHighest := job.Priority() == jobs.HighestPriority()
@@ -58,21 +59,23 @@
 		buffers = append(buffers, s.objectiveBuffers(job)...)
 	}
 	if isHighest {
-		// Lower work can be preempted when a machine fails, the highest can not.
-		buffers = append(buffers, s.healingBuffers()...)
+		// Lower-priority work can be preempted when a machine fails; work of the highest priority
+		// can not.
+		buffers = append(buffers, s.machineFailureBuffers()...)
 	}
 	return buffers
 }
 
-// guaranteeBuffers returns the buffers that protect from a team what the others have not claimed of
-// their guarantees, as tasks of the shape that each uses most, divided by the number of shards.
-func (s *Scheduler) guaranteeBuffers(except string) []capacity.Buffer {
+// guaranteeBuffers returns a buffer for the unused part of each team's guarantee, except that of one
+// team. A buffer consists of tasks of the shape of the team's largest job. The unused part is divided
+// by the number of shards.
+func (s *Scheduler) guaranteeBuffers(exceptTeam string) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	for _, team := range s.cfg.Cluster.Teams {
-		if team.Name == except || !hasGuarantee(team) {
+		if team.Name == exceptTeam || !hasGuarantee(team) {
 			continue
 		}
-		taskShape := s.largestShapeOf(team.Name)
+		taskShape := s.shapeOfLargestJob(team.Name)
 		if tasks := unusedGuarantee(team, s.teamUsage(team.Name), taskShape); tasks > 0 {
 			buffers = append(buffers, capacity.Buffer{Shape: taskShape, Tasks: tasks / float64(s.Membership.Size())})
 		}
@@ -80,8 +83,9 @@
 	return buffers
 }
 
-// largestShapeOf returns the shape of a team's job with the most tasks, one CPU if it has no job.
-func (s *Scheduler) largestShapeOf(team string) capacity.Resources {
+// shapeOfLargestJob returns the task shape of a team's runnable job with the most tasks. It returns
+// a shape of one CPU if the team has no such job.
+func (s *Scheduler) shapeOfLargestJob(team string) capacity.Resources {
 	largest, mostTasks := capacity.Resources{CPU: 1}, 0
 	for job := range s.State.Jobs() {
 		record := job.Record()
@@ -92,7 +96,7 @@
 	return largest
 }
 
-// unusedGuarantee returns how many tasks of a shape fill what a team does not use of its guarantee.
+// unusedGuarantee returns the unused part of a team's guarantee as a number of tasks of a shape.
 func unusedGuarantee(team config.Team, used, taskShape capacity.Resources) float64 {
 	tasks := 0.0
 	if taskShape.CPU > 0 {
@@ -104,8 +108,9 @@
 	return tasks
 }
 
-// serviceRestartBuffers returns the buffers for the replicas of services that fail with a machine: as
-// many as run on the machine with the most. Work that a service can preempt need not leave them free.
+// serviceRestartBuffers returns, for each service, a buffer for the replicas that fail when a machine
+// fails: the largest number of its replicas on one machine. Work that the service can preempt need
+// not leave its buffer free.
 func (s *Scheduler) serviceRestartBuffers(job *clusterstate.Job) []capacity.Buffer {
 	if s.cycle.maxReplicas == nil {
 		s.cycle.maxReplicas = s.maxReplicasPerMachine()
@@ -119,9 +124,9 @@
 	return buffers
 }
 
-// maxReplicasPerMachine returns the most replicas of each service on one machine.
+// maxReplicasPerMachine returns, for each service, the largest number of its replicas on one machine.
 func (s *Scheduler) maxReplicasPerMachine() map[*clusterstate.Job]int {
-	most := map[*clusterstate.Job]int{}
+	maxReplicas := map[*clusterstate.Job]int{}
 	for _, machine := range s.State.OwnedMachines() {
 		if s.State.ServiceReplicas(machine) == 0 {
 			continue
@@ -133,16 +138,16 @@
 			}
 		}
 		for service, n := range replicas {
-			most[service] = max(most[service], n)
+			maxReplicas[service] = max(maxReplicas[service], n)
 		}
 	}
-	return most
+	return maxReplicas
 }
 
-// healingBuffers returns the buffer for the machines that are likely to fail while a replacement
-// boots, judged by recent failures (the healing buffer of the Kerveros paper). Each counts as the
-// largest owned machine.
-func (s *Scheduler) healingBuffers() []capacity.Buffer {
+// machineFailureBuffers returns the buffer for the machines that are likely to fail while a
+// replacement boots, estimated from recent failures (the healing buffer of the Kerveros paper). Each
+// of these machines counts as the largest owned machine.
+func (s *Scheduler) machineFailureBuffers() []capacity.Buffer {
 	failures := float64(s.State.RecentMachineFailures(time.Now()))
 	machines := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
 	if machines <= 0 {
@@ -160,15 +165,16 @@
 	return []capacity.Buffer{{Shape: largest, Tasks: machines}}
 }
 
-// classLoad is what a class is expected to use, and how many CPUs its claimed tasks use now.
+// classLoad is the expected load of a class and the number of CPUs that its claimed tasks use now.
 type classLoad struct {
 	classstats.ExpectedLoad
 	usedCPU float64
 }
 
-// objectiveBuffers returns the buffers that background work has to leave free: what arrays with an
-// objective and of its priority or lower are likely to use beyond what they use now. Work of higher
-// priority preempts background work, but that of the same priority can not.
+// objectiveBuffers returns the buffers that a background job has to leave free: the CPUs that arrays
+// with an objective are likely to use in addition to those that they use now. Only arrays of the
+// job's priority or lower count: work of higher priority preempts background work, but work of the
+// same priority can not.
 func (s *Scheduler) objectiveBuffers(job *clusterstate.Job) []capacity.Buffer {
 	if s.cycle.classLoads == nil {
 		s.cycle.classLoads = s.expectedLoads(time.Now())
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -11,9 +11,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// FittingTasks returns, by zone, how many tasks fit of the shapes that wait or are expected. It is
-// sent to the peers and is what the autoscaler relies on. The result is cached for half a peer
-// heartbeat interval; the caller must not change it.
+// FittingTasks returns, by zone, how many tasks fit, for the shapes of waiting gangs and of expected
+// urgent work. The counts are sent to the peers and are used by the autoscaler. The result is cached
+// for half a peer heartbeat interval; the caller must not change it.
 func (s *Scheduler) FittingTasks(now time.Time) []peer.ShapeCapacity {
 	if now.Sub(s.fittingTasksAt) < tuning.PeerHeartbeatInterval/2 {
 		return s.fittingTasks
@@ -69,11 +69,11 @@
 	Shape     capacity.Resources `json:"shape"`
 	Zone      string             `json:"zone"`
 	Fitting   int                `json:"fit"`
-	Allocable int                `json:"allocable"` // of the fitting tasks, those beside the buffers
+	Allocable int                `json:"allocable"` // number of fitting tasks if the buffers are left free
 	Buffers   []capacity.Buffer  `json:"buffers,omitempty"`
 }
 
-// CapacityTable counts the tasks that fit for the shapes of all jobs that have not ended, by zone.
+// CapacityTable counts, by zone, the fitting tasks of the shapes of all runnable jobs.
 func (s *Scheduler) CapacityTable() []CapacityRow {
 	jobsByShape := map[capacity.Resources]*clusterstate.Job{}
 	for job := range s.State.Jobs() {
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -22,7 +22,7 @@
 	RunSeconds float64            // expected run time of a task
 	Waiting    time.Duration      // since this controller has known the job
 	Age        time.Duration      // since the job could have run
-	Background bool               // has to leave capacity to the classes with an objective
+	Background bool               // must leave capacity free for the classes with an objective
 	BestEffort bool               // only spot machines are scaled out for it
 }
 
@@ -30,16 +30,17 @@
 type Demand struct {
 	IsCurrent        bool // false if the cached state may be outdated: then nothing else is reliable
 	Settings         admin.Settings
-	Incarnation      uint64             // of this controller's process
+	Incarnation      uint64             // identifies this controller's process
 	BootSeconds      map[string]float64 // usual boot time by machine type, as recorded
 	Jobs             []PendingJob       // in the order of the queue
 	LiveMachines     map[string]capacity.Group
-	RecordedMachines map[string]bool // also those that are lost, releasing, cordoned or preempted
-	// FittingTasks is how many tasks of gangs fit if lower work is preempted, by shape and zone.
+	RecordedMachines map[string]bool // includes lost, releasing, cordoned and preempted machines
+	// FittingTasks is how many tasks of gangs fit if lower-priority work is preempted, by shape and
+	// zone.
 	FittingTasks         map[capacity.Resources]map[string]int
 	GangCPU              float64                // CPUs used by gangs and services
-	UrgentGangCPU        float64                // on machines that exist for urgent gangs, see cpuForUrgentGangs
-	Running              map[string]RunningWork // what running array tasks still need, by class
+	UrgentGangCPU        float64                // CPUs that urgent gangs leave to arrays, see cpuForUrgentGangs
+	Running              map[string]RunningWork // remaining work of running array tasks, by class
 	BackgroundReserveCPU float64                // CPUs that background work has to leave free, see objectiveBuffers
 }
 
@@ -47,7 +48,7 @@
 type RunningWork struct {
 	CPU              float64
 	RemainingSeconds float64
-	Background       bool // uses its CPUs, but need not be finished
+	Background       bool // has no objective, so it need not be finished within a horizon
 }
 
 // Add returns the work with more work of the class added: cpu CPUs for remainingSeconds seconds.
@@ -60,9 +61,9 @@
 	return r
 }
 
-// CPUSecondsWithin returns how many CPU seconds of the work count against the next horizon seconds.
-// Work with an objective counts in full, also what will not be finished by then: machines that are
-// scaled out for it are of use to what follows.
+// CPUSecondsWithin returns how many CPU seconds of the work count as demand within the next horizon
+// seconds. Work with an objective counts in full, including the part that will not be finished by
+// then: the machines that are scaled out for it are also useful for later work.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
 	if r.Background {
 		return r.CPU * min(r.RemainingSeconds, horizon)
@@ -70,7 +71,7 @@
 	return r.CPU * r.RemainingSeconds
 }
 
-// Demand returns the current demand. incarnation is that of this controller's process.
+// Demand returns the current demand. incarnation identifies this controller's process.
 func (s *Scheduler) Demand(now time.Time, incarnation uint64) Demand {
 	settings, _ := s.Cache.Settings()
 	demand := Demand{
@@ -131,8 +132,8 @@
 	}
 }
 
-// addPendingJobs adds the jobs that have waited for ScaleOutDelay, as far as their teams' quotas
-// allow.
+// addPendingJobs adds the jobs that have waited for ScaleOutDelay, with the tasks that their teams'
+// quotas allow.
 func (s *Scheduler) addPendingJobs(demand *Demand, now time.Time) {
 	queue := s.jobsToScaleOutFor(now)
 	s.sortQueue(queue, now)
@@ -144,7 +145,7 @@
 		}
 		record := *job.Record()
 		if deadlineMS := job.Deadlines().DueMS; deadlineMS != jobdag.NoDeadline {
-			// This includes the deadlines of jobs that depend on it.
+			// The due time includes the deadlines of jobs that depend on this job.
 			deadlineSeconds := float64(deadlineMS-job.RunnableSinceMS()) / 1000
 			record.DeadlineSeconds = &deadlineSeconds
 		}
@@ -174,40 +175,41 @@
 	return queue
 }
 
-// cpuForUrgentGangs returns the number of CPUs, beyond those that gangs use, of machines that exist
-// for urgent gangs anyway: what is left over beside their tasks, and what is kept for those that
-// are likely to arrive. Arrays may rely on it. They may not rely on other on-demand machines, which
-// are to be scaled in and would be kept by an array that uses them.
+// cpuForUrgentGangs returns the number of CPUs that gangs do not use on the machines that exist for
+// urgent gangs: the CPUs that remain beside the tasks of gangs, and those that are kept free for
+// gangs that are likely to arrive. Arrays may count on these CPUs. They may not count on other
+// on-demand machines: these are to be scaled in, and an array that uses them would keep them.
 func (s *Scheduler) cpuForUrgentGangs(gangCPU float64, now time.Time) float64 {
 	sum := 0.0
 	for _, buffer := range s.GrowthBuffers(now) {
 		if buffer.Need.CPU <= 0 {
 			continue
 		}
-		overhead := s.leastOverhead(buffer)
+		overhead := s.minCPUOverhead(buffer)
 		if math.IsInf(overhead, 1) {
 			continue
 		}
 		sum += buffer.Tasks*buffer.Need.CPU*overhead + gangCPU*(overhead-1)
-		gangCPU = 0 // counted once
+		gangCPU = 0 // it is counted only once
 	}
 	return sum
 }
 
-// leastOverhead returns the ratio of a machine's CPUs to those of the tasks of a buffer that fit on
-// it, for the machine type that they fit best; infinite if no type that they allow is large enough.
-func (s *Scheduler) leastOverhead(buffer classstats.GrowthBuffer) float64 {
-	least := math.Inf(1)
+// minCPUOverhead returns the ratio of a machine's CPUs to the CPUs of the buffered tasks that fit on
+// it, for the machine type with the lowest ratio. It is infinite if no machine type that the tasks
+// allow is large enough.
+func (s *Scheduler) minCPUOverhead(buffer classstats.GrowthBuffer) float64 {
+	minOverhead := math.Inf(1)
 	for name, machineType := range s.MachineTypes.All() {
 		if !allowsType(buffer.Record, name) {
 			continue
 		}
 		total := machineType.Total()
 		if tasks := capacity.FitCount(total, buffer.Need); tasks > 0 {
-			least = min(least, total.CPU/(float64(tasks)*buffer.Need.CPU))
+			minOverhead = min(minOverhead, total.CPU/(float64(tasks)*buffer.Need.CPU))
 		}
 	}
-	return least
+	return minOverhead
 }
 
 // allowsType reports whether the tasks of a job may run on a machine type.
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/clusterstate"
 )
 
-// Parts of a scheduling cycle, for tests of a single part.
+// Exported steps of a scheduling cycle, for tests of a single step.
 
 func (s *Scheduler) SortQueue(queue []*clusterstate.Job) { s.sortQueue(queue, time.Now()) }
 
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,9 +12,9 @@
 
 // Gang scheduling: all tasks of a gang are claimed and assigned, or none.
 
-// shape is everything in a gang on which the number of its fitting tasks depends. Many waiting gangs
-// have the same shape.
-type shape struct {
+// gangShape is the set of properties of a gang that determine how many of its tasks fit. Many waiting
+// gangs have the same shape.
+type gangShape struct {
 	need         capacity.Resources
 	priority     jobs.Priority
 	team         string
@@ -24,9 +24,9 @@
 	isFaulty     bool // a faulty job preempts nothing, see canPreempt
 }
 
-func (s *Scheduler) shapeOf(job *clusterstate.Job) shape {
+func (s *Scheduler) gangShapeOf(job *clusterstate.Job) gangShape {
 	record := job.Record()
-	jobShape := shape{
+	jobShape := gangShape{
 		need:         job.Need(),
 		priority:     s.preemptionPriority(job),
 		team:         record.Team,
@@ -43,18 +43,18 @@
 	return jobShape
 }
 
-// gangFit is how many tasks of a shape fit.
+// gangFit is the number of fitting tasks of a gang shape.
 type gangFit struct {
-	version         uint64 // of the capacity counts
+	version         uint64 // version of the capacity counts that were used
 	tasks           int    // see fittingWithPreemption
-	tasksInBestZone int    // the most in one zone if lower work is preempted
+	tasksInBestZone int    // largest number in one zone if lower-priority work is preempted
 }
 
 // gangFitFor counts the fitting tasks of a gang. The result is cached for all waiting gangs of the
 // same shape until a capacity count changes: a hundred waiting gangs cost little more than one.
 func (s *Scheduler) gangFitFor(job *clusterstate.Job) gangFit {
 	version := s.State.FreeCapacity().Version()
-	key := s.shapeOf(job)
+	key := s.gangShapeOf(job)
 	if cached, known := s.cycle.gangFits[key]; known && cached.version == version {
 		return cached
 	}
@@ -66,7 +66,7 @@
 		fit.tasksInBestZone = max(fit.tasksInBestZone, s.tasksFittingInZone(job, zone))
 	}
 	if s.cycle.gangFits == nil {
-		s.cycle.gangFits = map[shape]gangFit{}
+		s.cycle.gangFits = map[gangShape]gangFit{}
 	}
 	s.cycle.gangFits[key] = fit
 	return fit
@@ -92,9 +92,9 @@
 	})
 }
 
-// placeGang assigns all tasks of a claimed gang to machines on which they fit or lower work can be
-// preempted. It returns false, and assigns none, if there are not enough or the team's quota does
-// not allow it.
+// placeGang assigns all tasks of a claimed gang to machines on which they fit or lower-priority work
+// can be preempted. If there are not enough machines, or the team's quota does not allow the gang, it
+// assigns no task and returns false.
 func (s *Scheduler) placeGang(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) bool {
 	if s.Claims.TasksWithinQuota(job, shard) < taskRange.Len() {
 		s.Claims.RequestQuota(job, shard, taskRange.Len(), true)
@@ -113,7 +113,8 @@
 	return true
 }
 
-// bestGangPlan returns the plan of the least cost in all zones in which a gang may run.
+// bestGangPlan returns the plan with the lowest cost among the zones in which a gang may run. found
+// is false if there is no plan.
 func (s *Scheduler) bestGangPlan(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) (best placementPlan, found bool) {
 	zones := s.zonesFitting(job, taskRange.Len())
 	if !job.Record().OneZone && job.Record().Zone == nil {
@@ -131,8 +132,9 @@
 	return best, found
 }
 
-// zonesFitting returns the zones in which a number of a job's tasks fit by the capacity counts if
-// lower work is preempted. Planning is worth its cost only there.
+// zonesFitting returns the zones in which, by the capacity counts, the given number of a job's tasks
+// fit if lower-priority work is preempted. Only for these zones a plan is worth the time to compute
+// it.
 func (s *Scheduler) zonesFitting(job *clusterstate.Job, tasks int) []string {
 	var fitting []string
 	for _, zone := range s.zones() {
@@ -143,7 +145,8 @@
 	return fitting
 }
 
-// tasksFittingInZone returns how many of a job's tasks fit in a zone if lower work is preempted.
+// tasksFittingInZone returns how many of a job's tasks fit in a zone if lower-priority work is
+// preempted.
 func (s *Scheduler) tasksFittingInZone(job *clusterstate.Job, zone string) int {
 	allow := func(g capacity.Group) bool { return g.Zone == zone && job.Record().Allows(g) }
 	return s.State.FreeCapacity().Count(job.Need(), allow) + s.preemptibleTasks(job, allow)
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -9,12 +9,14 @@
 	"cherrywall/internal/jobs"
 )
 
-// Capacity that teams are guaranteed. Their upper limits are enforced by claims.TasksWithinQuota.
+// Guaranteed capacity of teams. Their quotas, which are upper limits, are enforced by
+// claims.Writer.TasksWithinQuota.
 
-// guaranteeTolerance is by how much a sum of CPUs or GPUs may exceed a limit because of rounding.
+// guaranteeTolerance is the number of CPUs or GPUs by which a sum may exceed a guarantee because of
+// rounding.
 const guaranteeTolerance = 1e-6
 
-// teamUsage returns what a team's claimed and unfinished tasks use in all shards.
+// teamUsage returns the CPUs and GPUs that a team's claimed and unfinished tasks use in all shards.
 func (s *Scheduler) teamUsage(team string) capacity.Resources {
 	var used capacity.Resources
 	for job := range s.State.Jobs() {
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -9,10 +9,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// No job may starve. In an overload the order by deadlines serves most jobs, but a large gang loses
-// the capacity that it needs to smaller ones each time, and an array without an objective comes
-// after all that have one. An overdue job therefore goes first, and for an overdue gang capacity is
-// reserved.
+// Prevention of starvation. In an overload, ordering by deadlines serves most jobs, but a large gang
+// repeatedly loses the capacity that it needs to smaller jobs, and an array without an objective
+// comes after all arrays that have one. Therefore an overdue job goes first in the queue, and
+// capacity is reserved for an overdue gang.
 
 // isOverdue reports whether no task of a job is claimed although the job could have run for longer
 // than JobOverdueAfter. Services are never overdue.
@@ -42,9 +42,9 @@
 	return (r.shard == "" || record.Shard == r.shard) && (r.zone == "" || record.Zone == r.zone)
 }
 
-// CapacityByShard returns how many tasks of a job the recorded machines would fit if they were
-// empty, by shard and zone. It depends on stored records only, so that all controllers count the
-// same.
+// CapacityByShard returns, by shard and zone, how many tasks of a job would fit on the recorded
+// machines if the machines were empty. It depends only on stored records, so that all controllers
+// get the same counts.
 func (s *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
 	fitting := map[string]map[string]int{}
 	for shardGroup, machines := range s.State.MachineCounts() {
@@ -78,10 +78,10 @@
 	}
 }
 
-// mayReserve reports whether capacity may be reserved for an overdue job now: only for a gang that is
-// not faulty. A gang that waits for its team's quota gets none, since the machines would stand empty
-// for as long as it waits. A reservation lasts for GangReservationPeriod and then pauses for as long,
-// so that other jobs make progress if it does not help.
+// mayReserve reports whether capacity may be reserved for an overdue job now. Only gangs that are not
+// faulty get a reservation. A gang that waits for its team's quota gets none, because the machines
+// would stay empty while it waits. A reservation lasts for GangReservationPeriod and then pauses for
+// the same time, so that other jobs make progress if the reservation does not help.
 func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
 	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
 		return false
@@ -93,34 +93,35 @@
 	return overdueFor%(2*tuning.GangReservationPeriod) <= tuning.GangReservationPeriod
 }
 
-// reservationPlace is where a gang's capacity may be reserved: a shard and, if it must run in one
-// zone, a zone.
-type reservationPlace struct{ shard, zone string }
+// reservationScope is where capacity may be reserved for a gang: a shard and, if the gang must run
+// in one zone, a zone.
+type reservationScope struct{ shard, zone string }
 
-// before orders places by name.
-func (p reservationPlace) before(other reservationPlace) bool {
-	return p.shard < other.shard || p.shard == other.shard && p.zone < other.zone
+// before reports whether a scope sorts before another one by the names of shard and zone.
+func (s reservationScope) before(other reservationScope) bool {
+	return s.shard < other.shard || s.shard == other.shard && s.zone < other.zone
 }
 
-// reservationFor selects the shard and zone whose machines hold the most of a gang, so that all
-// controllers select the same. ok is false if the recorded machines can not hold the gang.
+// reservationFor selects the shard and zone on whose machines the most tasks of a gang fit. Ties are
+// broken by name, so that all controllers select the same. ok is false if the gang does not fit on
+// the recorded machines.
 func (s *Scheduler) reservationFor(job *clusterstate.Job) (reserved reservation, ok bool) {
-	fitting := map[reservationPlace]int{}
+	fitting := map[reservationScope]int{}
 	fittingInZone := map[string]int{}
-	for shard, perZone := range s.CapacityByShard(job) {
-		for zone, tasks := range perZone {
-			place := reservationPlace{shard: shard}
+	for shard, byZone := range s.CapacityByShard(job) {
+		for zone, tasks := range byZone {
+			scope := reservationScope{shard: shard}
 			if job.Record().OneZone {
-				place.zone = zone
+				scope.zone = zone
 			}
-			fitting[place] += tasks
-			fittingInZone[place.zone] += tasks
+			fitting[scope] += tasks
+			fittingInZone[scope.zone] += tasks
 		}
 	}
-	best := reservationPlace{}
-	for place, tasks := range fitting {
-		if tasks > fitting[best] || tasks == fitting[best] && place.before(best) {
-			best = place
+	best := reservationScope{}
+	for scope, tasks := range fitting {
+		if tasks > fitting[best] || tasks == fitting[best] && scope.before(best) {
+			best = scope
 		}
 	}
 	if fittingInZone[best.zone] < job.Record().Tasks {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -12,9 +12,9 @@
 	"cherrywall/internal/membership"
 )
 
-// canPreempt reports whether a job may preempt an assigned task: if the task's job has a lower
-// priority, or if the preempting team stays within its guarantee and the other team exceeds its own.
-// A faulty job preempts nothing.
+// canPreempt reports whether a job may preempt an assigned task. It may if the task's job has a lower
+// priority, or if the preempting team stays within its guarantee and the other team exceeds its own
+// guarantee. A faulty job preempts nothing.
 func (s *Scheduler) canPreempt(job *clusterstate.Job, assignment *clusterstate.Assignment) bool {
 	victim := assignment.Job()
 	if victim == nil || assignment.IsLeaving() || s.Faults.IsJobFaulty(job.Ref()) {
@@ -26,9 +26,9 @@
 	return victim.Record().Team != job.Record().Team && s.isWithinGuarantee(job) && s.exceedsGuarantee(victim)
 }
 
-// preemptionPriority returns the priority with which a job preempts others. The priority that it
+// preemptionPriority returns the priority with which a job preempts others. A priority that the job
 // inherits from jobs that depend on it counts only when one of their objectives is at risk: until
-// then the job goes first in the queue, but preempts nothing.
+// then the inherited priority moves the job forward in the queue, but does not let it preempt others.
 func (s *Scheduler) preemptionPriority(job *clusterstate.Job) jobs.Priority {
 	priority := job.Record().Priority()
 	if job.Priority() == priority {
@@ -47,7 +47,8 @@
 	return priority
 }
 
-// preemptionLoss returns the work (CPU seconds) that preempting a task of an owned shard discards.
+// preemptionLoss returns the work, in CPU seconds, that is lost if a task of an owned shard is
+// preempted.
 func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
 	record := assignment.Job().Record()
 	ranSeconds := 0.0
@@ -56,7 +57,8 @@
 	}
 	hasCheckpoints := record.CheckpointIntervalSeconds > 0
 	if record.Kind == jobs.Gang {
-		// The whole gang stops. One with checkpoints saves one, and loses only that time.
+		// The whole gang stops. A gang with checkpoints saves a checkpoint first, and loses only
+		// the time until it is saved.
 		if hasCheckpoints {
 			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 		}
@@ -68,7 +70,8 @@
 	return ranSeconds * assignment.Need().CPU
 }
 
-// freeWithPreemption returns the capacity of a machine that is free or that a job may preempt.
+// freeWithPreemption returns the capacity of a machine that is free or is used by tasks that a job
+// may preempt.
 func (s *Scheduler) freeWithPreemption(job *clusterstate.Job, machine *clusterstate.Machine) capacity.Resources {
 	free := s.State.Free(machine)
 	for assignment := range machine.Assignments() {
@@ -79,8 +82,8 @@
 	return free
 }
 
-// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if lower
-// work were preempted.
+// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if
+// lower-priority work were preempted.
 func (s *Scheduler) preemptibleTasks(job *clusterstate.Job, allow func(capacity.Group) bool) int {
 	if s.Faults.IsJobFaulty(job.Ref()) {
 		return 0
@@ -89,7 +92,8 @@
 		below := s.State.FreeCapacityBelow(s.preemptionPriority(job)).Count(job.Need(), allow)
 		return below - s.State.FreeCapacity().Count(job.Need(), allow)
 	}
-	// With guarantees it depends on what each team uses at this moment.
+	// With guarantees, the tasks that may be preempted depend on each team's current usage, so the
+	// machines are checked one by one.
 	tasks := 0
 	for _, machine := range s.State.OwnedMachines() {
 		if !s.State.IsUsable(machine) || !allow(machine.Group()) {
@@ -101,9 +105,9 @@
 	return tasks
 }
 
-// fittingWithPreemption returns how many tasks of a job fit if lower work is preempted. The buffers
-// are subtracted also from preemptible capacity: it may be lent to lower work, but is protected
-// from the job.
+// fittingWithPreemption returns how many tasks of a job fit if lower-priority work is preempted. The
+// buffers are also subtracted from preemptible capacity: lower-priority work may use buffered
+// capacity, but the job may not.
 func (s *Scheduler) fittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
 	free := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
 	preemptible := s.preemptibleTasks(job, allow)
@@ -117,7 +121,7 @@
 	return max(free, all)
 }
 
-// taskPlacement is the machine for one task, and the tasks that have to leave it.
+// taskPlacement is the machine for one task, and the tasks that are to be preempted there.
 type taskPlacement struct {
 	machine *clusterstate.Machine
 	victims []*clusterstate.Assignment
@@ -129,8 +133,8 @@
 	cost       float64 // CPU seconds, see binpacking.Plan
 }
 
-// planWithPreemption finds machines of a shard for a number of a job's tasks at the least loss of
-// work. An empty zone stands for all zones. ok is false if there are not enough.
+// planWithPreemption finds machines of a shard for a number of a job's tasks so that the least work
+// is lost. An empty zone stands for all zones. ok is false if there are not enough machines.
 func (s *Scheduler) planWithPreemption(job *clusterstate.Job, shard, zone string, tasks int) (plan placementPlan, ok bool) {
 	var machines []*clusterstate.Machine
 	var bins []binpacking.Machine
@@ -156,8 +160,8 @@
 	return plan, ok
 }
 
-// binpackingMachine describes a machine to the planner. fits is false if not even one task of the
-// job would fit after all preemptible tasks were preempted.
+// binpackingMachine converts a machine to the planner's input. fits is false if not even one task of
+// the job would fit after all preemptible tasks were preempted.
 func (s *Scheduler) binpackingMachine(job *clusterstate.Job, machine *clusterstate.Machine) (bin binpacking.Machine, fits bool) {
 	bin = binpacking.Machine{Zone: machine.Record().Zone, Free: s.State.Free(machine)}
 	if !machine.HasImage(job.Record().Image) {
@@ -180,8 +184,8 @@
 	return bin, free.Covers(job.Need())
 }
 
-// applyPlacement preempts the victims of a planned placement and assigns the task with number i
-// within a range.
+// applyPlacement preempts the victims of a planned placement and assigns task number i of a range to
+// the planned machine.
 func (s *Scheduler) applyPlacement(taskRange *clusterstate.TaskRange, i int, placement taskPlacement, attempt uint64) {
 	for _, victim := range placement.victims {
 		s.State.PreemptFor(taskRange, victim)
@@ -189,8 +193,8 @@
 	s.State.Place(taskRange, i, placement.machine, attempt)
 }
 
-// claimByPreemption claims up to maxTasks tasks of a job that fit if lower work is preempted. If no
-// plan is found for all of them it tries half as many.
+// claimByPreemption claims up to maxTasks tasks of a job that fit if lower-priority work is
+// preempted. If no plan is found for a number of tasks, it tries half as many.
 func (s *Scheduler) claimByPreemption(job *clusterstate.Job, shard *membership.Shard, zone string, maxTasks int) {
 	tasks := min(maxTasks, s.preemptibleTasks(job, func(g capacity.Group) bool {
 		return job.Record().Allows(g) && (zone == "" || g.Zone == zone)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,7 +11,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// queueEntry is a waiting job with what its place in the queue depends on.
+// queueEntry is a waiting job with the values that determine its position in the queue.
 type queueEntry struct {
 	job          *clusterstate.Job
 	isOverdue    bool
@@ -22,8 +22,8 @@
 }
 
 // sortQueue orders waiting jobs: overdue ones first, then by priority, and within a priority by
-// when they have to start (see deadline.StartByMS). The order decides who is considered first; a
-// later job may still pass one that does not fit.
+// when they have to start (see deadline.StartByMS). The jobs are considered in this order; a later
+// job may still start before an earlier one that does not fit.
 func (s *Scheduler) sortQueue(queue []*clusterstate.Job, now time.Time) {
 	entries := make([]queueEntry, len(queue))
 	teamCPU := map[string]float64{}
@@ -50,7 +50,8 @@
 	}
 }
 
-// compareEntries orders queue entries; jobs that are equal in all else are ordered by reference.
+// compareEntries orders queue entries. Jobs that are equal in all other respects are ordered by
+// reference.
 func compareEntries(x, y queueEntry) int {
 	if x.isOverdue != y.isOverdue {
 		return trueFirst(x.isOverdue)
@@ -65,8 +66,8 @@
 		return trueFirst(y.isBackground)
 	}
 	if x.teamCPU != y.teamCPU {
-		// The teams share the capacity that is left for background work: one that submits a
-		// great many jobs does not starve the others.
+		// The teams share the capacity that is left for background work, so that a team that
+		// submits a great many jobs does not starve the others.
 		return cmp.Compare(x.teamCPU, y.teamCPU)
 	}
 	if x.startByMS != y.startByMS {
@@ -83,7 +84,7 @@
 	return 1
 }
 
-// deadlineJob returns what the deadline of a job is computed from.
+// deadlineJob returns the values from which the deadline of a job is computed.
 func (s *Scheduler) deadlineJob(job *clusterstate.Job) deadline.Job {
 	return deadline.Job{
 		Record:            job.Record(),
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -7,20 +7,22 @@
 )
 
 // QuotaAllowance distributes the unused part of the teams' quotas among their waiting jobs, so that
-// machines are scaled out only for tasks within it. Machines for tasks beyond it would stay empty:
-// those of a team whose limit was half of its load cost 26 times the price of its useful work.
+// machines are scaled out only for tasks that the quotas allow. Machines for other tasks would stay
+// empty: for a team whose limit was half of its load, they cost 26 times the price of its useful
+// work.
 type QuotaAllowance struct {
 	scheduler *Scheduler
 	remaining map[string]quota.Amount // by team
 }
 
-// NewQuotaAllowance returns an allowance of which nothing was taken.
+// NewQuotaAllowance returns an allowance from which nothing was taken yet.
 func (s *Scheduler) NewQuotaAllowance() *QuotaAllowance {
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
 
-// Take returns how many of a job's unclaimed tasks its team's quota allows beside the tasks that are
-// claimed or were taken before, and takes them. Of a gang it is all or none.
+// Take subtracts as many of a job's unclaimed tasks as fit from its team's remaining quota, and
+// returns their number. For a gang it is all tasks or none. Tasks that are claimed or were taken
+// before do not count as remaining quota.
 func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
 	record := job.Record()
 	tasks := record.UnclaimedCount()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduler decides which waiting jobs start and where. A scheduling cycle orders all
 // waiting jobs, compares what they need with the free capacity less the buffers that are
 // protected from them, claims the tasks that fit and assigns them to machines, if necessary by
-// preempting lower work. It also reports to the autoscaler which jobs wait for machines.
+// preempting lower-priority work. It also reports to the autoscaler which jobs wait for machines.
 package scheduler
 
 import (
@@ -24,7 +24,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Dependencies are the components that the scheduler reads, and writes its claims through.
+// Dependencies are the components from which the scheduler reads, and through which it writes its
+// claims.
 type Dependencies struct {
 	State        *clusterstate.State
 	Membership   *membership.Table
@@ -44,18 +45,18 @@
 
 	cycle          cycle
 	waitReasons    map[string]waitReason // by job reference
-	attempts       map[string]uint64     // attempt numbers given out, by shard
+	attempts       map[string]uint64     // number of attempts so far, by shard; see nextAttempt
 	nextCycleAt    time.Time             // when a requested cycle is due, zero for none; see requestCycle
-	fittingTasks   []peer.ShapeCapacity  // the last result of FittingTasks
-	fittingTasksAt time.Time             // when it was counted
+	fittingTasks   []peer.ShapeCapacity  // last result of FittingTasks
+	fittingTasksAt time.Time             // when fittingTasks was computed
 }
 
-// cycle caches what one scheduling cycle needs more than once. A nil field has not been
+// cycle caches values that one scheduling cycle needs more than once. A nil field has not been
 // computed yet.
 type cycle struct {
-	maxReplicas          map[*clusterstate.Job]int // the most replicas of a service on one machine
+	maxReplicas          map[*clusterstate.Job]int // largest number of replicas of a service on one machine
 	zones                []string
-	gangFits             map[shape]gangFit
+	gangFits             map[gangShape]gangFit
 	classLoads           map[string]classLoad                // by class, see objectiveBuffers
 	preemptionPriorities map[*clusterstate.Job]jobs.Priority // see preemptionPriority
 	reserved             reservation
@@ -132,7 +133,7 @@
 	}
 	isGang := job.Record().Kind == jobs.Gang
 	var buffers []capacity.Buffer
-	if !isGang { // gangFitFor computes those of gangs, once for each shape
+	if !isGang { // the buffers of gangs are computed by gangFitFor, once for each shape
 		buffers = s.buffersFor(job)
 	}
 	for _, shard := range s.Membership.LocalShards() {
@@ -148,9 +149,9 @@
 }
 
 // waitsForTurn reports whether another controller should claim a new job before this one does.
-// Controllers claim in turn, ClaimStaggerDelay apart, so that they do not all write the same
-// record: for a gang by where it fits best, for other jobs the controller that accepted it first.
-// A later one follows in case an earlier one fails.
+// Controllers claim a job in turn, ClaimStaggerDelay apart, so that they do not all write the same
+// record. For a gang, the first is the controller on whose machines it fits best; for other jobs, it
+// is the controller that accepted the job. The later ones take over if the earlier ones fail.
 func (s *Scheduler) waitsForTurn(job *clusterstate.Job) bool {
 	now := time.Now()
 	knownFor := now.Sub(job.KnownSince())
@@ -184,8 +185,8 @@
 	})
 }
 
-// nextAttempt returns a new attempt number for a task of a shard. The shard's epoch is its upper
-// part, so it is greater than all numbers that earlier owners of the shard gave out.
+// nextAttempt returns a new attempt number for a task of a shard. The upper bits of the number are
+// the shard's epoch, so it is greater than all numbers that earlier owners of the shard assigned.
 func (s *Scheduler) nextAttempt(shard *membership.Shard) uint64 {
 	s.attempts[shard.ID()]++
 	return shard.Epoch()<<tuning.AttemptBits | (s.attempts[shard.ID()] & (1<<tuning.AttemptBits - 1))
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -28,41 +28,41 @@
 			h.State.EndHeartbeat(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
 		}
 		due := 60.0
-		own := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &due}
+		objectiveSpec := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &due}
 		for i := range 4 {
-			own.Ref = fmt.Sprintf("wk-%d", i)
+			objectiveSpec.Ref = fmt.Sprintf("wk-%d", i)
 			at := time.Now().Add(-time.Duration(40-10*i) * time.Second)
-			h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: own, AcceptedAtMS: at.UnixMilli()}, at.UnixMilli(), time.Now())
+			h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: objectiveSpec, AcceptedAtMS: at.UnixMilli()}, at.UnixMilli(), time.Now())
 		}
 		spec := jobs.Spec{Ref: "wk-9", Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 200, CPU: 1, EstimatedRunSeconds: 300, Spot: true}
-		guest := h.AddJob(spec, 200, 5)
-		if !guest.IsBackground() || !guest.IsBestEffort() {
-			t.Fatalf("the guest's work: background %v, best effort %v", guest.IsBackground(), guest.IsBestEffort())
+		background := h.AddJob(spec, 200, 5)
+		if !background.IsBackground() || !background.IsBestEffort() {
+			t.Fatalf("job without objective: background %v, best effort %v", background.IsBackground(), background.IsBestEffort())
 		}
-		if n := h.Scheduler.AllocableTasks(guest); n < 20 || n > 130 {
+		if n := h.Scheduler.AllocableTasks(background); n < 20 || n > 130 {
 			t.Errorf("%d of 160 CPUs are allocable to background work", n)
 		}
-		// Then no more work with an objective arrives.
+		// From here on no more work with an objective arrives.
 		time.Sleep(5 * time.Minute)
 		h.Scheduler.StartCycle()
-		if n := h.Scheduler.AllocableTasks(guest); n != 160 {
+		if n := h.Scheduler.AllocableTasks(background); n != 160 {
 			t.Errorf("%d of 160 CPUs are allocable while no other work arrives", n)
 		}
-		// After a while it is no longer best effort.
+		// After another minute of waiting, the background job is no longer best effort.
 		time.Sleep(time.Minute)
 		h.Scheduler.Recount(time.Now())
-		if guest.IsBestEffort() {
-			t.Error("background work stays best effort, and without a machine, however long it waits")
+		if background.IsBestEffort() {
+			t.Error("background work is still best effort after a long wait, so it would never get a machine")
 		}
 	})
 }
 
 func TestBackgroundWorkIsOrderedByTeamUsage(t *testing.T) {
 	h := harness.New(t, withObjective)
-	waiting := func(ref, team string) *clusterstate.Job {
+	addWaitingJob := func(ref, team string) *clusterstate.Job {
 		return h.AddJob(jobs.Spec{Ref: ref, Team: team, Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 50, CPU: 1, EstimatedRunSeconds: 300, Spot: true}, 30, 5)
 	}
-	busyTeam, idleTeam := waiting("wk-1", "loud"), waiting("wk-2", "quiet")
+	busyTeam, idleTeam := addWaitingJob("wk-1", "loud"), addWaitingJob("wk-2", "quiet")
 	h.AddTaskRange("wk-1", "n1", 20, 6)
 	queue := []*clusterstate.Job{busyTeam, idleTeam}
 	h.Scheduler.SortQueue(queue)
@@ -109,7 +109,7 @@
 }
 
 // When a machine was lost while a gang waited for its victims there, the gang's other tasks kept
-// their assignments for ever and it never started (sinai-huts-booking-fleet, zone, six seeds of
+// their assignments forever and the gang never started (sinai-huts-booking-fleet, zone, six seeds of
 // six).
 func TestGangIsReplannedAfterMachineLoss(t *testing.T) {
 	h := harness.New(t, nil)
@@ -135,11 +135,11 @@
 		t.Errorf("%d of 4 tasks placed, %d on the lost machine", n, lost.AssignmentCount())
 	}
 	if reason := h.Scheduler.WaitReason(job); reason != "" {
-		t.Errorf("a job that does not wait has the reason %q", reason)
+		t.Errorf("a job that does not wait has the wait reason %q", reason)
 	}
 }
 
-// A job that does not fit waits, and the reason says how many of its tasks fit.
+// A gang that does not fit waits, and its wait reason says how many of its tasks fit.
 func TestWaitReasonOfGangWithoutCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -14,16 +14,16 @@
 	waitFaultyJob
 	waitQuota
 	waitNoZone
-	waitNothingFits  // of an array
+	waitNothingFits  // no task of an array fits
 	waitGangCapacity // fewer tasks of a gang fit than it has
 	waitGangZone     // the gang fits, but no single zone has capacity for all of it
 )
 
-// waitReason is why a job waits. Its text is made only when it is asked for, see describe: cycles
-// set reasons for many jobs.
+// waitReason is the reason for which a job waits. Its text is built only on request, by describe,
+// since cycles set the reasons of many jobs.
 type waitReason struct {
 	kind         waitKind
-	fittingTasks int // of a gang, when it was last considered
+	fittingTasks int // number of a gang's tasks that fitted when it was last considered
 }
 
 // describe returns the reason in words, empty if it is not known.
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// WaitReason describes why a job waits, for operators; empty if that is not known.
+// WaitReason describes to operators why a job waits. It is empty if the reason is not known.
 func (s *Scheduler) WaitReason(job *clusterstate.Job) string {
 	reason := s.waitReasons[job.Ref()]
 	if s.Faults.IsJobFaulty(job.Ref()) {
