--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -17,27 +17,27 @@
 	"cherrywall/internal/tuning"
 )
 
-// A team with a quota may use in a shard what is allocated to the shard. An allocation is
-// acquired when tasks have room on the shard's machines and lack only quota, and released when it is
-// unused.
+// Quota allocations. A team with a quota may use in a shard only what is allocated to the shard. An
+// allocation is acquired when tasks fit on the shard's machines and lack only quota, and is released
+// when it is unused.
 
-// teamShard is the key of what concerns a team in a shard.
+// teamShard is the key of values that are kept per team and shard.
 type teamShard struct{ team, shard string }
 
-// shortfall is the quota that a shard was short of when it was last asked for.
+// shortfall is the quota that a shard lacked when it was last requested.
 type shortfall struct {
 	amount       quota.Amount
-	allOrNothing bool // nothing less is of use
+	allOrNothing bool // a smaller amount is of no use
 	recordedAt   time.Time
 }
 
-// allocationState is what a Writer keeps for the allocations of all teams.
+// allocationState is the state that a Writer keeps for the allocations of all teams.
 type allocationState struct {
-	writesPending map[string]bool // by team: a write of its record is in flight
+	writesPending map[string]bool // by team, true while a write of the team's record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time // since when a part of an allocation has been unused
-	usage         map[teamShard]teamUsage // see usageOf; valid at usageVersion
-	usageVersion  uint64                  // the change count of the cluster state
+	idleSince     map[teamShard]time.Time // when a part of an allocation was first seen unused
+	usage         map[teamShard]teamUsage // cache of usageOf; valid at usageVersion
+	usageVersion  uint64                  // a change count of the cluster state
 }
 
 func newAllocationState() allocationState {
@@ -51,7 +51,8 @@
 
 func allocationKey(team string) string { return jobs.QuotaPrefix + hex.EncodeToString([]byte(team)) }
 
-// TasksWithinQuota returns how many more of a job's tasks its team's quota allows in a shard.
+// TasksWithinQuota returns how many more of a job's tasks its team's quota allows in a shard. It
+// returns math.MaxInt32 for a team without a limit, and 0 if the team's usage is not known.
 func (w *Writer) TasksWithinQuota(job *clusterstate.Job, shard *membership.Shard) int {
 	team, _ := w.cfg.Team(job.Record().Team)
 	if !quota.IsLimited(team) {
@@ -64,14 +65,15 @@
 	return quota.TasksThatFit(unused, quota.UsageOf(team, job.Need(), 1))
 }
 
-// RequestQuota acquires the quota that a shard lacks to run that many more of a job's tasks, for
-// which its machines have room. With allOrNothing it acquires all of it or nothing. It does not wait
-// for the write: a later scheduling cycle finds the quota if it was acquired.
+// RequestQuota acquires the quota that a shard lacks to run the given number of further tasks of a
+// job, which must fit on the shard's machines. With allOrNothing it acquires either all of the quota
+// or none. It does not wait for the write: a later scheduling cycle finds the quota if it was
+// acquired.
 func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, allOrNothing bool) {
 	team, _ := w.cfg.Team(job.Record().Team)
 	unused, ok := w.unusedAllocation(team, shard)
 	if !ok || tasks <= 0 || w.usageOf(team, shard.ID()).hasUnknownTasks() {
-		return // more would be acquired in each cycle, and be of no use before the unknown tasks have stopped
+		return // each cycle would acquire more, which could not be used before the unknown tasks have stopped
 	}
 	missing := quota.UsageOf(team, job.Need(), tasks).Sub(unused.NonNegative()).NonNegative()
 	w.allocations.shortfalls[teamShard{team.Name, shard.ID()}] = shortfall{missing, allOrNothing, time.Now()}
@@ -81,7 +83,7 @@
 }
 
 // writeAllocations writes a team's record as the owner of a shard and calls done with the
-// outcome. It returns false if no write is possible now.
+// outcome. It returns false, without a call of done, if no write is possible now.
 func (w *Writer) writeAllocations(team config.Team, shard *membership.Shard, record quota.Record, done func(result kvstore.TxnResult, err error)) bool {
 	if w.allocations.writesPending[team.Name] || w.Cache.IsStale(time.Now()) || !w.staysWithinQuota(team, record) {
 		return false
@@ -97,7 +99,7 @@
 		if isCommitted(result, err) {
 			w.recordAllocation(decisionlog.AllocationStored, team, shard, record, "")
 			delete(w.allocations.writesPending, team.Name)
-		} else { // time for the watch to deliver the change that made the write fail
+		} else { // wait until the watch has delivered the change that made the write fail
 			w.recordAllocation(decisionlog.AllocationFailed, team, shard, record, describeFailure(err))
 			w.mailbox.SendAfter(2*tuning.MinWatchRequestGap, func() { delete(w.allocations.writesPending, team.Name) })
 		}
@@ -113,8 +115,8 @@
 	return "a condition failed"
 }
 
-// staysWithinQuota reports whether a record to be written allocates no more than the team's quota, or no
-// more than before if the quota was lowered.
+// staysWithinQuota reports whether a record that is to be written allocates no more than the team's
+// quota, or no more than before if the quota was lowered. If not, it reports an invariant violation.
 func (w *Writer) staysWithinQuota(team config.Team, record quota.Record) bool {
 	total := record.Total()
 	if quota.IsWithinLimit(team, total) || w.Quotas.Allocated(team).Covers(total) {
@@ -136,12 +138,12 @@
 		StoreRevision: w.Quotas.Revision(team.Name),
 		KnownAt:       w.Cache.ConsistentAsOf(),
 		Reason: strings.TrimPrefix(fmt.Sprintf("%s; allocation %v CPUs %v GPUs, tasks use %v and %v at most, %d tasks unknown",
-			reason, amount.CPU, amount.GPU, usage.bound.CPU, usage.bound.GPU, usage.unknownTasks), "; "),
+			reason, amount.CPU, amount.GPU, usage.upperBound.CPU, usage.upperBound.GPU, usage.unknownTasks), "; "),
 	})
 }
 
-// releaseIdleAllocations releases what is unused in this controller's shards: soon if the team
-// has unclaimed work, and after a while in any case.
+// releaseIdleAllocations releases allocations of this controller's shards that have been unused for
+// AllocationReleaseDelay, or for ContendedAllocationReleaseDelay if the team has unclaimed work.
 func (w *Writer) releaseIdleAllocations(now time.Time) {
 	var contended map[string]bool // teams with unclaimed work
 	for _, team := range w.cfg.Cluster.Teams {
@@ -155,7 +157,7 @@
 		if contended[team.Name] {
 			delay = tuning.ContendedAllocationReleaseDelay
 		}
-		w.releaseIdleAllocationOf(team, delay, now)
+		w.releaseIdleAllocationsOfTeam(team, delay, now)
 	}
 }
 
@@ -169,27 +171,28 @@
 	return teams
 }
 
-// releaseIdleAllocationOf makes at most one write of a team's record.
-func (w *Writer) releaseIdleAllocationOf(team config.Team, delay time.Duration, now time.Time) {
+// releaseIdleAllocationsOfTeam releases unused allocations of a team. It makes at most one write of
+// the team's record.
+func (w *Writer) releaseIdleAllocationsOfTeam(team config.Team, delay time.Duration, now time.Time) {
 	for _, shard := range w.Membership.LocalShards() {
 		if w.Quotas.IsReleasePending(team.Name) {
-			// The outcome of a release is not known. Writing the record once more decides it:
-			// the late transaction then finds another revision.
+			// The outcome of a release is not known. Writing the record again settles it: if the
+			// release is carried out late, it fails because the record has another revision.
 			w.writeAllocations(team, shard, w.Quotas.Record(team.Name), func(kvstore.TxnResult, error) {})
 			return
 		}
-		if w.releaseIdleAllocation(team, shard, delay, now) {
+		if w.releaseIdleAllocationInShard(team, shard, delay, now) {
 			return
 		}
 	}
 }
 
-// releaseIdleAllocation releases the part of a shard's allocation that was unused for the
-// delay. It returns false if nothing was written.
-func (w *Writer) releaseIdleAllocation(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
+// releaseIdleAllocationInShard releases the unused part of a shard's allocation if there has been one
+// for the delay. It returns false if nothing was written.
+func (w *Writer) releaseIdleAllocationInShard(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
 	key := teamShard{team.Name, shard.ID()}
 	unused, ok := w.unusedAllocation(team, shard)
-	mayRelease := ok && !unused.IsNegligible() && w.Cache.HasReachedEpoch(shard) && !w.canBeCompleted(team, key, now)
+	mayRelease := ok && !unused.IsNegligible() && w.Cache.HasReachedEpoch(shard) && !w.shouldKeepUnused(team, key, now)
 	if !mayRelease {
 		delete(w.allocations.idleSince, key)
 		return false
@@ -212,16 +215,16 @@
 	if !isSent {
 		return false
 	}
-	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // the outcome is open: it may not be used from now on
+	w.Quotas.ReleaseSent(team.Name, shard.ID(), unused) // not used from now on, since the release may succeed
 	delete(w.allocations.idleSince, key)
 	return true
 }
 
-// canBeCompleted reports whether an unused allocation is worth keeping because the rest that
-// the shard is short of may still be acquired. If nothing less than all is of use, the rest must
-// be unallocated: two shards that have half of what a gang needs would wait for each other for
-// ever.
-func (w *Writer) canBeCompleted(team config.Team, key teamShard, now time.Time) bool {
+// shouldKeepUnused reports whether a shard should keep its unused allocation because it may still
+// acquire the quota that it lacks. If the shard needs all or nothing, it keeps the allocation only
+// while the missing amount is unallocated: otherwise two shards that each have half of what a gang
+// needs would wait for each other forever.
+func (w *Writer) shouldKeepUnused(team config.Team, key teamShard, now time.Time) bool {
 	missing := w.allocations.shortfalls[key]
 	if now.Sub(missing.recordedAt) >= tuning.QuotaShortfallValidity {
 		return false
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -12,13 +12,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// Small jobs are written with few changes of the key-value store: with six changes each, 800 jobs of
-// one task within a minute would be more than the store allows. The write that accepts a small job
-// also claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many of
-// them are done. Their own records follow when there is budget for it (cleanUpBatches).
+// Small jobs take few changes of the key-value store: with six changes each, 800 jobs of one task
+// within a minute would be more than the store allows. The write that accepts a small job also
+// claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many small jobs are
+// done. The jobs' own records are replaced by final states later, when the store has changes to
+// spare (cleanUpBatches).
 
-// IsSmallJob reports whether a job may be claimed as a whole in its own record. The tasks of
-// others are bound to zones or quotas, which task ranges keep track of.
+// IsSmallJob reports whether a job may be claimed as a whole in its own record. Jobs whose tasks are
+// bound to zones or quotas may not, since these are tracked by task ranges.
 func (w *Writer) IsSmallJob(record *jobs.JobRecord) bool {
 	team, _ := w.cfg.Team(record.Team)
 	return record.Kind == jobs.Array && record.Tasks <= tuning.MaxSmallJobTasks && !record.OneZone && !record.Spread &&
@@ -30,14 +31,14 @@
 	return &jobs.WholeJobClaim{Shard: shard.ID(), Epoch: shard.Epoch(), Count: tasks}
 }
 
-// isBatched reports whether the job's end is recorded in a completion batch.
+// isBatched reports whether the job's completion is recorded in a completion batch.
 func isBatched(record *jobs.JobRecord) bool {
 	return record.WholeClaim != nil && !record.ExcludedFromBatches
 }
 
-// writeCompletionBatch records many completed small jobs of one shard in one write. That none
-// of them was cancelled meanwhile rests on the revisions of their records: see
-// ExcludeFromBatches.
+// writeCompletionBatch records many completed small jobs of one shard in one write. The write is
+// conditional on the revisions of the jobs' records, so it fails if one of the jobs was cancelled
+// meanwhile, see ExcludeFromBatches.
 func (w *Writer) writeCompletionBatch(now time.Time) {
 	if w.isWritingBatch {
 		return
@@ -56,8 +57,8 @@
 	}
 }
 
-// completedSmallJobs returns the completed small jobs by shard, and whether the write of one
-// is due.
+// completedSmallJobs returns the completed small jobs by shard. due is true if at least one of them
+// has waited for CompletionBatchInterval to be recorded.
 func (w *Writer) completedSmallJobs(now time.Time) (completed map[string][]*clusterstate.Job, due bool) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
@@ -79,12 +80,12 @@
 	return completed, due
 }
 
-// addToBatch writes completed jobs to the shard's open batch, as many as one transaction takes.
+// addToBatch writes as many completed jobs to the shard's open batch as one transaction can hold.
 func (w *Writer) addToBatch(shard *membership.Shard, completed []*clusterstate.Job) {
 	batch := w.CompletionBatches.OpenBatch(shard.ID())
 	entries := batch.Entries
-	// The store allows four times as many preconditions as changes. Two are the batch's and the
-	// shard's.
+	// The store allows four times as many preconditions as changes. Two of the preconditions are
+	// those on the batch and on the shard.
 	count := min(len(completed), 4*w.cfg.EffectiveStateLimits().TxnOps-2, tuning.MaxCompletionBatchJobs)
 	added := completed[:count]
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: batch.Key, Revision: batch.Revision}, ownershipCondition(shard)}}
@@ -94,7 +95,7 @@
 	}
 	value := kvstore.Encode(entries)
 	if !w.Cache.FitsOneValue(value) && len(batch.Entries) > 0 {
-		w.CompletionBatches.MarkFull(batch.Key) // the next batch takes them
+		w.CompletionBatches.MarkFull(batch.Key) // the jobs go into the next batch
 		return
 	}
 	txn.Writes = []kvstore.Write{{Key: batch.Key, Value: value}}
@@ -110,22 +111,22 @@
 	})
 }
 
-// ExcludeFromBatches begins the cancellation of a job whose end may be recorded in a completion
-// batch, which leaves the job's own record as it is. The record is marked first: from then on no
-// batch can take the job, and once the cache has applied the mark it is known whether one has
-// before. done is called with the outcome.
+// ExcludeFromBatches begins the cancellation of a job whose completion may be recorded in a batch. A
+// batch does not change the job's own record, so the record is marked first: from then on no batch
+// can include the job, and once the cache has applied the mark it is known whether an earlier batch
+// included it. done is called with the outcome.
 func (w *Writer) ExcludeFromBatches(job *clusterstate.Job, done func(err error)) {
 	record := *job.Record()
 	record.ExcludedFromBatches = true
 	w.Cache.Commit(kvstore.Urgent, kvstore.Txn{
 		Conditions: []kvstore.Condition{jobCondition(job), {Key: jobs.FinalKey(job.Ref())}},
-		Writes:     []kvstore.Write{writeJob(job, record)},
+		Writes:     []kvstore.Write{jobRecordWrite(job, record)},
 	}, func(_ kvstore.TxnResult, err error) { done(err) })
 }
 
-// cleanUpBatches gives some jobs of a completion batch final states of their own and deletes
-// their records; when all are through it deletes the batch. It runs only while the store's
-// changes are not needed for submissions, or when batches have accumulated.
+// cleanUpBatches writes final states for some jobs of a completion batch and deletes the jobs'
+// records. When no job of a batch remains, it deletes the batch. It runs only while no jobs are being
+// submitted, since submissions need the store's changes, or when batches have accumulated.
 func (w *Writer) cleanUpBatches(now time.Time) {
 	if w.isCleaningUp || now.Sub(w.lastCleanupAt) < tuning.BatchCleanupInterval {
 		return
@@ -135,7 +136,7 @@
 		return
 	}
 	w.lastCleanupAt = now
-	maxJobs := min(tuning.BatchCleanupChanges, w.cfg.EffectiveStateLimits().TxnOps) / 2 // two changes each
+	maxJobs := min(tuning.BatchCleanupChanges, w.cfg.EffectiveStateLimits().TxnOps) / 2 // each job takes two changes
 	cleanup, ok := w.CompletionBatches.NextCleanup(maxJobs, func(shardID string) bool {
 		shard := w.ownedShard(shardID)
 		return shard != nil && w.Cache.HasReachedEpoch(shard)
@@ -159,7 +160,7 @@
 	var txn kvstore.Txn
 	for _, job := range cleanup.Pending {
 		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.JobKey(job.Ref), Revision: job.RecordRevision})
-		txn.Writes = append(txn.Writes, writeDone(job.Ref, job.Tasks)...)
+		txn.Writes = append(txn.Writes, jobDoneWrites(job.Ref, job.Tasks)...)
 	}
 	return txn
 }
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -8,13 +8,13 @@
 	"cherrywall/internal/tuning"
 )
 
-// Claim claims up to count of a job's unclaimed tasks for a shard in one transaction: the
-// unclaimed tasks shrink and a task range of the shard appears. place first puts the tasks of
-// the tentative range on machines and may truncate it; if it returns false nothing is written,
-// and if the transaction fails the tasks are removed from their machines. zone binds the tasks
-// of a job that is spread over zones, else it is empty.
+// Claim claims up to count of a job's unclaimed tasks for a shard. One transaction removes them from
+// the unclaimed tasks and creates a task range of the shard. Before that, place assigns the tasks of
+// the tentative range to machines and may truncate the range. If place returns false, nothing is
+// written; if the transaction fails, the tasks are removed from their machines. zone is the zone to
+// which the tasks are bound, or empty if they may run in any zone.
 func (w *Writer) Claim(job *clusterstate.Job, shard *membership.Shard, count int, zone string, place func(taskRange *clusterstate.TaskRange) bool) {
-	if job.Record().Kind != jobs.Gang { // a gang is one range, and done as a whole
+	if job.Record().Kind != jobs.Gang { // a gang is always one range, and is done as a whole
 		count = min(count, tuning.MaxRangeTasks)
 	}
 	claimed, rest := jobs.TakeUnclaimed(job.Record().Unclaimed, count)
@@ -39,29 +39,29 @@
 	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		job.EndTransaction(result, err)
 		if w.State.Job(job.Ref()) != job || isCommitted(result, err) || !taskRange.IsTentative() {
-			// A range that is no longer tentative was made durable by the cache: perhaps by an
-			// earlier request of the same transaction, which was carried out although its
-			// answer was lost. Abandoning the range then would make a gang that has been
-			// started lose its attempt.
+			// If the range is no longer tentative, the cache has learned that the claim is
+			// durable, perhaps from an earlier request of the same transaction that was carried
+			// out although its answer was lost. If the range were abandoned then, a gang that
+			// has been started would lose its attempt.
 			return
 		}
 		w.State.AbandonTentativeRange(taskRange)
 	})
 }
 
-// claimTxn returns the transaction of a claim. An inline claim stands in the job's record.
+// claimTxn returns the transaction of a claim. An inline claim is stored in the job's record.
 func claimTxn(taskRange *clusterstate.TaskRange, shard *membership.Shard, record jobs.JobRecord, inline bool) kvstore.Txn {
 	job := taskRange.Job()
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job), ownershipCondition(shard)}}
 	if inline {
 		record.WholeClaim = NewWholeJobClaim(shard, taskRange.Record().Count)
-		txn.Writes = []kvstore.Write{writeJob(job, record)}
+		txn.Writes = []kvstore.Write{jobRecordWrite(job, record)}
 		return txn
 	}
 	key := rangeKey(taskRange)
 	txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: key})
 	txn.Writes = []kvstore.Write{
-		writeJob(job, record),
+		jobRecordWrite(job, record),
 		{Key: key, Value: kvstore.Encode(taskRange.Record())},
 	}
 	return txn
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -31,31 +31,31 @@
 	}
 }
 
-// pendingCompletions is what this controller has to record of a job.
+// pendingCompletions are the completions of a job that this controller has yet to record.
 type pendingCompletions struct {
-	partial  []*clusterstate.TaskRange // ranges with completed tasks whose write is due
-	complete []*clusterstate.TaskRange // ranges of which all tasks are done
-	done     int                       // tasks done, if the complete ranges are recorded
-	due      bool                      // a complete range has waited for long enough
-	hasOpen  bool                      // more tasks are to come in this controller's shards
+	partial      []*clusterstate.TaskRange // ranges with completed tasks whose write is due
+	complete     []*clusterstate.TaskRange // ranges whose tasks are all done
+	doneTasks    int                       // the job's recorded done tasks once the complete ranges are recorded
+	due          bool                      // a complete range has waited for CompletionWriteDelay
+	hasOpenTasks bool                      // tasks are unclaimed, or not done in this controller's shards
 }
 
 // mustCompact reports whether the complete ranges are to be recorded now. The last ones of this
 // controller are recorded at once: another controller may be waiting for them to complete the
 // job.
 func (p *pendingCompletions) mustCompact(job *clusterstate.Job) bool {
-	return len(p.complete) > 0 && (p.done == job.Record().Tasks || p.due || !p.hasOpen)
+	return len(p.complete) > 0 && (p.doneTasks == job.Record().Tasks || p.due || !p.hasOpenTasks)
 }
 
 func (w *Writer) pendingCompletions(job *clusterstate.Job, now time.Time) pendingCompletions {
 	// A transaction also needs a change for the job's record and one for its final state.
 	maxRanges := w.cfg.EffectiveStateLimits().TxnOps - 2
-	pending := pendingCompletions{done: job.Record().Completed, hasOpen: len(job.Record().Unclaimed) > 0}
+	pending := pendingCompletions{doneTasks: job.Record().Completed, hasOpenTasks: len(job.Record().Unclaimed) > 0}
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() {
 			continue
 		}
-		pending.hasOpen = pending.hasOpen || !taskRange.IsComplete()
+		pending.hasOpenTasks = pending.hasOpenTasks || !taskRange.IsComplete()
 		if taskRange.HasWriteInFlight() || taskRange.IsTentative() {
 			continue
 		}
@@ -64,7 +64,7 @@
 		switch {
 		case taskRange.IsComplete() && len(pending.complete) < maxRanges:
 			pending.complete = append(pending.complete, taskRange)
-			pending.done += taskRange.Record().Count
+			pending.doneTasks += taskRange.Record().Count
 			pending.due = pending.due || isDue
 		case unrecorded > 0 && !taskRange.IsInline() && isDue:
 			pending.partial = append(pending.partial, taskRange)
@@ -86,20 +86,21 @@
 	}, func(kvstore.TxnResult, error) { taskRange.EndDoneWrite() })
 }
 
-// compactRanges counts completed ranges in the job's record and deletes their records. The
-// compaction that completes the job records its final state in the same transaction. All
-// compactions of a job write its record, so they exclude each other and a cancellation.
+// compactRanges adds the tasks of completed ranges to the count in the job's record and deletes the
+// ranges' records. The compaction that completes the job records its final state in the same
+// transaction. Every compaction writes the job's record, so it conflicts with other compactions of
+// the job and with its cancellation.
 func (w *Writer) compactRanges(job *clusterstate.Job, complete []*clusterstate.TaskRange) {
 	record := job.RecordWithoutDependencies()
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job)}}
-	conditioned := map[string]bool{} // shards whose epoch the transaction rests on
+	checkedShards := map[string]bool{} // shards whose ownership is already a condition
 	for _, taskRange := range complete {
 		shard := w.localShard(taskRange)
 		if shard == nil {
 			return
 		}
-		if !conditioned[shard.ID()] {
-			conditioned[shard.ID()] = true
+		if !checkedShards[shard.ID()] {
+			checkedShards[shard.ID()] = true
 			txn.Conditions = append(txn.Conditions, ownershipCondition(shard))
 		}
 		if !taskRange.IsInline() {
@@ -111,9 +112,9 @@
 	isDone := record.Completed == record.Tasks
 	if isDone {
 		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.FinalKey(job.Ref())})
-		txn.Writes = append(txn.Writes, writeDone(job.Ref(), record.Tasks)...)
+		txn.Writes = append(txn.Writes, jobDoneWrites(job.Ref(), record.Tasks)...)
 	} else {
-		txn.Writes = append(txn.Writes, writeJob(job, record))
+		txn.Writes = append(txn.Writes, jobRecordWrite(job, record))
 	}
 	job.BeginTransaction()
 	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
--- a/internal/claims/export_test.go
+++ b/internal/claims/export_test.go
@@ -4,5 +4,5 @@
 
 // FenceUnclaim exports fenceUnclaim, which follows an unclaim without an answer.
 func (w *Writer) FenceUnclaim(taskRange *clusterstate.TaskRange, offset, count int, epoch uint64) {
-	w.fenceUnclaim(taskRange, taskRun{offset, count}, epoch)
+	w.fenceUnclaim(taskRange, taskSpan{offset, count}, epoch)
 }
--- a/internal/claims/gangs.go
+++ b/internal/claims/gangs.go
@@ -6,12 +6,12 @@
 	"cherrywall/internal/kvstore"
 )
 
-// RecordGangWorkers writes to a gang's range record on which workers the gang is planned, if
-// the record does not allow these workers. The gang's tasks are started only once the write is
-// known to be made (clusterstate.State.GangCanStart). Until then none of them is on any
-// machine, so the workers named before need not be kept. A write without an answer is repeated
-// under the same precondition until the record has another revision: then one of the writes has
-// been made, and no late one can be.
+// RecordGangWorkers writes the workers on which a gang is planned to the gang's range record, unless
+// the record already allows these workers. The gang's tasks are started only once the write is
+// known to have succeeded (clusterstate.State.GangCanStart). Until then no task of the gang is on any
+// machine, so the previously recorded workers need not be kept. A write without an answer is
+// repeated under the same precondition until the record has another revision: then one of the writes
+// has succeeded, and a late one can no longer succeed.
 func (w *Writer) RecordGangWorkers(taskRange *clusterstate.TaskRange) {
 	shard := w.localShard(taskRange)
 	if shard == nil || !w.State.IsCurrentTaskRange(taskRange) {
@@ -32,7 +32,7 @@
 	})
 }
 
-// recordAllGangWorkers repeats the writes that could not be made.
+// recordAllGangWorkers repeats the writes of RecordGangWorkers that have not succeeded.
 func (w *Writer) recordAllGangWorkers() {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.Record().Kind != jobs.Gang {
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -10,24 +10,25 @@
 	"cherrywall/internal/quota"
 )
 
-// teamUsage is what a team's tasks take on the machines of a shard.
+// teamUsage is the amount of resources that a team's tasks use on the machines of a shard.
 type teamUsage struct {
-	// bound is the most that the team's tasks may take, those included that are only planned.
-	bound quota.Amount
-	// sentBound is the same without the tasks that are only planned.
-	sentBound quota.Amount
-	// known is what those tasks take that are on the machines and certainly of the team.
+	// upperBound is the most that the team's tasks may use, including tasks that are only planned.
+	upperBound quota.Amount
+	// sentUpperBound is the same, without the tasks that are only planned.
+	sentUpperBound quota.Amount
+	// known is the amount that is used by tasks whose start was sent and that certainly belong to
+	// the team.
 	known quota.Amount
-	// unknownTasks is the number of tasks of which it is not known what they take.
+	// unknownTasks is the number of tasks whose needs are not known.
 	unknownTasks int
-	// isUnbounded is set if such a task is on a machine of which the size is not known, either.
+	// isUnbounded is set if a task with unknown needs is on a machine whose size is also unknown.
 	isUnbounded bool
 }
 
 func (u teamUsage) hasUnknownTasks() bool { return u.unknownTasks > 0 }
 
-// usageOf returns what a team's tasks take on the machines of a shard. Tasks of ended jobs
-// count until they have stopped: their team may no longer be known, so they count for every
+// usageOf returns the resources that a team's tasks use on the machines of a shard. Tasks of ended
+// jobs count until they have stopped. Their team may no longer be known, so they count for every
 // team. The result is cached, so that a hundred waiting jobs cost little more than one.
 func (w *Writer) usageOf(team config.Team, shardID string) teamUsage {
 	if version := w.State.ChangeCount(); version != w.allocations.usageVersion {
@@ -45,72 +46,72 @@
 
 func (w *Writer) computeUsage(team config.Team, shardID string) teamUsage {
 	var usage teamUsage
-	var bound, sentBound, known capacity.Resources
+	var upperBound, sentUpperBound, known capacity.Resources
 	for machine := range w.State.OwnedMachinesIn(shardID) {
-		on := w.needOn(machine, team.Name)
-		known = known.Add(on.known)
-		if on.unknownTasks > 0 {
-			usage.unknownTasks += on.unknownTasks
+		onMachine := w.usageOnMachine(machine, team.Name)
+		known = known.Add(onMachine.known)
+		if onMachine.unknownTasks > 0 {
+			usage.unknownTasks += onMachine.unknownTasks
 			total, isKnown := w.State.Total(machine)
 			usage.isUnbounded = usage.isUnbounded || !isKnown
-			on.all, on.sent = largerOf(on.all, total), largerOf(on.sent, total)
+			onMachine.all, onMachine.sent = maxResources(onMachine.all, total), maxResources(onMachine.sent, total)
 		}
-		bound, sentBound = bound.Add(on.all), sentBound.Add(on.sent)
+		upperBound, sentUpperBound = upperBound.Add(onMachine.all), sentUpperBound.Add(onMachine.sent)
 	}
-	usage.bound, usage.sentBound = quota.UsageOf(team, bound, 1), quota.UsageOf(team, sentBound, 1)
+	usage.upperBound, usage.sentUpperBound = quota.UsageOf(team, upperBound, 1), quota.UsageOf(team, sentUpperBound, 1)
 	usage.known = quota.UsageOf(team, known, 1)
 	return usage
 }
 
-// machineNeed is what a team's tasks take on a machine, as far as that is known.
-type machineNeed struct {
-	all          capacity.Resources // planned tasks included
-	sent         capacity.Resources // of tasks whose start was sent
-	known        capacity.Resources // of those of them that are certainly of the team
-	unknownTasks int                // tasks of which it is not known what they take
+// machineUsage is the sum of the known needs of a team's tasks on a machine.
+type machineUsage struct {
+	all          capacity.Resources // includes planned tasks
+	sent         capacity.Resources // only tasks whose start was sent
+	known        capacity.Resources // only tasks whose start was sent and that certainly belong to the team
+	unknownTasks int                // number of tasks whose needs are not known
 }
 
-// needOn returns what a team's tasks take on a machine.
+// usageOnMachine returns the resources that a team's tasks use on a machine.
 //
-// A task whose need is not known takes what it takes. It counted as nothing once: the new owner of a
-// shard learned of cancelled tasks by heartbeats, found the shard below its allocation, and started as
-// much again (docs/incidents/2026-12-quota-exceeded.md). All tasks on a machine together take no more
-// than the machine has, since its worker starts none that does not fit: so the machine's size is a
-// bound while such a task is there.
-func (w *Writer) needOn(machine *clusterstate.Machine, team string) machineNeed {
-	var on machineNeed
+// Tasks whose needs are not known are only counted. While such a task is on a machine, the machine's
+// size is the upper bound of the usage: all its tasks together use no more than the machine has,
+// since its worker starts no task that does not fit. Such tasks must not count as nothing: when they
+// did, the new owner of a shard learned of cancelled tasks by heartbeats, found the shard below its
+// allocation, and started as much again (docs/incidents/2026-12-quota-exceeded.md).
+func (w *Writer) usageOnMachine(machine *clusterstate.Machine, team string) machineUsage {
+	var onMachine machineUsage
 	for assignment := range machine.Assignments() {
 		if !assignment.NeedKnown() {
-			on.unknownTasks++
+			onMachine.unknownTasks++
 			continue
 		}
-		membership := w.teamMembership(assignment, team)
-		if membership == notOfTeam {
+		match := w.matchTeam(assignment, team)
+		if match == otherTeam {
 			continue
 		}
 		need := assignment.Need()
-		on.all = on.all.Add(need)
+		onMachine.all = onMachine.all.Add(need)
 		if assignment.Status().IsPlanned() {
 			continue
 		}
-		on.sent = on.sent.Add(need)
-		if membership == ofTeam {
-			on.known = on.known.Add(need)
+		onMachine.sent = onMachine.sent.Add(need)
+		if match == sameTeam {
+			onMachine.known = onMachine.known.Add(need)
 		}
 	}
-	return on
+	return onMachine
 }
 
-// teamMembership is whether a task is of a team.
-type teamMembership int
+// teamMatch tells whether a task belongs to a given team.
+type teamMatch int
 
 const (
-	notOfTeam   teamMembership = iota
-	maybeOfTeam                // its job has ended, and its team may no longer be known
-	ofTeam
+	otherTeam   teamMatch = iota
+	unknownTeam           // the task's job has ended, and its team may no longer be known
+	sameTeam
 )
 
-func (w *Writer) teamMembership(assignment *clusterstate.Assignment, team string) teamMembership {
+func (w *Writer) matchTeam(assignment *clusterstate.Assignment, team string) teamMatch {
 	job := assignment.Job()
 	if job == nil {
 		ref, _, _ := jobs.ParseTask(assignment.Name())
@@ -118,20 +119,21 @@
 	}
 	switch {
 	case job == nil || job.HasEnded():
-		return maybeOfTeam
+		return unknownTeam
 	case job.Record().Team == team:
-		return ofTeam
+		return sameTeam
 	}
-	return notOfTeam
+	return otherTeam
 }
 
-func largerOf(a, b capacity.Resources) capacity.Resources {
+func maxResources(a, b capacity.Resources) capacity.Resources {
 	return capacity.Resources{CPU: max(a.CPU, b.CPU), GPU: max(a.GPU, b.GPU), MemGB: max(a.MemGB, b.MemGB)}
 }
 
-// unusedAllocation returns how much more a team may use in a shard; it is negative if the tasks there
-// may take more than the allocation. ok is false if that is not known: the shard is another
-// controller's, or not all its workers have reported, or the use has no known bound.
+// unusedAllocation returns how much more a team may use in a shard. The amount is negative if the
+// team's tasks there may use more than the allocation. ok is false if the amount is not known: another
+// controller owns the shard, or not all its workers have reported, or the usage has no known upper
+// bound.
 func (w *Writer) unusedAllocation(team config.Team, shard *membership.Shard) (unused quota.Amount, ok bool) {
 	if shard == nil || !shard.IsLocal() || !shard.IsReconciled() {
 		return quota.Amount{}, false
@@ -140,24 +142,25 @@
 	if usage.isUnbounded {
 		return quota.Amount{}, false
 	}
-	return w.Quotas.Available(team, shard.ID()).Sub(usage.bound), true
+	return w.Quotas.Available(team, shard.ID()).Sub(usage.upperBound), true
 }
 
-// StartQuota is whether a team's quota allows a start.
+// StartQuota tells whether a team's quota allows the start of a task.
 type StartQuota int
 
-// Whether a team's quota allows a start.
+// Results of CheckStartQuota.
 const (
 	StartWithinQuota StartQuota = iota
-	// StartUsageUnknown: with the start the tasks in the shard may take more than its allocation, and of
-	// some of them it is not known what they take, or which team they are of.
+	// StartUsageUnknown means that with the start the team's tasks in the shard may use more than the
+	// shard's allocation. Whether they do is not known, since the needs or the team of some tasks are not
+	// known.
 	StartUsageUnknown
-	// StartBeyondQuota: with the start they take more than the shard's allocation.
+	// StartBeyondQuota means that with the start the team's tasks use more than the shard's allocation.
 	StartBeyondQuota
 )
 
-// CheckStartQuota reports whether the quota of a placed task's team allows its start now. The allocation
-// and the usage may have changed since it was placed.
+// CheckStartQuota reports whether the quota of a placed task's team allows the task to start now. The
+// allocation and the usage may have changed since the task was placed.
 func (w *Writer) CheckStartQuota(assignment *clusterstate.Assignment) StartQuota {
 	team, _ := w.cfg.Team(assignment.Job().Record().Team)
 	if !quota.IsLimited(team) {
@@ -170,7 +173,7 @@
 	available, usage := w.Quotas.Available(team, shard.ID()), w.usageOf(team, shard.ID())
 	need := quota.UsageOf(team, startNeed(assignment), 1)
 	switch {
-	case available.Covers(usage.bound), available.Sub(usage.sentBound).Covers(need):
+	case available.Covers(usage.upperBound), available.Sub(usage.sentUpperBound).Covers(need):
 		return StartWithinQuota
 	case available.Sub(usage.known).Covers(need):
 		return StartUsageUnknown
@@ -178,8 +181,8 @@
 	return StartBeyondQuota
 }
 
-// startNeed returns what is started with a task: of a gang also the tasks that were not started yet, since
-// a part of a gang would only wait for the rest.
+// startNeed returns the resources that are needed to start a task. For a gang they include all its tasks
+// that were not started yet, since a part of a gang would only wait for the rest.
 func startNeed(assignment *clusterstate.Assignment) capacity.Resources {
 	job := assignment.Job()
 	if job.Record().Kind != jobs.Gang {
@@ -196,7 +199,7 @@
 	return need
 }
 
-// NoteStartSent adds a task whose start was just sent to the usage of its team.
+// NoteStartSent adds a task whose start was just sent to the cached usage of its team.
 func (w *Writer) NoteStartSent(assignment *clusterstate.Assignment) {
 	team, _ := w.cfg.Team(assignment.Job().Record().Team)
 	key := teamShard{team.Name, assignment.Machine().Record().Shard}
@@ -205,14 +208,15 @@
 		return
 	}
 	need := quota.UsageOf(team, assignment.Need(), 1)
-	usage.sentBound, usage.known = usage.sentBound.Add(need), usage.known.Add(need)
+	usage.sentUpperBound, usage.known = usage.sentUpperBound.Add(need), usage.known.Add(need)
 	w.allocations.usage[key] = usage
 }
 
-// checkUsage reports the teams whose known tasks take more than the recorded allocation of a local shard.
-// A release without an answer is not deducted: if it was made, the record says so once it is read. One of
-// an earlier epoch can not be made any more, while the owner in between may have used the amount. It does
-// not look at a team whose allocations exceed its quota in all: its quota was lowered while work ran.
+// checkUsage reports an invariant violation for each team whose known tasks use more than the recorded
+// allocation of a local shard. A release without an answer is not deducted from the allocation: if it
+// succeeded, the record shows it once it is read. A release of an earlier epoch can no longer succeed,
+// while the owner in between may have used its amount. A team whose allocations together exceed its quota
+// is not checked: its quota was lowered while work ran.
 func (w *Writer) checkUsage() {
 	for _, team := range w.cfg.Cluster.Teams {
 		if !quota.IsLimited(team) || !quota.IsWithinLimit(team, w.Quotas.Allocated(team)) {
@@ -232,22 +236,22 @@
 	}
 }
 
-// QuotaUsage is how a team uses its quota in a shard of this controller.
+// QuotaUsage describes how a team uses its quota in a shard of this controller.
 type QuotaUsage struct {
 	Team  string `json:"team"`
 	Shard string `json:"shard"`
 	Epoch uint64 `json:"epoch"`
-	// Reconciled is whether all that runs in the shard is known.
+	// Reconciled is true if all tasks that run in the shard are known.
 	Reconciled bool    `json:"reconciled"`
 	LimitCPU   float64 `json:"limit_cpu"`
 	LimitGPU   float64 `json:"limit_gpu"`
-	// Allocated is what the shard may use.
+	// AllocatedCPU and AllocatedGPU are the amounts that the team may use in the shard.
 	AllocatedCPU float64 `json:"allocated_cpu"`
 	AllocatedGPU float64 `json:"allocated_gpu"`
-	// Used is the most that the tasks on the shard's machines may take.
+	// UsedCPU and UsedGPU are the most that the team's started tasks may use on the shard's machines.
 	UsedCPU float64 `json:"used_cpu"`
 	UsedGPU float64 `json:"used_gpu"`
-	// UnknownTasks is the number of tasks of which it is not known what they take.
+	// UnknownTasks is the number of tasks whose needs are not known.
 	UnknownTasks int `json:"unknown_tasks"`
 }
 
@@ -264,7 +268,7 @@
 				Team: team.Name, Shard: shard.ID(), Epoch: shard.Epoch(), Reconciled: shard.IsReconciled(),
 				LimitCPU: team.MaxCPUs, LimitGPU: team.MaxGPUs,
 				AllocatedCPU: available.CPU, AllocatedGPU: available.GPU,
-				UsedCPU: usage.sentBound.CPU, UsedGPU: usage.sentBound.GPU,
+				UsedCPU: usage.sentUpperBound.CPU, UsedGPU: usage.sentUpperBound.GPU,
 				UnknownTasks: usage.unknownTasks,
 			})
 		}
--- a/internal/claims/writer.go
+++ b/internal/claims/writer.go
@@ -1,10 +1,10 @@
 // Package claims writes to the key-value store which tasks a shard runs and which are done:
-// the claim of unclaimed tasks, the return of claimed tasks that find no room, the completion
-// of tasks and jobs (many in one transaction), and the allocations of team quotas.
+// claims of unclaimed tasks, the return of claimed tasks that do not fit, the completion of tasks
+// and jobs (many in one transaction), and the allocations of team quotas.
 //
-// Every write is a compare-and-swap transaction that rests on the revision of each record it
-// replaces and on the epoch of the shard, so that a controller that has lost the shard cannot
-// change anything.
+// Every write is a compare-and-swap transaction that is conditional on the revision of each record
+// that it replaces and on the epoch of the shard, so that a controller that has lost the shard
+// cannot change anything.
 package claims
 
 import (
@@ -24,8 +24,8 @@
 	"cherrywall/internal/statecache"
 )
 
-// Dependencies are the components that a Writer reads and changes. All belong to the actor
-// that owns the Writer.
+// Dependencies are the components that a Writer reads and changes. The actor that owns the Writer
+// also owns all of them.
 type Dependencies struct {
 	State             *clusterstate.State
 	Membership        *membership.Table
@@ -37,16 +37,17 @@
 	Violations        *decisionlog.Violations
 }
 
-// Writer makes the transactions of this package. It is not safe for concurrent use: one actor
-// owns it, and outcomes are delivered on that actor's mailbox.
+// Writer commits the transactions of this package. It is not safe for concurrent use: one actor
+// owns it, and outcomes are delivered to that actor's mailbox.
 type Writer struct {
 	Dependencies
 	mailbox *actor.Mailbox
 	cfg     *config.Config
 	log     *slog.Logger
-	// unplacedSince is since when no ready task of a range has been placed.
+	// unplacedSince is the time since which no ready task of a range has been placed.
 	unplacedSince map[*clusterstate.TaskRange]time.Time
-	// A cleanup has a flag of its own, since it must not delay the next completion batch.
+	// Cleanups and completion batches have separate flags, since a cleanup must not delay the next
+	// completion batch.
 	isWritingBatch, isCleaningUp bool
 	lastCleanupAt                time.Time
 	allocations                  allocationState
@@ -64,7 +65,7 @@
 	}
 }
 
-// Reset drops what is in progress. It is called before all records are read anew.
+// Reset clears the state of all writes in progress. It is called before all records are read anew.
 func (w *Writer) Reset() {
 	w.isWritingBatch, w.isCleaningUp = false, false
 	clear(w.unplacedSince)
@@ -87,12 +88,12 @@
 	return w.Cache.CanStore(kvstore.Encode(record))
 }
 
-// localShard returns the shard of a range if this controller owns it, else nil.
+// localShard returns the shard of a range, or nil if this controller does not own it.
 func (w *Writer) localShard(taskRange *clusterstate.TaskRange) *membership.Shard {
 	return w.ownedShard(taskRange.Record().Shard)
 }
 
-// ownedShard returns the shard of that id if this controller owns it, else nil.
+// ownedShard returns the shard with the given id, or nil if this controller does not own it.
 func (w *Writer) ownedShard(id string) *membership.Shard {
 	shard := w.Membership.Shard(id)
 	if shard == nil || !shard.IsLocal() {
@@ -101,17 +102,17 @@
 	return shard
 }
 
-// ownershipCondition requires that the shard is still owned in the same epoch.
+// ownershipCondition returns the condition that the shard is still owned in the same epoch.
 func ownershipCondition(shard *membership.Shard) kvstore.Condition {
 	return kvstore.Condition{Key: jobs.ShardPrefix + shard.ID(), Revision: shard.Epoch()}
 }
 
-// jobCondition requires that the job's record is unchanged.
+// jobCondition returns the condition that the job's record is unchanged.
 func jobCondition(job *clusterstate.Job) kvstore.Condition {
 	return kvstore.Condition{Key: jobs.JobKey(job.Ref()), Revision: job.Revision()}
 }
 
-// rangeCondition requires that the range's record is unchanged.
+// rangeCondition returns the condition that the range's record is unchanged.
 func rangeCondition(taskRange *clusterstate.TaskRange) kvstore.Condition {
 	return kvstore.Condition{Key: rangeKey(taskRange), Revision: taskRange.Revision()}
 }
@@ -120,13 +121,14 @@
 	return jobs.RangeKey(taskRange.Job().Ref(), taskRange.First())
 }
 
-// writeJob replaces the job's record.
-func writeJob(job *clusterstate.Job, record jobs.JobRecord) kvstore.Write {
+// jobRecordWrite returns the write that replaces the job's record.
+func jobRecordWrite(job *clusterstate.Job, record jobs.JobRecord) kvstore.Write {
 	return kvstore.Write{Key: jobs.JobKey(job.Ref()), Value: kvstore.Encode(record)}
 }
 
-// writeDone records that a job is done with that many tasks, and deletes its record.
-func writeDone(ref string, tasks int) []kvstore.Write {
+// jobDoneWrites returns the writes that record a job with the given number of tasks as done, and
+// delete its record.
+func jobDoneWrites(ref string, tasks int) []kvstore.Write {
 	final := jobs.FinalState{Status: jobs.Done, Tasks: tasks}
 	return []kvstore.Write{
 		{Key: jobs.FinalKey(ref), Value: kvstore.Encode(final)},
@@ -134,5 +136,5 @@
 	}
 }
 
-// isCommitted reports whether a transaction was certainly made.
+// isCommitted reports whether a transaction has certainly succeeded.
 func isCommitted(result kvstore.TxnResult, err error) bool { return err == nil && result.Succeeded }
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -28,7 +28,7 @@
 	return h, machine
 }
 
-// Tasks whose unclaim had no answer when the shard was lost must not become ready in a later
+// If an unclaim had no answer when the shard was lost, its tasks must not become ready in a later
 // epoch.
 func TestUnclaimFenceEndsWithEpoch(t *testing.T) {
 	h := harness.New(t, nil)
@@ -46,8 +46,8 @@
 	}
 }
 
-// A claim that the key-value store refuses leaves nothing behind: its tasks are removed from
-// their machines and the job is unclaimed as before.
+// A claim that the key-value store refuses is undone: its tasks are removed from their machines, and
+// the job is unclaimed as before.
 func TestRefusedClaimIsAbandoned(t *testing.T) {
 	h, machine := newShardWithMachine(t)
 	job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 100, CPU: 1}, 100, 6)
@@ -70,8 +70,8 @@
 	}
 }
 
-// Tasks that find no room are unclaimed after tuning.UnclaimAfter, counted from the last one
-// that was placed.
+// Tasks that do not fit are unclaimed after tuning.UnclaimAfter, counted from when a task of the
+// range was last placed.
 func TestUnclaimUnplaceableTail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, machine := newShardWithMachine(t)
@@ -95,8 +95,8 @@
 	})
 }
 
-// A team's quota is used only as far as it is allocated to the shard, by a controller that
-// knows all that runs there; what is being released is not used any more.
+// A controller uses a team's quota in a shard only within the shard's allocation, and only if it
+// knows all tasks that run there. An amount that is being released is no longer used.
 func TestAllocationUseUntilRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, func(h *harness.Harness) {
@@ -129,22 +129,22 @@
 		expectAllowed("with one task planned and one stopping", 2)
 		time.Sleep(tuning.QuotaShortfallValidity)
 		h.SyncCache(7)
-		h.Claims.Tick(time.Now()) // idle from now on
+		h.Claims.Tick(time.Now()) // the allocation is idle from now on
 		time.Sleep(tuning.ContendedAllocationReleaseDelay)
 		h.SyncCache(7)
 		h.Claims.Tick(time.Now())
 		expectAllowed("during the release", 0)
 		synctest.Wait()
-		h.RunNext() // no answer: the release may have been made
+		h.RunNext() // no answer: the release may have succeeded
 		expectAllowed("after a release without an answer", 0)
 		h.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 2}}}, 9)
 		expectAllowed("under a newer record, which excludes a late write", 2)
 	})
 }
 
-// A claim had no answer and was repeated. The first request was carried out after all, the watch
-// delivered it, the gang was started, and then the second request was refused: the gang lost its
-// attempt and was stopped.
+// A claim had no answer and was repeated. The first request had been carried out, the watch delivered
+// its changes, the gang was started, and then the second request was refused. As a result the gang
+// lost its attempt and was stopped.
 func TestClaimCommittedByUnansweredRequest(t *testing.T) {
 	h, machine := newShardWithMachine(t)
 	spec := jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 1}
@@ -159,7 +159,7 @@
 	h.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1"}}, 7)
 	h.WriteRecord(jobs.JobKey("wk-1"), jobs.JobRecord{Spec: spec}, 7)
 	if !h.State.GangCanStart(job) {
-		t.Fatal("the claim is durable, and the gang cannot start")
+		t.Fatal("the claim is durable, but the gang cannot start")
 	}
 	h.State.StartGang(job)
 	h.RunNext() // the second write was refused
@@ -168,8 +168,8 @@
 	}
 }
 
-// When tasks in the middle of a range are unclaimed, those behind them stay where they are, in a
-// range of their own, whichever of the records of that write the watch delivers first.
+// When tasks in the middle of a range are unclaimed, the tasks after them stay on their machines, in
+// a new range, regardless of the order in which the watch delivers the records of that write.
 func TestRangeSplitEventOrder(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -217,19 +217,19 @@
 		delivered = append(delivered, written[i])
 	}
 	h.Cache.ApplyEvents(delivered, 20)
-	behind := job.TaskRange(4)
-	if behind == nil || behind.Len() != 1 || behind.TaskState(0) != clusterstate.TaskPlaced || behind.Assignment(0).Machine().Host() != "i-1" {
-		t.Fatalf("range behind: %+v", behind)
+	rangeAfter := job.TaskRange(4)
+	if rangeAfter == nil || rangeAfter.Len() != 1 || rangeAfter.TaskState(0) != clusterstate.TaskPlaced || rangeAfter.Assignment(0).Machine().Host() != "i-1" {
+		t.Fatalf("range after the unclaimed tasks: %+v", rangeAfter)
 	}
-	before := job.TaskRange(0)
-	if (before != nil) != (offset > 0) || before != nil && (before.Len() != 1 || before.TaskState(0) != clusterstate.TaskPlaced) {
-		t.Errorf("range before: %+v", before)
+	rangeBefore := job.TaskRange(0)
+	if (rangeBefore != nil) != (offset > 0) || rangeBefore != nil && (rangeBefore.Len() != 1 || rangeBefore.TaskState(0) != clusterstate.TaskPlaced) {
+		t.Errorf("range before the unclaimed tasks: %+v", rangeBefore)
 	}
 	if taskRange, i := h.State.FindTask("wk-1", 2); taskRange != nil {
 		t.Errorf("an unclaimed task is in a range, at %d", i)
 	}
 	assignment := h.State.Machine("i-1").Assignment("wk-1/4")
 	if assignment == nil || assignment.Status().Stopping || assignment.Job() != job {
-		t.Errorf("assignment of the task behind: %+v", assignment)
+		t.Errorf("assignment of the task after the unclaimed ones: %+v", assignment)
 	}
 }
