--- a/internal/capacity/buffer.go
+++ b/internal/capacity/buffer.go
@@ -11,10 +11,10 @@
 	Tasks float64   `json:"tasks"`
 }
 
-// ConvertBuffer returns how many tasks of a shape a buffer takes the capacity of, rounded up:
-// the paper's A[t]/A[t'] * x. fitting and fittingBuffered are how many tasks of the shape and
-// of the buffer's shape fit, A[t] and A[t']. If none of the buffer's shape fits any more, the
-// largest ratio of any one resource is taken.
+// ConvertBuffer converts a buffer to the number of tasks of another shape for which it takes the
+// capacity, rounded up: the paper's A[t]/A[t'] * x. fitting and fittingBuffered are the numbers of
+// fitting tasks of that shape and of the buffer's shape, A[t] and A[t']. If no task of the buffer's
+// shape fits any more, the buffer is converted by ConvertByRatio.
 func ConvertBuffer(fitting, fittingBuffered int, buffer Buffer, shape Resources) int {
 	if buffer.Tasks <= 0 || fitting <= 0 {
 		return 0
@@ -26,8 +26,9 @@
 	return buffer.ConvertByRatio(shape)
 }
 
-// ConvertByRatio returns the buffer in tasks of another shape by the largest ratio of any one
-// resource, for use where neither shape can be counted.
+// ConvertByRatio converts the buffer to tasks of another shape by the largest ratio between the
+// needs of the two shapes for any one resource, rounded up. It is for use where the fitting tasks of
+// the two shapes can not be counted.
 func (b Buffer) ConvertByRatio(shape Resources) int {
 	ratio := 0.0
 	buffered := b.Shape.amounts()
@@ -39,14 +40,14 @@
 	return int(math.Ceil(ratio*b.Tasks - roundingTolerance))
 }
 
-// Aggregate sums up the buffers of each shape (the paper's step 5), in the order of their first
-// appearance.
+// Aggregate sums up the buffers of each shape (the paper's step 5). The shapes are in the order of
+// their first appearance.
 func Aggregate(buffers []Buffer) []Buffer {
 	var sums []Buffer
 	for _, buffer := range buffers {
-		at := slices.IndexFunc(sums, func(sum Buffer) bool { return sum.Shape == buffer.Shape })
-		if at >= 0 {
-			sums[at].Tasks += buffer.Tasks
+		index := slices.IndexFunc(sums, func(sum Buffer) bool { return sum.Shape == buffer.Shape })
+		if index >= 0 {
+			sums[index].Tasks += buffer.Tasks
 		} else {
 			sums = append(sums, buffer)
 		}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,10 +1,10 @@
 // Package capacity counts how many tasks of a shape still fit into the free resources of
-// machines, and converts buffers of one shape into tasks of another (the paper, sections 3.1
-// and 3.2).
+// machines, and converts buffers of one shape into tasks of another (the Kerveros paper, called "the
+// paper" in this package, sections 3.1 and 3.2).
 package capacity
 
-// Group is a kind of machines that is counted separately, since jobs differ in which machines they
-// allow.
+// Group identifies a set of machines with the same properties. The tasks that fit on each group are
+// counted separately, since jobs differ in which machines they allow.
 type Group struct {
 	Zone, MachineType string
 	Spot              bool
@@ -47,8 +47,8 @@
 	t.version++
 }
 
-// Version rises with every change of a machine: what was computed from the counts at one
-// version holds as long as the version is the same.
+// Version returns a number that increases with every change of a machine. Results that were computed
+// from the counts are valid as long as the version is the same.
 func (t *Table) Version() uint64 { return t.version }
 
 // Remove removes a machine.
@@ -77,8 +77,8 @@
 	return byGroup
 }
 
-// Count returns how many tasks of a shape fit into the groups that a job allows, buffers not
-// deducted: the paper's A[t].
+// Count returns how many tasks of a shape fit on the machines of the allowed groups, without
+// deducting buffers: the paper's A[t].
 func (t *Table) Count(shape Resources, allow func(Group) bool) int {
 	total := 0
 	for group, count := range t.countsFor(shape) {
@@ -89,17 +89,18 @@
 	return total
 }
 
-// Allocable returns Count less the converted buffers, at least 0.
+// Allocable returns the result of Count minus the converted buffers, at least 0.
 func (t *Table) Allocable(shape Resources, allow func(Group) bool, buffers []Buffer) int {
 	fitting := t.Count(shape, allow)
-	left := fitting
+	remaining := fitting
 	for _, buffer := range Aggregate(buffers) {
-		left -= ConvertBuffer(fitting, t.Count(buffer.Shape, allow), buffer, shape)
+		remaining -= ConvertBuffer(fitting, t.Count(buffer.Shape, allow), buffer, shape)
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
-// Recount computes the counts of the wanted shapes anew and drops those of all others.
+// Recount computes the counts of the wanted shapes anew and drops those of all other shapes. It
+// adds no shapes that were not counted before.
 func (t *Table) Recount(wanted map[Resources]bool) {
 	for shape := range t.counts {
 		delete(t.counts, shape)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Counts updated incrementally equal counts computed anew, and a larger buffer never leaves
+// Incrementally updated counts equal counts that are computed anew, and a larger buffer never leaves
 // more capacity.
 func TestCountsMatchRecomputation(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -5,7 +5,7 @@
 // roundingTolerance absorbs rounding in sums of decimal amounts.
 const roundingTolerance = 1e-6
 
-// Resources is an amount of the three resources; as a task's need it is the task's shape.
+// Resources is an amount of CPUs, GPUs and memory. The needs of a task are called its shape.
 type Resources struct {
 	CPU   float64 `json:"cpu"`
 	GPU   float64 `json:"gpu"`
@@ -13,13 +13,13 @@
 }
 
 // Add returns the sum of two amounts.
-func (r Resources) Add(o Resources) Resources {
-	return Resources{CPU: r.CPU + o.CPU, GPU: r.GPU + o.GPU, MemGB: r.MemGB + o.MemGB}
+func (r Resources) Add(other Resources) Resources {
+	return Resources{CPU: r.CPU + other.CPU, GPU: r.GPU + other.GPU, MemGB: r.MemGB + other.MemGB}
 }
 
 // Sub returns the difference of two amounts, which may be negative.
-func (r Resources) Sub(o Resources) Resources {
-	return Resources{CPU: r.CPU - o.CPU, GPU: r.GPU - o.GPU, MemGB: r.MemGB - o.MemGB}
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{CPU: r.CPU - other.CPU, GPU: r.GPU - other.GPU, MemGB: r.MemGB - other.MemGB}
 }
 
 // Covers reports whether a need fits into the amount.
@@ -29,12 +29,12 @@
 		r.MemGB+roundingTolerance >= need.MemGB
 }
 
-// amounts lists the resources for computations that treat them alike.
+// amounts returns the three amounts as an array, for computations that treat all resources alike.
 func (r Resources) amounts() [3]float64 { return [3]float64{r.CPU, r.GPU, r.MemGB} }
 
-// FitCount returns how many tasks of a shape fit into a free amount: the least over the
-// resources of the free amount divided by the need, rounded down, and at least 0. Resources that
-// the shape does not need are not counted; for a shape without needs it is math.MaxInt32.
+// FitCount returns how many tasks of a shape fit into a free amount: the minimum, over all resources,
+// of the free amount divided by the need, rounded down, and at least 0. Resources that the shape does
+// not need are ignored. For a shape without needs the result is math.MaxInt32.
 func FitCount(free, shape Resources) int {
 	count := math.MaxInt32
 	available := free.amounts()
