--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -75,7 +75,8 @@
 	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
 }
 
-// unclaimDelay returns for how long the tasks of a span must not have fit before they are unclaimed.
+// unclaimDelay returns how long the tasks of a span stay claimed without fitting before they are
+// unclaimed.
 func unclaimDelay(taskRange *clusterstate.TaskRange, span taskSpan) time.Duration {
 	switch {
 	case taskRange.Job().IsBackground():
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -66,9 +66,9 @@
 	return buffers
 }
 
-// guaranteeBuffers returns a buffer for the unused part of each team's guarantee, except that of one
-// team. A buffer consists of tasks of the shape of the team's largest job. The unused part is divided
-// by the number of shards.
+// guaranteeBuffers returns a buffer for the unused part of each team's guarantee, except that of
+// exceptTeam. A buffer consists of tasks of the shape of the team's largest job. The unused part is
+// divided by the number of shards.
 func (s *Scheduler) guaranteeBuffers(exceptTeam string) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	for _, team := range s.cfg.Cluster.Teams {
