--- a/internal/startgate/startgate.go
+++ b/internal/startgate/startgate.go
@@ -1,6 +1,6 @@
-// Package startgate decides whether the command to start a task may be sent to a worker. Every start
-// passes it at the moment at which it is sent: what was true when the task was placed may have changed
-// since. What is not known is a refusal.
+// Package startgate decides whether the command to start a task may be sent to a worker. It checks
+// every start immediately before the command is sent, because conditions may have changed since the
+// task was placed. A start is refused if a condition can't be verified.
 package startgate
 
 import (
@@ -16,10 +16,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// Refusal is why a start may not be sent now. Its text is shown to operators and keeps its form.
+// Refusal is the reason why a start may not be sent now. Its text is shown to operators and must not
+// be changed.
 type Refusal string
 
-// The refusals, in the order in which they are looked for. Allowed is none.
+// The refusals, in the order in which Check tests for them. Allowed means that the start may be sent.
 const (
 	Allowed             Refusal = ""
 	NotOwned            Refusal = "the shard has another owner, or none"
@@ -36,7 +37,7 @@
 	CancellationUnknown Refusal = "cancellations may be missing: the key-value store was not read just now"
 )
 
-// Dependencies are the components of the same actor that the gate reads.
+// Dependencies are the components that the gate reads. The actor that uses the gate owns them.
 type Dependencies struct {
 	State  *clusterstate.State
 	Cache  *statecache.Cache
@@ -44,16 +45,18 @@
 	Claims *claims.Writer
 }
 
-// Gate decides on starts. It has no state of its own and no locks: one actor owns what it reads.
+// Gate decides whether starts may be sent. It has no state of its own, and needs no locks because a
+// single actor owns the components that it reads.
 type Gate struct {
 	deps Dependencies
 	cfg  *config.Config
 }
 
-// New returns a gate.
+// New returns a gate that reads the given components.
 func New(cfg *config.Config, deps Dependencies) *Gate { return &Gate{deps: deps, cfg: cfg} }
 
-// Check returns why the start of a task may not be sent to its machine now, Allowed if it may.
+// Check returns the reason why the start of a task may not be sent to its machine now, or Allowed if
+// it may be sent.
 func (g *Gate) Check(assignment *clusterstate.Assignment, now time.Time) Refusal {
 	machine := assignment.Machine()
 	if refusal := g.checkMachine(machine, now); refusal != Allowed {
@@ -77,7 +80,8 @@
 	return Allowed
 }
 
-// checkMachine checks that this controller may command the machine, and that the machine takes tasks.
+// checkMachine checks that this controller may send commands to the machine, and that the machine
+// accepts more tasks.
 func (g *Gate) checkMachine(machine *clusterstate.Machine, now time.Time) Refusal {
 	shard := g.deps.State.OwnedShard(machine)
 	switch {
@@ -98,14 +102,15 @@
 	return isNewer
 }
 
-// TakesNoMoreTasks reports whether a machine is on its way out, so that no task may start on it.
+// TakesNoMoreTasks reports whether a machine is preempted, being released or cordoned, so that no more
+// tasks may start on it.
 func TakesNoMoreTasks(machine *clusterstate.Machine) bool {
 	return machine.IsPreempted() || machine.IsReleasing() || machine.IsCordoned()
 }
 
-// checkTask checks that the task is one of an unfinished job, durably claimed by the machine's shard,
-// and still placed on this machine. A task is placed only when it is on no other one: see
-// reconciliation.
+// checkTask checks that the task belongs to an unfinished job, is durably claimed by the machine's
+// shard, and is still placed on this machine. It need not check other machines, since a task is placed
+// only when it is on no other machine: see package reconciliation.
 func (g *Gate) checkTask(assignment *clusterstate.Assignment) Refusal {
 	taskRange := assignment.TaskRange()
 	switch {
@@ -119,16 +124,18 @@
 	return Allowed
 }
 
-// knowsCancellations reports whether all cancellations up to tuning.MaxStartKnowledgeAge ago are known
-// here; otherwise a task could start of a job whose cancellation was confirmed to the user
-// (docs/recovery.md, "No start after a cancellation"). Starts may also be sent if all peers say that
-// they do not reach the key-value store: then none of them can have confirmed a cancellation.
+// knowsCancellations reports whether this controller knows all cancellations up to
+// tuning.MaxStartKnowledgeAge ago. Otherwise a task could start although the cancellation of its job was
+// confirmed to the user (docs/recovery.md, "No start after a cancellation"). Starts may also be sent if
+// all peers report that they can't reach the key-value store, since then none of them can have confirmed
+// a cancellation.
 func (g *Gate) knowsCancellations(now time.Time) bool {
 	return g.cfg.MayStartTasks(now, g.deps.Cache.ConsistentAsOf()) ||
 		g.deps.Peers.NoPeerReachesStore(now, tuning.MaxStartKnowledgeAge/2)
 }
 
-// checkGang checks that all tasks of the task's gang can start, on workers that its record allows.
+// checkGang checks, for a task of a gang, that all tasks of the gang can start, and that the record of
+// the task's range allows this worker.
 func (g *Gate) checkGang(assignment *clusterstate.Assignment) Refusal {
 	job := assignment.Job()
 	switch {
--- a/internal/startgate/startgate_test.go
+++ b/internal/startgate/startgate_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	shard      = "n0"
-	epoch      = 4
-	quotaKey   = jobs.QuotaPrefix + "636170706564" // of the team "capped"
-	fullQuota  = 8.0
-	knownUntil = 20 // the revision up to which the harness knows the records
+	shard           = "n0"
+	epoch           = 4
+	quotaKey        = jobs.QuotaPrefix + "636170706564" // of the team "capped"
+	fullQuota       = 8.0
+	appliedRevision = 20 // the revision up to which the harness has applied all changes
 )
 
-// newPlacedTasks makes a controller that owns a reconciled shard with a machine, on which two tasks of
-// 2 CPUs are placed. Their team may use 8 CPUs in all, 4 of them in this shard.
+// newPlacedTasks creates a controller that owns a reconciled shard with one machine, on which two tasks
+// of 2 CPUs each are placed. Their team may use 8 CPUs in total, 4 of them in this shard.
 func newPlacedTasks(t *testing.T) (h *harness.Harness, first, second *clusterstate.Assignment) {
 	t.Helper()
 	h = harness.New(t, func(h *harness.Harness) {
@@ -38,24 +38,25 @@
 	h.AddJob(jobs.Spec{Ref: "wk-1", Team: "capped", Kind: jobs.Array, Urgency: "normal", Tasks: 2, CPU: 2}, 0, 5)
 	tasks := h.AddTaskRange("wk-1", shard, 2, 6)
 	allocate(h, 4, 7)
-	h.SyncCache(knownUntil)
+	h.SyncCache(appliedRevision)
 	h.Membership.Shard(shard).MarkReconciled()
 	tasks.MarkUnknownReady()
 	return h, h.State.Place(tasks, 0, machine, 1), h.State.Place(tasks, 1, machine, 2)
 }
 
+// allocate writes an allocation of CPUs to the shard into the team's quota record.
 func allocate(h *harness.Harness, cpus float64, revision uint64) {
 	h.WriteRecord(quotaKey, quota.Record{ByShard: map[string]quota.Amount{shard: {CPU: cpus}}}, revision)
 }
 
-// What was true when a task was placed may not be true any more when its start is to be sent.
-func TestGateRefusesWhatHasChangedSincePlacement(t *testing.T) {
+// Conditions that held when a task was placed may no longer hold when its start is about to be sent.
+func TestGateRefusesStartsInvalidatedSincePlacement(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(h *harness.Harness, first, second *clusterstate.Assignment)
 		want   startgate.Refusal
 	}{
-		{"nothing", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {}, startgate.Allowed},
+		{"no change", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {}, startgate.Allowed},
 		{"another controller owns the shard", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
 			h.SetOwner(shard, harness.OtherNode, 30)
 		}, startgate.NotOwned},
@@ -72,27 +73,27 @@
 			h.State.MarkStartSent(first)
 			h.Cache.ApplyDelete(jobs.JobKey("wk-1"), 30)
 		}, startgate.NotPlaced},
-		{"the store was not read for a while", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {
+		{"the store was not read for 5 s", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {
 			time.Sleep(5 * time.Second)
 		}, startgate.CancellationUnknown},
-		{"the store was not read for long", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {
+		{"the store was not read for a minute", func(*harness.Harness, *clusterstate.Assignment, *clusterstate.Assignment) {
 			time.Sleep(time.Minute)
 		}, startgate.StoreUnreadable},
-		{"the allocation shrank, nothing started", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
+		{"the allocation was reduced, no task started", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
 			allocate(h, 2, 30)
 		}, startgate.Allowed},
-		{"the allocation shrank to what runs", func(h *harness.Harness, _, second *clusterstate.Assignment) {
+		{"the allocation was reduced to the usage", func(h *harness.Harness, _, second *clusterstate.Assignment) {
 			allocate(h, 2, 30)
 			h.State.MarkStartSent(second)
 			h.Claims.NoteStartSent(second)
 		}, startgate.QuotaExceeded},
-		{"the allocation is gone", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
+		{"the allocation was removed", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
 			allocate(h, 0, 30)
 		}, startgate.QuotaExceeded},
 		{"a worker reports a task of an unknown job", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
 			h.State.Adopt(h.AddMachine("i-2", shard, "m16", false), workerapi.TaskStatus{Task: "wk-9/0", Attempt: 1}, false)
 		}, startgate.QuotaUnknown},
-		{"such a worker's machine type is unknown", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
+		{"a worker of unknown machine type reports such a task", func(h *harness.Harness, _, _ *clusterstate.Assignment) {
 			h.State.Adopt(h.AddMachine("i-2", shard, "m99", false), workerapi.TaskStatus{Task: "wk-9/0", Attempt: 1}, false)
 		}, startgate.QuotaUnknown},
 	}
@@ -109,8 +110,9 @@
 	}
 }
 
-// A refused start is not sent, and is shown to operators with its reason; the rest goes on.
-func TestResponseContainsOnlyAdmittedStarts(t *testing.T) {
+// A refused start is left out of the response, and its reason is shown to operators. The other start is
+// sent.
+func TestResponseContainsOnlyAllowedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
 		allocate(h, 2, 30)
@@ -122,7 +124,7 @@
 			}
 		}
 		if len(started) != 1 {
-			t.Fatalf("started %v within an allocation of one task", started)
+			t.Fatalf("started %v, want one task, which is all that the allocation covers", started)
 		}
 		refused := first
 		if slices.Contains(started, first.Name()) {
@@ -134,9 +136,9 @@
 	})
 }
 
-// Known tasks that take more than the allocation are a violation, which is counted and reported once a
-// check; here it is provoked by starting tasks without the gate.
-func TestUsageBeyondAllocationIsAViolation(t *testing.T) {
+// Known tasks that use more than the allocation violate an invariant. Each check counts and reports the
+// violation once. The test causes it by starting tasks without asking the gate.
+func TestUsageBeyondAllocationIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
 		for _, assignment := range []*clusterstate.Assignment{first, second} {
@@ -151,8 +153,8 @@
 	})
 }
 
-// A gang is started as a whole: its first task may not start if the quota allows only a part of the gang.
-func TestGangStartsOnlyIfAllOfItIsWithinQuota(t *testing.T) {
+// A gang starts as a whole: its first task may not start if the quota allows only a part of the gang.
+func TestGangStartsOnlyIfWholeGangIsWithinQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, _, _ := newPlacedTasks(t)
 		h.AddJob(jobs.Spec{Ref: "wk-2", Team: "capped", Kind: jobs.Gang, Urgency: "normal", Tasks: 2, CPU: 1}, 0, 8)
@@ -165,33 +167,34 @@
 		h.State.Place(tasks, 1, machine, 3)
 		allocate(h, 1, 40)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.QuotaExceeded {
-			t.Errorf("allocation of half of the gang: refusal %q", got)
+			t.Errorf("allocation for half of the gang: refusal %q", got)
 		}
 		allocate(h, 2, 41)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.Allowed {
-			t.Errorf("allocation of all of the gang: refusal %q", got)
+			t.Errorf("allocation for the whole gang: refusal %q", got)
 		}
 	})
 }
 
-// The usage of a team is cached until something changes on the machines; a task that turns up on one is
-// such a change.
-func TestTaskThatTurnsUpCountsAtOnce(t *testing.T) {
+// The usage of a team is cached until a machine changes. An unexpected task that a worker reports must
+// invalidate the cached usage.
+func TestAdoptedTaskInvalidatesCachedUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, _ := newPlacedTasks(t)
 		other := h.AddMachine("i-2", shard, "m16", false)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.Allowed {
-			t.Fatalf("refusal %q before", got)
+			t.Fatalf("refusal %q before the task is reported", got)
 		}
 		h.State.Adopt(other, workerapi.TaskStatus{Task: "wk-9/0", Attempt: 1, Status: workerapi.StatusRunning}, false)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.QuotaUnknown {
-			t.Errorf("refusal %q after", got)
+			t.Errorf("refusal %q after the task is reported", got)
 		}
 	})
 }
 
-// A release without an answer is not deducted from the allocation that the check compares with: an owner in
-// between may have used the amount, and the release of an earlier epoch can not be made any more.
+// The check compares the usage with the recorded allocation, from which a release without a response is
+// not deducted. If the shard had another owner in the meantime, that owner may have used the amount,
+// and a release that was sent in an earlier epoch can no longer succeed.
 func TestUnansweredReleaseIsNoViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
@@ -199,8 +202,8 @@
 		h.State.Unplace(second)
 		h.Claims.Tick(time.Now())
 		time.Sleep(tuning.AllocationReleaseDelay)
-		h.SyncCache(knownUntil + 1)
-		h.Claims.Tick(time.Now()) // releases the half that is not used; the store does not answer
+		h.SyncCache(appliedRevision + 1)
+		h.Claims.Tick(time.Now()) // releases the unused half; the store does not respond
 		if available := h.Claims.QuotaUsages()[0].AllocatedCPU; available != 2 {
 			t.Fatalf("%v CPUs are available after the release was sent", available)
 		}
@@ -211,7 +214,7 @@
 		}
 		h.Claims.Tick(time.Now())
 		h.ExpectViolations(t, 0)
-		allocate(h, 2, 30) // the release was made
+		allocate(h, 2, 30) // the release was written
 		h.Claims.Tick(time.Now())
 		h.ExpectViolations(t, 1)
 	})
