--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -8,16 +8,18 @@
 	"cherrywall/internal/config"
 )
 
-// Allocations is what a controller knows of the records of all teams. It follows the records
-// and writes none itself. It is not safe for concurrent use: one actor owns it.
+// Allocations holds the latest records of all teams that a controller knows. It applies records that
+// were read from the store, and computes changed records but doesn't write them. It is not safe for
+// concurrent use: one actor owns it.
 type Allocations struct{ teams map[string]*teamState }
 
+// teamState is the record of one team, and the team's releases whose outcome is unknown.
 type teamState struct {
 	record   Record
 	revision uint64
-	// releasing holds, by shard, the amounts of releases whose outcome is not known. The shard
-	// must not use them, since another one may have acquired them already. The writes of these
-	// releases have releaseRevision of the record as their precondition.
+	// releasing holds, by shard, the amounts of releases whose outcome is unknown. The shard must
+	// not use these amounts, since another shard may have acquired them already. The writes of
+	// these releases have the precondition that the record's revision is releaseRevision.
 	releasing       map[string]Amount
 	releaseRevision uint64
 }
@@ -25,15 +27,15 @@
 // New returns Allocations without records.
 func New() *Allocations { return &Allocations{map[string]*teamState{}} }
 
-// Reset drops all records, to be read anew. Releases whose outcome is not known are kept, since
-// their writes may still be in flight.
+// Reset discards all records, so that they can be read again. Releases whose outcome is unknown are
+// kept, since their writes may still be in flight.
 func (a *Allocations) Reset() {
 	for _, state := range a.teams {
 		state.record, state.revision = Record{}, 0
 	}
 }
 
-// teamOf returns the state of a team, which it creates if there is none.
+// teamOf returns the state of a team, and creates the state if there is none.
 func (a *Allocations) teamOf(team string) *teamState {
 	state := a.teams[team]
 	if state == nil {
@@ -43,9 +45,10 @@
 	return state
 }
 
-// ApplyRecord applies a team's record as of a revision. A record no newer than the known one is
-// ignored. A newer one settles the releases in flight: each is contained in it, or can no longer
-// succeed because its precondition is an older revision.
+// ApplyRecord applies a team's record as of a revision. A record that is not newer than the known one
+// is ignored. A newer record settles the outcome of releases in flight: each of them is contained in
+// the record, or can no longer succeed because its precondition is an older revision. ApplyRecord
+// returns an error if the record can't be decoded.
 func (a *Allocations) ApplyRecord(team string, value json.RawMessage, revision uint64) error {
 	state := a.teamOf(team)
 	if state.revision >= revision {
@@ -53,7 +56,7 @@
 	}
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
-		return fmt.Errorf("allocations of %s: %w", team, err)
+		return fmt.Errorf("decode quota record of team %s: %w", team, err)
 	}
 	state.record, state.revision = record, revision
 	if revision > state.releaseRevision {
@@ -68,8 +71,8 @@
 // Record returns a team's record. It must not be changed.
 func (a *Allocations) Record(team string) Record { return a.teamOf(team).record }
 
-// Available returns what a shard's owner may use of a team's quota. Should the quota have been
-// lowered below what is allocated, each shard uses its fraction of the new one.
+// Available returns how much of a team's quota a shard's owner may use. If the quota was lowered below
+// the sum of all allocations, each allocation is scaled down in proportion.
 func (a *Allocations) Available(team config.Team, shard string) Amount {
 	state := a.teamOf(team.Name)
 	available := state.record.ByShard[shard].Sub(state.releasing[shard])
@@ -83,21 +86,23 @@
 	return available
 }
 
-// Recorded returns what a team's record allocates to a shard, releases whose outcome is not known included.
+// Recorded returns the amount that a team's record allocates to a shard. Releases whose outcome is
+// unknown are not deducted.
 func (a *Allocations) Recorded(team config.Team, shard string) Amount {
 	return a.teamOf(team.Name).record.ByShard[shard]
 }
 
-// Allocated returns what all shards have of a team's quota.
+// Allocated returns how much of a team's quota is allocated to all shards together.
 func (a *Allocations) Allocated(team config.Team) Amount { return a.teamOf(team.Name).record.Total() }
 
-// Unallocated returns what no shard has of a team's quota.
+// Unallocated returns how much of a team's quota is not allocated to any shard.
 func (a *Allocations) Unallocated(team config.Team) Amount {
 	return LimitOf(team).Sub(a.teamOf(team.Name).record.Total()).NonNegative()
 }
 
-// Acquire returns the record to be written with more for a shard: as much of the wanted amount
-// as is unallocated, or with allOrNothing all of it. ok is false if that is nothing.
+// Acquire returns the record to write in order to increase a shard's allocation by the wanted amount,
+// or by as much of it as is unallocated. With allOrNothing it requires the whole wanted amount. ok is
+// false if nothing can be acquired.
 func (a *Allocations) Acquire(team config.Team, shard string, wanted Amount, allOrNothing bool) (record Record, ok bool) {
 	unallocated := a.Unallocated(team)
 	if allOrNothing && !unallocated.Covers(wanted) {
@@ -107,18 +112,18 @@
 	if acquired.IsNegligible() {
 		return Record{}, false
 	}
-	return a.changed(team.Name, shard, acquired), true
+	return a.recordWithDelta(team.Name, shard, acquired), true
 }
 
-// Release returns the record to be written with less for a shard. ReleaseSent has to be called in
-// the actor's same step as the write is begun: from then on the shard must not use the released
-// amount, since an unanswered write may still succeed.
+// Release returns the record to write in order to reduce a shard's allocation by the released amount.
+// ReleaseSent has to be called in the same step of the actor in which the write is started: from then
+// on the shard must not use the released amount, since a write without a response may still succeed.
 func (a *Allocations) Release(team config.Team, shard string, released Amount) Record {
-	return a.changed(team.Name, shard, Amount{}.Sub(released))
+	return a.recordWithDelta(team.Name, shard, Amount{}.Sub(released))
 }
 
-// changed returns a copy of a team's record with a shard's allocation changed by delta.
-func (a *Allocations) changed(team, shard string, delta Amount) Record {
+// recordWithDelta returns a copy of a team's record in which delta is added to a shard's allocation.
+func (a *Allocations) recordWithDelta(team, shard string, delta Amount) Record {
 	byShard := maps.Clone(a.teamOf(team).record.ByShard)
 	if byShard == nil {
 		byShard = map[string]Amount{}
@@ -130,7 +135,7 @@
 	return Record{byShard}
 }
 
-// ReleaseSent records that a release is being written with the known revision of the team's
+// ReleaseSent notes that the write of a release was started, with the known revision of the team's
 // record as its precondition. Available no longer includes the released amount.
 func (a *Allocations) ReleaseSent(team, shard string, released Amount) {
 	state := a.teamOf(team)
@@ -138,10 +143,11 @@
 	state.releaseRevision = state.revision
 }
 
-// ReleaseRejected records that a shard's release was certainly not written: the shard may use the
-// amount again.
+// ReleaseRejected notes that a shard's release was certainly not written, so that the shard may use
+// the amount again.
 func (a *Allocations) ReleaseRejected(team, shard string) { delete(a.teamOf(team).releasing, shard) }
 
-// IsReleasePending reports whether the outcome of a release of a team is not known. A successful write
-// with the same precondition settles it, since then the release can no longer succeed.
+// IsReleasePending reports whether the outcome of a release of the team's quota is unknown. Another
+// write with the same precondition settles the outcome if it succeeds, since the release can no longer
+// succeed then.
 func (a *Allocations) IsReleasePending(team string) bool { return len(a.teamOf(team).releasing) > 0 }
--- a/internal/quota/allocations_test.go
+++ b/internal/quota/allocations_test.go
@@ -8,30 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// exploration is the result of trying all steps in all states, level by level.
+// exploration is the result of a breadth-first search of the model's states.
 type exploration struct {
 	states int
-	// violation is the invariant that does not hold, if any; path are the steps to it.
+	// violation describes the invariant that does not hold, or is empty. path holds the names of the
+	// steps that lead to the violation.
 	violation string
 	path      []string
 }
 
-// explorer visits all states that steps lead to, level by level.
+// explorer does a breadth-first search of all states that can be reached by the steps.
 type explorer struct {
 	faults  mutation
 	steps   []step
 	initial model
-	origins map[model]origin // of every state visited
+	origins map[model]origin // by visited state
 }
 
-// origin is how a state was reached first.
+// origin is the step by which a state was first reached, and the state before that step.
 type origin struct {
-	before model
-	step   string
+	predecessor model
+	step        string
 }
 
-// explore visits states until there are at least maxStates, or an invariant does not hold.
-// Without faults it reaches deeper in the same time, with one transaction in flight.
+// explore visits states until it has visited at least maxStates, or an invariant does not hold.
+// withoutFaults leaves out the steps that are faults and allows only one transaction in flight, so
+// that longer paths are searched in the same time.
 func explore(faults mutation, withoutFaults bool, maxStates int) exploration {
 	e := explorer{faults: faults, steps: allSteps(), initial: initialModel(), origins: map[model]origin{}}
 	inFlightLimit = maxInFlight
@@ -57,8 +59,8 @@
 	return exploration{states: len(e.origins)}
 }
 
-// visitFrom returns the new states that are one step away. It ends with the first one in which
-// an invariant does not hold.
+// visitFrom returns the states that are one step away and were not visited before. It returns early
+// at the first state in which an invariant does not hold, which is then the last one returned.
 func (e *explorer) visitFrom(state model) (reached []model) {
 	for _, step := range e.steps {
 		after := state
@@ -77,16 +79,16 @@
 	return reached
 }
 
-// pathTo returns the steps from the initial state.
+// pathTo returns the names of the steps that lead from the initial state to a state.
 func (e *explorer) pathTo(state model) (path []string) {
-	for ; state != e.initial; state = e.origins[state].before {
+	for ; state != e.initial; state = e.origins[state].predecessor {
 		path = append(path, e.origins[state].step)
 	}
 	slices.Reverse(path)
 	return path
 }
 
-func TestAllocationInvariantsInEveryOrder(t *testing.T) {
+func TestAllocationInvariantsInEveryOrderOfSteps(t *testing.T) {
 	defer func(limit float64) { team.MaxCPUs = limit }(team.MaxCPUs)
 	for team.MaxCPUs = 1; team.MaxCPUs <= 2; team.MaxCPUs++ {
 		for withoutFaults, maxStates := range map[bool]int{false: 20_000, true: 60_000} {
@@ -97,19 +99,19 @@
 				}
 				t.Logf("%d states", explored.states)
 				if explored.states < maxStates {
-					t.Errorf("only %d states: the model does not move", explored.states)
+					t.Errorf("only %d states, want at least %d: the steps of the model reach too few states", explored.states, maxStates)
 				}
 			})
 		}
 	}
 }
 
-// The model finds what is wrong with variants of the protocol, so that it would find it in the
-// real one.
+// The exploration must find the faults of incorrect variants of the protocol. If it does, it would find
+// these faults in the real protocol as well.
 func TestMutatedAllocationsViolateInvariants(t *testing.T) {
 	for name, faults := range map[string]mutation{
-		"used before its tasks are accounted for":                       {useBeforeReconciled: true},
-		"used while it is being released":                               {useWhileReleasing: true},
+		"used before its tasks are known":                               {useBeforeReconciled: true},
+		"used while it is released":                                     {useWhileReleasing: true},
 		"written without the shard's epoch":                             {writeWithoutEpoch: true},
 		"reconciled before the records of the previous owner are known": {reconcileBeforeRecord: true},
 	} {
@@ -123,7 +125,8 @@
 	}
 }
 
-// Random paths far longer than an exploration reaches.
+// TestAllocationInvariantsOnLongPaths checks random paths that are far longer than those of an
+// exploration.
 func TestAllocationInvariantsOnLongPaths(t *testing.T) {
 	inFlightLimit = maxInFlight
 	steps := allSteps()
@@ -134,7 +137,7 @@
 				state = after
 			}
 			if state.record.revision > 100 {
-				return // the model's revisions are small
+				return // the model's revisions are of type int8
 			}
 			if violation := state.violation(); violation != "" {
 				t.Fatal(violation)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -6,21 +6,22 @@
 	"cherrywall/internal/config"
 )
 
-// The protocol of allocations as a small state machine around the real Allocations: controllers
-// that own shards, lag behind the record, crash and recover; workers that follow the commands of
-// the controller to which they sent their last heartbeat; transactions that are executed late or
-// whose responses are lost. The invariants: no more is allocated than the quota, and no more runs.
+// This file models the allocation protocol as a small state machine around the real Allocations:
+// - Controllers own shards, know an old revision of the record, crash and recover.
+// - Workers obey the controller to which they sent their last heartbeat.
+// - Transactions are executed late, or their responses are lost.
+// The invariants are that neither the allocations nor the running tasks exceed the quota.
 
 const (
 	shardCount      = 2
 	controllerCount = 2
-	maxInFlight     = 2 // transactions in flight at most
+	maxInFlight     = 2 // maximum number of transactions in flight
 )
 
-// inFlightLimit is how many transactions may be in flight in the current exploration.
+// inFlightLimit is the maximum number of transactions in flight in the current test, at most maxInFlight.
 var inFlightLimit = maxInFlight
 
-// team's quota is in tasks of one CPU.
+// team is the team whose quota is allocated. Each of its tasks needs one CPU.
 var team = config.Team{Name: "t", MaxCPUs: 1}
 
 var shardNames = [shardCount]string{"s0", "s1"}
@@ -28,6 +29,7 @@
 // encodedRecords caches the encoded records by the tasks allocated to each shard.
 var encodedRecords = map[[shardCount]int8][]byte{}
 
+// encodeRecord returns the stored form of a record, given the tasks allocated to each shard.
 func encodeRecord(byShard [shardCount]int8) []byte {
 	raw := encodedRecords[byShard]
 	if raw == nil {
@@ -37,56 +39,56 @@
 	return raw
 }
 
-// modelRecord is a team's record at a revision.
+// modelRecord is the team's record at a revision.
 type modelRecord struct {
-	byShard  [shardCount]int8
+	byShard  [shardCount]int8 // allocated tasks
 	revision int8
 }
 
-// shardView is what a controller knows of a shard.
+// shardView is the state of a shard from the view of one controller.
 type shardView struct {
-	isOwned         bool
-	epoch           int8 // in which it is owned
-	isReconciled    bool
-	releasing       int8
-	acquiredAtQuota int8 // the revision of the team's record when the shard was acquired
+	isOwned                     bool
+	epoch                       int8 // the epoch in which the controller owns the shard
+	isReconciled                bool
+	releasing                   int8 // tasks whose release has an unknown outcome
+	recordRevisionAtAcquisition int8 // the revision of the team's record when the shard was acquired
 }
 
-// flight is a transaction in flight: the owner of a shard writes another record.
-type flight struct {
-	isActive          bool
+// inFlightTxn is a transaction in flight, by which the owner of a shard writes a new record.
+type inFlightTxn struct {
+	isActive          bool // false: the entry is unused
 	controller, shard int8
-	revision, epoch   int8 // its preconditions
+	revision, epoch   int8 // the preconditions: revision of the record, epoch of the shard
 	byShard           [shardCount]int8
 	isRelease         bool
-	isAnswerLost      bool
+	isResponseLost    bool
 }
 
-// model is a state of the whole. It is comparable, so that states can be counted.
+// model is a state of the whole system. It is comparable, so that visited states can be map keys.
 type model struct {
-	record          modelRecord
-	owner           [shardCount]int8 // by the shard's record
-	epoch           [shardCount]int8
-	running         [shardCount]int8 // tasks with the shard's workers
-	obeys           [shardCount]int8 // the controller whose commands the shard's workers follow
-	known           [controllerCount]modelRecord
-	releaseRevision [controllerCount]int8 // on which the last release rests
-	views           [controllerCount][shardCount]shardView
-	flights         [maxInFlight]flight
+	record               modelRecord
+	owner                [shardCount]int8 // the controller that owns the shard according to the store
+	epoch                [shardCount]int8 // according to the store
+	running              [shardCount]int8 // tasks that run on the shard's workers
+	commandingController [shardCount]int8 // the controller whose commands the shard's workers obey
+	known                [controllerCount]modelRecord
+	releaseRevision      [controllerCount]int8 // revision that is the precondition of the last release
+	views                [controllerCount][shardCount]shardView
+	inFlight             [maxInFlight]inFlightTxn
 }
 
 // mutation is a set of faults in the protocol that the exploration must find.
 type mutation struct {
-	useBeforeReconciled   bool // an allocation is used and released before its tasks are accounted for
-	useWhileReleasing     bool // what is being released may be used until the write is known to be made
-	writeWithoutEpoch     bool // writes do not rest on the shard's epoch
+	useBeforeReconciled   bool // an allocation is used and released before the running tasks of the shard are known
+	useWhileReleasing     bool // an amount is used after its release was sent, until the release is known to be written
+	writeWithoutEpoch     bool // the shard's epoch is not a precondition of writes
 	reconcileBeforeRecord bool // a shard is reconciled before the records written before its acquisition are known
 }
 
 func initialModel() model {
 	m := model{record: modelRecord{revision: 1}}
 	for s := range shardCount {
-		m.owner[s], m.epoch[s], m.obeys[s] = int8(s%controllerCount), 1, int8(s%controllerCount)
+		m.owner[s], m.epoch[s], m.commandingController[s] = int8(s%controllerCount), 1, int8(s%controllerCount)
 	}
 	for c := range controllerCount {
 		m.known[c] = m.record
@@ -117,26 +119,27 @@
 	return allocations
 }
 
-// send starts a transaction; false if too many are in flight.
+// send starts a transaction. It returns false if inFlightLimit transactions are in flight already.
 func (m *model) send(controller, shard int, record Record, isRelease bool) bool {
-	for i := range m.flights[:inFlightLimit] {
-		if m.flights[i].isActive {
+	for i := range m.inFlight[:inFlightLimit] {
+		if m.inFlight[i].isActive {
 			continue
 		}
-		sent := flight{
+		sent := inFlightTxn{
 			isActive: true, controller: int8(controller), shard: int8(shard), revision: m.known[controller].revision,
 			epoch: m.views[controller][shard].epoch, isRelease: isRelease,
 		}
 		for s, name := range shardNames {
 			sent.byShard[s] = int8(record.ByShard[name].CPU)
 		}
-		m.flights[i] = sent
+		m.inFlight[i] = sent
 		return true
 	}
 	return false
 }
 
-// applyRecord has a controller apply the record, after a reset if it reads all records anew.
+// applyRecord makes a controller apply the current record. With reset the controller first discards the
+// records that it knows, as it does before it reads all of them again.
 func (m *model) applyRecord(controller int, reset bool) {
 	if !reset && m.known[controller] == m.record {
 		return
@@ -155,7 +158,7 @@
 	m.known[controller] = m.record
 }
 
-// violation returns which invariant does not hold in a state, if any.
+// violation describes the invariant that does not hold in this state. It is empty if all hold.
 func (m *model) violation() string {
 	allocated, running, limit := int8(0), int8(0), int8(team.MaxCPUs)
 	for s := range shardCount {
@@ -171,12 +174,12 @@
 	return ""
 }
 
-// step is an event that may happen.
+// step is an event that may happen in a state of the model.
 type step struct {
 	name string
-	// isFault marks crashes, lost answers and resets, which a deep exploration leaves out.
+	// isFault marks crashes, lost responses and resets, which an exploration without faults leaves out.
 	isFault bool
-	// apply changes the state; false if the event is not possible in it.
+	// apply changes the state. It returns false if the event is not possible in the state.
 	apply func(m *model, faults mutation) bool
 }
 
@@ -191,25 +194,25 @@
 		}
 	}
 	for c := range controllerCount {
-		steps = append(steps, applyRecords(c), readAnew(c), crash(c))
+		steps = append(steps, applyRecords(c), rereadRecords(c), crash(c))
 	}
 	for i := range maxInFlight {
-		steps = append(steps, decideTransaction(i), loseAnswer(i))
+		steps = append(steps, decideTransaction(i), loseResponse(i))
 	}
 	return steps
 }
 
 func taskEnds(shard int) step {
-	return step{name: fmt.Sprint("a task ends in ", shard), apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint("a task ends in shard ", shard), apply: func(m *model, _ mutation) bool {
 		m.running[shard]--
 		return m.running[shard] >= 0
 	}}
 }
 
-// knownRunning is how many tasks a controller knows to run in a shard.
+// knownRunning returns how many tasks run in a shard to the knowledge of a controller.
 func (m *model) knownRunning(controller, shard int, faults mutation) int8 {
 	if faults.useBeforeReconciled && !m.views[controller][shard].isReconciled {
-		return 0 // no heartbeat yet
+		return 0 // the workers have not sent a heartbeat yet
 	}
 	return m.running[shard]
 }
@@ -221,10 +224,10 @@
 }
 
 func startTask(controller, shard int) step {
-	name := fmt.Sprintf("%d starts a task in %d", controller, shard)
+	name := fmt.Sprintf("controller %d starts a task in shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		needed := float64(m.knownRunning(controller, shard, faults) + 1)
-		ok := m.canUse(controller, shard, faults) && int(m.obeys[shard]) == controller &&
+		ok := m.canUse(controller, shard, faults) && int(m.commandingController[shard]) == controller &&
 			m.allocations(controller).Available(team, shardNames[shard]).CPU >= needed
 		m.running[shard]++
 		return ok
@@ -232,7 +235,7 @@
 }
 
 func acquireAllocation(controller, shard int) step {
-	name := fmt.Sprintf("%d acquires quota for %d", controller, shard)
+	name := fmt.Sprintf("controller %d acquires quota for shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, _ mutation) bool {
 		if !m.views[controller][shard].isOwned {
 			return false
@@ -243,7 +246,7 @@
 }
 
 func releaseAllocation(controller, shard int) step {
-	name := fmt.Sprintf("%d releases quota of %d", controller, shard)
+	name := fmt.Sprintf("controller %d releases quota of shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		allocations, shardName := m.allocations(controller), shardNames[shard]
 		needed := float64(m.knownRunning(controller, shard, faults) + 1)
@@ -264,7 +267,7 @@
 }
 
 func acquireShard(controller, shard int) step {
-	name := fmt.Sprintf("%d acquires shard %d", controller, shard)
+	name := fmt.Sprintf("controller %d acquires shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, _ mutation) bool {
 		view := &m.views[controller][shard]
 		if int(m.owner[shard]) == controller && view.isOwned || m.epoch[shard] > 2 {
@@ -272,24 +275,24 @@
 		}
 		m.owner[shard] = int8(controller)
 		m.epoch[shard]++
-		*view = shardView{isOwned: true, epoch: m.epoch[shard], releasing: view.releasing, acquiredAtQuota: m.record.revision}
+		*view = shardView{isOwned: true, epoch: m.epoch[shard], releasing: view.releasing, recordRevisionAtAcquisition: m.record.revision}
 		return true
 	}}
 }
 
 func reconcileShard(controller, shard int) step {
-	name := fmt.Sprintf("%d reconciles shard %d", controller, shard)
+	name := fmt.Sprintf("controller %d reconciles shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		view := &m.views[controller][shard]
-		knowsRecord := m.known[controller].revision >= view.acquiredAtQuota || faults.reconcileBeforeRecord
+		knowsRecord := m.known[controller].revision >= view.recordRevisionAtAcquisition || faults.reconcileBeforeRecord
 		ok := knowsRecord && view.isOwned && !view.isReconciled && view.epoch == m.epoch[shard]
-		view.isReconciled, m.obeys[shard] = true, int8(controller)
+		view.isReconciled, m.commandingController[shard] = true, int8(controller)
 		return ok
 	}}
 }
 
 func applyRecords(controller int) step {
-	return step{name: fmt.Sprint(controller, " applies the records"), apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint("controller ", controller, " applies the records"), apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.applyRecord(controller, false)
 		for s := range shardCount {
@@ -301,8 +304,8 @@
 	}}
 }
 
-func readAnew(controller int) step {
-	return step{name: fmt.Sprint(controller, " reads all anew"), isFault: true, apply: func(m *model, _ mutation) bool {
+func rereadRecords(controller int) step {
+	return step{name: fmt.Sprint("controller ", controller, " reads all records again"), isFault: true, apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.applyRecord(controller, true)
 		return *m != before
@@ -310,41 +313,41 @@
 }
 
 func crash(controller int) step {
-	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint("controller ", controller, " crashes"), isFault: true, apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.views[controller], m.releaseRevision[controller] = [shardCount]shardView{}, 0
-		m.known[controller] = m.record // it reads all anew
+		m.known[controller] = m.record // it reads all records again
 		return *m != before
 	}}
 }
 
 func decideTransaction(i int) step {
-	return step{name: fmt.Sprint("transaction ", i, " is decided"), apply: func(m *model, faults mutation) bool {
-		decided := m.flights[i]
+	return step{name: fmt.Sprint("the store decides transaction ", i), apply: func(m *model, faults mutation) bool {
+		decided := m.inFlight[i]
 		if !decided.isActive {
 			return false
 		}
-		m.flights[i] = flight{}
-		isMade := decided.revision == m.record.revision &&
+		m.inFlight[i] = inFlightTxn{}
+		succeeds := decided.revision == m.record.revision &&
 			(faults.writeWithoutEpoch || decided.epoch == m.epoch[decided.shard])
-		if isMade {
+		if succeeds {
 			m.record = modelRecord{decided.byShard, m.record.revision + 1}
 		}
 		switch {
-		case decided.isAnswerLost:
-		case isMade:
-			m.applyRecord(int(decided.controller), false) // its own write
+		case decided.isResponseLost:
+		case succeeds:
+			m.applyRecord(int(decided.controller), false) // the controller applies its own write
 		case decided.isRelease:
-			m.views[decided.controller][decided.shard].releasing = 0 // certainly not made
+			m.views[decided.controller][decided.shard].releasing = 0 // certainly not written
 		}
 		return true
 	}}
 }
 
-func loseAnswer(i int) step {
-	return step{name: fmt.Sprint("the answer to ", i, " is lost"), isFault: true, apply: func(m *model, _ mutation) bool {
-		ok := m.flights[i].isActive && !m.flights[i].isAnswerLost
-		m.flights[i].isAnswerLost = true
+func loseResponse(i int) step {
+	return step{name: fmt.Sprint("the response to transaction ", i, " is lost"), isFault: true, apply: func(m *model, _ mutation) bool {
+		ok := m.inFlight[i].isActive && !m.inFlight[i].isResponseLost
+		m.inFlight[i].isResponseLost = true
 		return ok
 	}}
 }
