--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admission decides whether a job could ever run.
+// Package admission decides whether a submitted job is admitted: whether it could ever run on this cluster.
 package admission
 
 import (
@@ -15,19 +15,19 @@
 // ErrUnsatisfiable means that a job can never run as it was submitted.
 var ErrUnsatisfiable = errors.New("can never run")
 
-// roundingTolerance is by how much a sum of CPUs or GPUs may exceed a limit, for the rounding
-// of floating point numbers.
+// roundingTolerance is the number of CPUs or GPUs by which a sum may exceed a limit, to allow for
+// floating-point rounding.
 const roundingTolerance = 1e-9
 
-// unsatisfiable returns an error that names the field and wraps ErrUnsatisfiable.
+// unsatisfiable returns an error that names a field of the job and wraps ErrUnsatisfiable.
 func unsatisfiable(field, format string, args ...any) error {
 	reason := fmt.Sprintf("%v: %s", ErrUnsatisfiable, fmt.Sprintf(format, args...))
 	return &jobs.ValidationError{Field: field, Reason: reason, Err: ErrUnsatisfiable}
 }
 
-// Check rejects a job that could never run on the given machine types, whatever becomes free. The
-// error wraps ErrUnsatisfiable and is a *jobs.ValidationError that names the field. A job is
-// undecided if there are no machine types yet.
+// Check rejects a job that could never run on the given machine types, even if all machines were free.
+// The error of the decision wraps ErrUnsatisfiable and is a *jobs.ValidationError that names the field.
+// The verdict is Undecided if no machine types are known yet.
 func Check(spec *jobs.Spec, teamByName func(name string) (config.Team, bool), types map[string]cloud.MachineType) Decision {
 	team, ok := teamByName(spec.Team)
 	if !ok {
@@ -42,10 +42,11 @@
 	return Decide(checkQuota(spec, team))
 }
 
-// checkPlacement returns an error if the tasks fit no machines that the job allows.
+// checkPlacement returns an error if no machine type that the job allows fits a task, or if the zones
+// of these machine types don't allow the job to be spread.
 func checkPlacement(spec *jobs.Spec, types map[string]cloud.MachineType) error {
 	fits := false
-	zones := map[string]bool{} // allowed zones with machines for the job
+	zones := map[string]bool{} // allowed zones that have machine types for the job
 	for name, machineType := range types {
 		if !allowsType(spec, name, machineType) || capacity.FitCount(machineType.Total(), spec.Need()) == 0 {
 			continue
@@ -60,20 +61,21 @@
 	if !fits {
 		return unsatisfiable("vcpus", "a task fits no allowed machine type")
 	}
-	// At most half of a spread job's tasks, rounded up, may run in one zone: one of one, one of
-	// two.
+	// At most half of a spread job's tasks, rounded up, may run in one zone: one task of one, and one
+	// task of two.
 	if !spec.Spread || spec.Tasks <= 1 {
 		return nil
 	}
 	switch {
 	case spec.OneZone:
-		return unsatisfiable("spread", "all tasks in one zone, and at most half of them")
+		return unsatisfiable("spread", "all tasks have to run in one zone, but at most half of them may run in the same zone")
 	case len(zones) < 2:
-		return unsatisfiable("spread", "only one zone is allowed and has machines for it")
+		return unsatisfiable("spread", "the job needs two zones, but only one zone is allowed and has machines for it")
 	}
 	return nil
 }
 
+// allowsType reports whether the job allows a machine type, by its name and its zones.
 func allowsType(spec *jobs.Spec, name string, machineType cloud.MachineType) bool {
 	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, name) {
 		return false
@@ -82,17 +84,17 @@
 }
 
 // checkQuota returns an error if the tasks that have to run at the same time exceed the team's
-// quota.
+// quota: one task of an array, all tasks of any other job.
 func checkQuota(spec *jobs.Spec, team config.Team) error {
 	concurrent := 1.0
 	if spec.Kind != jobs.Array {
 		concurrent = float64(spec.Tasks)
 	}
 	if team.MaxCPUs > 0 && concurrent*spec.CPU > team.MaxCPUs+roundingTolerance {
-		return unsatisfiable("vcpus", "more than the team's cap")
+		return unsatisfiable("vcpus", "exceeds the team's quota")
 	}
 	if team.MaxGPUs > 0 && concurrent*spec.GPU > team.MaxGPUs+roundingTolerance {
-		return unsatisfiable("cards", "more than the team's cap")
+		return unsatisfiable("cards", "exceeds the team's quota")
 	}
 	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,31 +16,31 @@
 	}
 	types := map[string]cloud.MachineType{"m16": {CPU: 16, GPU: 1, MemGB: 64, Zones: []string{"a"}},
 		"m8": {CPU: 8, MemGB: 16, Zones: []string{"a", "c"}}}
-	elsewhere, there := "b", "c"
+	zoneWithoutMachines, zoneOfSmallMachines := "b", "c"
 	for name, c := range map[string]struct {
 		change func(spec *jobs.Spec)
-		field  string // empty: it may run
+		field  string // the field of the error; empty if the job is admitted
 	}{
 		"fits":                      {func(*jobs.Spec) {}, ""},
 		"no such team":              {func(spec *jobs.Spec) { spec.Team = "x" }, "crew"},
 		"too large":                 {func(spec *jobs.Spec) { spec.CPU = 17 }, "vcpus"},
-		"other zone":                {func(spec *jobs.Spec) { spec.Zone = &elsewhere }, "vcpus"},
+		"other zone":                {func(spec *jobs.Spec) { spec.Zone = &zoneWithoutMachines }, "vcpus"},
 		"no such type":              {func(spec *jobs.Spec) { spec.MachineTypes = []string{"m4"} }, "vcpus"},
-		"array over the cap":        {func(spec *jobs.Spec) { spec.Tasks = 100 }, ""},
-		"gang over the cap":         {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Gang, 6 }, "vcpus"},
+		"array over the quota":      {func(spec *jobs.Spec) { spec.Tasks = 100 }, ""},
+		"gang over the quota":       {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Gang, 6 }, "vcpus"},
 		"one zone and spread":       {func(spec *jobs.Spec) { spec.OneZone, spec.Spread = true, true }, "spread"},
 		"spread over the only zone": {func(spec *jobs.Spec) { spec.Spread = true }, "spread"},
 		"spread over one of two": {func(spec *jobs.Spec) {
 			spec.Spread, spec.CPU, spec.GPU = true, 4, 0
 			spec.MachineTypes = []string{"m8"}
-			spec.Zone = &there
+			spec.Zone = &zoneOfSmallMachines
 		}, "spread"},
 		"spread over two":             {func(spec *jobs.Spec) { spec.Spread, spec.CPU, spec.MachineTypes = true, 4, []string{"m8"} }, ""},
 		"one task spread in one zone": {func(spec *jobs.Spec) { spec.Spread, spec.OneZone, spec.Tasks = true, true, 1 }, ""},
 		"too much memory":             {func(spec *jobs.Spec) { spec.MemGB = 65 }, "vcpus"},
-		"too many cards":              {func(spec *jobs.Spec) { spec.GPU = 1.5 }, "vcpus"},
-		"service over the cap":        {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Service, 6 }, "vcpus"},
-		"cards over the cap":          {func(spec *jobs.Spec) { spec.Kind, spec.Tasks, spec.CPU, spec.GPU = jobs.Gang, 3, 1, 1 }, "cards"},
+		"too many GPUs":               {func(spec *jobs.Spec) { spec.GPU = 1.5 }, "vcpus"},
+		"service over the quota":      {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Service, 6 }, "vcpus"},
+		"GPUs over the quota":         {func(spec *jobs.Spec) { spec.Kind, spec.Tasks, spec.CPU, spec.GPU = jobs.Gang, 3, 1, 1 }, "cards"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := jobs.Spec{Team: "ops", Kind: jobs.Array, Tasks: 2, CPU: 7, MemGB: 8, MachineTypes: []string{"m16"}}
@@ -49,7 +49,7 @@
 			err := decision.Err
 			switch {
 			case decision.Verdict == Undecided:
-				t.Error("not decided")
+				t.Error("undecided although the machine types are known")
 			case c.field == "" && (err != nil || decision.Verdict != Admitted):
 				t.Errorf("%v: %v", decision.Verdict, err)
 			case c.field != "" && decision.Verdict != Rejected:
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -5,15 +5,15 @@
 
 // The verdicts.
 const (
-	// Undecided means that too little is known of the cluster to say.
+	// Undecided means that too little is known about the cluster to decide.
 	Undecided Verdict = iota
-	// Admitted means that nothing is wrong with the job.
+	// Admitted means that no reason to reject the job was found.
 	Admitted
-	// Rejected means that the job can never run here, or exceeds a limit.
+	// Rejected means that the job can never run on this cluster, or exceeds a limit.
 	Rejected
 )
 
-// String returns the verdict for logs and test failures.
+// String returns the verdict as text for logs and test failures.
 func (v Verdict) String() string {
 	switch v {
 	case Admitted:
@@ -25,14 +25,15 @@
 	}
 }
 
-// Decision is the result of the validation of a job. The zero value is undecided.
+// Decision is the result of the validation of a job. The verdict of the zero value is Undecided.
 type Decision struct {
 	Verdict Verdict
-	// Err is what is wrong with a rejected job, nil for any other.
+	// Err is the reason for a rejection, nil for the other verdicts.
 	Err error
 }
 
-// Decide returns the decision on a job of which all is known: err is what is wrong with it, or nil.
+// Decide returns the decision on a job after all checks were made. The job is rejected if err, the
+// result of the checks, is not nil.
 func Decide(err error) Decision {
 	if err != nil {
 		return Decision{Verdict: Rejected, Err: err}
