--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,5 +1,6 @@
-// Package deadline computes by when a waiting job should start so that its deadline and the
-// objectives of its class are met. Jobs of the same priority are queued by this time.
+// Package deadline computes the latest time at which a waiting job should start so that its deadline
+// and the objectives of its class are met. Jobs of the same priority are queued in the order of these
+// times.
 package deadline
 
 import (
@@ -11,21 +12,22 @@
 	"cherrywall/internal/tuning"
 )
 
-// Job is what the latest start of a job depends on.
+// Job holds the properties of a job on which its latest start depends.
 type Job struct {
 	Record            *jobs.JobRecord
-	RunnableSinceMS   int64   // time of day (Unix ms) since which it could have run
+	RunnableSinceMS   int64   // wall-clock time (Unix ms) since which it could have run
 	RunSeconds        float64 // expected run time of a task
 	CompletionSeconds float64 // expected time until jobs that depend on it can start
-	// Deadlines are the times of day (Unix ms) by which it should be finished, for its own
-	// deadline and for those of the jobs that depend on it; jobdag.NoDeadline for none.
+	// Deadlines are the wall-clock times (Unix ms) by which the job should be finished, so that its
+	// own deadline and those of the jobs that depend on it are met; jobdag.NoDeadline if there are none.
 	Deadlines jobdag.Deadlines
 }
 
-// StartByMS returns the time of day (Unix ms) by which a job should start: for a service its
-// arrival; for an array its next deadline or objective, less the run time. An array that is too
-// late for one objective is held to the next one, and if there is none left it comes after those
-// that can still meet theirs. For gangs see gangStartByMS.
+// StartByMS returns the wall-clock time (Unix ms) by which a job should start. For a service it is the
+// time of its arrival. For an array it is the next deadline or objective less the run time: an array
+// that is too late for one objective is queued by the next one. An array that is too late for all of
+// them is queued by the time at which it has waited for tuning.AgingPeriod: after most arrays that can
+// still meet an objective, but without starving. For gangs see gangStartByMS.
 func StartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	switch job.Record.Kind {
 	case jobs.Gang:
@@ -39,19 +41,20 @@
 	return job.RunnableSinceMS + tuning.AgingPeriod.Milliseconds()
 }
 
-// IsObjectiveAtRisk reports whether a job has to start within DeadlineAtRiskMargin to meet a
-// deadline or objective that it can still meet.
+// IsObjectiveAtRisk reports whether a job has to start within tuning.DeadlineAtRiskMargin to meet the
+// first deadline or objective that it can still meet.
 func IsObjectiveAtRisk(job Job, objectives []config.Objective, now time.Time) bool {
 	startByMS, ok := nextObjectiveStartMS(job, objectives, now)
 	return ok && isAtRisk(startByMS, now)
 }
 
+// isAtRisk reports whether less than tuning.DeadlineAtRiskMargin is left until a latest start.
 func isAtRisk(startByMS int64, now time.Time) bool {
 	return startByMS < now.Add(tuning.DeadlineAtRiskMargin).UnixMilli()
 }
 
 // nextObjectiveStartMS returns the latest start (Unix ms) that meets the first deadline or
-// objective that the job can still meet; ok is false if there is none left.
+// objective that the job can still meet; ok is false if it can't meet any.
 func nextObjectiveStartMS(job Job, objectives []config.Objective, now time.Time) (startByMS int64, ok bool) {
 	consider := func(latestStartMS int64) {
 		if latestStartMS >= now.UnixMilli() && (!ok || latestStartMS < startByMS) {
@@ -77,12 +80,13 @@
 
 func milliseconds(seconds float64) int64 { return int64(seconds * 1000) }
 
-// gangStartByMS returns a time of day (Unix ms) by which waiting gangs are queued. Gangs whose next
-// objective is at risk go first, then those that can still wait, then those that are too late for
-// all, each time the shortest first, so that most of them are in time. By arrival every gang would
-// be late in an overload: after a minute with three times the usual gangs, those that arrive long
-// after it still wait behind it. To starve none, a gang that has waited for AgingPeriod goes before
-// all others.
+// gangStartByMS returns a wall-clock time (Unix ms) by which waiting gangs are ordered in the queue.
+// Gangs whose next objective is at risk go first, then gangs that can still wait, then gangs that are
+// too late for all objectives. Within each of these groups the shortest gang goes first, so that most
+// gangs are in time. If gangs were queued by arrival, every gang would be late in an overload: after a
+// minute with three times the usual number of gangs, gangs that arrive long after that minute would
+// still wait behind the backlog. To prevent starvation, a gang that has waited for longer than
+// tuning.AgingPeriod goes before all others.
 func gangStartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	age := time.Duration(now.UnixMilli()-job.RunnableSinceMS) * time.Millisecond
 	if age > tuning.AgingPeriod || len(objectives) == 0 {
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// sortedByStart returns the names of jobs in the order of the times by which they should start.
+// sortedByStart returns the names of jobs, sorted by the times by which they should start.
 func sortedByStart(records map[string]*jobs.JobRecord, objectives []config.Objective, now time.Time) []string {
 	var names []string
 	for name := range records {
@@ -29,8 +29,8 @@
 	return names
 }
 
-// When gangs were queued by arrival, all of them were late for minutes after a burst. Those with an
-// objective at risk go first, the shortest before the others, and none starves.
+// When gangs were queued by arrival, all of them were late for minutes after a burst. Gangs with an
+// objective at risk must go first, the shortest of them before the others, and no gang may starve.
 func TestGangsAreOrderedByObjectivesAtRisk(t *testing.T) {
 	now := time.Now()
 	objectives := []config.Objective{
@@ -83,10 +83,10 @@
 		}
 	}
 	queue := map[string]*jobs.JobRecord{
-		"deadline":         array(0, 10, &deadlineSeconds),  // by 30 s
-		"first objective":  array(10*time.Second, 20, nil),  // by 70 s
-		"second objective": array(110*time.Second, 20, nil), // by 70 s of the second: 200-20-110
-		"late":             array(250*time.Second, 20, nil), // for all: 50 s from now
+		"deadline":         array(0, 10, &deadlineSeconds),  // has to start within 30 s
+		"first objective":  array(10*time.Second, 20, nil),  // has to start within 70 s
+		"second objective": array(110*time.Second, 20, nil), // has to start within 70 s for the second objective: 200-20-110
+		"late":             array(250*time.Second, 20, nil), // too late for all objectives: queued as if it had to start within 50 s
 	}
 	want := []string{"deadline", "late", "first objective", "second objective"}
 	if got := sortedByStart(queue, objectives, now); got[0] != want[0] || got[1] != want[1] {
