--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -1,5 +1,5 @@
-// Package binpacking plans on which machines the tasks of a job run, and which tasks are preempted
-// there, at the least loss of work.
+// Package binpacking plans on which machines the tasks of a job run, and which other tasks are
+// preempted there, so that as little work as possible is lost.
 package binpacking
 
 import (
@@ -10,38 +10,38 @@
 	"cherrywall/internal/tuning"
 )
 
-// Victim is a task that may be preempted, and the work (CPU seconds) that is lost by it.
+// Victim is a task that may be preempted.
 type Victim struct {
 	Name           string
 	Need           capacity.Resources
-	LostCPUSeconds float64
+	LostCPUSeconds float64 // the work that is lost if the task is preempted
 }
 
 // Machine is a machine that a plan may use.
 type Machine struct {
 	Zone    string
 	Free    capacity.Resources
-	Victims []Victim // Plan sorts them
+	Victims []Victim // Plan sorts this slice in place
 	// ImageCost is the cost of fetching the image: the CPU seconds for which the task's resources
-	// are idle meanwhile.
+	// are idle until the image is there.
 	ImageCost float64
 }
 
-// Placement is the machine of one task, by its index, and the tasks that are preempted for it.
+// Placement is the machine for one task, and the tasks that are preempted to make room for it.
 type Placement struct {
-	Machine int
+	Machine int // index into the machines that were passed to Plan
 	Victims []Victim
 }
 
-// candidate is a machine while a plan is made.
+// candidate is the state of a machine while a plan is computed.
 type candidate struct {
 	*Machine
 	free    capacity.Resources
-	victims []Victim // that are left, the least loss first
+	victims []Victim // tasks that can still be preempted, the least lost work first
 
 	fits        bool    // whether one more task fits
-	cost        float64 // of that task
-	victimCount int     // how many of victims are preempted for it
+	cost        float64 // cost (CPU seconds) of placing that task
+	victimCount int     // number of victims that are preempted for that task
 }
 
 func newCandidate(machine *Machine, need capacity.Resources) candidate {
@@ -53,21 +53,23 @@
 	return c
 }
 
-// evaluate computes whether one more task fits, and at what cost.
+// evaluate computes whether one more task fits, what it costs to place that task, and how many victims
+// are preempted for it.
 func (c *candidate) evaluate(need capacity.Resources) {
 	free, cost, victimCount := c.free, 0.0, 0
 	for !free.Covers(need) && victimCount < len(c.victims) {
 		free = free.Add(c.victims[victimCount].Need)
-		cost += 1 + c.victims[victimCount].LostCPUSeconds // a preemption costs something even if no work is lost
+		cost += 1 + c.victims[victimCount].LostCPUSeconds // the 1 makes a preemption cost something even if no work is lost
 		victimCount++
 	}
 	c.fits = free.Covers(need)
-	// Among machines of equal cost the fuller one is preferred.
+	// Among machines of equal cost, the one with fewer free CPUs is preferred.
 	c.cost = cost + c.ImageCost + tuning.TieBreakWeight*free.CPU
 	c.victimCount = victimCount
 }
 
-// place deducts the next task and its victims from the candidate, and returns the victims.
+// place places the next task on the candidate: it removes the victims, deducts the task's need from the
+// free resources, and returns the victims.
 func (c *candidate) place(need capacity.Resources) []Victim {
 	victims := slices.Clone(c.victims[:c.victimCount])
 	for _, victim := range victims {
@@ -79,10 +81,10 @@
 	return victims
 }
 
-// Plan finds machines for a number of tasks of the same need, with at most maxPerZone of them in a
-// zone, and returns the sum of their costs (CPU seconds, with a small amount added to break ties).
-// It places one task after another, each at the least cost. ok is false if there are not enough
-// machines.
+// Plan finds machines for a number of tasks that have the same need, with at most maxPerZone tasks in
+// a zone. It places one task after another, each on the machine with the least cost, and returns the
+// sum of the costs (CPU seconds, with a small amount added to break ties). ok is false if not all tasks
+// can be placed.
 func Plan(machines []Machine, need capacity.Resources, tasks, maxPerZone int) (placements []Placement, cost float64, ok bool) {
 	candidates := make([]candidate, len(machines))
 	for i := range machines {
@@ -102,8 +104,8 @@
 	return placements, cost, true
 }
 
-// cheapest returns the index of the candidate of the least cost that fits one more task, -1 for
-// none.
+// cheapest returns the index of the candidate with the least cost among those that fit one more task
+// and are in an allowed zone, or -1 if there is none.
 func cheapest(candidates []candidate, allowsZone func(zone string) bool) int {
 	best := -1
 	for i := range candidates {
--- a/internal/binpacking/binpacking_test.go
+++ b/internal/binpacking/binpacking_test.go
@@ -19,8 +19,8 @@
 	if !ok || len(placements) != 4 {
 		t.Fatalf("%+v, %v", placements, ok)
 	}
-	// The machine that the task fits exactly first, then the larger one, at last the victim with the
-	// least lost work.
+	// The machine that a task fills completely is used first, then the larger machine, and last the
+	// machine on which a victim is preempted: the victim with the least lost work.
 	for i, want := range []int{2, 1, 1, 0} {
 		if placements[i].Machine != want {
 			t.Errorf("placement %d on machine %d, want %d", i, placements[i].Machine, want)
@@ -30,9 +30,9 @@
 		t.Errorf("victims %+v, want young", victims)
 	}
 	if placements, _, ok = Plan(machines, need, 5, 3); !ok || placements[4].Machine != 3 {
-		t.Errorf("at most three tasks in a zone: %+v, %v", placements, ok)
+		t.Errorf("five tasks with at most three in a zone: %+v, %v", placements, ok)
 	}
 	if _, _, ok = Plan(machines, need, 6, 2); ok {
-		t.Error("a plan for six tasks in two zones with at most two tasks in each")
+		t.Error("six tasks were placed in two zones with at most two tasks in each")
 	}
 }
