--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -1,6 +1,6 @@
-// Package readbarrier makes reads of a cache linearizable: any number of callers wait until the
-// cache is as new as the store was when they asked, with one small read of the store's revision
-// for all of them.
+// Package readbarrier makes reads of a cache linearizable: callers wait until the cache contains all
+// changes that the store contained when they called. Any number of callers share one small read of the
+// store's revision.
 package readbarrier
 
 import (
@@ -11,59 +11,60 @@
 )
 
 // maxAnsweredReadAge bounds how long the result of a read is kept while the cache has not reached
-// its revision. Its callers have given up long before.
+// the revision that was read. The read's callers have failed long before.
 const maxAnsweredReadAge = 10 * tuning.StoreRequestTimeout
 
-// Queue is the queue of callers at the barrier. It has no locks: all methods are called by the
-// actor that owns it.
+// Queue is the queue of callers that wait at the barrier. It is not safe for concurrent use: the actor
+// that owns it calls all methods.
 type Queue struct {
 	startRead func(startedAt time.Time)
 	wake      func()
 
-	waiting        []waiter       // no read is in flight for them yet
-	inFlight       []waiter       // served by the read in flight
+	waiting        []waiter       // for which no read is in flight yet
+	inFlight       []waiter       // that the read in flight will serve
 	readInFlight   bool           // true also for a periodic read, which has no waiters
-	answered       []answeredRead // whose revisions the cache has not reached yet
+	answered       []answeredRead // reads whose revisions the cache has not reached yet
 	newestRevision uint64
 	lastReadAt     time.Time
-	nextReadAt     time.Time // for which the timer is set; zero: none
+	nextReadAt     time.Time // the time for which the timer is set; zero if it is not set
 	timer          *time.Timer
 }
 
-// waiter is one call of Wait.
+// waiter is a caller of Wait.
 type waiter struct {
 	deadline time.Time
 	urgent   bool
 	done     func(ok bool)
 }
 
-// answeredRead is a read whose revision is known. Its waiters are in the order of their deadlines.
+// answeredRead is a completed read of the store's revision. Its waiters are sorted by deadline.
 type answeredRead struct {
 	revision  uint64
 	startedAt time.Time
 	waiters   []waiter
 }
 
-// New makes a queue. startRead begins a read of the store's revision, whose result is passed to
-// CompleteRead; it must not block. wake is called on another goroutine when the timer fires, and
-// has to make the actor call HandleTimer.
+// New returns a queue. startRead starts a read of the store's revision and must not block; the result
+// of the read has to be passed to CompleteRead. wake is called on another goroutine when the timer
+// fires, and has to make the actor call HandleTimer.
 func New(startRead func(startedAt time.Time), wake func()) *Queue {
 	return &Queue{startRead: startRead, wake: wake}
 }
 
-// NewestRevision returns the newest revision of the store that was read, 0 before the first read.
+// NewestRevision returns the newest revision of the store that was read, 0 if none was read yet.
 func (q *Queue) NewestRevision() uint64 { return q.newestRevision }
 
 // Wait calls done with true once the cache contains all changes decided before now, or with false if
 // that takes longer than tuning.StoreRequestTimeout or the read fails. Callers that are not urgent
-// wait longer for others with which they share a read.
+// wait longer before their read starts, so that more callers share it.
 func (q *Queue) Wait(now time.Time, urgent bool, done func(ok bool)) {
 	q.waiting = append(q.waiting, waiter{deadline: now.Add(tuning.StoreRequestTimeout), urgent: urgent, done: done})
 	q.StartIfDue(now)
 }
 
-// StartIfDue starts a read if one is due: for the waiting callers, or because the last one was
-// tuning.RevisionReadInterval ago. If the last one is too recent for another, it sets the timer.
+// StartIfDue starts a read if callers wait for one, or if the last read was completed at least
+// tuning.RevisionReadInterval ago. If the last read is too recent, it sets the timer instead. It does
+// nothing while a read is in flight.
 func (q *Queue) StartIfDue(now time.Time) {
 	if q.readInFlight || (len(q.waiting) == 0 && now.Sub(q.lastReadAt) < tuning.RevisionReadInterval) {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// minReadInterval returns the least time between two reads, which depends on who waits.
+// minReadInterval returns the minimum time between two reads, which is shorter if an urgent caller waits.
 func (q *Queue) minReadInterval() time.Duration {
 	if slices.ContainsFunc(q.waiting, func(w waiter) bool { return w.urgent }) {
 		return tuning.MinRevisionReadGap
@@ -97,8 +98,8 @@
 	q.StartIfDue(now)
 }
 
-// CompleteRead takes the result of a read: the store's revision as of startedAt, or an error.
-// Advance and StartIfDue are to be called next.
+// CompleteRead takes the result of the read in flight: the store's revision as of startedAt, or an error.
+// Advance and StartIfDue have to be called next.
 func (q *Queue) CompleteRead(now, startedAt time.Time, revision uint64, err error) {
 	q.readInFlight = false
 	q.lastReadAt = now
@@ -112,13 +113,13 @@
 	q.answered = append(q.answered, answeredRead{revision: revision, startedAt: startedAt, waiters: waiters})
 }
 
-// Advance completes the reads whose revision the cache has reached, and fails those whose deadline
-// has passed. appliedRevision is the revision up to which the cache has applied all changes; synced
-// is whether it is complete.
+// Advance serves the waiters of the reads whose revision the cache has reached, and fails the waiters
+// whose deadline has passed. appliedRevision is the revision up to which the cache has applied all
+// changes; synced tells whether the cache is complete.
 //
-// All changes decided before consistentAsOf were applied; it is zero if no read was completed. The
-// caller has to record it and then call serve, which calls the callers' done functions: these may
-// depend on the recorded time.
+// The cache contains all changes that were decided before consistentAsOf, which is zero if it has
+// reached the revision of no further read. The caller has to record consistentAsOf first and then call
+// serve, which calls the done functions of the served waiters: these may depend on the recorded time.
 func (q *Queue) Advance(now time.Time, appliedRevision uint64, synced bool) (consistentAsOf time.Time, serve func()) {
 	var remaining []answeredRead
 	var served []waiter
@@ -139,7 +140,7 @@
 	return consistentAsOf, func() { finish(served, true) }
 }
 
-// finish calls the done functions of waiters.
+// finish calls the done functions of waiters with ok.
 func finish(waiters []waiter, ok bool) {
 	for _, w := range waiters {
 		w.done(ok)
--- a/internal/readbarrier/queue_test.go
+++ b/internal/readbarrier/queue_test.go
@@ -9,7 +9,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// counter counts what waiting callers were notified of.
+// counter counts the callers that were served and those that failed.
 type counter struct{ served, failed int }
 
 func (c *counter) done(ok bool) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// Many callers share a read, are served once the cache has reached its revision, and never by one
-// that was started before they asked.
+// Callers share a read and are served once the cache has reached the revision that was read. A read that
+// was started before a call must not serve that call.
 func TestWaitersShareReadsAndAreServedWhenCacheIsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reads []time.Time
@@ -32,7 +32,7 @@
 		q.Wait(time.Now(), false, callers.done)
 		q.Wait(time.Now(), false, callers.done) // while the first read is in flight
 		if len(reads) != 1 {
-			t.Fatalf("%d reads", len(reads))
+			t.Fatalf("%d reads, want one", len(reads))
 		}
 		time.Sleep(5 * time.Millisecond)
 		q.CompleteRead(time.Now(), reads[0], 7, nil)
@@ -50,7 +50,7 @@
 		time.Sleep(tuning.MinPollRevisionReadGap)
 		synctest.Wait()
 		if wakeups != 1 {
-			t.Fatalf("woken %d times", wakeups)
+			t.Fatalf("woken %d times, want once", wakeups)
 		}
 		q.HandleTimer(time.Now())
 		if len(reads) != 2 {
