--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -12,41 +12,40 @@
 )
 
 const (
-	// minRequestBurst and minWriteBurst bound the bursts from below, so that a small budget
-	// still lets a transaction of several writes pass.
+	// minRequestBurst (requests) and minWriteBurst (writes) are lower bounds of the bursts, so that
+	// a transaction of several writes can pass even if the budget is small.
 	minRequestBurst = 1
 	minWriteBurst   = 8
 )
 
-// budget limits the requests and writes of this controller. The limits of the service are
-// shared by all controllers, of which some need more than others: each takes more than an equal
-// fraction until the service answers that it is over its limits. It is safe for concurrent use.
+// budget limits the requests and writes of this controller. All controllers share the limits of the
+// service, and some need more than others: each controller takes more than an equal fraction until the
+// service responds that its limits are exceeded. budget is safe for concurrent use.
 type budget struct {
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 
-	// The service's limits and the number of controllers under them.
+	// The service's limits, and the number of controllers that share them.
 	totalRequestRate, totalWriteRate float64 // per second
 	controllers                      int
-	minFraction                      float64
+	minFraction                      float64 // lower bound of fraction
 
 	mu                sync.Mutex
-	fraction          float64 // of the total rates, learned from rate limiting
+	fraction          float64 // this controller's fraction of the total rates, learned from rate limiting
 	fractionChangedAt time.Time
 	rateLimitedAt     time.Time
 	peerUsage         map[string]usage // by controller, per second
-	currentUsage      usage            // counted since its recordedAt
-	averageUsage      usage            // per second, smoothed
+	currentUsage      usage            // counts since currentUsage.recordedAt
+	averageUsage      usage            // per second, exponentially smoothed
 }
 
-// usage is an amount of requests and writes, with the time at which a peer reported it or from
-// which on it is counted.
+// usage is a number or a rate of requests and writes.
 type usage struct {
 	requests, writes float64
-	recordedAt       time.Time
+	recordedAt       time.Time // when a peer reported the rates, or when counting began
 }
 
-// newBudget makes the budget of one of several controllers under the service's limits, which
+// newBudget returns the budget of one of several controllers that share the service's limits, which
 // are rates per second.
 func newBudget(totalRequestRate, totalWriteRate float64, controllers int) *budget {
 	controllers = max(controllers, 1)
@@ -68,9 +67,9 @@
 	}
 }
 
-// adapt changes this controller's fraction of the service's limits after a request: it shrinks
-// when the request was rate limited, and grows back slowly otherwise.
-func (b *budget) adapt(rateLimited bool) {
+// adaptFraction changes this controller's fraction of the service's limits after a request: it reduces the
+// fraction if the request was rate limited, and raises it slowly otherwise.
+func (b *budget) adaptFraction(rateLimited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -85,13 +84,14 @@
 		b.fraction = min(maxFraction, b.fraction/tuning.BudgetBackoffFactor)
 	}
 	b.fractionChangedAt = now
-	b.updateLimits(now) // even if the fraction is unchanged: the peers' reports may have expired
+	b.updateLimits(now) // also if the fraction is unchanged, since the peers' reports may have expired
 }
 
-// updateLimits sets the rates of the limiters. If all peers have reported their usage lately,
-// this controller takes what they leave; otherwise the fraction that it learned from being rate
-// limited. Shortly after it was rate limited it takes the lesser of both, since others than
-// controllers may use the service as well. The caller holds the lock.
+// updateLimits sets the rates of the limiters. If all peers have reported their usage recently, the
+// rates are what the peers leave of the service's limits. Otherwise they are the fraction of the limits
+// that this controller learned from being rate limited. Shortly after it was rate limited, the lesser
+// of both is used, since other clients than controllers may use the service as well. The caller must
+// hold the lock.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
 	if peers, complete := b.totalPeerUsage(now); complete {
@@ -107,8 +107,8 @@
 	b.writeLimiter.SetLimit(rate.Limit(writeRate))
 }
 
-// totalPeerUsage sums what the peers have reported lately; complete is false if there are no
-// peers or one of them has not reported.
+// totalPeerUsage returns the sum of the rates that the peers have reported within
+// tuning.PeerIdleTimeout; complete is false if there are no peers or one of them has not reported.
 func (b *budget) totalPeerUsage(now time.Time) (total usage, complete bool) {
 	reporting := 1 // this controller
 	for _, peer := range b.peerUsage {
@@ -121,13 +121,15 @@
 	return total, reporting >= b.controllers && b.controllers > 1
 }
 
-// remainingRate is what the usage of the peers leaves of one of the service's limits.
+// remainingRate returns the part of one of the service's limits (total) that the peers' usage (used)
+// leaves to this controller, all per second. It is bounded from both sides.
 func (b *budget) remainingRate(total, used float64) float64 {
 	usable := tuning.ReportedBudgetFactor * total
 	return min(max(usable-used, tuning.ReportedBudgetFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
 }
 
-// recordPeerUsage notes the requests and writes per second of another controller.
+// recordPeerUsage records the requests and writes per second that another controller reports, and
+// updates the limits.
 func (b *budget) recordPeerUsage(controller string, requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,7 +138,7 @@
 	b.updateLimits(now)
 }
 
-// usage returns the smoothed requests and writes per second of this controller.
+// usage returns the requests and writes per second of this controller, smoothed over time.
 func (b *budget) usage() (requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,11 +161,12 @@
 	b.currentUsage.writes += float64(writes)
 }
 
-// await waits until the budget allows a request with the given number of writes, and spends it.
-// Callers of lower priority leave a part of the burst to the others. It fails only if ctx
-// ends, or would end before, with ErrUnavailable: the request was not sent.
-func (b *budget) await(ctx context.Context, priority Priority, writes int) error {
-	b.recordRequest(writes) // before it waits: the usage reported to the peers includes what is needed
+// waitForBudget waits until the budget allows a request with the given number of writes, and deducts the
+// request from the budget. Callers of lower priority leave a part of the burst to more urgent ones. It
+// returns ErrUnavailable, which means that the request was not sent, only if ctx ends or would end
+// before the budget allows the request.
+func (b *budget) waitForBudget(ctx context.Context, priority Priority, writes int) error {
+	b.recordRequest(writes) // before waiting, so that the usage reported to the peers includes requests that wait
 	for b.burstReserved(priority, writes) {
 		if err := Pause(ctx, tuning.BudgetPollInterval); err != nil {
 			return budgetError(err)
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// burstReserved reports whether what is left of the bursts is reserved for more urgent callers.
+// burstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
 func (b *budget) burstReserved(priority Priority, writes int) bool {
 	reserve := priority.reservedBurst()
 	if b.requestLimiter.Tokens() < reserve*float64(b.requestLimiter.Burst()) {
@@ -190,5 +193,7 @@
 	return writes > 0 && b.writeLimiter.Tokens() < reserve*float64(b.writeLimiter.Burst())
 }
 
-// budgetError is the error of a request that was not sent because of its context's end.
-func budgetError(err error) error { return fmt.Errorf("%w: budget: %w", ErrUnavailable, err) }
+// budgetError returns the error of a request that was not sent because its context ended.
+func budgetError(err error) error {
+	return fmt.Errorf("%w: wait for request budget: %w", ErrUnavailable, err)
+}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package kvstore is the client of the consensus-backed key-value store ("state service"):
-// reads, compare-and-swap transactions, leases and watches, within a budget of requests and
-// writes that all controllers share.
+// Package kvstore is the client of the consensus-backed key-value store ("state service"). It offers
+// reads, compare-and-swap transactions, leases and watches, within a budget of requests and writes
+// that all controllers share.
 package kvstore
 
 import (
@@ -19,10 +19,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxIdleConnections is how many idle connections to the service are kept open.
+// maxIdleConnections is the maximum number of idle connections to the service that are kept open.
 const maxIdleConnections = 16
 
-// DialFunc opens a connection to an address of a network.
+// DialFunc opens a connection to an address, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Client is a client of the service over HTTP. It is safe for concurrent use.
@@ -32,8 +32,8 @@
 	budget     *budget
 }
 
-// New makes a client for the service at an address. The rates are the service's limits of
-// requests and writes per second, which the given number of controllers share.
+// New returns a client for the service at an address. The rates are the service's limits of requests
+// and writes per second, which the given number of controllers share.
 func New(address string, requestRate, writeRate float64, controllers int, dial DialFunc) *Client {
 	return &Client{
 		baseURL: "http://" + address,
@@ -47,9 +47,9 @@
 	}
 }
 
-// RecordPeerUsage notes the requests and writes per second that another controller reports with
-// its peer heartbeats. They arrive long before the service would answer that it is over its
-// limits, which is the only other sign of the peers' usage.
+// RecordPeerUsage records the requests and writes per second that another controller reports in its
+// peer heartbeats. These reports arrive long before the service would respond that its limits are
+// exceeded, which is the only other sign of the peers' usage.
 func (c *Client) RecordPeerUsage(controller string, requests, writes float64) {
 	c.budget.recordPeerUsage(controller, requests, writes)
 }
@@ -57,16 +57,16 @@
 // Usage returns the requests and writes per second of this controller, smoothed.
 func (c *Client) Usage() (requests, writes float64) { return c.budget.usage() }
 
-// Commit executes a transaction: see Service. Like all requests it waits for the budget first, and
-// gives up after a timeout.
+// Commit executes a transaction: see Service. Like all requests it first waits for the budget, and
+// fails after a timeout.
 func (c *Client) Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
-	if err := c.budget.await(ctx, priority, len(txn.Writes)); err != nil {
+	if err := c.budget.waitForBudget(ctx, priority, len(txn.Writes)); err != nil {
 		return TxnResult{}, err
 	}
 	if txn.Conditions == nil {
-		txn.Conditions = []Condition{} // the service takes a list, not null
+		txn.Conditions = []Condition{} // the service expects a list, not null
 	}
 	var response struct {
 		Revision uint64   `json:"epoch"`
@@ -83,7 +83,7 @@
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (GetResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
-	if err := c.budget.await(ctx, priority, 0); err != nil {
+	if err := c.budget.waitForBudget(ctx, priority, 0); err != nil {
 		return GetResult{}, err
 	}
 	var response struct {
@@ -97,8 +97,8 @@
 	return GetResult{Row: response.KeyValue, Found: status == http.StatusOK, StoreRevision: response.StoreRevision}, nil
 }
 
-// List reads all keys with a prefix, page by page: see Service. The revision is that of the
-// first page.
+// List reads all keys with a prefix, page by page: see Service. It returns the revision of the first
+// page.
 func (c *Client) List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error) {
 	from := ""
 	for {
@@ -124,11 +124,11 @@
 	Revision  uint64     `json:"epoch"`
 }
 
-// listPage reads the page that begins after the key from.
+// listPage reads the page that begins after the key from, or the first page if from is empty.
 func (c *Client) listPage(ctx context.Context, prefix, from string) (listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StoreRequestTimeout)
 	defer cancel()
-	if err := c.budget.await(ctx, Normal, 0); err != nil {
+	if err := c.budget.waitForBudget(ctx, Normal, 0); err != nil {
 		return listing{}, err
 	}
 	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.ListPageRows)}}
@@ -144,7 +144,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.WatchRequestWait+tuning.WatchTimeoutMargin)
 	defer cancel()
-	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+	if err := c.budget.waitForBudget(ctx, Urgent, 0); err != nil {
 		return nil, 0, err
 	}
 	query := url.Values{
@@ -164,7 +164,7 @@
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
-	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+	if err := c.budget.waitForBudget(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
 	request := map[string]int64{"ttlMs": ttl.Milliseconds()}
@@ -179,7 +179,7 @@
 func (c *Client) KeepAlive(ctx context.Context, leaseID uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
-	if err := c.budget.await(ctx, Urgent, 0); err != nil {
+	if err := c.budget.waitForBudget(ctx, Urgent, 0); err != nil {
 		return err
 	}
 	path := "/grants/" + strconv.FormatUint(leaseID, 10) + "/touch"
@@ -190,8 +190,8 @@
 	return err
 }
 
-// requireOK returns err, or ErrOutcomeUnknown for a response with another status than 200 to a
-// request for which the service knows no other result.
+// requireOK returns err if it is not nil. Otherwise it returns ErrOutcomeUnknown if the status is not
+// 200. It is for operations to which the service should not respond with any other status.
 func requireOK(operation string, status int, err error) error {
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("%w: %s status %d", ErrOutcomeUnknown, operation, status)
@@ -199,14 +199,15 @@
 	return err
 }
 
-// callWithRetry sends a request, and repeats it shortly when the service is over its limits:
-// such a request was not executed, and failing it would cost the caller, or a user, far more
-// than a short delay. The body is encoded as JSON, the response decoded into out.
+// callWithRetry sends a request, and retries it a few times after short delays if the service responds
+// that its rate limits are exceeded: such a request was not executed, and a failure would cost the
+// caller or a user far more than a short delay. The body is encoded as JSON, and the response is
+// decoded into out.
 func (c *Client) callWithRetry(ctx context.Context, method, path string, body any, out any) (status int, err error) {
 	for attempt := 1; ; attempt++ {
 		status, err := c.callOnce(ctx, method, path, body, out)
 		rateLimited := errors.Is(err, errRateLimited)
-		c.budget.adapt(rateLimited)
+		c.budget.adaptFraction(rateLimited)
 		if !rateLimited || attempt == tuning.RateLimitedAttempts {
 			return status, err
 		}
@@ -216,8 +217,8 @@
 	}
 }
 
-// callOnce sends one request. A request that got no complete response may have been executed, so
-// its error is ErrOutcomeUnknown; status is 0 then.
+// callOnce sends one request. A request without a complete response may have been executed: the error is
+// ErrOutcomeUnknown and the status 0.
 func (c *Client) callOnce(ctx context.Context, method, path string, body any, out any) (status int, err error) {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
@@ -247,7 +248,7 @@
 	return status, nil
 }
 
-// newRequest makes a request whose body is encoded as JSON; without a body it is nil.
+// newRequest returns a request whose body is encoded as JSON. The request has no body if body is nil.
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
@@ -264,8 +265,8 @@
 	return request, nil
 }
 
-// statusError maps a response status to one of the package's errors, nil for those that carry
-// a result: a key may not exist, and conditions of a transaction may not hold.
+// statusError maps a response status to one of the package's errors. It returns nil for statuses that
+// are results: success, a key that does not exist, and conditions of a transaction that do not hold.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -13,30 +13,30 @@
 	"cherrywall/internal/tuning"
 )
 
-// memoryNetwork is a listener in memory: what is dialled is accepted.
-type memoryNetwork chan net.Conn
+// memoryListener is an in-memory listener that accepts the connections opened by dial.
+type memoryListener chan net.Conn
 
-func (n memoryNetwork) dial(context.Context, string, string) (net.Conn, error) {
+func (n memoryListener) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	n <- server
 	return client, nil
 }
 
-func (n memoryNetwork) Accept() (net.Conn, error) {
+func (n memoryListener) Accept() (net.Conn, error) {
 	if conn, ok := <-n; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (n memoryNetwork) Close() error   { return nil }
-func (n memoryNetwork) Addr() net.Addr { return &net.TCPAddr{} }
+func (n memoryListener) Close() error   { return nil }
+func (n memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A rate limited request was not executed. Failing such requests at once made a third of the
-// submissions late at high load.
+// A rate limited request was not executed, so it can be retried. When such requests failed immediately,
+// a third of the submissions were late at high load.
 func TestRateLimitedRequestIsRetriedAndReducesBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := make(memoryNetwork, 1)
+		network := make(memoryListener, 1)
 		requests := 0
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if requests++; requests < 3 {
@@ -58,12 +58,12 @@
 		}
 		close(network)
 		client.httpClient.CloseIdleConnections()
-		_ = server.Close() // the connections end with it
+		_ = server.Close() // closes the connections, too
 	})
 }
 
-// Without reports of the peers' usage a controller would learn its fraction of the limits only by
-// being rate limited, hundreds of times a day.
+// Without reports of the peers' usage, a controller would learn its fraction of the limits only from
+// rate limited requests, hundreds of them a day.
 func TestBudgetLeavesReportedUsageToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := New("state:1", 300, 100, 3, nil)
@@ -73,20 +73,20 @@
 		withoutPeers, _ := limits()
 		client.RecordPeerUsage("n1", 10, 2)
 		if requests, _ := limits(); requests != withoutPeers {
-			t.Errorf("%v with a report of one of two peers, %v before", requests, withoutPeers)
+			t.Errorf("%v requests/s after a report of one of two peers, %v before", requests, withoutPeers)
 		}
 		client.RecordPeerUsage("n2", 20, 3)
 		if requests, writes := limits(); requests != 180 || writes != 60 {
-			t.Errorf("%v and %v while the peers use little", requests, writes)
+			t.Errorf("%v requests/s and %v writes/s while the peers use little", requests, writes)
 		}
 		client.RecordPeerUsage("n1", 200, 60)
 		client.RecordPeerUsage("n2", 20, 15)
 		if requests, writes := limits(); requests != 155 || writes != 50 {
-			t.Errorf("%v and %v left by 220 and 75", requests, writes)
+			t.Errorf("%v requests/s and %v writes/s while the peers use 220 and 75", requests, writes)
 		}
 		client.RecordPeerUsage("n2", 400, 400)
 		if requests, writes := limits(); requests < 118 || requests > 119 || writes < 39 || writes > 40 {
-			t.Errorf("%v and %v: less than an equal fraction, or much more", requests, writes)
+			t.Errorf("%v requests/s and %v writes/s: less than an equal fraction, or much more", requests, writes)
 		}
 		time.Sleep(time.Second)
 		for range 30 {
@@ -100,15 +100,15 @@
 		client.budget.updateLimits(time.Now())
 		client.budget.mu.Unlock()
 		if requests, _ := limits(); requests != withoutPeers {
-			t.Errorf("%v after the reports are outdated, %v before", requests, withoutPeers)
+			t.Errorf("%v requests/s after the reports are outdated, %v before the first report", requests, withoutPeers)
 		}
 	})
 }
 
-// serve runs a service in memory and returns a client of it, until the test ends.
-func serve(t *testing.T, handler http.HandlerFunc) *Client {
+// newTestClient returns a client of an in-memory service, which runs until the test ends.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
-	network := make(memoryNetwork, 1)
+	network := make(memoryListener, 1)
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(network) }()
 	client := New("state:1", 1000, 1000, 1, network.dial)
@@ -132,7 +132,7 @@
 		{"unexpected", http.StatusInternalServerError, ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			client := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(c.status) })
+			client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(c.status) })
 			if _, err := client.Commit(t.Context(), Urgent, Txn{}); !errors.Is(err, c.want) {
 				t.Errorf("status %d: %v, want %v", c.status, err, c.want)
 			}
@@ -140,8 +140,8 @@
 	}
 }
 
-func TestFailedConditionsAreNoError(t *testing.T) {
-	client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestFailedConditionsAreReportedWithoutError(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = w.Write([]byte(`{"failed":["cw/x"],"epoch":7}`))
 	})
@@ -151,15 +151,15 @@
 	}
 }
 
-func TestUnreadableResponseHasUnknownOutcome(t *testing.T) {
-	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"epoch":`)) })
+func TestUndecodableResponseHasUnknownOutcome(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"epoch":`)) })
 	if _, err := client.Commit(t.Context(), Urgent, Txn{}); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestKeepAliveOfUnknownLease(t *testing.T) {
-	client := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) })
+func TestKeepAliveOfUnknownLeaseReturnsExpired(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) })
 	if err := client.KeepAlive(t.Context(), 5); !errors.Is(err, ErrExpired) {
 		t.Errorf("%v", err)
 	}
@@ -170,7 +170,7 @@
 		"":     `{"rows":[{"key":"cw/a","stamp":1},{"key":"cw/b","stamp":2}],"truncated":true,"epoch":4}`,
 		"cw/b": `{"rows":[{"key":"cw/c","stamp":5}],"epoch":6}`,
 	}
-	client := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte(pages[r.URL.Query().Get("from")]))
 	})
 	rows, revision, err := client.List(t.Context(), "cw/")
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -7,38 +7,41 @@
 )
 
 // Service is a consensus-backed key-value store with compare-and-swap transactions, leases and
-// watches. It is implemented by Client, and by layers on top of one.
+// watches. Client implements it, and so do layers that wrap another Service.
 type Service interface {
-	// Commit executes a transaction. It returns an error if the store has not decided it, or how
-	// is not known; failed conditions are reported by the result. Only after ErrOutcomeUnknown
-	// may the writes have been executed.
+	// Commit executes a transaction. It returns an error if the store has not decided the
+	// transaction, or if the decision is not known; conditions that do not hold are reported by the
+	// result, not as an error. If Commit returns an error, the writes were not executed, except
+	// that they may have been executed after ErrOutcomeUnknown.
 	Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error)
 	// Get reads one key.
 	Get(ctx context.Context, priority Priority, key string) (GetResult, error)
 	// List reads all keys with a prefix, and the revision as of which the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
-	// Watch waits for changes of keys with a prefix that are later than the given revision. It
-	// returns them together with the revision that it has reached, after a while also without
-	// any changes. It returns ErrExpired if changes since from are no longer available: all
+	// Watch waits for changes of keys with a prefix that are later than revision from. It returns
+	// the changes, and the revision up to which it has watched; after a while it returns also
+	// without changes. It returns ErrExpired if changes since from are no longer available: all
 	// records have to be listed again.
 	Watch(ctx context.Context, prefix string, from uint64) (events []Event, revision uint64, err error)
-	// GrantLease obtains a lease to which keys can be attached. They are deleted when it expires.
+	// GrantLease obtains a lease to which keys can be attached. The keys are deleted when the lease
+	// expires.
 	GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error)
 	// KeepAlive renews a lease. It returns ErrExpired if the lease has expired.
 	KeepAlive(ctx context.Context, leaseID uint64) error
 }
 
-// Priority orders callers when the request budget is short.
+// Priority is the priority of a request when the budget does not suffice for all.
 type Priority int
 
 // The priorities, the highest first.
 const (
 	Urgent     Priority = iota // lease renewals, shard acquisitions, users' submissions and cancellations
 	Normal                     // claims of tasks, and everything else
-	Background                 // completed tasks, pipelines, cleanup: what can wait
+	Background                 // completed tasks, pipelines, cleanup: requests that can wait
 )
 
-// reservedBurst is the fraction of the burst budget that a caller leaves to more urgent ones.
+// reservedBurst returns the fraction of the bursts that callers of this priority leave to callers of
+// higher priority.
 func (p Priority) reservedBurst() float64 {
 	switch p {
 	case Normal:
@@ -50,7 +53,8 @@
 	}
 }
 
-// Condition is the precondition that a key has the given revision (0: that it does not exist).
+// Condition is the precondition that the last change of a key has the given revision, or that the key
+// does not exist if Revision is 0.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
@@ -71,7 +75,7 @@
 	Writes     []Write     `json:"writes,omitempty"`
 }
 
-// TxnResult is the result of a transaction that was decided.
+// TxnResult is the result of a transaction that the store has decided.
 type TxnResult struct {
 	Succeeded  bool
 	Revision   uint64   // the store's revision after the transaction
@@ -86,16 +90,16 @@
 	LeaseID  uint64          `json:"permit"` // the lease to which the key is attached, 0 if none
 }
 
-// GetResult is the result of the read of one key.
+// GetResult is the result of reading one key.
 type GetResult struct {
 	Row   KeyValue
 	Found bool // whether the key exists
-	// StoreRevision is the store's revision at the time of the read, if the store answered that the
-	// key does not exist; else 0.
+	// StoreRevision is the store's revision at the time of the read if the store responded that the
+	// key does not exist, else 0.
 	StoreRevision uint64
 }
 
-// Event is one change seen by a watch: a put (Key) or a deletion (DeletedKey).
+// Event is one change that a watch reports: either Key was written or DeletedKey was deleted.
 type Event struct {
 	Key        string          `json:"write"`
 	Value      json.RawMessage `json:"value"`
@@ -103,8 +107,8 @@
 	DeletedKey string          `json:"drop"`
 }
 
-// Encode returns the stored form of a record. Records are plain data of this program that can
-// always be encoded: a failure is a programming error and panics.
+// Encode returns the stored form of a record. It panics on an error: records are plain data that can
+// always be encoded, so an error is a programming mistake.
 func Encode(record any) json.RawMessage {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -113,7 +117,7 @@
 	return raw
 }
 
-// Pause waits for the delay. It returns the context's error at once if the context ends before.
+// Pause waits for the delay. If the context ends earlier, it returns the context's error immediately.
 func Pause(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
