--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -10,15 +10,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// RunGarbageCollector deletes chunks to which no record points, periodically until the context
-// ends; isResponsible reports whether that is this controller's duty at the moment.
+// RunGarbageCollector periodically deletes chunks to which no record points, until the context ends.
+// isResponsible reports whether this controller currently has to do that for the cluster.
 //
-// A record that does not point to its chunks may be about to be written, so chunks are deleted only
-// if no record pointed to them in two successive passes, and the record is unchanged since it was
-// read in the second.
+// The write of a record that points to new chunks may still be in progress. Therefore chunks are
+// deleted only if no record pointed to them in two successive passes, and their record has not changed
+// since the second pass read it.
 func (s *Store) RunGarbageCollector(ctx context.Context, isResponsible func() bool) {
 	for kvstore.Pause(ctx, tuning.ChunkCleanupInterval) == nil {
-		if !s.enabled.Load() || !isResponsible() {
+		if !s.chunkingEnabled.Load() || !isResponsible() {
 			continue
 		}
 		if err := s.collectGarbage(ctx); err != nil && ctx.Err() == nil {
@@ -27,14 +27,15 @@
 	}
 }
 
-// chunkSet is the chunks of one id, in order.
+// chunkSet holds the chunks that have the same id, in order.
 type chunkSet struct {
 	recordKey string
 	chunks    []kvstore.KeyValue
 }
 
-// collectGarbage does one pass: it deletes the chunks that were orphans in the pass before, too, and
-// remembers the other orphans for the next one.
+// collectGarbage does one pass over all chunks. Orphans are chunks to which no record points. The pass
+// deletes the orphans that were orphans in the previous pass, too, and remembers the other orphans for
+// the next pass.
 func (s *Store) collectGarbage(ctx context.Context) error {
 	rows, _, err := s.Service.List(ctx, jobs.ChunkPrefix)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// groupChunks groups the rows of chunks by id.
+// groupChunks groups the rows of chunks by the id of the chunks.
 func groupChunks(rows []kvstore.KeyValue) map[string]*chunkSet {
 	sets := map[string]*chunkSet{}
 	for _, row := range rows {
@@ -79,8 +80,8 @@
 }
 
 // deleteChunks deletes chunks as long as their record has the given revision. It deletes the first
-// chunk first: a write of the record that is still in flight has the precondition that this chunk
-// exists (see Commit), so it cannot succeed once any chunk is missing.
+// chunk first: a write of the record that is still in flight has the precondition that the first chunk
+// exists (see Commit), so the write cannot succeed once any chunk is missing.
 func (s *Store) deleteChunks(ctx context.Context, set *chunkSet, recordRevision uint64) error {
 	for batch := range slices.Chunk(set.chunks, s.maxTxnOps) {
 		txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: set.recordKey, Revision: recordRevision}}}
@@ -91,7 +92,7 @@
 		if err != nil {
 			return err
 		}
-		if !result.Succeeded { // the record was written, and may point to the chunks now
+		if !result.Succeeded { // the record was written in the meantime, and may point to the chunks now
 			return nil
 		}
 	}
--- a/internal/chunkedstore/garbage_test.go
+++ b/internal/chunkedstore/garbage_test.go
@@ -12,7 +12,7 @@
 	"cherrywall/internal/kvstore"
 )
 
-// memoryService keeps records in memory. It has no leases and no watches.
+// memoryService is a key-value store in memory, without leases and watches.
 type memoryService struct {
 	kvstore.Service
 	rows     map[string]kvstore.KeyValue
@@ -59,7 +59,7 @@
 
 const recordKey = "cw/job/wk-1"
 
-// newChunkedRecord makes a store with one record in several chunks.
+// newChunkedRecord creates a store with one record that is stored in several chunks.
 func newChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
 	t.Helper()
 	service := &memoryService{rows: map[string]kvstore.KeyValue{}}
@@ -81,19 +81,19 @@
 	}
 }
 
-func collect(t *testing.T, store *Store) {
+func collectOnce(t *testing.T, store *Store) {
 	t.Helper()
 	if err := store.collectGarbage(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestChunkedRecordIsReadWhole(t *testing.T) {
+func TestReadsReturnWholeChunkedRecord(t *testing.T) {
 	store, service, value := newChunkedRecord(t)
 	if stored := service.rows[recordKey].Value; chunkRefOf(stored) == nil {
 		t.Errorf("the record is stored as %s", stored)
 	}
-	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // has nothing in its cache
+	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // another store, whose cache is empty
 	for _, s := range []*Store{store, reader} {
 		record, err := s.Get(t.Context(), kvstore.Normal, recordKey)
 		if err != nil || !record.Found || string(record.Row.Value) != string(value) {
@@ -109,31 +109,31 @@
 func TestOrphanedChunksAreDeletedInSecondPass(t *testing.T) {
 	store, service, _ := newChunkedRecord(t)
 	before := service.chunkCount()
-	collect(t, store)
-	collect(t, store)
+	collectOnce(t, store)
+	collectOnce(t, store)
 	if count := service.chunkCount(); count != before {
-		t.Fatalf("%d of %d chunks left of a record that points to them", count, before)
+		t.Fatalf("%d of %d chunks left although a record points to them", count, before)
 	}
 	commit(t, store, kvstore.Write{DeleteKey: recordKey})
-	collect(t, store)
+	collectOnce(t, store)
 	if count := service.chunkCount(); count != before {
 		t.Errorf("%d of %d chunks left after the first pass", count, before)
 	}
-	collect(t, store)
+	collectOnce(t, store)
 	if count := service.chunkCount(); count != 0 {
 		t.Errorf("%d chunks left after the second pass", count)
 	}
 }
 
-// A pointer that is written late must not name chunks that were deleted meanwhile.
-func TestLatePointerToDeletedChunksIsNotWritten(t *testing.T) {
+// A delayed write must not store a pointer to chunks that were deleted in the meantime.
+func TestDelayedPointerToDeletedChunksIsNotWritten(t *testing.T) {
 	store, service, value := newChunkedRecord(t)
 	ref, firstRevision, err := store.writeChunks(t.Context(), kvstore.Normal, recordKey, value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	collect(t, store)
-	collect(t, store)
+	collectOnce(t, store)
+	collectOnce(t, store)
 	result, err := service.Commit(t.Context(), kvstore.Normal, kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: chunkKey(ref.ID, 0, recordKey), Revision: firstRevision}},
 		Writes:     []kvstore.Write{{Key: recordKey, Value: kvstore.Encode(chunkPointer{Chunks: ref})}},
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -22,14 +22,14 @@
 type limitsScenario struct {
 	t       *testing.T
 	cluster *fake.Cluster
-	refs    []string // of the submitted small jobs
+	refs    []string // refs of the submitted small jobs
 }
 
-// The store lowers its limits while everything is in use, to values of 2 KiB, 5 writes a
-// transaction and 35 writes a second, with records beyond them from before. Every writer goes on,
-// none is rejected for its size, and what no value holds any more is written in chunks, by
-// controllers that have never seen it as well.
-func TestLimitsAreLoweredWhileInUse(t *testing.T) {
+// The store lowers its limits to values of 2 KiB, 5 writes a transaction and 35 writes a second while
+// all kinds of records are written, and some existing records exceed the new limits. All writers must
+// continue, and no write may be rejected for its size. Records that are too large for one value are
+// written in chunks, also by controllers that start later and have not seen the records before.
+func TestStoreLimitsAreLoweredWhileInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -47,7 +47,7 @@
 		large.Ref = "wk-9001"
 		s.submit(large, 2*time.Second)
 		for i := range 400 {
-			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // in the old completion batch
+			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // in the completion batch of putOldRecords
 		}
 		large.Ref, large.DependsOn = "wk-9002", append(large.DependsOn, s.refs[len(s.refs)-40:]...)
 		s.submit(large, 2*time.Second)
@@ -89,7 +89,7 @@
 	s.cluster.Store.SetMaxWriteRate(35)
 }
 
-// submit submits a job, for up to a minute until it is accepted.
+// submit submits a job, and retries for up to a minute until the job is accepted.
 func (s *limitsScenario) submit(spec jobs.Spec, runTime time.Duration) {
 	s.t.Helper()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
@@ -103,15 +103,16 @@
 	}
 }
 
-// submitWave submits jobs of which each kind makes the controllers write other records.
+// submitWave submits jobs of several kinds, each of which makes the controllers write other kinds of
+// records.
 func (s *limitsScenario) submitWave(wave int) {
 	s.t.Helper()
 	for i := range 12 {
 		ref := func(k int) string { return fmt.Sprintf("wk-%d", wave*1000+10*i+k) }
 		for k, spec := range []jobs.Spec{
-			fake.JobSpec(ref(0), jobs.Array, 2, 0.2),                   // small: completion batches
+			fake.JobSpec(ref(0), jobs.Array, 2, 0.2),                   // small job: completion batches
 			fake.JobSpec(ref(1), jobs.Array, 60, 0.3),                  // task ranges, compaction
-			fake.JobSpec(ref(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, moves of machines
+			fake.JobSpec(ref(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, transfers of machines between shards
 			fake.JobSpec(ref(3), jobs.Array, 4, 0.5),                   // a quota allocation
 		} {
 			if k == 3 {
@@ -127,13 +128,14 @@
 	}
 }
 
-// largeJob is a job whose record is larger than one value.
+// largeJob returns a job whose record is larger than one value may be after the limits are lowered.
 func largeJob(ref string) jobs.Spec {
 	spec := fake.JobSpec(ref, jobs.Array, 40, 0.2)
 	spec.Class = strings.Repeat("c", 5<<10)
 	return spec
 }
 
+// drainManyMachines adds so many machines to the settings that their record exceeds one value.
 func (s *limitsScenario) drainManyMachines() {
 	s.t.Helper()
 	err := s.cluster.ChangeSettings("n2", func(settings *admin.Settings) {
@@ -142,10 +144,11 @@
 		}
 	})
 	if err != nil {
-		s.t.Errorf("a large change of the settings: %v", err)
+		s.t.Errorf("change the settings to a large record: %v", err)
 	}
 }
 
+// startLargePipeline starts a run of a pipeline whose file has 300 jobs.
 func (s *limitsScenario) startLargePipeline() {
 	s.t.Helper()
 	file := "default: {cluster: {class: c, team: ops, image: img, cpus: 0.2, memory_gb: 0.1, estimate_s: 3}}\nstages: [one]\n"
@@ -162,7 +165,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.t.Fatalf("a large file: %+v", response)
+			s.t.Fatalf("start a run of a large pipeline file: %+v", response)
 		}
 	}
 }
@@ -189,20 +192,22 @@
 	}
 }
 
+// checkRecords checks that no write was rejected for its size, that the large settings were read, and that no
+// invariant was violated.
 func (s *limitsScenario) checkRecords() {
 	s.t.Helper()
 	if keys := s.cluster.Store.OversizedWrites(); len(keys) > 0 {
-		s.t.Errorf("%d writes beyond the limits, %v", len(keys), keys[:min(8, len(keys))])
+		s.t.Errorf("%d writes were rejected because they exceed the limits: %v", len(keys), keys[:min(8, len(keys))])
 	}
 	if settings, _, ok := s.cluster.Nodes["n1"].Controller.Settings(); !ok || len(settings.Drain) != 300 {
-		s.t.Errorf("%d names of the settings are known", len(settings.Drain))
+		s.t.Errorf("%d drained machines in the settings, want 300", len(settings.Drain))
 	}
 	for _, violation := range s.cluster.Violations() {
 		s.t.Error("invariant violated:", violation)
 	}
 }
 
-// putOldRecords puts records that were written under the limits before: an array with many
+// putOldRecords writes records that exceed the lowered limits into the store: an array with many
 // intervals of unclaimed tasks, and a completion batch.
 func putOldRecords(t *testing.T, cluster *fake.Cluster) {
 	t.Helper()
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -12,11 +12,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// errChunkMissing means that chunks were deleted after their record was read: the record was written
-// anew, or deleted.
+// errChunkMissing means that chunks were deleted after their record was read, because the record was
+// written again or deleted.
 var errChunkMissing = errors.New("a chunk is missing")
 
-// chunkValues are the stored values of chunks that were read already, by key.
+// chunkValues holds the stored values of chunks that have been read already, by key.
 type chunkValues map[string]json.RawMessage
 
 // Get reads a key: see kvstore.Service.
@@ -45,7 +45,7 @@
 			continue
 		}
 		if known == nil && !s.recordCache.Contains(ref.ID) {
-			// One listing of all chunks instead of a read of each.
+			// List all chunks once instead of reading each of them.
 			if known, err = s.listChunks(ctx); err != nil {
 				return nil, 0, err
 			}
@@ -74,8 +74,9 @@
 	return values, nil
 }
 
-// Watch waits for changes after a revision: see kvstore.Service. A record that has changed again
-// since may be delivered as it is by then. Changes of chunks are not delivered.
+// Watch waits for changes after a revision: see kvstore.Service. If a chunked record has changed again
+// since an event, the event may contain the newer value and revision. Changes of chunks are not
+// delivered.
 func (s *Store) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
 	events, revision, err := s.Service.Watch(ctx, prefix, from)
 	if err != nil {
@@ -86,9 +87,9 @@
 	for _, event := range events {
 		switch {
 		case strings.HasPrefix(event.Key, jobs.ChunkPrefix):
-			known[event.Key] = event.Value // written before the record that names it
+			known[event.Key] = event.Value // written before the record that refers to it
 		case strings.HasPrefix(event.DeletedKey, jobs.ChunkPrefix):
-			// Chunks are internal to this package.
+			// Chunks are internal to this package, so their deletion is not delivered.
 		case chunkRefOf(event.Value) == nil:
 			delivered = append(delivered, event)
 		default:
@@ -105,9 +106,10 @@
 	return delivered, revision, nil
 }
 
-// assembleRecord returns a row with its whole value, given the stored row, which may hold a pointer.
-// If chunks are missing, the record has changed since, and is read as it is now; found is false if
-// it was deleted.
+// assembleRecord returns a row with the whole value of the record, given the stored row, which may hold
+// a pointer to chunks. If a chunk is missing, the record has changed since the row was read, and
+// assembleRecord reads the current row. found is false if the record was deleted. known holds chunks
+// that have been read already.
 func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, known chunkValues) (_ kvstore.KeyValue, found bool, err error) {
 	for range tuning.MaxChunkAssembleAttempts {
 		ref := chunkRefOf(row.Value)
@@ -128,10 +130,11 @@
 		}
 		row = current.Row
 	}
-	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s changes too often", kvstore.ErrUnavailable, row.Key)
+	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s was changed during each attempt to read its chunks", kvstore.ErrUnavailable, row.Key)
 }
 
-// readChunks reads and joins a record's chunks, of which some may be known.
+// readChunks reads and joins a record's chunks. It uses the record cache and the chunks in known before
+// it reads from the store.
 func (s *Store) readChunks(ctx context.Context, priority kvstore.Priority, key string, ref *chunkRef, known chunkValues) (json.RawMessage, error) {
 	if value, ok := s.recordCache.Get(ref.ID); ok {
 		return value, nil
@@ -148,7 +151,8 @@
 	return value, nil
 }
 
-// readChunk reads one chunk, which may be known. It returns errChunkMissing if it does not exist.
+// readChunk returns one chunk, from known or from the store. It returns errChunkMissing if the chunk
+// does not exist.
 func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, known chunkValues) ([]byte, error) {
 	raw, ok := known[key]
 	if !ok {
@@ -163,7 +167,7 @@
 	}
 	var chunk []byte
 	if err := json.Unmarshal(raw, &chunk); err != nil {
-		return nil, fmt.Errorf("chunk %s: %w", key, err)
+		return nil, fmt.Errorf("decode chunk %s: %w", key, err)
 	}
 	return chunk, nil
 }
--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -1,10 +1,10 @@
-// Package chunkedstore keeps records that are larger than one value of the key-value store may
-// be. Such a record is split into chunks: they are written first, each under a key of its own and
-// never changed, and then one conditional write stores a pointer to them under the record's own
-// key. Users of the package see whole records.
+// Package chunkedstore stores records that are larger than the key-value store allows for one value.
+// Such a record is split into chunks. The chunks are written first, each under its own key, and are
+// never changed. Then one conditional write stores a pointer to the chunks under the record's own key.
+// Users of the package see whole records.
 //
-// A pointer that is written late can't name chunks that were deleted meanwhile: its write has
-// the precondition that the first chunk exists, and that one is deleted first.
+// A pointer whose write is delayed can't refer to chunks that were deleted in the meantime: the write
+// has the precondition that the first chunk exists, and the first chunk is deleted first.
 package chunkedstore
 
 import (
@@ -24,41 +24,41 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Service is the key-value store.
+// Service is the underlying key-value store.
 type Service = kvstore.Service
 
-// Store is a key-value store that takes records larger than one value. It is safe for concurrent
-// use, except that RunGarbageCollector must not run more than once.
+// Store is a key-value store that accepts records larger than one value. It is safe for concurrent use,
+// except that RunGarbageCollector must not run more than once at a time.
 type Store struct {
 	Service
-	log           *slog.Logger
-	incarnation   uint64
-	maxValueBytes int // longer values are kept in chunks
-	maxTxnOps     int
-	enabled       atomic.Bool
-	sequence      atomic.Uint64                       // of the ids of chunked records
-	recordCache   *lru.Cache[string, json.RawMessage] // records by the id of their chunks
-
-	orphanCandidates map[string]bool // by id, see collectGarbage
+	log             *slog.Logger
+	incarnation     uint64
+	maxValueBytes   int                                 // longer values are stored in chunks
+	maxTxnOps       int                                 // maximum number of writes in a transaction of chunks
+	chunkingEnabled atomic.Bool                         // whether large records are written in chunks
+	sequence        atomic.Uint64                       // last number used in an id of chunks
+	recordCache     *lru.Cache[string, json.RawMessage] // records by the id of their chunks
+
+	orphanCandidates map[string]bool // by id of the chunks, see collectGarbage
 }
 
-// chunkRef names the chunks of a record: they are numbered from 0 to Count-1.
+// chunkRef refers to the chunks of a record, which are numbered from 0 to Count-1.
 type chunkRef struct {
 	ID    string `json:"id"`
 	Count int    `json:"n"`
 }
 
-// chunkPointer is what is stored under the key of a chunked record.
+// chunkPointer is the value stored under the key of a chunked record.
 type chunkPointer struct {
 	Chunks *chunkRef `json:"$parts"`
 }
 
-// New makes a store for an incarnation of a controller's process. It keeps values longer than
-// maxValueBytes in chunks, and writes at most maxTxnOps of these in a transaction.
+// New returns a store for an incarnation of a controller's process. Once EnableChunking is called, the
+// store writes values longer than maxValueBytes in chunks, at most maxTxnOps chunks in a transaction.
 func New(service Service, incarnation uint64, maxValueBytes, maxTxnOps int, log *slog.Logger) *Store {
 	recordCache, err := lru.New[string, json.RawMessage](tuning.MaxCachedChunkedRecords)
 	if err != nil {
-		panic(err) // only a size below 1 can fail
+		panic(err) // New fails only for sizes below 1
 	}
 	return &Store{
 		Service:          service,
@@ -71,17 +71,17 @@
 	}
 }
 
-// EnableChunking has large records written in chunks from now on. It may be called only once all
-// controllers run a version that can read chunks (see package featuregate).
-// Before that a record is written whole, and rejected by the service if it is too large.
-func (s *Store) EnableChunking() { s.enabled.Store(true) }
+// EnableChunking makes the store write large records in chunks from now on. It must not be called
+// before all controllers run a version that can read chunks (see package featuregate). Until it is
+// called, each record is written whole, and the service rejects records that are too large.
+func (s *Store) EnableChunking() { s.chunkingEnabled.Store(true) }
 
-// Commit executes a transaction, whose values may be large. The chunks are written before it; if
-// that fails, the transaction was certainly not executed.
+// Commit executes a transaction, whose values may be larger than maxValueBytes. It first writes the
+// chunks of such values; if that fails, the transaction was certainly not executed.
 func (s *Store) Commit(ctx context.Context, priority kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error) {
 	cloned := false
 	for i, write := range txn.Writes {
-		if len(write.Value) <= s.maxValueBytes || !s.enabled.Load() {
+		if len(write.Value) <= s.maxValueBytes || !s.chunkingEnabled.Load() {
 			continue
 		}
 		if !cloned {
@@ -98,28 +98,31 @@
 	return s.Service.Commit(ctx, priority, txn)
 }
 
-// chunkWriteError returns the error of a transaction whose chunks could not be written. The
-// transaction itself was certainly not executed, which is kvstore.ErrUnavailable, even if it is
-// unknown whether the chunks were written: err is not wrapped, so that callers do not find a
-// kvstore.ErrOutcomeUnknown in it. A rejected value stays so, since a retry would be of no use.
+// chunkWriteError returns the error of a transaction whose chunks could not be written. It wraps
+// kvstore.ErrUnavailable, since the transaction itself was certainly not executed, even if it is
+// unknown whether the chunks were written. It does not wrap err, so that callers do not find a
+// kvstore.ErrOutcomeUnknown in it. Only kvstore.ErrRejected is returned unchanged, since a retry would
+// be rejected again.
 func chunkWriteError(key string, err error) error {
 	if errors.Is(err, kvstore.ErrRejected) {
 		return err
 	}
-	return fmt.Errorf("%w: chunks of %s: %s", kvstore.ErrUnavailable, key, err.Error())
+	return fmt.Errorf("%w: write chunks of %s: %s", kvstore.ErrUnavailable, key, err.Error())
 }
 
-// chunkWriter writes the chunks of one record in as few transactions as the limits allow.
+// chunkWriter writes the chunks of one record, in as few transactions as the limits of a transaction
+// allow.
 type chunkWriter struct {
 	store    *Store
 	priority kvstore.Priority
 
-	writes        []kvstore.Write // of the next transaction
-	bytes         int             // an upper bound of their size
-	firstRevision uint64          // of the first chunk, 0 until it was written
+	writes        []kvstore.Write // the writes queued for the next transaction
+	bytes         int             // upper bound of the size of the queued writes
+	firstRevision uint64          // the revision of the first chunk, 0 until it is written
 }
 
-// writeChunks writes a record's chunks; firstRevision is the revision of the first one.
+// writeChunks splits a record's value into chunks and writes them; firstRevision is the revision of the
+// first chunk.
 func (s *Store) writeChunks(ctx context.Context, priority kvstore.Priority, key string, value json.RawMessage) (ref *chunkRef, firstRevision uint64, err error) {
 	ref = &chunkRef{ID: fmt.Sprintf("%x-%d", s.incarnation, s.sequence.Add(1))}
 	w := &chunkWriter{store: s, priority: priority}
@@ -136,11 +139,12 @@
 	return ref, w.firstRevision, nil
 }
 
-// maxRawBytes returns how many bytes of a record fit into one value of at most maxValueBytes. JSON
-// encodes bytes as base64, which takes a third more, in quotes.
+// maxRawBytes returns how many bytes of a record fit into one chunk, whose value has at most
+// maxValueBytes. JSON encodes bytes as base64, which takes a third more, in two quotes.
 func maxRawBytes(maxValueBytes int) int { return (maxValueBytes - 2) / 4 * 3 }
 
-// add queues a write for the next transaction, and first commits the queued ones if they fill it.
+// add queues a write for the next transaction. If the queued writes fill that transaction already, it
+// commits them first.
 func (w *chunkWriter) add(ctx context.Context, write kvstore.Write) error {
 	if len(w.writes) == w.store.maxTxnOps || w.bytes+w.store.maxValueBytes > tuning.MaxTxnBytes {
 		if err := w.flush(ctx); err != nil {
@@ -152,7 +156,7 @@
 	return nil
 }
 
-// flush commits the queued writes.
+// flush commits the queued writes in one transaction.
 func (w *chunkWriter) flush(ctx context.Context) error {
 	result, err := w.store.Service.Commit(ctx, w.priority, kvstore.Txn{Writes: w.writes})
 	if err != nil {
@@ -165,14 +169,15 @@
 	return nil
 }
 
-// chunkKey returns the key of a chunk: keys of the same record sort in the order of its chunks.
+// chunkKey returns the key of a chunk. The keys of a record's chunks sort in the order of the chunks.
 func chunkKey(id string, number int, recordKey string) string {
 	return fmt.Sprintf("%s%s/%04d/%s", jobs.ChunkPrefix, id, number, recordKey)
 }
 
-// chunkRefOf returns where the chunks of a stored value are, nil if the value is whole.
+// chunkRefOf returns the reference to chunks that a stored value contains, nil if the value is a whole
+// record.
 func chunkRefOf(value json.RawMessage) *chunkRef {
-	// Most values are whole, and need not be decoded to find that.
+	// Most values are whole records. This check recognizes them without decoding.
 	if len(value) > tuning.MaxChunkPointerBytes || !bytes.Contains(value, []byte(`"$parts"`)) {
 		return nil
 	}
