--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -14,14 +14,15 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Errors of quarantined records. Operators see their texts, which name the fields of the stored form.
+// Reasons for which a record is quarantined. Operators see the messages, which therefore name the
+// fields of the stored form.
 var (
-	errShardMissing = errors.New("share: missing")
-	errNoRangeKey   = errors.New("key: not of a range")
+	errShardMissing    = errors.New("share: missing")
+	errInvalidRangeKey = errors.New("key: not the key of a task range")
 )
 
-// ApplyWrite applies a record that was written at a revision. A record that cannot be read is
-// quarantined. Writes older than a deletion of the key are ignored.
+// ApplyWrite applies a record and the revision at which it was written. It quarantines a record that
+// cannot be read, and ignores a write that is older than a deletion of the same key.
 func (c *Cache) ApplyWrite(key string, value json.RawMessage, revision uint64) {
 	if c.tombstones[key] > revision {
 		return
@@ -30,7 +31,7 @@
 	c.State.MarkDirty()
 }
 
-// applyRecord passes a record to the component that owns what it contains. Records under unknown
+// applyRecord passes a record to the component that owns records of its kind. Records with unknown
 // keys are ignored.
 func (c *Cache) applyRecord(key string, value json.RawMessage, revision uint64) error {
 	switch {
@@ -72,7 +73,7 @@
 	c.State.MarkDirty()
 }
 
-// removeRecord passes the deletion of a record to the component that owns what it contained.
+// removeRecord passes the deletion of a record to the component that owns records of its kind.
 func (c *Cache) removeRecord(key string, revision uint64) {
 	switch {
 	case strings.HasPrefix(key, jobs.LivenessPrefix):
@@ -132,7 +133,7 @@
 	}
 	ref, first, ok := parseTaskRangeKey(key)
 	if !ok {
-		return errNoRangeKey
+		return errInvalidRangeKey
 	}
 	if err := record.Validate(first); err != nil {
 		return err
@@ -142,15 +143,16 @@
 	return nil
 }
 
-// parseTaskRangeKey splits the key of a task range into the job and the first task.
+// parseTaskRangeKey splits the key of a task range into the job's ref and the number of the first
+// task. ok is false if the key is not of that form.
 func parseTaskRangeKey(key string) (ref string, first int, ok bool) {
 	ref, number, ok := strings.Cut(key[len(jobs.RangePrefix):], "/")
 	first, err := strconv.Atoi(number)
 	return ref, first, ok && err == nil
 }
 
-// applyCompletionBatch applies a completion batch: all jobs that it lists are done, so those that
-// have a job record end.
+// applyCompletionBatch applies a completion batch. All jobs that the batch lists are done, so it ends
+// those of them that still have a job record.
 func (c *Cache) applyCompletionBatch(key string, value json.RawMessage, revision uint64) error {
 	completions, err := c.CompletionBatches.ApplyBatch(key, value, revision)
 	for _, completion := range completions {
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -1,7 +1,7 @@
-// Package statecache keeps a controller's cache of the records in the key-value store: it loads
-// them, follows their changes, commits writes, and knows as of which moment the cache is
-// consistent with the store. What the records contain goes to the cluster state and to the other
-// components that own it.
+// Package statecache keeps a controller's cache of the records in the key-value store. It loads the
+// records, watches them for changes, commits writes, and tracks the time as of which the cache is
+// consistent with the store. It passes the contents of the records to the cluster state and to the
+// other components that own them.
 package statecache
 
 import (
@@ -31,45 +31,46 @@
 // Store is the key-value store that the cache follows.
 type Store = kvstore.Service
 
-// Hooks are called on the actor when something has happened on which other components act.
+// Hooks are the callbacks by which the cache involves other components. They are called on the actor.
 type Hooks struct {
-	// Reset is called before all records are loaded anew.
+	// Reset is called after the cache was emptied and before all records are applied again.
 	Reset func()
-	// MachineOwnerChanged is called when a machine's shard was acquired by a controller, this
-	// one or another.
+	// MachineOwnerChanged is called when this or another controller has acquired a machine's
+	// shard.
 	MachineOwnerChanged func(machine *clusterstate.Machine)
 	// MachineMoved is called when a machine was moved to another shard.
 	MachineMoved func(machine *clusterstate.Machine)
 	// MachineRemoved is called when a machine's record was deleted.
 	MachineRemoved func(machine *clusterstate.Machine)
-	// CaughtUp is called when changes from the watch were applied.
+	// CaughtUp is called after the changes that the watch delivered were applied.
 	CaughtUp func()
-	// AwaitHandover reports whether not to acquire a shard yet that another live controller owns,
-	// because that one was requested to hand it over.
+	// AwaitHandover reports whether to postpone the acquisition of a shard that another live
+	// controller owns, because that controller was requested to hand the shard over.
 	AwaitHandover func(shard string, now time.Time) (wait bool)
 	// ControllerFailed reports whether a controller is considered failed although its lease has
 	// not expired.
 	ControllerFailed func(controller string, now time.Time) bool
 	// ShardAcquired is called when a controller has acquired a shard.
 	ShardAcquired func(owner string)
-	// OwnerRecordWritten is called for each record that only the owner of a shard writes.
+	// OwnerRecordWritten is called after the cache has applied a record of a kind that only the
+	// shard's owner writes.
 	OwnerRecordWritten func(shard string)
-	// JobCancelled is called when a job becomes known to be cancelled by the record of a
-	// revision, before its claims are removed from the cluster state. doneTasks is how many of
-	// its tasks had finished.
+	// JobCancelled is called when this controller learns that a job was cancelled, before the
+	// job's claims are removed from the cluster state. doneTasks is the number of its tasks that
+	// had finished, and revision is that of the record of the cancellation.
 	JobCancelled func(ref string, doneTasks int, revision uint64)
 	// SetLogLevel is called when the operators have changed the log level.
 	SetLogLevel func(level string)
-	// FeaturesEnabled is called once when all controllers are known to run a program like this
-	// one or a later one.
+	// FeaturesEnabled is called once, when all controllers are known to run this version of the
+	// program or a later one.
 	FeaturesEnabled func()
-	// PipelineEvents gets the changes of records that the cache passes on without reading them
-	// (jobs.OpaquePrefix). reload reports that some changes were missed, so that all of
+	// PipelineEvents receives the changes of the records under jobs.OpaquePrefix, which the cache
+	// passes on without decoding them. reload is true if some changes were missed, so that all of
 	// these records have to be listed again.
 	PipelineEvents func(events []kvstore.Event, reload bool)
 }
 
-// Dependencies are the components that own what the records contain.
+// Dependencies are the components that own the contents of the records.
 type Dependencies struct {
 	State             *clusterstate.State
 	Membership        *membership.Table
@@ -79,8 +80,8 @@
 	FeatureGate       *featuregate.Gate
 }
 
-// Cache is the cache of the store's records. It has no locks: all methods are called by the
-// actor that owns it.
+// Cache is the cache of the store's records. It has no locks: only the actor that owns it calls its
+// exported methods.
 type Cache struct {
 	Dependencies
 	mailbox     *actor.Mailbox
@@ -92,11 +93,11 @@
 
 	synced          bool
 	appliedRevision uint64    // all changes up to this revision were applied
-	loadedRevision  uint64    // the newest revision that the last load may contain changes of
-	consistentAsOf  time.Time // all changes decided before this moment were applied
+	loadedRevision  uint64    // the newest revision whose changes the last load may contain
+	consistentAsOf  time.Time // all changes committed before this time were applied
 	lastContactAt   time.Time // last response of the store
-	// tombstones are the revisions of keys that were deleted beyond appliedRevision: the watch
-	// may still deliver older writes of them.
+	// tombstones maps each key that was deleted after appliedRevision to the revision of the
+	// deletion: the watch may still deliver older writes of the key.
 	tombstones  map[string]uint64
 	quarantined map[string]QuarantinedRecord
 	readBarrier *readbarrier.Queue
@@ -104,43 +105,43 @@
 	cancelWatch      context.CancelFunc // ends the watch request in flight
 	watchBehindSince time.Time          // zero: not behind; see restartStuckWatch
 
-	finalStates  *lru.Cache[string, jobs.FinalState]
-	finalLookups int // in flight, see lookUpDependencyFinals
+	finalStates          *lru.Cache[string, jobs.FinalState]
+	finalLookupsInFlight int // see lookUpDependencyFinals
 
 	settings         admin.Settings
 	settingsRevision uint64
 
-	acquiring          map[string]bool // shards whose acquisition is in flight
-	acquisitionStopped bool            // see StopAcquiringShards
+	acquisitionsInFlight map[string]bool // by shard
+	acquisitionStopped   bool            // see StopAcquiringShards
 
 	livenessEnabled      atomic.Bool // read by maintainLiveness
 	rewriteLiveness      atomic.Bool // read by maintainLiveness, set by checkLivenessRecord
 	livenessMissingSince time.Time   // see checkLivenessRecord
 
-	writingVersion  bool // the version record's write is in flight
-	featuresEnabled bool // hooks.FeaturesEnabled was called
+	versionWriteInFlight bool // a write of the version record is in flight
+	featuresEnabled      bool // hooks.FeaturesEnabled was called
 }
 
-// New makes an empty cache for an incarnation of the controller's process; Start has it follow
-// the store.
+// New returns an empty cache for one incarnation (process run) of the controller. The cache does not
+// access the store before Start.
 func New(mailbox *actor.Mailbox, cfg *config.Config, incarnation uint64, store Store, dependencies Dependencies, hooks Hooks, log *slog.Logger) *Cache {
 	finalStates, err := lru.New[string, jobs.FinalState](tuning.MaxCachedFinalStates)
 	if err != nil {
 		panic(err) // only a size below 1 can fail
 	}
 	c := &Cache{
-		Dependencies: dependencies,
-		mailbox:      mailbox,
-		cfg:          cfg,
-		incarnation:  incarnation,
-		store:        store,
-		log:          log,
-		hooks:        hooks,
-		finalStates:  finalStates,
-		settings:     admin.DefaultSettings(),
-		acquiring:    map[string]bool{},
-		tombstones:   map[string]uint64{},
-		quarantined:  map[string]QuarantinedRecord{},
+		Dependencies:         dependencies,
+		mailbox:              mailbox,
+		cfg:                  cfg,
+		incarnation:          incarnation,
+		store:                store,
+		log:                  log,
+		hooks:                hooks,
+		finalStates:          finalStates,
+		settings:             admin.DefaultSettings(),
+		acquisitionsInFlight: map[string]bool{},
+		tombstones:           map[string]uint64{},
+		quarantined:          map[string]QuarantinedRecord{},
 	}
 	c.readBarrier = readbarrier.New(c.readRevision, func() {
 		mailbox.Send(func() { c.readBarrier.HandleTimer(time.Now()) })
@@ -153,14 +154,15 @@
 	return c
 }
 
-// Start follows the store, and keeps this controller's liveness record, until the actor ends.
+// Start starts the goroutines that load and watch the records and maintain this controller's liveness
+// record. They run until the actor ends.
 func (c *Cache) Start() {
 	go c.syncLoop(c.mailbox.Context())
 	go c.maintainLiveness(c.mailbox.Context())
 }
 
 // Synced reports whether the cache holds a complete load of the records. It is false before the
-// first load, and after each until the watch has delivered the changes that happened during it.
+// first load, and after each load until the watch has delivered the changes made during that load.
 func (c *Cache) Synced() bool { return c.synced }
 
 // AppliedRevision returns the revision up to which all changes were applied.
@@ -170,11 +172,11 @@
 func (c *Cache) LastContactAt() time.Time { return c.lastContactAt }
 
 // ConsistentAsOf returns the time as of which the cache is consistent with the store: all changes
-// decided before it were applied, later ones may be missing.
+// committed before that time were applied, later ones may be missing.
 func (c *Cache) ConsistentAsOf() time.Time { return c.consistentAsOf }
 
-// IsStale reports whether the cache is too old to decide on records that other controllers may
-// have changed as well.
+// IsStale reports whether the cache is too old to base decisions on records that other controllers
+// may also have changed.
 func (c *Cache) IsStale(now time.Time) bool {
 	return now.Sub(c.consistentAsOf) > tuning.ControllerLeaseTTL
 }
@@ -185,8 +187,8 @@
 	return c.synced && c.cfg.MayAnswerHeartbeats(now, c.consistentAsOf)
 }
 
-// Settings returns the operators' settings in force and their version, which is the revision of
-// their record (0: there is none, and these are the defaults).
+// Settings returns the operators' current settings and their version, which is the revision of
+// their record. The version is 0 if there is no record, and the settings are then the defaults.
 func (c *Cache) Settings() (settings admin.Settings, version uint64) {
 	return c.settings, c.settingsRevision
 }
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -15,21 +15,22 @@
 	"cherrywall/internal/statecache"
 )
 
-// partitionScenario: the store refuses one controller alone; another one confirms
-// cancellations; then the store is down for all for longer than those may take, while the
-// workers send their heartbeats to the controller that was refused.
+// partitionScenario describes a sequence of faults: the store refuses the requests of one
+// controller while another controller confirms cancellations. Then the store is down for all
+// controllers for longer than a cancellation may take, while the workers send their heartbeats to the
+// refused controller.
 type partitionScenario struct {
 	leaseSeconds, cancelSeconds float64
-	refusalOffset               time.Duration // where between its reads the refusal meets the controller
+	refusalOffset               time.Duration // when the refusal begins, relative to the controller's reads
 	refusalToOutage             time.Duration
 	cutFromPeers                bool // the refused controller is cut from its peers as well
-	restarts                    bool // it crashes, and is back within a fraction of a second
-	othersRecoverFirst          bool // the outage ends for the others first
+	restarts                    bool // it crashes and restarts within a fraction of a second
+	othersRecoverFirst          bool // the outage ends for the other controllers first
 	controller                  string
 	mutateConfig                func(cfg *config.Config)
 }
 
-// partitionRun is one run of a scenario, with what it found.
+// partitionRun is one run of a scenario, with the violations found.
 type partitionRun struct {
 	partitionScenario
 	t       *testing.T
@@ -38,14 +39,14 @@
 
 	mu          sync.Mutex
 	cancelledAt map[string]time.Time
-	late        []string
+	violations  []string
 }
 
 var controllers = []string{"n0", "n1", "n2"}
 
-// lateTasks runs the scenario and returns the tasks of cancelled jobs that are on machines when
-// their time is over, or start after that.
-func (s partitionScenario) lateTasks(t *testing.T) []string {
+// findViolations runs the scenario and describes the tasks of cancelled jobs that run or start after
+// the cancellation should have ended, and the jobs with a wrong status.
+func (s partitionScenario) findViolations(t *testing.T) []string {
 	t.Helper()
 	r := &partitionRun{
 		partitionScenario: s,
@@ -61,7 +62,7 @@
 		r.submitJobs()
 		r.refuseController()
 		responses := r.cancelJobs()
-		r.watchTaskStarts()
+		r.checkTaskStarts()
 		if s.restarts {
 			r.cluster.CrashController(s.controller)
 			time.Sleep(300 * time.Millisecond)
@@ -83,13 +84,13 @@
 		stop()
 		synctest.Wait()
 	})
-	return r.late
+	return r.violations
 }
 
-func (r *partitionRun) addLate(format string, args ...any) {
+func (r *partitionRun) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = append(r.late, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 func (r *partitionRun) startCluster(ctx context.Context) {
@@ -104,7 +105,7 @@
 func (r *partitionRun) addMachines() {
 	for range 24 {
 		r.cluster.AddMachine("a", false)
-		time.Sleep(63 * time.Millisecond) // their heartbeats are spread
+		time.Sleep(63 * time.Millisecond) // spreads their heartbeats over time
 	}
 	time.Sleep(8 * time.Second)
 }
@@ -123,7 +124,7 @@
 }
 
 func (r *partitionRun) refuseController() {
-	r.cluster.Store.DelayReads(r.controller, 2*time.Second) // longer than a client waits: the bound does not rest on that
+	r.cluster.Store.DelayReads(r.controller, 2*time.Second) // longer than a client's timeout, on which the bound must not depend
 	time.Sleep(3*time.Second + r.refusalOffset)
 	r.cluster.Store.RefuseNode(r.controller, true)
 	if r.cutFromPeers {
@@ -131,9 +132,9 @@
 	}
 }
 
-// cancelJobs cancels all jobs. Their time is counted from when a cancellation is on record, the
-// first moment at which a user may get a response: the response waits for the controller that
-// was refused.
+// cancelJobs cancels all jobs and returns the channel of the responses. The time that a cancellation
+// may take is counted from when it is recorded, the first moment at which a user may get a response:
+// the response itself waits for the refused controller.
 func (r *partitionRun) cancelJobs() <-chan controller.Response {
 	responses := make(chan controller.Response, len(r.tasks))
 	for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
@@ -142,28 +143,28 @@
 			time.Sleep(time.Millisecond)
 		}
 		r.cancelledAt[ref] = time.Now()
-		time.AfterFunc(config.Seconds(r.cancelSeconds)+time.Millisecond, func() { r.findRunningTasks(ref) })
+		time.AfterFunc(config.Seconds(r.cancelSeconds)+time.Millisecond, func() { r.checkNoTaskRuns(ref) })
 	}
 	return responses
 }
 
-func (r *partitionRun) findRunningTasks(ref string) {
+func (r *partitionRun) checkNoTaskRuns(ref string) {
 	for i := range r.tasks[ref] {
 		if machines := r.cluster.RunningOn(jobs.TaskName(ref, i)); len(machines) > 0 {
-			r.addLate("%s/%d is on %v", ref, i, machines)
+			r.addViolation("%s/%d is on %v", ref, i, machines)
 		}
 	}
 }
 
-func (r *partitionRun) watchTaskStarts() {
+func (r *partitionRun) checkTaskStarts() {
 	r.cluster.OnTaskStart(func(task, host string, _ time.Time) {
 		if ref, _, _ := jobs.ParseTask(task); time.Since(r.cancelledAt[ref]).Seconds() > r.cancelSeconds {
-			r.addLate("%s starts on %s after %v", task, host, time.Since(r.cancelledAt[ref]))
+			r.addViolation("%s starts on %s after %v", task, host, time.Since(r.cancelledAt[ref]))
 		}
 	})
 }
 
-// recover ends the outage, for the refused controller last if othersRecoverFirst.
+// recover ends the outage, for the refused controller last if othersRecoverFirst is set.
 func (r *partitionRun) recover() {
 	store := r.cluster.Store
 	store.RefuseNode(r.controller, r.othersRecoverFirst)
@@ -179,13 +180,14 @@
 	for ref := range r.tasks {
 		for _, node := range controllers {
 			if response := r.cluster.Poll(node, ref); response.Status != jobs.Cancelled {
-				r.addLate("%s has the status %+v at %s", ref, response, node)
+				r.addViolation("%s has the status %+v at %s", ref, response, node)
 			}
 		}
 	}
 }
 
-// partitionScenarios are scenarios of many kinds, with times like those of deployments in use.
+// partitionScenarios returns many combinations of faults, with lease and cancellation times like
+// those of real deployments.
 func partitionScenarios() []partitionScenario {
 	var scenarios []partitionScenario
 	for i, seconds := range []struct{ lease, cancel float64 }{{25, 45}, {35, 60}, {10, 30}} {
@@ -208,19 +210,20 @@
 	return scenarios
 }
 
-// One controller is refused, then the store is down for all: docs/recovery.md, "How long a worker
-// may be kept alive".
+// The store refuses one controller, then is down for all of them: see docs/recovery.md, "How long a
+// worker may be kept alive".
 func TestCancelledTasksStopInTimeDuringPartitionAndOutage(t *testing.T) {
 	for _, scenario := range partitionScenarios() {
-		for _, late := range scenario.lateTasks(t) {
-			t.Errorf("%+v: %s", scenario, late)
+		for _, violation := range scenario.findViolations(t) {
+			t.Errorf("%+v: %s", scenario, violation)
 		}
 	}
 }
 
-// The bound on renewing leases of workers is necessary, to the second: each mutation is found.
+// The bound on renewing worker leases is necessary, and exact to the second: with each of these
+// mutations some scenario has a violation.
 func TestCancellationBoundIsNecessary(t *testing.T) {
-	requireLateTasks := func(mutation string, mutateConfig func(cfg *config.Config)) {
+	requireViolation := func(mutation string, mutateConfig func(cfg *config.Config)) {
 		t.Helper()
 		for offset := range 30 { // all offsets between one read and the next
 			scenario := partitionScenario{
@@ -232,14 +235,14 @@
 				controller:      "n0",
 				mutateConfig:    mutateConfig,
 			}
-			if len(scenario.lateTasks(t)) > 0 {
+			if len(scenario.findViolations(t)) > 0 {
 				return
 			}
 		}
-		t.Errorf("%s: not found", mutation)
+		t.Errorf("%s: no scenario has a violation", mutation)
 	}
-	requireLateTasks("no bound", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds = 1e6 })
-	requireLateTasks("a lease too long", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds })
+	requireViolation("no bound", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds = 1e6 })
+	requireViolation("bound longer by one lease", func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds })
 	defer statecache.TimestampReadsByResponse()()
-	requireLateTasks("reads dated by their response", nil)
+	requireViolation("reads timestamped by their response", nil)
 }
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -12,14 +12,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// FitsOneValue reports whether a record is small enough for one value of the store, under the
-// limits in force and under those announced.
+// FitsOneValue reports whether a record is small enough for one value of the store, under both the
+// current limits and the announced ones.
 func (c *Cache) FitsOneValue(raw json.RawMessage) bool {
 	return len(raw) <= c.cfg.TargetValueBytes()
 }
 
-// CanStore reports whether a record can be stored at all: in one value, or in chunks if all
-// controllers can read these.
+// CanStore reports whether a record can be stored at all: in one value or, if all controllers can
+// read chunks, in chunks.
 func (c *Cache) CanStore(raw json.RawMessage) bool {
 	if c.FeatureGate.IsOpen() {
 		return len(raw) <= tuning.MaxChunkedRecordBytes
@@ -46,7 +46,8 @@
 	}()
 }
 
-// applyCommitted applies the writes of a decided transaction if its conditions held.
+// applyCommitted applies the writes of a transaction that the store has executed, if the
+// transaction's conditions held.
 func (c *Cache) applyCommitted(txn kvstore.Txn, result kvstore.TxnResult) {
 	c.lastContactAt = time.Now()
 	if !result.Succeeded {
@@ -70,8 +71,8 @@
 	return keys
 }
 
-// ChangeSettings stores new settings if nobody has changed them since a version. done gets the
-// new version, or admin.ErrVersionConflict or admin.ErrUnavailable.
+// ChangeSettings stores new settings, provided that version is still the version of the stored ones.
+// It passes the new version to done, or admin.ErrVersionConflict or admin.ErrUnavailable.
 func (c *Cache) ChangeSettings(settings admin.Settings, version uint64, done func(version uint64, err error)) {
 	txn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: jobs.SettingsKey, Revision: version}},
@@ -90,7 +91,7 @@
 	})
 }
 
-// StoreMachineTypes stores what has changed of the machine types and their boot times.
+// StoreMachineTypes stores the machine types and their boot times, as far as they have changed.
 func (c *Cache) StoreMachineTypes(now time.Time) {
 	value, record, err := c.MachineTypes.TypesToRecord()
 	c.storeRecord(jobs.MachineTypesKey, value, record, err, func() {})
@@ -100,8 +101,8 @@
 	})
 }
 
-// storeRecord writes one of the records of machine types. value is nil if there is nothing to write,
-// err the error of encoding it; stored is called when it was written.
+// storeRecord writes one of the two records about machine types. value is nil if there is nothing to
+// write, and err is the error of encoding value. stored is called after a successful write.
 func (c *Cache) storeRecord(key string, value json.RawMessage, record *machinetype.RecordState, err error, stored func()) {
 	if err != nil {
 		c.log.Error("record not written", "key", key, "error", err)
--- a/internal/statecache/features.go
+++ b/internal/statecache/features.go
@@ -20,14 +20,14 @@
 	return err
 }
 
-// writeVersionRecord records durably which program version this controller runs, unless that is
-// recorded already.
+// writeVersionRecord stores the record of the program version that this controller runs, unless that
+// version is already recorded.
 func (c *Cache) writeVersionRecord() {
 	revision, due := c.FeatureGate.RecordDue()
-	if !due || c.writingVersion {
+	if !due || c.versionWriteInFlight {
 		return
 	}
-	c.writingVersion = true
+	c.versionWriteInFlight = true
 	key := jobs.VersionPrefix + c.cfg.Node
 	txn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: key, Revision: revision}},
@@ -35,10 +35,10 @@
 	}
 	c.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		if err == nil && result.Succeeded {
-			c.writingVersion = false
+			c.versionWriteInFlight = false
 			return
 		}
 		// Tick would repeat a failing write several times a second.
-		c.mailbox.SendAfter(tuning.MaxRetryDelay, func() { c.writingVersion = false })
+		c.mailbox.SendAfter(tuning.MaxRetryDelay, func() { c.versionWriteInFlight = false })
 	})
 }
--- a/internal/statecache/finals.go
+++ b/internal/statecache/finals.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Final returns a job's final state, if it is cached here.
+// Final returns a job's final state; known is false if the state is not cached.
 func (c *Cache) Final(ref string) (final jobs.FinalState, known bool) {
 	if final, batched := c.CompletionBatches.FinalState(ref); batched {
 		return final, true
@@ -54,9 +54,10 @@
 	return nil
 }
 
-// ApplyPeerCancellation applies a cancellation that a peer knows from the store, with the revision
-// of its record and the number of tasks that were done. It is as reliable as what the watch
-// delivers, and it arrives even while this controller cannot reach the store.
+// ApplyPeerCancellation applies a cancellation that a peer has read from the store. revision is that
+// of its record, and doneTasks is the number of tasks that were done. Such a cancellation is as
+// reliable as one that the watch delivers, and it arrives even while this controller cannot reach
+// the store.
 func (c *Cache) ApplyPeerCancellation(ref string, doneTasks int, revision uint64) {
 	if _, known := c.Final(ref); known || !c.synced || !jobs.ValidRef(ref) {
 		return
@@ -66,17 +67,17 @@
 	c.ApplyDelete(jobs.JobKey(ref), revision)
 }
 
-// lookUpDependencyFinals reads the final states of jobs that others depend on and that ended
-// before this controller started: a load does not contain final states. Until such a state is
-// known, the jobs that depend on it wait.
+// lookUpDependencyFinals reads the final states of jobs on which other jobs depend and which ended
+// before this controller started: a load does not contain final states. The dependent jobs wait
+// until these states are known.
 func (c *Cache) lookUpDependencyFinals(now time.Time) {
-	if !c.synced || c.finalLookups >= tuning.MaxConcurrentFinalStateReads {
+	if !c.synced || c.finalLookupsInFlight >= tuning.MaxConcurrentFinalStateReads {
 		return
 	}
 	retryBefore := now.Add(-tuning.FinalStateReadRetryInterval)
-	limit := tuning.MaxConcurrentFinalStateReads - c.finalLookups
+	limit := tuning.MaxConcurrentFinalStateReads - c.finalLookupsInFlight
 	for _, ref := range c.State.Dependencies().UnknownJobs(retryBefore, now, limit) {
-		c.finalLookups++
-		c.LookUpFinal(ref, func(jobs.FinalState, bool, error) { c.finalLookups-- })
+		c.finalLookupsInFlight++
+		c.LookUpFinal(ref, func(jobs.FinalState, bool, error) { c.finalLookupsInFlight-- })
 	}
 }
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -21,7 +21,7 @@
 		var err error
 		switch {
 		case !c.livenessEnabled.Load():
-			leaseID = 0 // left to expire; the record is deleted, see ReleaseLiveness
+			leaseID = 0 // the lease is left to expire; ReleaseLiveness deletes the record
 		case leaseID == 0 || c.rewriteLiveness.Swap(false):
 			leaseID, err = c.writeLivenessRecord(ctx)
 		default:
@@ -43,10 +43,10 @@
 }
 
 // writeLivenessRecord obtains a lease and attaches this controller's liveness record to it. The
-// write has the precondition that the record is unchanged: without it, an earlier write that was
-// never answered could be executed after its successor and attach the record to a lease that
-// nobody renews. The record would be deleted with that lease, and the controller would acquire no
-// shard any more.
+// write has the precondition that the record is unchanged. Without it, an earlier write that got no
+// response could be executed after this one and attach the record to a lease that nobody renews.
+// The store would delete the record together with that lease, and the controller would acquire no
+// more shards.
 func (c *Cache) writeLivenessRecord(ctx context.Context) (leaseID uint64, err error) {
 	key := c.livenessKey()
 	record, err := c.store.Get(ctx, kvstore.Urgent, key) // its revision is 0 if it does not exist
@@ -70,9 +70,9 @@
 	return leaseID, nil
 }
 
-// checkLivenessRecord has this controller's liveness record written anew if it has been missing,
-// or has been that of another incarnation, for longer than a lease lasts. Without its record the
-// controller acquires no shards, even if it renews a lease.
+// checkLivenessRecord makes maintainLiveness write this controller's liveness record again if the
+// record has been missing, or has been that of another incarnation, for longer than a lease lasts.
+// Without its record the controller acquires no shards, even if it renews a lease.
 func (c *Cache) checkLivenessRecord(now time.Time) {
 	_, live := c.Membership.OwnLivenessRevision()
 	switch {
@@ -99,7 +99,7 @@
 	}, func(kvstore.TxnResult, error) {})
 }
 
-// ResumeLiveness has the liveness record written again after ReleaseLiveness.
+// ResumeLiveness makes maintainLiveness write the liveness record again after ReleaseLiveness.
 func (c *Cache) ResumeLiveness() { c.livenessEnabled.Store(true) }
 
 func (c *Cache) livenessKey() string { return jobs.LivenessPrefix + c.cfg.Node }
--- a/internal/statecache/quarantine.go
+++ b/internal/statecache/quarantine.go
@@ -8,13 +8,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// QuarantinedRecord is a record that cannot be read: damaged, impossible, or of a later version
-// of the program. It is neither applied nor changed; all other records are handled as usual.
+// QuarantinedRecord is a record that cannot be read, because it is damaged, fails validation or was
+// written by a later version of the program. It is neither applied nor changed; all other records
+// are handled as usual.
 type QuarantinedRecord struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 	Error    string `json:"error"`
-	Value    string `json:"value"` // its beginning
+	Value    string `json:"value"` // the first bytes, at most tuning.MaxQuarantinedRecordBytes
 }
 
 // updateQuarantine quarantines a record that could not be applied, and releases one that could.
@@ -32,8 +33,8 @@
 	}
 }
 
-// QuarantinedRecords returns the quarantined records in the order of their keys, at most
-// tuning.MaxListedQuarantinedRecords of them.
+// QuarantinedRecords returns at most tuning.MaxListedQuarantinedRecords quarantined records, sorted
+// by key.
 func (c *Cache) QuarantinedRecords() []QuarantinedRecord {
 	var records []QuarantinedRecord
 	keys := slices.Sorted(maps.Keys(c.quarantined))
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -29,9 +29,9 @@
 		}
 		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
 		if id != c.cfg.Node {
-			// The home of the shard is down or considered failed. If its liveness record has
-			// changed since, it has started again and should own the shard itself, so that
-			// this write has to fail.
+			// The home of the shard is down or considered failed. If the home's liveness
+			// record has changed since, the home has restarted and should own the shard
+			// itself, so this write must fail.
 			conditions = append(conditions, kvstore.Condition{Key: jobs.LivenessPrefix + id, Revision: c.Membership.LivenessRevision(id)})
 		}
 		c.acquireShard(id, now, conditions...)
@@ -39,8 +39,8 @@
 }
 
 // canAcquireShards reports whether this controller is live, is not about to shut down, and has a
-// cache that is recent enough to decide on acquisitions. livenessRevision is the revision of its
-// liveness record.
+// cache that is recent enough to decide on acquisitions. livenessRevision is the revision of the
+// controller's liveness record.
 func (c *Cache) canAcquireShards(now time.Time) (livenessRevision uint64, ok bool) {
 	livenessRevision, live := c.Membership.OwnLivenessRevision()
 	caughtUp := c.readBarrier.NewestRevision() <= c.appliedRevision
@@ -54,33 +54,34 @@
 	}
 }
 
-// StopAcquiringShards has this controller acquire no shard any more: it is about to shut down.
+// StopAcquiringShards keeps this controller from acquiring further shards. It is called when the
+// controller is about to shut down.
 func (c *Cache) StopAcquiringShards() { c.acquisitionStopped = true }
 
-// ReacquireShard begins a new epoch of a shard that this controller owns: whatever was to be
-// done under the old epoch, by any controller, fails from then on.
+// ReacquireShard begins a new epoch of a shard that this controller owns. From then on, operations
+// under the old epoch fail, whichever controller attempts them.
 func (c *Cache) ReacquireShard(shard *membership.Shard, now time.Time) {
 	c.acquireShard(shard.ID(), now)
 }
 
-// acquireShard replaces a shard's record, provided that it is the cached one and the other
-// conditions hold, unless such a write is in flight already.
+// acquireShard replaces a shard's record, provided that the stored record is the cached one and the
+// given conditions hold. It does nothing if such a write is already in flight.
 func (c *Cache) acquireShard(id string, now time.Time, conditions ...kvstore.Condition) {
-	if c.acquiring[id] {
+	if c.acquisitionsInFlight[id] {
 		return
 	}
-	c.acquiring[id] = true
+	c.acquisitionsInFlight[id] = true
 	shard := c.Membership.Shard(id)
-	unchanged := kvstore.Condition{Key: jobs.ShardPrefix + id} // it has no record
+	recordUnchanged := kvstore.Condition{Key: jobs.ShardPrefix + id} // revision 0: there is no record
 	if shard != nil {
-		unchanged.Revision = shard.Epoch()
+		recordUnchanged.Revision = shard.Epoch()
 	}
 	txn := kvstore.Txn{
-		Conditions: append(conditions, unchanged),
-		Writes:     []kvstore.Write{{Key: unchanged.Key, Value: membership.EncodeShard(c.cfg.Node, c.incarnation, shard, now)}},
+		Conditions: append(conditions, recordUnchanged),
+		Writes:     []kvstore.Write{{Key: recordUnchanged.Key, Value: membership.EncodeShard(c.cfg.Node, c.incarnation, shard, now)}},
 	}
 	c.Commit(kvstore.Urgent, txn, func(result kvstore.TxnResult, err error) {
-		delete(c.acquiring, id)
+		delete(c.acquisitionsInFlight, id)
 		if err != nil || !result.Succeeded {
 			c.log.Info("shard not acquired", "shard", id, "failed_keys", result.FailedKeys, "error", err)
 		}
@@ -107,9 +108,9 @@
 // HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied. The
 // acquisition by this controller is applied as soon as its write succeeds, perhaps before the watch
 // has delivered earlier changes. A heartbeat that was accepted in between could list a task of a
-// range that the previous owner claimed just before. The task would be stopped as unknown and, once
-// the range became known, the worker would count as having reported without it: the task would be
-// started on another worker and run twice.
+// range that the previous owner claimed just before. The task would be stopped as unknown. Once the
+// range became known, the worker would count as having sent a heartbeat that does not list the task,
+// so the task would be started on another worker and run twice.
 func (c *Cache) HasReachedEpoch(shard *membership.Shard) bool {
 	return c.appliedRevision >= shard.Epoch()
 }
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -11,24 +11,24 @@
 	"cherrywall/internal/tuning"
 )
 
-// loadedPrefixes are the keys and prefixes that a load lists. Final states are left out: they
-// are kept for ever and looked up singly.
+// loadedPrefixes are the keys and prefixes that a load lists. Final states are not among them: they
+// are kept forever and are looked up one at a time.
 var loadedPrefixes = []string{
 	jobs.LivenessPrefix, jobs.ShardPrefix, jobs.WorkerPrefix, jobs.JobPrefix, jobs.RangePrefix,
 	jobs.CompletionBatchPrefix, jobs.QuotaPrefix, jobs.VersionPrefix,
 	jobs.SettingsKey, jobs.MachineTypesKey, jobs.BootTimesKey,
 }
 
-// listing is the result of listing all records one prefix after the other.
+// listing is the result of listing all records, one prefix after the other.
 type listing struct {
 	rows []kvstore.KeyValue
-	// oldest and newest are the lowest and the highest revision of the single listings: the
+	// oldest and newest are the lowest and the highest revision at which a prefix was listed: the
 	// records are complete up to oldest, and some are as new as newest.
 	oldest, newest uint64
 }
 
-// syncLoop loads the records and follows their changes until the context ends. It loads them
-// anew if the watch cannot be resumed.
+// syncLoop loads the records and watches them for changes until the context ends. It loads them
+// again if the watch cannot be resumed.
 func (c *Cache) syncLoop(ctx context.Context) {
 	delay := tuning.MinRetryDelay
 	for ctx.Err() == nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// loadAndWatch loads all records and follows their changes until the watch cannot be resumed. It
-// always returns an error, that of ctx if it has ended.
+// loadAndWatch loads all records and watches them for changes until the watch cannot be resumed. It
+// always returns an error, which is that of ctx if ctx has ended.
 func (c *Cache) loadAndWatch(ctx context.Context) error {
 	loaded, err := c.list(ctx)
 	if err != nil {
@@ -57,20 +57,20 @@
 
 // list lists the records of all loadedPrefixes.
 func (c *Cache) list(ctx context.Context) (listing, error) {
-	var all listing
+	var combined listing
 	for i, prefix := range loadedPrefixes {
 		rows, revision, err := c.store.List(ctx, prefix)
 		if err != nil {
 			return listing{}, err
 		}
 		// The first revision of a new store is 0, so 0 cannot stand for "none yet".
-		if i == 0 || revision < all.oldest {
-			all.oldest = revision
+		if i == 0 || revision < combined.oldest {
+			combined.oldest = revision
 		}
-		all.newest = max(all.newest, revision)
-		all.rows = append(all.rows, rows...)
+		combined.newest = max(combined.newest, revision)
+		combined.rows = append(combined.rows, rows...)
 	}
-	return all, nil
+	return combined, nil
 }
 
 // applyListing replaces the contents of the cache by a listing. If the records changed while they
@@ -88,20 +88,20 @@
 	c.hooks.PipelineEvents(nil, true)
 }
 
-// watch follows the changes after a revision. It returns when the context ends or the watch cannot
-// be resumed (kvstore.ErrExpired); after other errors it repeats the request.
-func (c *Cache) watch(ctx context.Context, from uint64) error {
+// watch receives and applies the changes after a revision. It returns when the context ends or the
+// watch cannot be resumed (kvstore.ErrExpired); after other errors it repeats the request.
+func (c *Cache) watch(ctx context.Context, afterRevision uint64) error {
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
 		c.mailbox.Send(func() { c.cancelWatch = cancel })
-		events, revision, err := c.store.Watch(watchCtx, jobs.Prefix, from)
+		events, revision, err := c.store.Watch(watchCtx, jobs.Prefix, afterRevision)
 		cancel()
 		if errors.Is(err, kvstore.ErrExpired) {
 			return err
 		}
 		delay := tuning.MinRetryDelay
 		if err == nil {
-			from = max(from, revision)
+			afterRevision = max(afterRevision, revision)
 			c.mailbox.Send(func() { c.ApplyEvents(events, revision) })
 			delay = tuning.MinWatchRequestGap
 		}
@@ -112,7 +112,7 @@
 	return ctx.Err()
 }
 
-// markSynced notes that the cache holds a complete load.
+// markSynced records that the cache holds a complete load; see Synced.
 func (c *Cache) markSynced() {
 	if c.synced {
 		return
@@ -123,7 +123,8 @@
 	c.log.Info("state cache loaded", "jobs", jobCount, "workers", machineCount, "revision", c.appliedRevision)
 }
 
-// ApplyEvents applies what the watch has delivered: all changes up to a revision.
+// ApplyEvents applies the events that the watch has delivered, which are all changes up to a
+// revision.
 func (c *Cache) ApplyEvents(events []kvstore.Event, revision uint64) {
 	var pipelineEvents []kvstore.Event
 	for _, event := range events {
@@ -165,8 +166,9 @@
 	}
 }
 
-// restartStuckWatch restarts the watch request if it stays behind a revision known from
-// elsewhere: its connection may be dead without an error.
+// restartStuckWatch restarts the watch request if its changes lag behind the newest revision that a
+// read has returned for longer than tuning.WatchStuckAfter: the connection may be dead without
+// having reported an error.
 func (c *Cache) restartStuckWatch(now time.Time) {
 	if c.readBarrier.NewestRevision() <= c.appliedRevision {
 		c.watchBehindSince = time.Time{}
@@ -182,14 +184,15 @@
 	}
 }
 
-// ReadBarrier calls done on the actor with ok set once the cache contains all changes decided before
-// this call, so that a read of it is linearizable. ok is false if that took too long. Urgent callers
-// wait for a shorter time for others with which they share one request to the store.
+// ReadBarrier calls done on the actor with ok set once the cache contains all changes committed
+// before this call, so that a read of the cache is linearizable. ok is false if that took too long.
+// Several callers share one request to the store; if one of them is urgent, the request is sent
+// sooner instead of waiting for further callers.
 func (c *Cache) ReadBarrier(urgent bool, done func(ok bool)) {
 	c.readBarrier.Wait(time.Now(), urgent, done)
 }
 
-// readRevision asks the store for its revision, for those that wait in the read barrier.
+// readRevision reads the store's revision for the callers that wait at the read barrier.
 func (c *Cache) readRevision(startedAt time.Time) {
 	go func() {
 		// The key never exists; the response carries the revision.
@@ -207,13 +210,13 @@
 }
 
 // readTimestamp returns the moment as of which the result of a read is current: when the request
-// was sent, not when the response was received, since the store may have read its revision at once
-// and decided changes before the response arrived. Tests replace it to check that they would find
-// the wrong choice.
+// was sent, not when the response was received, since the store may have read its revision
+// immediately and committed changes before the response arrived. Tests replace this function to check
+// that they would detect the wrong choice.
 var readTimestamp = func(sentAt, _ time.Time) time.Time { return sentAt }
 
-// advanceReadBarrier serves the callers of ReadBarrier whose revision was reached. consistentAsOf is
-// set before they are called, since they may depend on it.
+// advanceReadBarrier completes the calls of ReadBarrier whose revision was reached. It sets
+// consistentAsOf before it calls their done functions, since those may depend on it.
 func (c *Cache) advanceReadBarrier(now time.Time) {
 	consistentAsOf, serve := c.readBarrier.Advance(now, c.appliedRevision, c.synced)
 	if consistentAsOf.After(c.consistentAsOf) {
