--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -28,7 +28,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Store is the key-value store that the cache follows.
+// Store is the key-value store whose records are cached.
 type Store = kvstore.Service
 
 // Hooks are the callbacks by which the cache involves other components. They are called on the actor.
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -10,7 +10,7 @@
 )
 
 // AcquireShards acquires the shards that this controller should own (see
-// membership.Table.ShardsToAcquire), except those that their owners were requested to hand over.
+// membership.Table.ShardsToAcquire), except those whose owners were requested to hand them over.
 func (c *Cache) AcquireShards(now time.Time) {
 	livenessRevision, ok := c.canAcquireShards(now)
 	if !ok {
