--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -13,7 +13,7 @@
 	return t.SuccessorExcluding(id, func(string) bool { return false })
 }
 
-// SuccessorExcluding is Successor as if the excluded controllers were not live.
+// SuccessorExcluding is like Successor, but treats the excluded controllers as not live.
 func (t *Table) SuccessorExcluding(id string, excluded func(controller string) bool) string {
 	home := max(0, slices.Index(t.controllers, id))
 	for i := range t.controllers {
@@ -31,16 +31,16 @@
 // The home of a shard acquires it at once if it has no working owner (live and not failed), and
 // after returnDelay if it has one.
 //
-// Another controller acquires a shard only if it is the successor and there is no working owner, and
-// not in its own startup grace period: when all controllers start together, the first one up would
-// acquire the shard of the next, which would acquire it back half a second later. Each change of
-// owner costs the shard what its owner knew of the machines.
+// Any other controller acquires a shard only if it is the shard's successor, the shard has no working
+// owner, and its own startup grace period is over. Without that period, when all controllers start
+// together, the first one up would acquire the shard of the next, which would acquire it back half a
+// second later. With each change of owner, what the owner knew about the shard's machines is lost.
 func (t *Table) ShardsToAcquire(now time.Time, failed func(controller string) bool) []string {
 	var ids []string
 	for _, id := range t.controllers {
 		shard := t.shards[id]
-		isOwned := shard != nil && shard.isLocal
-		if isOwned || t.SuccessorExcluding(id, failed) != t.self {
+		isLocal := shard != nil && shard.isLocal
+		if isLocal || t.SuccessorExcluding(id, failed) != t.self {
 			continue
 		}
 		hasWorkingOwner := t.OwnerIsLive(shard) && !failed(shard.owner)
@@ -61,29 +61,29 @@
 	return ids
 }
 
-// InStartupGrace reports whether this controller has become live so recently that others which
-// were started together with it may not be up yet.
+// InStartupGrace reports whether this controller has become live so recently that other controllers
+// that were started together with it may not be up yet.
 func (t *Table) InStartupGrace(now time.Time) bool {
 	return t.liveSince.IsZero() || now.Sub(t.liveSince) < tuning.StartupGracePeriod
 }
 
-// returnDelay returns for how long after its start the home leaves the shard with its present
-// owner: not at all if the shard has changed owners no more often lately than one crash and the
-// return from it explain, and twice as long with each acquisition beyond that, up to a limit. A
-// controller that crashed every few seconds would otherwise acquire its shard at each start, and
-// two controllers in turn would probe its workers.
+// returnDelay returns how long after its start the home leaves the shard with its present owner. The
+// delay is 0 if one crash and the return from it explain the number of recent acquisitions. The first
+// acquisition beyond that number causes the minimum delay, and each further one doubles the delay, up
+// to a limit. Without the delay, a controller that crashed every few seconds would acquire its shard
+// at each start, and two controllers would take turns probing the shard's workers.
 func (s *Shard) returnDelay(now time.Time) time.Duration {
-	recent := 0
+	recentAcquisitions := 0
 	for _, acquiredMs := range s.acquisitions {
 		// The clocks of controllers differ a little, so an acquisition can lie in the future.
 		age := now.Sub(time.UnixMilli(acquiredMs))
 		if age < tuning.AcquisitionWindow && age > -tuning.AcquisitionWindow {
-			recent++
+			recentAcquisitions++
 		}
 	}
-	if recent <= tuning.MaxUndelayedAcquisitions {
+	if recentAcquisitions <= tuning.MaxUndelayedAcquisitions {
 		return 0
 	}
-	doublings := recent - tuning.MaxUndelayedAcquisitions - 1
+	doublings := recentAcquisitions - tuning.MaxUndelayedAcquisitions - 1
 	return min(tuning.MinShardReturnDelay<<doublings, tuning.MaxShardReturnDelay)
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -18,12 +18,12 @@
 type shardRecord struct {
 	Owner       string `json:"holder"`
 	Incarnation uint64 `json:"boot"`
-	// Acquisitions are the times at which the shard was acquired, in milliseconds of Unix time by
-	// the clocks of the owners of then, the latest last.
+	// Acquisitions are the times at which the shard was acquired, the latest last. Each is in Unix
+	// milliseconds by the clock of the controller that acquired the shard.
 	Acquisitions []int64 `json:"takings,omitempty"`
-	// MarksTrustedAfter is the revision above which all owners have kept to the marks of gangs
+	// MarksTrustedAfter is the revision after which all owners have respected the marks of gangs
 	// (docs/recovery.md, "Marks"); 0 stands for the revision of this record. Controllers of
-	// versions without marks do not write it.
+	// versions without marks do not write this field.
 	MarksTrustedAfter *uint64 `json:"marks,omitempty"`
 }
 
@@ -33,15 +33,15 @@
 }
 
 // EncodeShard returns the ownership record with which a controller acquires a shard at now.
-// previous is the shard as the record replaces it, nil if it had no record.
+// previous is the ownership that the record replaces, nil if the shard had no record.
 func EncodeShard(owner string, incarnation uint64, previous *Shard, now time.Time) json.RawMessage {
 	record := shardRecord{Owner: owner, Incarnation: incarnation, MarksTrustedAfter: new(uint64)}
 	if previous != nil {
 		if previous.marksTrustedAfter != nil {
 			record.MarksTrustedAfter = previous.marksTrustedAfter
 		}
-		oldest := max(0, len(previous.acquisitions)-tuning.MaxRecordedAcquisitions+1)
-		record.Acquisitions = previous.acquisitions[oldest:]
+		firstKept := max(0, len(previous.acquisitions)-tuning.MaxRecordedAcquisitions+1)
+		record.Acquisitions = previous.acquisitions[firstKept:]
 	}
 	record.Acquisitions = append(slices.Clip(record.Acquisitions), now.UnixMilli())
 	return kvstore.Encode(record)
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Shard is the ownership of one shard of the machines under one epoch. When the shard is acquired
-// again, even by the same controller, the Table replaces it by another Shard.
+// again, even by the same controller, the Table replaces the Shard by a new one.
 type Shard struct {
 	id, owner          string
 	incarnation, epoch uint64
@@ -46,8 +46,8 @@
 // MarkReconciled records that the shard is reconciled; see IsReconciled.
 func (s *Shard) MarkReconciled() { s.isReconciled = true }
 
-// TrustsMark reports whether a mark that was written at a revision can be relied on. It cannot if
-// an owner since then may have been of a version that does not keep to marks.
+// TrustsMark reports whether a mark that was written at a revision can be relied on. This is not the
+// case if a later owner may have run a version that ignores marks.
 func (s *Shard) TrustsMark(revision uint64) bool {
 	return s.marksTrustedAfter != nil && revision > *s.marksTrustedAfter
 }
@@ -56,7 +56,7 @@
 // AbortTransfer none of its machines is released or moved.
 func (s *Shard) PrepareTransfer() { s.transferPrepared = true }
 
-// AbortTransfer takes PrepareTransfer back.
+// AbortTransfer undoes PrepareTransfer.
 func (s *Shard) AbortTransfer() { s.transferPrepared = false }
 
 // IsTransferring reports whether a transfer of the shard is prepared or done.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,10 +1,10 @@
 // Package membership tracks which controllers are alive and which controller owns which shard,
 // from the liveness and ownership records in the key-value store.
 //
-// There is one shard of the cluster's machines per controller, its home, and the shard carries
-// the controller's name. The package decides which shards a controller should own
-// (Table.ShardsToAcquire); the conditional write that acquires one is made by package statecache.
-// Safety rests on that write alone and never on the decision, so a wrong decision costs time, but
+// The cluster's machines are divided into one shard per controller. That controller is the shard's
+// home, and the shard has its name. The package decides which shards a controller should own
+// (Table.ShardsToAcquire); package statecache makes the conditional write that acquires a shard.
+// Safety depends on that write alone and never on the decision, so a wrong decision costs time, but
 // cannot give a shard two owners.
 package membership
 
@@ -21,18 +21,19 @@
 	self        string
 	incarnation uint64
 	controllers []string // all of them, sorted; each is the home of a shard
-	alive       map[string]liveness
+	liveness    map[string]liveness
 	shards      map[string]*Shard
-	// liveSince is when the record of this incarnation became known, zero if it is not.
+	// liveSince is when the liveness record of this incarnation became known, zero if it is not
+	// known.
 	liveSince time.Time
 	// transferredEpochs holds, by shard, the epoch under which it was transferred to another
 	// controller. It survives Reset: under that epoch this controller must not command the
-	// shard's workers again, even if the record is read anew.
+	// shard's workers again, even if the record is read again.
 	transferredEpochs map[string]uint64
 }
 
-// liveness is a controller's liveness record. It is deleted when the controller's lease in the
-// key-value store expires.
+// liveness is a controller's liveness record. The key-value store deletes the record when the
+// controller's lease expires.
 type liveness struct {
 	incarnation, revision uint64
 }
@@ -57,36 +58,36 @@
 // Size returns the number of controllers, which is the number of shards.
 func (t *Table) Size() int { return len(t.controllers) }
 
-// Reset drops all records; they are to be read again.
+// Reset drops all records. The caller has to read them again.
 //
 // The shards that this incarnation owned count as transferred from now on, so that it acquires
 // them under a new epoch before it commands their workers. Commands sent before the reset may
-// still be in flight, and workers accept them as long as the fencing token is the same, but which
-// ones were sent is forgotten with everything else. A task whose start command was in flight
-// would be missing from the worker's first heartbeat, be taken for not running, and be started a
-// second time.
+// still be in flight, and workers accept them as long as the fencing token is the same, but after
+// the reset this controller no longer knows which commands it has sent. A task whose start command
+// was in flight would be missing from the worker's first heartbeat, be taken for not running, and be
+// started a second time.
 func (t *Table) Reset() {
 	for id, shard := range t.shards {
 		if shard.isLocal {
 			t.transferredEpochs[id] = shard.epoch
 		}
 	}
-	t.alive = map[string]liveness{}
+	t.liveness = map[string]liveness{}
 	t.shards = map[string]*Shard{}
 	t.liveSince = time.Time{}
 }
 
-// ApplyLiveness applies a controller's liveness record as of a revision, which became known at
-// now. A record no newer than the known one is ignored.
+// ApplyLiveness applies a controller's liveness record of a revision. now is the time at which the
+// record became known. A record no newer than the known one is ignored.
 func (t *Table) ApplyLiveness(controller string, value json.RawMessage, revision uint64, now time.Time) error {
-	if t.alive[controller].revision >= revision {
+	if t.liveness[controller].revision >= revision {
 		return nil
 	}
 	var record livenessRecord
 	if err := json.Unmarshal(value, &record); err != nil {
 		return fmt.Errorf("decode liveness record of controller %s: %w", controller, err)
 	}
-	t.alive[controller] = liveness{incarnation: record.Incarnation, revision: revision}
+	t.liveness[controller] = liveness{incarnation: record.Incarnation, revision: revision}
 	if controller == t.self && record.Incarnation == t.incarnation {
 		t.liveSince = now
 	}
@@ -96,20 +97,20 @@
 // RemoveLiveness applies the deletion of a controller's liveness record at a revision. A deletion
 // older than the known record is ignored.
 func (t *Table) RemoveLiveness(controller string, revision uint64) {
-	if t.alive[controller].revision <= revision {
-		delete(t.alive, controller)
+	if t.liveness[controller].revision <= revision {
+		delete(t.liveness, controller)
 	}
 }
 
 // IsLive reports whether a controller has a liveness record, and, unless incarnation is 0,
 // whether the record is of that incarnation.
 func (t *Table) IsLive(controller string, incarnation uint64) bool {
-	known, ok := t.alive[controller]
+	known, ok := t.liveness[controller]
 	return ok && (incarnation == 0 || known.incarnation == incarnation)
 }
 
 // LivenessRevision returns the revision of a controller's liveness record, 0 if it has none.
-func (t *Table) LivenessRevision(controller string) uint64 { return t.alive[controller].revision }
+func (t *Table) LivenessRevision(controller string) uint64 { return t.liveness[controller].revision }
 
 // OwnLivenessRevision returns the revision of this controller's liveness record; ok reports
 // whether the record is of this incarnation.
@@ -117,8 +118,8 @@
 	return t.LivenessRevision(t.self), t.IsLive(t.self, t.incarnation)
 }
 
-// HasLivePeer reports whether this controller is live and so is at least one other, which could
-// take over its shards.
+// HasLivePeer reports whether this controller and at least one other controller are live. The other
+// one could take over this controller's shards.
 func (t *Table) HasLivePeer() bool {
 	isLivePeer := func(controller string) bool { return controller != t.self && t.IsLive(controller, 0) }
 	return t.IsLive(t.self, t.incarnation) && slices.ContainsFunc(t.controllers, isLivePeer)
@@ -130,7 +131,7 @@
 	return shard != nil && t.IsLive(shard.owner, shard.incarnation)
 }
 
-// ApplyShard applies a shard's ownership record as of a revision, which is the shard's epoch, and
+// ApplyShard applies a shard's ownership record of a revision, which is the shard's epoch, and
 // returns the resulting Shard. It returns nil for a record no newer than the known one.
 func (t *Table) ApplyShard(id string, value json.RawMessage, revision uint64, now time.Time) (*Shard, error) {
 	previous := t.shards[id]
@@ -162,8 +163,8 @@
 	return shard, nil
 }
 
-// MarkTransferred records that a shard was transferred to another controller: its workers get no
-// response from this one as long as the shard's epoch is the present one.
+// MarkTransferred records that a shard was transferred to another controller. This controller does
+// not respond to the shard's workers as long as the shard has its present epoch.
 func (t *Table) MarkTransferred(shard *Shard) {
 	shard.transferred = true
 	t.transferredEpochs[shard.id] = shard.epoch
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -31,13 +31,13 @@
 
 func TestShardFailoverToSuccessorAndReturnHome(t *testing.T) {
 	now := time.Now()
-	warm := now.Add(tuning.StartupGracePeriod)
+	afterGracePeriod := now.Add(tuning.StartupGracePeriod)
 	table := New("n1", 7, []string{"n2", "n0", "n1"})
-	if table.Successor("n0") != "" || table.ShardsToAcquire(warm, noneFailed) != nil {
+	if table.Successor("n0") != "" || table.ShardsToAcquire(afterGracePeriod, noneFailed) != nil {
 		t.Error("there is a successor although no controller is live")
 	}
 	applyLiveness(t, table, "n1", 7, 3, now)
-	if got := table.ShardsToAcquire(warm, noneFailed); !slices.Equal(got, []string{"n0", "n1", "n2"}) {
+	if got := table.ShardsToAcquire(afterGracePeriod, noneFailed); !slices.Equal(got, []string{"n0", "n1", "n2"}) {
 		t.Errorf("the only live controller acquires %v", got)
 	}
 	if table.HasLivePeer() {
@@ -47,7 +47,7 @@
 	for _, id := range []string{"n0", "n1", "n2"} {
 		applyShard(t, table, id, EncodeShard("n1", 7, nil, now), 5, now)
 	}
-	if table.Successor("n0") != "n0" || table.Successor("n2") != "n0" || len(table.LocalShards()) != 3 || table.ShardsToAcquire(warm, noneFailed) != nil {
+	if table.Successor("n0") != "n0" || table.Successor("n2") != "n0" || len(table.LocalShards()) != 3 || table.ShardsToAcquire(afterGracePeriod, noneFailed) != nil {
 		t.Errorf("successors %s and %s, %d shards owned", table.Successor("n0"), table.Successor("n2"), len(table.LocalShards()))
 	}
 	if shard, err := table.ApplyShard("n0", EncodeShard("n0", 9, nil, now), 4, now); shard != nil || err != nil {
@@ -57,10 +57,10 @@
 	if shard.IsLocal() || shard.Owner() != "n0" || shard.Epoch() != 6 || table.Shard("n0") != shard {
 		t.Errorf("%+v", shard)
 	}
-	// The owner is an earlier incarnation of this controller, which is not this one.
+	// The owner is an earlier incarnation of this controller, whose shard is not local.
 	shard = applyShard(t, table, "n1", EncodeShard("n1", 6, nil, now), 7, now)
-	if shard.IsLocal() || !slices.Equal(table.ShardsToAcquire(warm, noneFailed), []string{"n1"}) {
-		t.Errorf("shard of an earlier incarnation: local %v, to acquire %v", shard.IsLocal(), table.ShardsToAcquire(warm, noneFailed))
+	if shard.IsLocal() || !slices.Equal(table.ShardsToAcquire(afterGracePeriod, noneFailed), []string{"n1"}) {
+		t.Errorf("shard of an earlier incarnation: local %v, to acquire %v", shard.IsLocal(), table.ShardsToAcquire(afterGracePeriod, noneFailed))
 	}
 	table.RemoveLiveness("n0", 3) // older than the record
 	if !table.IsLive("n0", 9) {
@@ -85,20 +85,20 @@
 	}
 	applyLiveness(t, table, "n1", 7, 6, now)
 	if got := table.ShardsToAcquire(now, noneFailed); !slices.Equal(got, []string{"n1"}) || !table.InStartupGrace(now) {
-		t.Errorf("at its start it acquires %v", got)
+		t.Errorf("at its start n1 acquires %v", got)
 	}
 	now = now.Add(tuning.StartupGracePeriod)
 	if got := table.ShardsToAcquire(now, noneFailed); !slices.Equal(got, []string{"n0", "n1", "n2"}) || table.InStartupGrace(now) {
-		t.Errorf("the other controllers do not start, and it acquires %v", got)
+		t.Errorf("the other controllers do not start, and n1 acquires %v", got)
 	}
 	applyLiveness(t, table, "n2", 9, 7, now)
 	applyShard(t, table, "n0", EncodeShard("n2", 9, nil, now), 8, now)
 	if got := table.ShardsToAcquire(now, noneFailed); !slices.Equal(got, []string{"n1"}) {
-		t.Errorf("it acquires %v, although n2 is live and owns n0", got)
+		t.Errorf("n1 acquires %v, although n2 is live and owns n0", got)
 	}
 }
 
-// A controller that crashes again and again does not move its shard each time.
+// The shard of a controller that crashes again and again does not move at each crash and return.
 func TestReturnDelayGrowsWithRepeatedFailover(t *testing.T) {
 	now := time.Now()
 	table := New("n0", 7, []string{"n0", "n1", "n2"})
@@ -126,6 +126,6 @@
 	// A shard without a live owner returns at once.
 	table.RemoveLiveness("n1", 99)
 	if got := table.ShardsToAcquire(now, noneFailed); !slices.Contains(got, "n0") {
-		t.Errorf("the shard has no live owner, and only %v are acquired", got)
+		t.Errorf("shard n0 has no live owner, and only %v are acquired", got)
 	}
 }
