--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,10 +1,10 @@
 // Package failuredetector decides which of the other controllers have failed, from their
-// heartbeats, from their writes to the key-value store and from whom the other controllers
-// suspect.
+// heartbeats, from their writes to the key-value store and from the suspicions
+// that they report.
 //
-// A verdict only makes a failover start before the failed controller's lease expires. Safety does
-// not rest on it: a shard is acquired by one conditional write under a new epoch, whoever is
-// wrong about whom (docs/membership.md).
+// The only effect of such a decision is that a failover starts before the failed controller's lease
+// expires. Safety does not depend on the decision: a shard is acquired by one conditional write under
+// a new epoch, even if controllers are wrong about each other's failures (docs/membership.md).
 package failuredetector
 
 import (
@@ -17,8 +17,8 @@
 // State is the detector's assessment of a controller.
 type State string
 
-// The states of a controller. A suspicion is this controller's own and has no consequences; for a
-// failure all other live controllers have to suspect the same one.
+// The states of a controller. Suspected is the assessment of this controller alone and has no
+// consequences. Failed requires that all other live controllers suspect the same controller.
 const (
 	Unknown   State = "unknown" // no heartbeat received yet
 	Alive     State = "alive"
@@ -32,12 +32,13 @@
 type Detector struct {
 	peers       map[string]*peerState
 	lastCheckAt time.Time
-	// suppressedUntil is the time until which this controller suspects nobody, because it was
-	// stalled or has lost the key-value store, and has to receive heartbeats again first.
+	// suppressedUntil is the time until which this controller suspects no other, because it was
+	// stalled or out of contact with the key-value store and first has to receive heartbeats
+	// again.
 	suppressedUntil time.Time
 }
 
-// New returns a detector of the controller self for all other controllers.
+// New returns the detector that the controller self uses for all other controllers.
 func New(self string, controllers []string) *Detector {
 	d := &Detector{peers: map[string]*peerState{}}
 	for _, controller := range controllers {
@@ -48,14 +49,15 @@
 	return d
 }
 
-// ObserveHeartbeat records a heartbeat of a controller, with whom it suspects and whether
-// it is shutting down. Heartbeats of unknown controllers are ignored.
+// ObserveHeartbeat records a heartbeat of a controller. suspects are the controllers that the sender
+// suspects, and leaving reports whether the sender is shutting down. Heartbeats of unknown
+// controllers are ignored.
 func (d *Detector) ObserveHeartbeat(controller string, suspects []string, leaving bool, now time.Time) {
 	peer := d.peers[controller]
 	if peer == nil {
 		return
 	}
-	peer.learnGap(now)
+	peer.recordGap(now)
 	peer.lastHeartbeatAt = now
 	peer.suspects = suspects
 	peer.isLeaving = leaving
@@ -72,17 +74,18 @@
 }
 
 // ObserveAcquisition records that the controller has acquired a shard: it is alive, and is not
-// suspected any more until its next heartbeat. Without this, a shard would move back and forth
-// between its successor and a home that is cut off from the other controllers only.
+// suspected before its next heartbeat. Without this rule, a shard would move back and forth between
+// its successor and a home that is cut off from the other controllers but not from the key-value
+// store.
 func (d *Detector) ObserveAcquisition(controller string) {
 	if peer := d.peers[controller]; peer != nil {
 		peer.isProvenAlive = true
 	}
 }
 
-// Check brings the suspicions up to date and reports whether there is a new one, about which the
-// other controllers should be notified at once, since a failure needs their agreement. It has to be
-// called several times a second. upToDate says whether this controller's cache of the key-value
+// Check updates the suspicions and reports whether there is a new one. The other controllers should
+// be notified of a new suspicion immediately, since a failure needs their agreement. Check has to be
+// called several times a second. upToDate reports whether this controller's cache of the key-value
 // store is up to date.
 func (d *Detector) Check(now time.Time, upToDate bool) (newSuspicion bool) {
 	// A process that was stalled has missed heartbeats that were sent, so their absence proves
@@ -117,14 +120,14 @@
 	return suspects
 }
 
-// HasFailed reports whether a controller is considered failed: this controller suspects it, and so
-// does every other one that has sent a heartbeat lately, of which there is at least one.
+// HasFailed reports whether a controller is considered failed: this controller suspects it, at least
+// one other controller has sent a heartbeat recently, and all that have done so suspect it too.
 func (d *Detector) HasFailed(controller string, now time.Time) bool {
 	suspect := d.peers[controller]
 	if suspect == nil || !suspect.isSuspected() {
 		return false
 	}
-	agreeing := 0 // witnesses: other controllers, of whom it is known whom they suspect now
+	agreeingWitnesses := 0 // a witness is another controller whose present suspicions are known
 	for other, peer := range d.peers {
 		isWitness := other != controller && now.Sub(peer.lastHeartbeatAt) <= tuning.MinSuspicionTimeout
 		if !isWitness {
@@ -133,9 +136,9 @@
 		if !slices.Contains(peer.suspects, controller) {
 			return false
 		}
-		agreeing++
+		agreeingWitnesses++
 	}
-	return agreeing > 0
+	return agreeingWitnesses > 0
 }
 
 // State returns a controller's state, for display.
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -21,8 +21,8 @@
 	return &cluster{time.Unix(1000, 0), New("n0", names), New("n1", names)}
 }
 
-// newLearnedCluster returns a cluster whose detectors have received heartbeats for 10 s.
-func newLearnedCluster() *cluster {
+// newClusterWithHistory returns a cluster whose detectors have received heartbeats for 10 s.
+func newClusterWithHistory() *cluster {
 	c := newCluster()
 	c.run(10*time.Second, traffic{fromN2: true, betweenObservers: true})
 	return c
@@ -31,11 +31,12 @@
 // traffic says which heartbeats arrive.
 type traffic struct {
 	fromN2, betweenObservers bool
-	// n2Jitter is the delay of each second heartbeat of n2.
+	// n2Jitter is the delay of every second heartbeat of n2.
 	n2Jitter time.Duration
 }
 
-// run lets time pass in steps, in which heartbeats arrive.
+// run advances the time by duration in steps of simulationStep, in which the heartbeats of traffic
+// arrive.
 func (c *cluster) run(duration time.Duration, traffic traffic) {
 	var delayedAt time.Time // when the delayed heartbeat of n2 arrives
 	end := c.now.Add(duration)
@@ -59,8 +60,8 @@
 	}
 }
 
-func TestFailureOfSuspectedByAll(t *testing.T) {
-	c := newLearnedCluster()
+func TestFailureWhenAllOthersSuspect(t *testing.T) {
+	c := newClusterWithHistory()
 	start := c.now
 	for !c.n0.HasFailed("n2", c.now) && c.now.Sub(start) < 10*time.Second {
 		c.run(simulationStep, traffic{})
@@ -80,7 +81,7 @@
 }
 
 func TestNoFailureWithoutAgreement(t *testing.T) {
-	c := newLearnedCluster()
+	c := newClusterWithHistory()
 	for range 60 { // n0 alone gets no heartbeats of n2
 		c.now = c.now.Add(simulationStep)
 		c.n0.Check(c.now, true)
@@ -100,15 +101,15 @@
 }
 
 func TestNoSuspicionByStalledController(t *testing.T) {
-	c := newLearnedCluster()
+	c := newClusterWithHistory()
 	c.now = c.now.Add(12 * time.Second)
 	if c.n0.Check(c.now, true) || len(c.n0.Suspects()) > 0 {
-		t.Error("suspected after a stall of the own process:", c.n0.Suspects())
+		t.Error("suspected after a stall of its own process:", c.n0.Suspects())
 	}
 }
 
 func TestNoSuspicionWithoutKeyValueStore(t *testing.T) {
-	c := newLearnedCluster()
+	c := newClusterWithHistory()
 	for range 40 {
 		c.now = c.now.Add(simulationStep)
 		if c.n0.Check(c.now, false) {
@@ -123,7 +124,7 @@
 		"acquisition": func(d *Detector, _ time.Time) { d.ObserveAcquisition("n2") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newLearnedCluster()
+			c := newClusterWithHistory()
 			for range 60 {
 				c.now = c.now.Add(simulationStep)
 				c.n0.ObserveHeartbeat("n1", []string{"n2"}, false, c.now)
@@ -137,7 +138,7 @@
 }
 
 func TestNoSuspicionOfLeavingController(t *testing.T) {
-	c := newLearnedCluster()
+	c := newClusterWithHistory()
 	c.n0.ObserveHeartbeat("n2", nil, true, c.now)
 	c.run(3*time.Second, traffic{betweenObservers: true})
 	if c.n0.State("n2", c.now) != Left || len(c.n0.Suspects()) > 0 {
@@ -145,10 +146,10 @@
 	}
 }
 
-func TestHeartbeatTimeoutOfUnevenLink(t *testing.T) {
+func TestHeartbeatTimeoutGrowsWithJitter(t *testing.T) {
 	c := newCluster()
 	c.run(60*time.Second, traffic{fromN2: true, betweenObservers: true, n2Jitter: 400 * time.Millisecond})
 	if timeout := c.n0.peers["n2"].heartbeatTimeout(); timeout <= tuning.MinSuspicionTimeout || timeout > tuning.ControllerLeaseTTL {
-		t.Error("the timeout with an uneven link is", timeout)
+		t.Error("the timeout with jitter is", timeout)
 	}
 }
--- a/internal/failuredetector/peer_state.go
+++ b/internal/failuredetector/peer_state.go
@@ -7,7 +7,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// peerState is what is known of one other controller.
+// peerState is what the detector knows about one other controller.
 type peerState struct {
 	lastHeartbeatAt time.Time // zero: none received
 	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time between
@@ -17,18 +17,19 @@
 	lastActivityAt                      time.Time // see Detector.ObserveActivity
 	isProvenAlive                       bool      // see Detector.ObserveAcquisition
 	isLeaving                           bool
-	suspects                            []string  // by its last heartbeat
+	suspects                            []string  // according to its last heartbeat
 	suspectedSince                      time.Time // zero: not suspected
 }
 
-// learnGap adds the time between the last heartbeat and one that arrives now to the history.
-func (p *peerState) learnGap(now time.Time) {
+// recordGap updates the statistics of gaps with the time between the last heartbeat and one that
+// arrives at now.
+func (p *peerState) recordGap(now time.Time) {
 	if p.lastHeartbeatAt.IsZero() {
 		return
 	}
 	gap := now.Sub(p.lastHeartbeatAt).Seconds()
 	if gap >= tuning.PeerIdleTimeout.Seconds() {
-		// The peer had failed and has begun anew: the history is of another process.
+		// The peer had failed and has restarted: the statistics are those of another process.
 		p.gapSamples = 0
 		return
 	}
@@ -38,8 +39,8 @@
 	p.gapSamples++
 }
 
-// heartbeatTimeout returns for how long a heartbeat may be missing: as long as the history of gaps
-// explains, within fixed bounds.
+// heartbeatTimeout returns how long after the last heartbeat the next one is overdue: the mean gap
+// plus a multiple of the deviation, within fixed bounds.
 func (p *peerState) heartbeatTimeout() time.Duration {
 	seconds := p.meanGapSeconds + tuning.HeartbeatGapDeviations*p.gapDeviationSeconds
 	timeout := time.Duration(seconds * float64(time.Second))
@@ -48,7 +49,7 @@
 
 func (p *peerState) isSuspected() bool { return !p.suspectedSince.IsZero() }
 
-// isOverdue reports whether the peer's silence is a reason for suspicion.
+// isOverdue reports whether the peer has sent nothing for so long that it should be suspected.
 func (p *peerState) isOverdue(now time.Time) bool {
 	if p.gapSamples < tuning.MinHeartbeatGapSamples || p.isLeaving || p.isProvenAlive {
 		return false
