--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -12,10 +12,10 @@
 	"cherrywall/internal/workerapi"
 )
 
-// ErrMalformedFrame is the error of a frame that no controller has written.
+// ErrMalformedFrame is returned for a frame that cannot have been written by a controller.
 var ErrMalformedFrame = errors.New("malformed peer frame")
 
-// minBodyBytes is a lower bound of the size of a heartbeat's buffer.
+// minBodyBytes is a lower bound on the size of a heartbeat's buffer.
 const minBodyBytes = 8
 
 // ReadFrame reads one frame. Its errors are those of r and ErrMalformedFrame.
@@ -35,8 +35,9 @@
 	return Decode(body)
 }
 
-// Decode reads the buffer of a frame. Its errors are ErrMalformedFrame: the FlatBuffers runtime
-// has no verifier, and its accessors panic on a malformed buffer.
+// Decode decodes the buffer of a frame. All its errors are ErrMalformedFrame. It recovers from
+// panics, since the FlatBuffers runtime has no verifier and its accessors panic on a malformed
+// buffer.
 func Decode(body []byte) (heartbeat Heartbeat, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -131,7 +132,7 @@
 	return jobs
 }
 
-// decodeChunk reads a chunk. The size of the frame bounds what it can list, see
+// decodeChunk decodes a chunk. It rejects vectors with more items than the frame has bytes, like
 // hasPlausibleLengths.
 func decodeChunk(message *wire.Piece, frameBytes int) (*TransferChunk, error) {
 	chunk := &TransferChunk{
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -11,15 +11,15 @@
 const (
 	initialBufferBytes = 512
 
-	// maxStoreSilentMs bounds the encoded time since the last response of the store, so that it
-	// fits the field: about 25 days.
+	// maxStoreSilentMs bounds the encoded time since the last response of the store, about 25 days,
+	// so that the time fits the field.
 	maxStoreSilentMs = 1 << 31
 )
 
 // Encode returns a heartbeat as a frame: the length in four bytes, big endian, then the buffer.
 //
-// The order in which the parts are built decides their place in the frame. It stays as it is, so
-// that a heartbeat has the same bytes in all versions.
+// The order in which the parts are built determines their position in the frame. The order must not
+// change, so that a heartbeat has the same bytes in all versions.
 func Encode(heartbeat Heartbeat) []byte {
 	e := encoder{flatbuffers.NewBuilder(initialBufferBytes)}
 	e.Finish(e.heartbeat(heartbeat))
@@ -141,7 +141,7 @@
 	return wire.TaskEnd(e.Builder)
 }
 
-// encodeAll builds one part of the buffer for each item.
+// encodeAll builds one part of the buffer for each item and returns the offsets of the parts.
 func encodeAll[T any](items []T, encode func(T) flatbuffers.UOffsetT) []flatbuffers.UOffsetT {
 	offsets := make([]flatbuffers.UOffsetT, len(items))
 	for i, item := range items {
@@ -150,7 +150,7 @@
 	return offsets
 }
 
-// startVector starts one of the generated vectors, of a number of items.
+// startVector is a generated function that starts a vector with a number of items.
 type startVector func(builder *flatbuffers.Builder, items int) flatbuffers.UOffsetT
 
 func (e encoder) vector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
@@ -161,7 +161,8 @@
 	return e.EndVector(len(offsets))
 }
 
-// optionalVector is vector, but returns 0 if there are no items: the field is left out then.
+// optionalVector is like vector, but returns 0 if there are no items. The caller then leaves out the
+// field.
 func (e encoder) optionalVector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	if len(offsets) == 0 {
 		return 0
--- a/internal/peer/encoded_form_test.go
+++ b/internal/peer/encoded_form_test.go
@@ -11,12 +11,12 @@
 	"cherrywall/internal/fake/encodedform"
 )
 
-// Controllers of different versions exchange frames: a frame that an earlier version wrote is read,
-// and written in the same bytes.
+// Controllers of different versions exchange frames, so a frame that an earlier version wrote must
+// still be readable and be encoded to the same bytes.
 func TestEncodedFrame(t *testing.T) {
 	const goldenFile = "testdata/encoded_frame.hex"
-	beat := encodedform.Fill(Heartbeat{}).(Heartbeat)
-	frame := Encode(beat)
+	heartbeat := encodedform.Fill(Heartbeat{}).(Heartbeat)
+	frame := Encode(heartbeat)
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
@@ -28,14 +28,14 @@
 	if !bytes.Equal(frame, golden) {
 		t.Errorf("frame is\n%x\nwant\n%x", frame, golden)
 	}
-	read, err := ReadFrame(bytes.NewReader(golden))
+	decoded, err := ReadFrame(bytes.NewReader(golden))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again := Encode(read); !bytes.Equal(again, golden) {
-		t.Errorf("read and written again it is\n%x\nwant\n%x", again, golden)
+	if reencoded := Encode(decoded); !bytes.Equal(reencoded, golden) {
+		t.Errorf("decoded and encoded again, the frame is\n%x\nwant\n%x", reencoded, golden)
 	}
-	if !reflect.DeepEqual(read, beat) {
-		t.Errorf("read %+v, want %+v", read, beat)
+	if !reflect.DeepEqual(decoded, heartbeat) {
+		t.Errorf("decoded %+v, want %+v", decoded, heartbeat)
 	}
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A chunk of the largest size, with the longest names, fits a frame beside a full heartbeat.
+// A frame has room for a chunk of the largest size, with the longest names, in a full heartbeat.
 func TestFullChunkFitsFrame(t *testing.T) {
 	heartbeat := sampleHeartbeat
 	heartbeat.TransferChunk = &TransferChunk{Shard: "a-controller-of-a-long-name", Total: 1, Machines: []MachineSnapshot{{Host: "i-000000001"}}}
@@ -55,14 +55,14 @@
 		heartbeat.FaultyJobs = append(heartbeat.FaultyJobs, fmt.Sprintf("abcdefghijklmnop-%018d", i))
 	}
 	if size := len(Encode(heartbeat)); size > tuning.MaxPeerFrameBytes {
-		t.Errorf("%d bytes", size)
+		t.Errorf("the frame has %d bytes", size)
 	}
 	for range 400 {
 		heartbeat.TransferChunk.Machines = append(heartbeat.TransferChunk.Machines, MachineSnapshot{Host: "i-000000001"})
 	}
 	machine.Tasks = nil
 	if size := len(Encode(heartbeat)); size > tuning.MaxPeerFrameBytes {
-		t.Errorf("%d bytes with machines alone", size)
+		t.Errorf("the frame has %d bytes with machines alone", size)
 	}
 }
 
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -1,23 +1,25 @@
-// Package peer is the protocol between controllers: FlatBuffers frames over TCP.
+// Package peer implements the protocol between controllers: FlatBuffers frames over TCP.
 //
-// Every controller sends each other one a Heartbeat twice a second, and at once when there is
-// something urgent. Heartbeats may be lost, delayed or out of date, so no safety property rests
-// on them. They distinguish a partition from an outage of the key-value store, make failovers and
-// cancellations faster, and carry the chunks of shards that are transferred.
+// Every controller sends a Heartbeat to each of the others twice a second, and immediately when
+// there is something urgent. Heartbeats may be lost, delayed or out of date, so no safety property
+// depends on them. They serve to distinguish a partition from an outage of the key-value store,
+// make failovers and cancellations faster, and carry the state of shards that are transferred, in
+// chunks.
 package peer
 
 import "time"
 
-// Heartbeat is one message, and describes its sender.
+// Heartbeat is one message, which describes the state of its sender.
 type Heartbeat struct {
 	Node        string // the controller's name
-	Incarnation uint64 // identifies the run of its process
+	Incarnation uint64 // identifies the run of the sender's process
 	// StoreSilentFor is the time since the key-value store last responded to the sender.
 	StoreSilentFor time.Duration
-	Synced         bool // its cache of the key-value store is complete
+	Synced         bool // the sender's cache of the key-value store is complete
 	Shards         []Shard
 	Capacities     []ShapeCapacity
-	// RequestsPerSecond and WritesPerSecond are the sender's present use of the key-value store.
+	// RequestsPerSecond and WritesPerSecond are the sender's present rates of requests and of writes
+	// to the key-value store.
 	RequestsPerSecond, WritesPerSecond float64
 	// FaultyJobs are jobs that failed on several of the sender's machines on which other jobs
 	// succeed.
@@ -31,7 +33,7 @@
 	// AppliedRevision is the revision of the key-value store up to which the sender knows all
 	// changes.
 	AppliedRevision uint64
-	// CancelledJobs are the jobs that were cancelled a moment ago.
+	// CancelledJobs are the jobs that were cancelled recently.
 	CancelledJobs []CancelledJob
 	// TransferChunk is a part of a shard that is transferred to the recipient, nil if there is
 	// none.
@@ -49,15 +51,15 @@
 	CPU, GPU, Mem float64 // the shape: cores, devices, GB
 	Zone          string
 	Free          int // tasks that fit without preemption
-	Preemptible   int // tasks that fit beyond that, in place of less urgent ones
+	Preemptible   int // further tasks that fit if less urgent ones are preempted
 }
 
-// CancelledJob is a job that was cancelled by the record of a revision.
+// CancelledJob is a job that was cancelled by the record written at Revision.
 type CancelledJob struct {
 	Ref            string
 	Revision       uint64
 	CompletedTasks int // at that revision
-	// WorkersNotified says that the sender's workers were notified, as far as they can be
-	// reached.
+	// WorkersNotified reports whether the sender has notified its workers, as far as it can reach
+	// them.
 	WorkersNotified bool
 }
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -3,8 +3,8 @@
 import "cherrywall/internal/tuning"
 
 // Outbox queues transfer chunks, by recipient, until SendHeartbeats sends them. A nil chunk makes
-// it send a heartbeat at once. Chunks that find no room or no connection are lost; the handover
-// then ends by its timeout.
+// SendHeartbeats send a heartbeat immediately. Chunks are lost if the queue is full or there is no
+// connection; the handover then ends by its timeout.
 type Outbox map[string]chan *TransferChunk
 
 // NewOutbox returns an empty outbox for the given recipients.
--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -10,8 +10,8 @@
 	RecordPeerUsage(controller string, requests, writes float64)
 }
 
-// RateSharing is a Controller whose heartbeats exchange the use of the key-value store, so that
-// each controller keeps to what the others leave of the limits.
+// RateSharing is a Controller whose heartbeats also exchange the rates of requests to the key-value
+// store, so that each controller keeps to the part of the limits that the others leave unused.
 type RateSharing struct {
 	Controller
 	Meter Meter
@@ -26,8 +26,8 @@
 }
 
 // HandlePeerHeartbeat records the sender's usage and passes the heartbeat on. Usage of unknown
-// senders and invalid rates are ignored: with a limit that is not a number, no request would pass
-// any more.
+// senders and invalid rates are ignored: a rate that is not a number would make this controller's
+// limit not a number, and no further request would pass.
 func (r RateSharing) HandlePeerHeartbeat(heartbeat Heartbeat) {
 	isValid := isValidRate(heartbeat.RequestsPerSecond) && isValidRate(heartbeat.WritesPerSecond)
 	if r.Peers[heartbeat.Node] && isValid {
--- a/internal/peer/rate_sharing_test.go
+++ b/internal/peer/rate_sharing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// recorder is a Controller and a Meter that records the senders of what it gets.
+// recorder is a Controller and a Meter that records the senders of heartbeats and of usage.
 type recorder struct{ heartbeats, usages []string }
 
 func (r *recorder) PeerHeartbeat() (Heartbeat, bool) { return Heartbeat{Node: "n0"}, true }
@@ -21,7 +21,7 @@
 	r.usages = append(r.usages, controller)
 }
 
-// A rate that is not a number would have let no request to the key-value store pass.
+// A recorded rate that is not a number would block all requests to the key-value store.
 func TestOnlyValidRatesOfPeersAreRecorded(t *testing.T) {
 	recorder := &recorder{}
 	sharing := RateSharing{Controller: recorder, Meter: recorder, Peers: map[string]bool{"n1": true, "n2": true}}
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -6,8 +6,8 @@
 	"cherrywall/internal/workerapi"
 )
 
-// TransferChunk is a part of what the owner of a shard knows of it, sent to the controller that
-// is to own the shard next.
+// TransferChunk is a part of what the owner of a shard knows about the shard. It is sent to the
+// controller that is to own the shard next.
 type TransferChunk struct {
 	Shard        string
 	Epoch        uint64 // the sender's
@@ -15,30 +15,30 @@
 	Machines     []MachineSnapshot
 }
 
-// MachineSnapshot is a machine as the owner of its shard knows it. One without a Host lists tasks
-// that are done but not recorded as done.
+// MachineSnapshot is the state of a machine as the owner of its shard knows it. A snapshot without a
+// Host lists tasks that are done but not recorded as done.
 type MachineSnapshot struct {
 	Host                     string
-	AgentEpoch, HeartbeatSeq uint64 // of its last heartbeat
+	AgentEpoch, HeartbeatSeq uint64 // those of its last heartbeat
 	EndedAgentEpoch          uint64 // agent sessions up to this one have ended
 	Lost                     bool   // its lease has expired
-	Preempted                bool   // a spot machine that the cloud takes back
+	Preempted                bool   // a spot machine that the cloud reclaims
 	Drained                  bool
 	Empty                    bool // its last heartbeat listed no task
 	AwaitingHeartbeat        bool // enrolled, but has sent no heartbeat yet
 	Tasks                    []TaskSnapshot
 }
 
-// TaskSnapshot is a task as the owner of its shard knows it.
+// TaskSnapshot is the state of a task as the owner of its shard knows it.
 type TaskSnapshot struct {
 	Name          string
 	Attempt       uint64
 	Status        workerapi.TaskState // as last reported by the worker
 	StartSent     bool                // a start command was sent
 	Reported      bool                // a heartbeat of the worker has listed it
-	StopRequested bool                // to be stopped, with GraceSeconds to save its checkpoint
+	StopRequested bool                // the task is to be stopped, with GraceSeconds to save its checkpoint
 	StopSent      bool                // a stop command was sent
 	GraceSeconds  float64
-	Foreign       bool          // not a task of the shard; it is only to be stopped
+	Foreign       bool          // not a task of the shard; the worker only has to stop it
 	RunningFor    time.Duration // 0: not known to run
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -12,7 +12,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Controller is the local controller, as the transport needs it. Its methods are called
+// Controller is the part of the local controller that the transport needs. Its methods are called
 // concurrently.
 type Controller interface {
 	// PeerHeartbeat returns the heartbeat to be sent now; ok is false if there is none, because
@@ -44,7 +44,7 @@
 func receiveHeartbeats(ctx context.Context, conn net.Conn, controller Controller, log *slog.Logger) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends ReadFrame
 	defer stop()
-	defer func() { _ = conn.Close() }() // nothing was written that could be lost
+	defer func() { _ = conn.Close() }() // only read from, so no written data can be lost
 	reader := bufio.NewReader(conn)
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(tuning.PeerIdleTimeout)); err != nil {
@@ -61,16 +61,16 @@
 	}
 }
 
-// SendHeartbeats connects to another controller again and again until ctx ends. It sends a
-// heartbeat at every tuning.PeerHeartbeatInterval and at once for each of the chunks, which the
-// heartbeat then carries.
+// SendHeartbeats sends heartbeats to another controller until ctx ends, and reconnects whenever the
+// connection fails. It sends a heartbeat every tuning.PeerHeartbeatInterval, and one immediately for
+// each of the chunks, which that heartbeat carries.
 func SendHeartbeats(ctx context.Context, addr string, chunks <-chan *TransferChunk, controller Controller) {
 	dialer := net.Dialer{Timeout: tuning.PeerTimeout}
 	for ctx.Err() == nil {
 		if conn, err := dialer.DialContext(ctx, "tcp", addr); err == nil {
 			connectedAt := time.Now()
 			streamHeartbeats(ctx, conn, chunks, controller)
-			_ = conn.Close() // what was not sent is out of date by the next connection
+			_ = conn.Close() // unsent data is out of date by the time of the next connection
 			if time.Since(connectedAt) > tuning.PeerTimeout {
 				// The connection has worked. It may have failed because this process was stalled,
 				// and then the peer should get a heartbeat again without delay.
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// channelController passes on what it receives.
-type channelController struct{ received chan Heartbeat }
+// channelController sends the heartbeats that it receives to a channel, as long as that has room.
+type channelController struct{ heartbeats chan Heartbeat }
 
 func (c channelController) PeerHeartbeat() (Heartbeat, bool) { return Heartbeat{Node: "n0"}, true }
 
 func (c channelController) HandlePeerHeartbeat(heartbeat Heartbeat) {
 	select {
-	case c.received <- heartbeat:
+	case c.heartbeats <- heartbeat:
 	default:
 	}
 }
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	controller := channelController{received: make(chan Heartbeat, 100)}
+	controller := channelController{heartbeats: make(chan Heartbeat, 100)}
 	outbox := NewOutbox("n1")
 	if !outbox.Enqueue("n1", []*TransferChunk{sampleChunk}) {
 		t.Fatal("no room in an empty outbox")
@@ -40,7 +40,7 @@
 	deadline := time.After(10 * time.Second)
 	for received := false; !received; {
 		select {
-		case heartbeat := <-controller.received:
+		case heartbeat := <-controller.heartbeats:
 			received = heartbeat.TransferChunk != nil && heartbeat.TransferChunk.Shard == sampleChunk.Shard
 		case <-deadline:
 			t.Fatal("the chunk did not arrive")
@@ -50,11 +50,11 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("Listen does not end with its context")
+		t.Error("Listen did not return after its context ended")
 	}
 }
 
-func TestOutboxHasBoundedRoom(t *testing.T) {
+func TestOutboxCapacityIsBounded(t *testing.T) {
 	outbox := NewOutbox("n1")
 	for range cap(outbox["n1"]) {
 		if !outbox.Enqueue("n1", []*TransferChunk{nil}) {
