--- a/internal/peerstatus/rank.go
+++ b/internal/peerstatus/rank.go
@@ -15,16 +15,17 @@
 func (t *Tracker) Capacities(now time.Time) []peer.ShapeCapacity {
 	var capacities []peer.ShapeCapacity
 	for _, last := range t.latest {
-		if last.isValid(now) && last.heartbeat.Synced {
+		if last.isRecent(now) && last.heartbeat.Synced {
 			capacities = append(capacities, last.heartbeat.Capacities...)
 		}
 	}
 	return capacities
 }
 
-// GangRank returns how many other controllers have a better place for a gang than this one, whose
-// capacities are own. need is the demand of one task. The tightest place that takes the gang
-// without preemption ranks first, so that small gangs leave the large places to large ones.
+// GangRank returns how many other controllers have a better placement for a gang than this one. own
+// are the capacities of this controller, and need is the demand of one task. The tightest placement
+// that fits the gang without preemption ranks first, so that small gangs leave the large capacities
+// to large gangs.
 func (t *Tracker) GangRank(record *jobs.JobRecord, need capacity.Resources, own []peer.ShapeCapacity, now time.Time) int {
 	type candidate struct {
 		controller string
@@ -42,32 +43,35 @@
 	return slices.IndexFunc(candidates, func(c candidate) bool { return c.controller == t.self })
 }
 
-// gangPlacementCost returns the cost of the best place for a gang among a controller's capacities,
-// lower being better: the room of the tightest zone that takes the gang; beyond that a place with
-// preemption, by the number of tasks to be preempted; else tuning.RankNoRoom.
+// gangPlacementCost returns the cost of the best placement for a gang among a controller's
+// capacities; a lower cost is better. If some zones fit the gang without preemption, the cost is the
+// number of tasks that fit in the tightest of them. Otherwise it is tuning.RankAfterPreemption plus
+// the number of tasks to be preempted, in one zone or, if the gang need not be in one zone, over all
+// zones. If the gang does not fit at all, the cost is tuning.RankNoRoom.
 func gangPlacementCost(record *jobs.JobRecord, need capacity.Resources, capacities []peer.ShapeCapacity) int {
-	least := tuning.RankNoRoom
+	lowestCost := tuning.RankNoRoom
 	free, preemptible := 0, 0 // over all zones
-	for _, zone := range capacities {
-		if !isUsableFor(record, need, zone) {
+	for _, zoneCapacity := range capacities {
+		if !matchesGang(record, need, zoneCapacity) {
 			continue
 		}
-		free += zone.Free
-		preemptible += zone.Preemptible
-		if zone.Free >= record.Tasks {
-			least = min(least, zone.Free)
-		} else if zone.Free+zone.Preemptible >= record.Tasks {
-			least = min(least, tuning.RankAfterPreemption+record.Tasks-zone.Free)
+		free += zoneCapacity.Free
+		preemptible += zoneCapacity.Preemptible
+		if zoneCapacity.Free >= record.Tasks {
+			lowestCost = min(lowestCost, zoneCapacity.Free)
+		} else if zoneCapacity.Free+zoneCapacity.Preemptible >= record.Tasks {
+			lowestCost = min(lowestCost, tuning.RankAfterPreemption+record.Tasks-zoneCapacity.Free)
 		}
 	}
 	if !record.OneZone && free+preemptible >= record.Tasks {
-		least = min(least, tuning.RankAfterPreemption+max(0, record.Tasks-free))
+		lowestCost = min(lowestCost, tuning.RankAfterPreemption+max(0, record.Tasks-free))
 	}
-	return least
+	return lowestCost
 }
 
-// isUsableFor reports whether a capacity is of the gang's task shape and in a zone that it allows.
-func isUsableFor(record *jobs.JobRecord, need capacity.Resources, zone peer.ShapeCapacity) bool {
-	hasShape := zone.CPU == need.CPU && zone.GPU == need.GPU && zone.Mem == need.MemGB
-	return hasShape && (record.Zone == nil || *record.Zone == zone.Zone)
+// matchesGang reports whether a capacity is for the gang's task shape and in a zone that the gang
+// allows.
+func matchesGang(record *jobs.JobRecord, need capacity.Resources, zoneCapacity peer.ShapeCapacity) bool {
+	hasShape := zoneCapacity.CPU == need.CPU && zoneCapacity.GPU == need.GPU && zoneCapacity.Mem == need.MemGB
+	return hasShape && (record.Zone == nil || *record.Zone == zoneCapacity.Zone)
 }
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -1,8 +1,8 @@
-// Package peerstatus keeps the latest heartbeat of each other controller and answers questions
-// about them: whether the key-value store is down or only this controller is cut off from it,
-// whether a shard has a newer owner, which controller has the best room for a gang.
+// Package peerstatus keeps the latest heartbeat of each other controller and derives from them
+// whether the key-value store is down or only this controller is cut off from it, whether a shard has
+// a newer owner, and which controller has the best placement for a gang.
 //
-// No safety property rests on the answers, since heartbeats can be lost, delayed or out of date.
+// No safety property depends on the results, since heartbeats can be lost, delayed or out of date.
 package peerstatus
 
 import (
@@ -17,11 +17,12 @@
 // a single actor owns it.
 type Tracker struct {
 	self   string
-	latest map[string]receivedHeartbeat // by controller, of all others
+	latest map[string]receivedHeartbeat // by controller, for all others
 }
 
-// currentHeartbeatAge is the age of a heartbeat after which more than two in succession are missing.
-const currentHeartbeatAge = 3 * tuning.PeerHeartbeatInterval
+// maxCurrentHeartbeatAge is the age of the latest heartbeat beyond which more than two heartbeats in
+// succession are missing.
+const maxCurrentHeartbeatAge = 3 * tuning.PeerHeartbeatInterval
 
 type receivedHeartbeat struct {
 	heartbeat  peer.Heartbeat
@@ -30,21 +31,21 @@
 
 func (r receivedHeartbeat) age(now time.Time) time.Duration { return now.Sub(r.receivedAt) }
 
-// isValid reports whether the peer counts as connected: its heartbeat still describes it.
-func (r receivedHeartbeat) isValid(now time.Time) bool { return r.age(now) < tuning.PeerIdleTimeout }
+// isRecent reports whether the heartbeat is so recent that the peer counts as connected.
+func (r receivedHeartbeat) isRecent(now time.Time) bool { return r.age(now) < tuning.PeerIdleTimeout }
 
 // isCurrent reports whether at most two heartbeats in succession are missing.
 func (r receivedHeartbeat) isCurrent(now time.Time) bool {
-	return r.age(now) < currentHeartbeatAge
+	return r.age(now) < maxCurrentHeartbeatAge
 }
 
-// storeSilentFor returns the longest time for which the key-value store may not have responded to
-// the peer.
+// storeSilentFor returns an upper bound on the time since the key-value store last responded to the
+// peer.
 func (r receivedHeartbeat) storeSilentFor(now time.Time) time.Duration {
 	return r.heartbeat.StoreSilentFor + r.age(now)
 }
 
-// New returns a tracker of the controller self for all other controllers.
+// New returns the tracker that the controller self uses for all other controllers.
 func New(self string, controllers []string) *Tracker {
 	t := &Tracker{self: self, latest: map[string]receivedHeartbeat{}}
 	for _, controller := range controllers {
@@ -75,7 +76,7 @@
 // HasRecentHeartbeat reports whether any other controller is connected.
 func (t *Tracker) HasRecentHeartbeat(now time.Time) bool {
 	for _, last := range t.latest {
-		if last.isValid(now) {
+		if last.isRecent(now) {
 			return true
 		}
 	}
@@ -85,17 +86,17 @@
 // IsLeaving reports whether a connected controller has announced its shutdown.
 func (t *Tracker) IsLeaving(controller string, now time.Time) bool {
 	last := t.latest[controller]
-	return last.heartbeat.Leaving && last.isValid(now)
+	return last.heartbeat.Leaving && last.isRecent(now)
 }
 
-// HasApplied reports whether a controller knows all changes up to a revision, by its latest
+// HasApplied reports whether a controller knows all changes up to a revision, according to its latest
 // heartbeat.
 func (t *Tracker) HasApplied(controller string, revision uint64) bool {
 	return t.latest[controller].heartbeat.AppliedRevision >= revision
 }
 
-// HasNotifiedWorkers reports whether a controller has notified its workers, as far as they can be
-// reached, that a job is cancelled, by its latest heartbeat.
+// HasNotifiedWorkers reports whether, according to its latest heartbeat, a controller has notified
+// its workers that a job is cancelled, as far as it can reach them.
 func (t *Tracker) HasNotifiedWorkers(controller, ref string) bool {
 	return slices.ContainsFunc(t.latest[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
 		return job.Ref == ref && job.WorkersNotified
@@ -106,30 +107,30 @@
 // the job. Each controller judges the tasks of its own machines only.
 func (t *Tracker) IsFaultyJob(ref string, now time.Time) bool {
 	for _, last := range t.latest {
-		if last.isValid(now) && slices.Contains(last.heartbeat.FaultyJobs, ref) {
+		if last.isRecent(now) && slices.Contains(last.heartbeat.FaultyJobs, ref) {
 			return true
 		}
 	}
 	return false
 }
 
-// IsStoreDownForAll reports whether no connected controller reaches the key-value store. Then
-// there is no point in sending the users of this one to another.
+// IsStoreDownForAll reports whether no connected controller reaches the key-value store. There is
+// then no point in sending this controller's users to another controller.
 func (t *Tracker) IsStoreDownForAll(now time.Time) bool {
 	for _, last := range t.latest {
-		if last.isValid(now) && last.heartbeat.Synced && last.storeSilentFor(now) < tuning.HealthGracePeriod {
+		if last.isRecent(now) && last.heartbeat.Synced && last.storeSilentFor(now) < tuning.HealthGracePeriod {
 			return false
 		}
 	}
 	return true
 }
 
-// NoPeerReachesStore reports whether all other controllers have sent a heartbeat just now, which
-// says that the key-value store has not responded for at least silentFor. Then no controller has
-// confirmed a cancellation in that time, and those confirmed before are known here.
+// NoPeerReachesStore reports whether the latest heartbeats of all other controllers are current and
+// say that the key-value store has not responded for at least silentFor. In that case no controller
+// has confirmed a cancellation in that time, and this controller knows those confirmed before.
 func (t *Tracker) NoPeerReachesStore(now time.Time, silentFor time.Duration) bool {
 	for _, last := range t.latest {
-		if last.receivedAt.IsZero() || last.age(now) > currentHeartbeatAge ||
+		if last.receivedAt.IsZero() || last.age(now) > maxCurrentHeartbeatAge ||
 			last.heartbeat.StoreSilentFor < silentFor {
 			return false
 		}
@@ -138,13 +139,13 @@
 }
 
 // IsCutOffFromStore reports whether the key-value store, which has not responded to this
-// controller for silentFor, responds to another one. Then this controller's users are better
-// served there.
+// controller for silentFor, responds to another controller. That controller can then serve this
+// controller's users better.
 func (t *Tracker) IsCutOffFromStore(now time.Time, silentFor time.Duration) bool {
 	if silentFor < tuning.IsolatedHealthGracePeriod {
 		return false
 	}
-	// Even in an outage the last responses to two controllers are some time apart.
+	// Even in an outage, the last responses to two controllers are some time apart.
 	const margin = tuning.IsolatedHealthGracePeriod / 2
 	for _, last := range t.latest {
 		reachesStore := last.storeSilentFor(now) < silentFor-margin && last.heartbeat.StoreSilentFor < margin
@@ -156,8 +157,8 @@
 }
 
 // NewerOwner returns the owner of a shard under a later epoch than the given one, if another
-// controller knows of one. The owner under the given epoch then stops responding to the shard's
-// workers, which find the new owner sooner than by waiting for their lease to expire.
+// controller knows of such an owner. The owner under the given epoch then stops responding to the
+// shard's workers, so that they find the new owner before their leases expire.
 func (t *Tracker) NewerOwner(id string, epoch uint64) (owner string, ok bool) {
 	for _, last := range t.latest {
 		for _, shard := range last.heartbeat.Shards {
--- a/internal/peerstatus/tracker_test.go
+++ b/internal/peerstatus/tracker_test.go
@@ -7,20 +7,20 @@
 	"cherrywall/internal/peer"
 )
 
-func TestStoreOutageAgainstPartition(t *testing.T) {
+func TestStoreOutageDistinguishedFromPartition(t *testing.T) {
 	now := time.Now()
 	tracker := New("n0", []string{"n0", "n1", "n2"})
 	if !tracker.IsStoreDownForAll(now) || tracker.IsCutOffFromStore(now, time.Minute) {
-		t.Error("cut off although there was no heartbeat")
+		t.Error("the controller counts as cut off although there was no heartbeat")
 	}
 	tracker.Observe(peer.Heartbeat{Node: "n1", Synced: true, StoreSilentFor: 20 * time.Second}, now)
 	if !tracker.IsStoreDownForAll(now) || tracker.IsCutOffFromStore(now, 20*time.Second) {
-		t.Error("cut off although the peer does not reach the store either")
+		t.Error("the controller counts as cut off although the peer does not reach the store either")
 	}
 	tracker.Observe(peer.Heartbeat{Node: "n1", Synced: true}, now)
 	tracker.Observe(peer.Heartbeat{Node: "stranger", Synced: true}, now)
 	if tracker.IsStoreDownForAll(now) || !tracker.IsCutOffFromStore(now, 10*time.Second) || tracker.IsCutOffFromStore(now, time.Second) {
-		t.Error("the peer reaches the store")
+		t.Error("outage or partition judged wrongly although the peer reaches the store")
 	}
 	if later := now.Add(time.Minute); !tracker.IsStoreDownForAll(later) || tracker.IsCutOffFromStore(later, time.Minute) {
 		t.Error("an old heartbeat still counts")
