--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,6 +1,5 @@
 // Package failuredetector decides which of the other controllers have failed, from their
-// heartbeats, from their writes to the key-value store and from the suspicions
-// that they report.
+// heartbeats, from their writes to the key-value store and from the suspicions that they report.
 //
 // The only effect of such a decision is that a failover starts before the failed controller's lease
 // expires. Safety does not depend on the decision: a shard is acquired by one conditional write under
