--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -1,11 +1,11 @@
 // Package handover transfers the ownership of a shard between two live controllers without the
 // new owner having to probe the shard's workers.
 //
-// The old owner sends what it knows of the shard's machines and tasks to the recipient, and from
-// then on responds to none of the shard's workers. The recipient acquires the shard by the usual
-// conditional write and continues from what it received (docs/membership.md). If the transfer
-// fails at any point, the shard ends with one of the two, and what is not known of its workers is
-// established by reconciliation as after a crash.
+// The old owner sends the state of the shard's machines and tasks to the recipient and stops
+// responding to the shard's workers. The recipient acquires the shard by the usual conditional
+// write and continues from the received state (docs/membership.md). If the transfer fails at any
+// point, one of the two controllers still ends up as the owner, and reconciliation establishes the
+// missing state of the workers, as it does after a crash.
 package handover
 
 import (
@@ -23,8 +23,8 @@
 	"cherrywall/internal/workersession"
 )
 
-// Dependencies are the parts of the controller that transfers read and change. They belong to the
-// same actor as the Coordinator.
+// Dependencies are the parts of the controller whose state transfers read and change. They belong
+// to the same actor as the Coordinator.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
@@ -34,11 +34,12 @@
 	Peers      *peerstatus.Tracker
 }
 
-// SendFunc queues chunks for another controller and reports whether there was room for all.
+// SendFunc queues chunks for another controller and reports whether the queue had room for all of
+// them.
 type SendFunc func(to string, chunks []*peer.TransferChunk) bool
 
-// Coordinator runs the transfers of one controller, as old owner and as recipient. It is not safe
-// for concurrent use: a single actor owns it.
+// Coordinator runs all transfers in which this controller is the old owner or the recipient. It is
+// not safe for concurrent use: a single actor owns it.
 type Coordinator struct {
 	Dependencies
 	cfg  *config.Config
@@ -46,26 +47,26 @@
 	send SendFunc
 
 	// As recipient, by shard.
-	requestedAt map[string]time.Time // since when a shard is requested from its owner
-	payloads    map[string]*payload  // what old owners sent, and what this one sent itself
+	requestedAt map[string]time.Time // when this controller first requested the shard from its owner
+	payloads    map[string]*payload  // received from the old owner, or sent by this controller
 
 	// As old owner, by shard.
 	outgoing map[string]*outgoingTransfer
 	failedAt map[string]time.Time // when a transfer of the shard last failed
 
-	isLeaving bool       // this controller is shutting down
-	history   []Transfer // transfers that have ended, the latest last
+	isLeaving      bool       // whether this controller is shutting down
+	endedTransfers []Transfer // transfers that have ended, the latest last
 }
 
-// New returns a coordinator without transfers.
+// New returns a coordinator with no transfers under way.
 func New(cfg *config.Config, dependencies Dependencies, send SendFunc, log *slog.Logger) *Coordinator {
 	c := &Coordinator{Dependencies: dependencies, cfg: cfg, log: log, send: send}
 	c.Reset()
 	return c
 }
 
-// Reset drops all transfers under way, because the records are about to be read again. A shard
-// that was transferred stays so, see membership.Table.
+// Reset drops all transfers under way, because the records are about to be read again. Shards that
+// are marked as transferred keep this mark, see membership.Table.
 func (c *Coordinator) Reset() {
 	c.requestedAt = map[string]time.Time{}
 	c.payloads = map[string]*payload{}
@@ -73,17 +74,17 @@
 	c.failedAt = map[string]time.Time{}
 }
 
-// Leave prepares the shutdown of this controller: it acquires no more shards, and transfers its
-// own to any controller that requests them.
+// Leave prepares the shutdown of this controller. From then on the controller acquires no more
+// shards, and transfers its own shards to any controller that requests them.
 func (c *Coordinator) Leave() {
 	c.isLeaving = true
 	c.Cache.StopAcquiringShards()
 }
 
-// Tick advances all transfers. It has to be called several times a second.
+// Tick advances all transfers. It must be called several times a second.
 func (c *Coordinator) Tick(now time.Time) {
 	c.advanceOutgoing(now)
-	c.reacquireForgotten(now)
+	c.reacquireUntracked(now)
 	c.requestFromLeaving(now)
 	c.advanceRequests(now)
 	c.dropExpiredPayloads(now)
@@ -91,7 +92,7 @@
 }
 
 // CacheAdvanced continues transfers that waited for the cache to apply later revisions. Waiting for
-// the next Tick would double the time for which nobody responds to the shard's workers.
+// the next Tick would double the time during which no controller responds to the shard's workers.
 func (c *Coordinator) CacheAdvanced(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
@@ -99,18 +100,19 @@
 	c.ApplyPayloads(now)
 }
 
-// ownedByLivePeer reports whether another, live controller owns a shard.
+// ownedByLivePeer reports whether the shard's owner is another controller that is live.
 func (c *Coordinator) ownedByLivePeer(shard *membership.Shard) bool {
 	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
 }
 
-// isLeavingPeer returns a predicate for controllers that have announced their shutdown.
+// isLeavingPeer returns a function that reports whether a controller has announced its shutdown.
 func (c *Coordinator) isLeavingPeer(now time.Time) func(controller string) bool {
 	return func(controller string) bool { return c.Peers.IsLeaving(controller, now) }
 }
 
-// dropExpiredPayloads drops payloads that nobody will use any more. One that this controller sent
-// is kept until the shard has another owner, in case that nobody acquires it.
+// dropExpiredPayloads drops payloads that are too old to be used. A payload that this controller
+// sent is kept until the shard has another owner, because this controller continues from it if no
+// other controller acquires the shard.
 func (c *Coordinator) dropExpiredPayloads(now time.Time) {
 	for id, payload := range c.payloads {
 		shard := c.Membership.Shard(id)
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -14,7 +14,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// gangCount is the number of gangs that run in a scenario, beside one array.
+// gangCount is the number of gangs that run in a scenario, in addition to one array.
 const gangCount = 8
 
 func gangRef(i int) string { return fmt.Sprintf("wk-%d", 10+i) }
@@ -22,7 +22,7 @@
 const arrayRef = "wk-1"
 
 // runFailback runs a scenario that begins when n0 starts again after a crash: another controller
-// owns its shard, and tasks run on all machines. It fails the test if an invariant is violated.
+// owns n0's shard, and tasks run on all machines. It fails the test if an invariant is violated.
 func runFailback(t *testing.T, scenario func(cluster *fake.Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// isReconciled reports whether a shard's owner lists it as reconciled.
+// isReconciled reports whether a shard's owner lists the shard as reconciled.
 func isReconciled(cluster *fake.Cluster, shard string) bool {
 	node := cluster.Nodes[cluster.OwnerOf(shard)]
 	if node == nil {
@@ -105,8 +105,8 @@
 	return false
 }
 
-// A transfer from a live owner must not probe the workers as after a crash: with a quarter of them
-// not responding, the claimed tasks would wait for half a minute.
+// A transfer from a live owner must not probe the workers as recovery from a crash does: with a
+// quarter of the workers not responding, the claimed tasks would wait for half a minute.
 func TestTransferHomeWithoutProbing(t *testing.T) {
 	runFailback(t, func(cluster *fake.Cluster) {
 		for i, host := range cluster.Hosts() {
@@ -125,7 +125,7 @@
 		view, _ := cluster.Nodes["n0"].Controller.View("handovers")
 		transfers := view.([]handover.Transfer)
 		if len(transfers) != 1 || transfers[0].Outcome != handover.OutcomeContinued || transfers[0].DurationSeconds > 2 {
-			t.Errorf("it lists %+v", transfers)
+			t.Errorf("listed transfers: %+v", transfers)
 		}
 		for _, host := range cluster.Hosts() {
 			cluster.IsolateWorker(host, false)
@@ -134,17 +134,17 @@
 	})
 }
 
-// The owner cannot reach the shard's workers and the home can: the workers' heartbeats arrive at
-// the home, which does not wait for a transfer that would never come.
+// The owner cannot reach the shard's workers and the home controller can. The workers' heartbeats
+// arrive at the home controller, which must not wait for a transfer that would never come.
 func TestNoWaitForOwnerWithoutWorkers(t *testing.T) {
 	runFailback(t, func(cluster *fake.Cluster) {
 		cluster.CrashController("n0")
 		cluster.SetPeerLink(fake.PeerLink{IsCut: true})
 		for i, host := range cluster.Hosts() {
-			if i%2 == 0 { // zone a, whose shard is n0's
+			if i%2 == 0 { // zone a, whose workers belong to n0's shard
 				cluster.CutLink("n1", host, true)
 				cluster.CutLink("n2", host, true)
-				time.Sleep(900 * time.Millisecond) // the workers do not retry all at once
+				time.Sleep(900 * time.Millisecond) // so that the workers do not all retry at once
 			}
 		}
 		time.Sleep(4 * time.Second)
@@ -156,8 +156,8 @@
 	})
 }
 
-// Whatever fails between the old owner's last response and the recipient's acquisition, the shard
-// ends with one of the two and is reconciled.
+// After any failure between the old owner's last response and the recipient's acquisition, one of
+// the two controllers owns the shard and has reconciled it.
 func TestFailureDuringTransfer(t *testing.T) {
 	for name, fail := range map[string]func(cluster *fake.Cluster){
 		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropChunks: 1}) },
@@ -173,10 +173,10 @@
 		},
 		"acquisition without response": func(cluster *fake.Cluster) { cluster.Nodes["n0"].Conn.DropAnswers(3) },
 		"key-value store outage": func(cluster *fake.Cluster) {
-			go storeOutage(cluster, 700*time.Millisecond, 6*time.Second)
+			go injectStoreOutage(cluster, 700*time.Millisecond, 6*time.Second)
 		},
-		"old owner without key-value store": func(cluster *fake.Cluster) { refuseStore(cluster, cluster.OwnerOf("n0")) },
-		"recipient without key-value store": func(cluster *fake.Cluster) { refuseStore(cluster, "n0") },
+		"old owner without key-value store": func(cluster *fake.Cluster) { refuseStoreAccess(cluster, cluster.OwnerOf("n0")) },
+		"recipient without key-value store": func(cluster *fake.Cluster) { refuseStoreAccess(cluster, "n0") },
 		"old owner's watch delayed": func(cluster *fake.Cluster) {
 			cluster.Store.DelayWatch(cluster.OwnerOf("n0"), 2*time.Second)
 		},
@@ -185,7 +185,7 @@
 			runFailback(t, func(cluster *fake.Cluster) {
 				fail(cluster)
 				time.Sleep(20 * time.Second)
-				repair(cluster)
+				removeFaults(cluster)
 				time.Sleep(8 * time.Second)
 				if !isReconciled(cluster, "n0") {
 					t.Errorf("owned by %s, not reconciled", cluster.OwnerOf("n0"))
@@ -196,7 +196,7 @@
 	}
 }
 
-// Controllers that shut down one after the other transfer their shards: no worker is probed and no
+// Controllers that shut down one after the other transfer their shards. No worker is probed and no
 // task is started again.
 func TestShutdownTransfersShards(t *testing.T) {
 	controllers := []string{"n0", "n1", "n2"}
@@ -218,7 +218,7 @@
 			cluster.StartController(leaving)
 			time.Sleep(8 * time.Second) // its shard has changed owners four times in two minutes
 			if owner := cluster.OwnerOf(leaving); owner != leaving {
-				t.Errorf("%s is back, and %s owns its shard", leaving, owner)
+				t.Errorf("%s has started again, but %s owns its shard", leaving, owner)
 			}
 		}
 		if probes := cluster.ProbeCount() - probesBefore; probes > 0 {
@@ -235,22 +235,22 @@
 	}
 }
 
-func storeOutage(cluster *fake.Cluster, delay, duration time.Duration) {
+func injectStoreOutage(cluster *fake.Cluster, delay, duration time.Duration) {
 	time.Sleep(delay)
 	cluster.Store.SetOutage(true)
 	time.Sleep(duration)
 	cluster.Store.SetOutage(false)
 }
 
-func refuseStore(cluster *fake.Cluster, controller string) {
+func refuseStoreAccess(cluster *fake.Cluster, controller string) {
 	time.Sleep(700 * time.Millisecond)
 	cluster.Store.RefuseNode(controller, true)
 	time.Sleep(8 * time.Second)
 	cluster.Store.RefuseNode(controller, false)
 }
 
-// repair removes all faults and starts the controllers that have crashed.
-func repair(cluster *fake.Cluster) {
+// removeFaults removes all faults and starts the controllers that have crashed.
+func removeFaults(cluster *fake.Cluster) {
 	cluster.SetPeerLink(fake.PeerLink{})
 	for _, controller := range []string{"n0", "n1", "n2"} {
 		cluster.Store.DelayWatch(controller, 0)
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -8,18 +8,18 @@
 	"cherrywall/internal/tuning"
 )
 
-// Outcome is how far a transfer has come, or how it ended, as the controller that lists it sees
-// it. The texts are part of the administration API.
+// Outcome is the progress or the result of a transfer, from the point of view of the controller that
+// lists it. The texts are part of the administration API.
 type Outcome string
 
 // The outcomes of transfers.
 const (
-	OutcomePreparing   Outcome = "being prepared"             // old owner: waits for releases and moves of machines
-	OutcomeSent        Outcome = "given, not taken yet"       // old owner
-	OutcomeTransferred Outcome = "handed over"                // old owner
-	OutcomeReacquired  Outcome = "given in vain, taken again" // old owner: the recipient did not acquire the shard
+	OutcomePreparing   Outcome = "being prepared"             // old owner: the transfer waits for releases and moves of machines
+	OutcomeSent        Outcome = "given, not taken yet"       // old owner: the recipient has not acquired the shard yet
+	OutcomeTransferred Outcome = "handed over"                // old owner: the recipient has acquired the shard
+	OutcomeReacquired  Outcome = "given in vain, taken again" // old owner: it acquired the shard again because the recipient did not
 	OutcomeRequested   Outcome = "asked for"                  // recipient
-	OutcomeContinued   Outcome = "went on here"               // recipient
+	OutcomeContinued   Outcome = "went on here"               // new owner: it has applied the payload
 )
 
 // Transfer describes a transfer that is under way or has ended, for operators.
@@ -27,27 +27,28 @@
 	Shard   string  `json:"share"`
 	To      string  `json:"to"`
 	Outcome Outcome `json:"outcome"`
-	// DurationSeconds counts from the old owner's last response to the shard's workers, or from
-	// the recipient's request.
+	// DurationSeconds is the time since the old owner's last response to the shard's workers or
+	// since the request of the shard, up to now or to the end of the transfer.
 	DurationSeconds float64   `json:"took_s"`
 	EndedAt         time.Time `json:"-"`
 	AgeSeconds      float64   `json:"ago_s"` // since its end
 }
 
-// record adds a transfer that has ended to the history.
-func (c *Coordinator) record(shard, to string, outcome Outcome, since, now time.Time) {
-	c.history = append(c.history, Transfer{
+// recordEnded adds a transfer that has ended to the list, and drops the oldest ones beyond
+// tuning.MaxListedNames.
+func (c *Coordinator) recordEnded(shard, to string, outcome Outcome, since, now time.Time) {
+	c.endedTransfers = append(c.endedTransfers, Transfer{
 		Shard:           shard,
 		To:              to,
 		Outcome:         outcome,
 		DurationSeconds: now.Sub(since).Seconds(),
 		EndedAt:         now,
 	})
-	c.history = c.history[max(0, len(c.history)-tuning.MaxListedNames):]
+	c.endedTransfers = c.endedTransfers[max(0, len(c.endedTransfers)-tuning.MaxListedNames):]
 }
 
-// Transfers lists the transfers under way, in the order of the shards' names, and then the last
-// ones that have ended, the latest first.
+// Transfers lists the transfers under way, sorted by shard name, followed by the last transfers
+// that have ended, the latest first.
 func (c *Coordinator) Transfers(now time.Time) []Transfer {
 	list := []Transfer{}
 	for id, outgoing := range c.outgoing {
@@ -64,7 +65,7 @@
 			DurationSeconds: now.Sub(c.requestedAt[id]).Seconds()})
 	}
 	slices.SortFunc(list, func(a, b Transfer) int { return strings.Compare(a.Shard, b.Shard) })
-	for _, transfer := range slices.Backward(c.history) {
+	for _, transfer := range slices.Backward(c.endedTransfers) {
 		transfer.AgeSeconds = now.Sub(transfer.EndedAt).Seconds()
 		list = append(list, transfer)
 	}
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -14,22 +14,23 @@
 	"cherrywall/internal/workersession"
 )
 
-// minToleratedMisdirected is how many workers may send heartbeats here instead of to the owner of a
-// small shard: a few may have broken links of their own.
-const minToleratedMisdirected = 2
+// minMisdirectedWorkerLimit is the number of workers of a small shard that may send their heartbeats
+// to this controller before it stops waiting for the shard's owner. A few workers may have broken
+// links of their own.
+const minMisdirectedWorkerLimit = 2
 
-// payload is what the owner of a shard knew of it under an epoch when it stopped responding to the
-// shard's workers. The controller that acquires the shard next can continue from it, as long as
-// there was no other epoch in between.
+// payload is the state of a shard under one epoch, as its owner knew it when it stopped responding
+// to the shard's workers. The controller that acquires the shard under the next epoch can continue
+// from it.
 type payload struct {
-	epoch           uint64
-	total, received int                      // numbers of chunks
-	chunks          [][]peer.MachineSnapshot // nil: not received yet
-	updatedAt       time.Time
+	epoch                       uint64
+	totalChunks, receivedChunks int
+	chunks                      [][]peer.MachineSnapshot // nil: not received yet
+	updatedAt                   time.Time
 }
 
 func newPayload(epoch uint64, total int) *payload {
-	return &payload{epoch: epoch, total: total, chunks: make([][]peer.MachineSnapshot, total)}
+	return &payload{epoch: epoch, totalChunks: total, chunks: make([][]peer.MachineSnapshot, total)}
 }
 
 func newCompletePayload(epoch uint64, chunks []*peer.TransferChunk, now time.Time) *payload {
@@ -40,45 +41,45 @@
 	return p
 }
 
-// add stores a chunk unless it was received before, and reports whether it was new.
+// add stores a chunk unless it was received before, and reports whether the chunk was new.
 func (p *payload) add(index int, machines []peer.MachineSnapshot, now time.Time) bool {
 	if p.chunks[index] != nil {
 		return false
 	}
-	p.chunks[index] = append([]peer.MachineSnapshot{}, machines...) // not nil even if empty
-	p.received++
+	p.chunks[index] = append([]peer.MachineSnapshot{}, machines...) // not nil, even for an empty chunk
+	p.receivedChunks++
 	p.updatedAt = now
 	return true
 }
 
 // isComplete reports whether all chunks were received; p may be nil.
-func (p *payload) isComplete() bool { return p != nil && p.received == p.total }
+func (p *payload) isComplete() bool { return p != nil && p.receivedChunks == p.totalChunks }
 
 // ShouldAwaitTransfer requests a shard from its live owner and reports whether this controller
-// should wait for the transfer, rather than acquire the shard without one.
+// should wait for the transfer instead of acquiring the shard without one.
 func (c *Coordinator) ShouldAwaitTransfer(id string, now time.Time) bool {
 	shard := c.Membership.Shard(id)
 	if shard == nil || c.isReadyToAcquire(shard) {
 		return false
 	}
-	since, wasRequested := c.request(id, now)
+	since, wasRequested := c.requestShard(id, now)
 	if !wasRequested {
 		return true
 	}
 	if now.Sub(since) >= tuning.TransferRequestTimeout {
 		return false
 	}
-	// Workers that cannot reach the owner send their heartbeats here. An owner without its workers
-	// is never reconciled and would never transfer the shard, so waiting for it would only leave
-	// the workers without an owner for longer.
+	// Workers that cannot reach the owner send their heartbeats to this controller. An owner that
+	// cannot reach the shard's workers never reconciles the shard and so never transfers it:
+	// waiting would only prolong the time for which the workers are without an owner.
 	misdirected := float64(c.Sessions.MisdirectedHeartbeats(id, now))
-	tolerated := max(minToleratedMisdirected, tuning.StrayWorkerFraction*float64(c.State.MachineCountIn(id)))
-	return misdirected <= tolerated
+	limit := max(minMisdirectedWorkerLimit, tuning.StrayWorkerFraction*float64(c.State.MachineCountIn(id)))
+	return misdirected <= limit
 }
 
-// request has this controller's heartbeats request a shard from its owner. It returns since
-// when the shard has been requested, and whether that was before this call.
-func (c *Coordinator) request(id string, now time.Time) (since time.Time, wasRequested bool) {
+// requestShard makes this controller's heartbeats request a shard from its owner. It returns the
+// time of the first request, and whether the shard was requested before this call.
+func (c *Coordinator) requestShard(id string, now time.Time) (since time.Time, wasRequested bool) {
 	since, wasRequested = c.requestedAt[id]
 	if !wasRequested {
 		since = now
@@ -87,9 +88,9 @@
 	return since, wasRequested
 }
 
-// RequestedShards returns the shards that this controller requests from others, in the order of
-// their names, for its heartbeat. A shard is listed only as long as this controller waits for it,
-// since its owner stops responding to the workers when it transfers the shard.
+// RequestedShards returns the shards that this controller's heartbeat requests from other
+// controllers, sorted by name. A shard is listed only as long as this controller waits for it,
+// because the owner stops responding to the workers when it transfers the shard.
 func (c *Coordinator) RequestedShards(now time.Time) []string {
 	var ids []string
 	for id, since := range c.requestedAt {
@@ -101,20 +102,20 @@
 	return ids
 }
 
-// requestFromLeaving requests the shards of controllers that are shutting down if this controller
-// is their successor.
+// requestFromLeaving requests the shards whose owners are shutting down and whose successor is this
+// controller.
 func (c *Coordinator) requestFromLeaving(now time.Time) {
 	isLeaving := c.isLeavingPeer(now)
 	for _, shard := range c.Membership.Shards() {
 		if c.ownedByLivePeer(shard) && isLeaving(shard.Owner()) &&
 			c.Membership.SuccessorExcluding(shard.ID(), isLeaving) == c.cfg.Node {
-			c.request(shard.ID(), now)
+			c.requestShard(shard.ID(), now)
 		}
 	}
 }
 
-// advanceRequests acquires the requested shards that have arrived, and withdraws the requests of
-// those that no live peer owns any more.
+// advanceRequests acquires the requested shards whose payloads are complete, and withdraws the
+// requests for shards that no live peer owns any more.
 func (c *Coordinator) advanceRequests(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
@@ -124,14 +125,14 @@
 	}
 }
 
-// HandleChunk stores a chunk of a requested shard. Chunks of a controller that does not own the
-// shard, or are of another epoch than the known one, are ignored.
+// HandleChunk stores a chunk of a requested shard. It ignores a chunk if the sender does not own the
+// shard or if the chunk's epoch is not the shard's current one.
 func (c *Coordinator) HandleChunk(from string, chunk *peer.TransferChunk, now time.Time) {
 	if !c.isExpected(from, chunk) {
 		return
 	}
 	p := c.payloads[chunk.Shard]
-	if p == nil || p.epoch != chunk.Epoch || p.total != chunk.Total {
+	if p == nil || p.epoch != chunk.Epoch || p.totalChunks != chunk.Total {
 		p = newPayload(chunk.Epoch, chunk.Total)
 		c.payloads[chunk.Shard] = p
 	}
@@ -140,8 +141,9 @@
 	}
 }
 
-// isExpected reports whether a chunk is part of a requested shard, under its present epoch, and comes
-// from its owner. A late chunk of an older epoch could describe workers that were commanded since.
+// isExpected reports whether a chunk belongs to a requested shard and its current epoch, and comes
+// from the shard's owner. A late chunk of an older epoch could describe workers that have received
+// commands since.
 func (c *Coordinator) isExpected(from string, chunk *peer.TransferChunk) bool {
 	if _, requested := c.requestedAt[chunk.Shard]; !requested || chunk.Total > tuning.MaxPendingTransferChunks {
 		return false
@@ -150,13 +152,13 @@
 	return shard != nil && !shard.IsLocal() && shard.Owner() == from && shard.Epoch() == chunk.Epoch
 }
 
-// isReadyToAcquire reports whether the whole payload of a shard's present epoch is here.
+// isReadyToAcquire reports whether the whole payload of a shard's current epoch was received.
 func (c *Coordinator) isReadyToAcquire(shard *membership.Shard) bool {
 	p := c.payloads[shard.ID()]
 	return p.isComplete() && p.epoch == shard.Epoch()
 }
 
-// acquireIfComplete acquires a shard of which all chunks were received.
+// acquireIfComplete acquires a shard if all its chunks were received.
 func (c *Coordinator) acquireIfComplete(id string, now time.Time) {
 	shard := c.Membership.Shard(id)
 	if shard != nil && !shard.IsLocal() && c.isReadyToAcquire(shard) {
@@ -171,50 +173,52 @@
 		shard := c.Membership.Shard(id)
 		if shard != nil && c.canApply(p, shard) {
 			delete(c.payloads, id)
-			c.apply(p, shard, now)
+			c.applyPayload(p, shard, now)
 		}
 	}
 }
 
-// canApply reports whether a payload still describes the shard. Its epoch has to be the one that ours
-// replaced: under that epoch the old owner had stopped responding to workers, so no controller has
-// sent them a command since. After an epoch in between, a task could be started twice.
+// canApply reports whether a payload still describes a shard of this controller. The payload's epoch
+// must be the one that this controller's acquisition replaced: the old owner stopped responding to
+// the workers under that epoch, so no controller has sent them a command since. If there was another
+// epoch in between, a task could be started twice.
 func (c *Coordinator) canApply(p *payload, shard *membership.Shard) bool {
 	return p.isComplete() && shard.IsLocal() && shard.PreviousEpoch() == p.epoch && c.Cache.HasReachedEpoch(shard)
 }
 
-// apply continues a shard from its payload: the tasks on the machines of the payload are known
-// without probing their workers. Machines that have changed or sent a heartbeat since are left to
+// applyPayload continues a shard from its payload, which lists the tasks on the machines, so that
+// their workers need no probe. Machines that have changed or sent a heartbeat since are left to
 // reconciliation.
-func (c *Coordinator) apply(p *payload, shard *membership.Shard, now time.Time) {
-	restored := 0
+func (c *Coordinator) applyPayload(p *payload, shard *membership.Shard, now time.Time) {
+	restoredWorkers := 0
 	for _, chunk := range p.chunks {
 		for _, snapshot := range chunk {
 			if snapshot.Host == "" {
 				c.markCompleted(shard, snapshot.Tasks)
 			} else if machine := c.State.Machine(snapshot.Host); isUnchanged(machine, shard) {
 				c.applySnapshot(machine, snapshot, now)
-				restored++
+				restoredWorkers++
 			}
 		}
 	}
 	c.Reconciler.Check(now)
 	since, wasRequested := c.requestedAt[shard.ID()]
-	if !wasRequested { // reacquired after a transfer that failed
+	if !wasRequested { // this controller reacquired the shard after a failed transfer
 		since = p.updatedAt
 	}
-	c.record(shard.ID(), c.cfg.Node, OutcomeContinued, since, now)
-	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restored, "reconciled", shard.IsReconciled())
+	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeContinued, since, now)
+	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restoredWorkers, "reconciled", shard.IsReconciled())
 }
 
-// isUnchanged reports whether a machine's record is older than the shard's epoch and nothing was
-// received of the machine since.
+// isUnchanged reports whether a machine belongs to the shard, its record is older than the shard's
+// epoch, and it has neither sent a heartbeat nor been lost since.
 func isUnchanged(machine *clusterstate.Machine, shard *membership.Shard) bool {
 	return machine != nil && machine.Record().Shard == shard.ID() && machine.Revision() < shard.Epoch() &&
 		!machine.HasReported() && !machine.IsLost()
 }
 
-// markCompleted applies which tasks are done but not recorded as done.
+// markCompleted marks those tasks as done that the old owner listed as done but had not recorded as
+// done.
 func (c *Coordinator) markCompleted(shard *membership.Shard, tasks []peer.TaskSnapshot) {
 	for _, task := range tasks {
 		ref, index, ok := jobs.ParseTask(task.Name)
@@ -228,7 +232,7 @@
 	}
 }
 
-// applySnapshot applies what the old owner knew of a machine.
+// applySnapshot restores the old owner's state of a machine.
 func (c *Coordinator) applySnapshot(machine *clusterstate.Machine, snapshot peer.MachineSnapshot, now time.Time) {
 	c.Sessions.RestoreSession(machine, workersession.SessionState{
 		AgentEpoch:      snapshot.AgentEpoch,
@@ -252,17 +256,17 @@
 	if snapshot.Drained {
 		c.State.Cordon(machine)
 	}
-	// The old owner has not responded to the worker since it sent the snapshot, which was before
-	// this controller acquired the shard. So no lease that it renewed lasts longer than one that
-	// begins now.
+	// The old owner sent the snapshot before this controller acquired the shard, and has not
+	// responded to the worker since. So a lease that the old owner renewed expires no later than
+	// a lease that begins now.
 	c.State.BeginHeartbeat(machine, now)
 	if c.State.EndHeartbeat(machine, snapshot.Empty, false) {
 		c.Reconciler.WorkerTransferred(machine)
 	}
 }
 
-// restoreAssignment restores a task on a machine. A task that is foreign, or that reconciliation
-// with the records would not keep, is only to be stopped.
+// restoreAssignment restores the assignment of a task to a machine. If the task is foreign, or if
+// reconciliation with the records would not keep it, the assignment only waits for the task to stop.
 func (c *Coordinator) restoreAssignment(machine *clusterstate.Machine, task peer.TaskSnapshot, now time.Time) {
 	status := workerapi.TaskStatus{Task: task.Name, Attempt: task.Attempt, Status: task.Status}
 	previous := clusterstate.PreviousAssignment{
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -2,68 +2,69 @@
 
 import "testing"
 
-// A model of a shard that is transferred between three controllers, with two workers and one
-// task. A model state is a value, so that everything that can follow it can be explored in every
-// order: commands that arrive or do not, heartbeats, transfers that arrive at any time or never,
-// acquisitions that are applied late, watch events that arrive late, crashes of controllers.
+// This file models a shard that is transferred between three controllers, with two workers and one
+// task. A model state is a comparable value, so that the test can explore the events that can follow
+// it in every order: commands that arrive or are lost, heartbeats, transfers that arrive at any time
+// or never, acquisitions that are applied late, watch events that arrive late, controller crashes.
 
-// Where a controller believes the task to run, if not on a worker (0 or 1).
+// Locations of the task, as a controller knows it, apart from the workers 0 and 1.
 const (
 	locationUnknown = -2
 	notRunning      = -1
 )
 
-// lastEpoch bounds the model: there are no acquisitions after it.
-const lastEpoch = 4
+// maxEpoch bounds the model: no acquisition follows this epoch.
+const maxEpoch = 4
 
-// belief is what a controller knows.
-type belief struct {
-	ownedEpoch  uint8 // the epoch under which it believes to own the shard, 0: it does not
-	knownEpoch  uint8 // the latest epoch that it knows of
+// controllerState is what a controller knows of the shard. It may be out of date.
+type controllerState struct {
+	ownedEpoch  uint8 // the epoch under which it considers itself the owner; 0: it does not
+	knownEpoch  uint8 // the latest epoch that it has seen
 	transferred bool
 	location    int8    // of the task
-	heartbeats  [2]bool // the workers that sent one under ownedEpoch
+	heartbeats  [2]bool // whether each worker has sent one under ownedEpoch
 }
 
 type modelState struct {
-	epoch    uint8 // of the shard's record
-	owner    int8
-	beliefs  [3]belief
-	tokens   [2]uint8 // the fencing tokens that the workers know
-	runs     [2]bool  // whether the worker runs the task
-	payloads [5]int8  // by epoch, the location that was sent in a transfer, whoever received it
-	isSent   [5]bool
-	// pendingAcquisition is, by controller, the epoch on which an acquisition is conditional that
-	// was sent and may be applied at any time.
+	epoch       uint8 // of the shard's record
+	owner       int8
+	controllers [3]controllerState
+	tokens      [2]uint8 // the highest fencing token that each worker has seen
+	runs        [2]bool  // whether each worker runs the task
+	payloads    [5]int8  // by epoch: the location that a transfer contained, whichever controller received it
+	payloadSent [5]bool
+	// pendingAcquisition is, by controller, the condition of an acquisition that was sent and may
+	// be applied at any time: the acquisition succeeds only if this is still the shard's epoch.
+	// 0 means that none is pending.
 	pendingAcquisition [3]uint8
 }
 
-// mutation breaks the model on purpose.
+// mutation selects faults that are added to the model to check that the test detects them.
 type mutation struct {
 	respondsAfterTransfer bool // the old owner still commands workers
 	usesAnyPayload        bool // the recipient continues from a payload of any older epoch
 }
 
-// acquired returns the state after a controller's acquisition was applied.
+// acquired returns the state after a controller's acquisition is applied.
 func (m modelState) acquired(controller int, mutation mutation) modelState {
 	previousEpoch := m.epoch
 	m.epoch++
 	m.owner = int8(controller)
-	acquirer := belief{ownedEpoch: m.epoch, knownEpoch: m.epoch, location: locationUnknown}
+	acquirer := controllerState{ownedEpoch: m.epoch, knownEpoch: m.epoch, location: locationUnknown}
 	for epoch := previousEpoch; epoch > 0; epoch-- {
-		if m.isSent[epoch] && (epoch == previousEpoch || mutation.usesAnyPayload) {
+		if m.payloadSent[epoch] && (epoch == previousEpoch || mutation.usesAnyPayload) {
 			acquirer.location, acquirer.heartbeats = m.payloads[epoch], [2]bool{true, true}
 			break
 		}
 	}
-	m.beliefs[controller] = acquirer
+	m.controllers[controller] = acquirer
 	return m
 }
 
-// next returns all states that can follow by one event.
+// next returns all states that one event can lead to.
 func (m modelState) next(mutation mutation) []modelState {
 	var states []modelState
-	for controller := range m.beliefs {
+	for controller := range m.controllers {
 		states = append(states, m.afterRestart(controller))
 		states = append(states, m.afterWatchEvent(controller)...)
 		states = append(states, m.afterAcquisition(controller, mutation)...)
@@ -73,34 +74,34 @@
 	return append(states, m.afterTaskEnd()...)
 }
 
-// afterRestart: a controller crashes and starts again without what it knew.
+// afterRestart returns the state after a controller has crashed and started again without its state.
 func (m modelState) afterRestart(controller int) modelState {
-	m.beliefs[controller] = belief{location: locationUnknown}
+	m.controllers[controller] = controllerState{location: locationUnknown}
 	return m
 }
 
-// afterWatchEvent: a controller learns of the present epoch.
+// afterWatchEvent returns the state after a controller has learned of the current epoch.
 func (m modelState) afterWatchEvent(controller int) []modelState {
-	known := m.beliefs[controller]
+	known := m.controllers[controller]
 	if known.knownEpoch >= m.epoch {
 		return nil
 	}
 	state := m
-	state.beliefs[controller].knownEpoch = m.epoch
+	state.controllers[controller].knownEpoch = m.epoch
 	if m.owner != int8(controller) || known.ownedEpoch != m.epoch {
-		state.beliefs[controller] = belief{knownEpoch: m.epoch, location: locationUnknown}
+		state.controllers[controller] = controllerState{knownEpoch: m.epoch, location: locationUnknown}
 	}
 	return []modelState{state}
 }
 
-// afterAcquisition: a controller acquires the shard, at once or by a write that is applied later,
-// whose response may be lost.
+// afterAcquisition returns the states after a controller has acquired the shard: by a write that is
+// applied at once, or by one that is applied later and whose response may be lost.
 func (m modelState) afterAcquisition(controller int, mutation mutation) []modelState {
-	if m.epoch >= lastEpoch {
+	if m.epoch >= maxEpoch {
 		return nil
 	}
 	var states []modelState
-	known := m.beliefs[controller]
+	known := m.controllers[controller]
 	if known.knownEpoch == m.epoch && known.ownedEpoch == 0 {
 		states = append(states, m.acquired(controller, mutation))
 		if m.pendingAcquisition[controller] == 0 {
@@ -112,35 +113,36 @@
 	if m.pendingAcquisition[controller] == m.epoch {
 		applied := m.acquired(controller, mutation)
 		applied.pendingAcquisition[controller] = 0
-		responseLost := applied // the watch will tell
-		responseLost.beliefs[controller] = known
+		responseLost := applied // the controller learns of the acquisition by a later watch event
+		responseLost.controllers[controller] = known
 		states = append(states, applied, responseLost)
 	}
 	return states
 }
 
-// afterTransfer: the owner transfers the shard, or acquires it anew since nobody else has.
+// afterTransfer returns the states after the owner has transferred the shard, or has acquired it
+// again because no other controller has.
 func (m modelState) afterTransfer(controller int, mutation mutation) []modelState {
 	var states []modelState
-	owner := m.beliefs[controller]
+	owner := m.controllers[controller]
 	if owner.ownedEpoch == 0 {
 		return nil
 	}
-	if owner.transferred && owner.ownedEpoch == m.epoch && m.epoch < lastEpoch {
+	if owner.transferred && owner.ownedEpoch == m.epoch && m.epoch < maxEpoch {
 		states = append(states, m.acquired(controller, mutation))
 	}
 	if !owner.transferred && owner.location != locationUnknown {
 		state := m
-		state.beliefs[controller].transferred = true
-		state.payloads[owner.ownedEpoch], state.isSent[owner.ownedEpoch] = owner.location, true
+		state.controllers[controller].transferred = true
+		state.payloads[owner.ownedEpoch], state.payloadSent[owner.ownedEpoch] = owner.location, true
 		states = append(states, state)
 	}
 	return states
 }
 
-// afterContact: the owner is in contact with one of the workers.
+// afterContact returns the states after an exchange between the owner and one of the workers.
 func (m modelState) afterContact(controller int, mutation mutation) []modelState {
-	owner := m.beliefs[controller]
+	owner := m.controllers[controller]
 	if owner.ownedEpoch == 0 || owner.transferred && !mutation.respondsAfterTransfer {
 		return nil
 	}
@@ -159,11 +161,12 @@
 	return states
 }
 
-// afterHeartbeat: a worker sends a heartbeat, and the owner commands it to start a task that runs
-// nowhere; the command arrives or does not.
+// afterHeartbeat returns the states after a worker has sent a heartbeat. If the owner already
+// knew that the task does not run, it commands the worker to start it, and the command arrives or is
+// lost.
 func (m modelState) afterHeartbeat(controller, worker int) []modelState {
 	received := m
-	owner := &received.beliefs[controller]
+	owner := &received.controllers[controller]
 	owner.heartbeats[worker] = true
 	switch {
 	case m.runs[worker]:
@@ -172,17 +175,17 @@
 		owner.location == locationUnknown && owner.heartbeats[0] && owner.heartbeats[1]:
 		owner.location = notRunning
 	}
-	if m.beliefs[controller].location != notRunning {
+	if m.controllers[controller].location != notRunning {
 		return []modelState{received}
 	}
 	commandLost := received
-	commandLost.beliefs[controller].location = int8(worker)
+	commandLost.controllers[controller].location = int8(worker)
 	started := commandLost
 	started.runs[worker] = true
 	return []modelState{received, commandLost, started}
 }
 
-// afterTaskEnd: the task is stopped or lost.
+// afterTaskEnd returns the states after the task was stopped or lost on one of the workers.
 func (m modelState) afterTaskEnd() []modelState {
 	var states []modelState
 	for worker, runs := range m.runs {
@@ -195,14 +198,15 @@
 	return states
 }
 
-// explore visits all states that can follow within a number of events. It returns how many there
-// are, and the first one in which both workers run the task.
+// explore visits all states that can be reached within a number of events. It returns the number of
+// states and the first state in which both workers run the task, or nil if there is none. It stops
+// at such a state.
 func explore(mutation mutation, events int) (visited int, violation *modelState) {
 	start := modelState{epoch: 1, owner: 0, tokens: [2]uint8{1, 1}}
-	for controller := range start.beliefs {
-		start.beliefs[controller] = belief{knownEpoch: 1, location: locationUnknown}
+	for controller := range start.controllers {
+		start.controllers[controller] = controllerState{knownEpoch: 1, location: locationUnknown}
 	}
-	start.beliefs[0] = belief{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
+	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
 	seen := map[modelState]bool{start: true}
 	frontier := []modelState{start}
 	for range events {
@@ -224,16 +228,16 @@
 	return len(seen), nil
 }
 
-// In no order of events do both workers run the task. Each part of the argument is needed: an old
-// owner that still responds, and a recipient that continues from the payload of an older epoch,
-// are found.
+// Both workers never run the task, whatever the order of events. The test must find a violation if
+// the old owner still responds after a transfer, or if a recipient continues from the payload of an
+// older epoch.
 func TestModelNeverRunsTaskTwice(t *testing.T) {
 	visited, violation := explore(mutation{}, 10)
 	if violation != nil {
 		t.Errorf("both workers run the task: %+v", *violation)
 	}
 	if visited < 50_000 {
-		t.Errorf("only %d states", visited)
+		t.Errorf("only %d states were explored", visited)
 	}
 	for name, mutation := range map[string]mutation{
 		"responds after transfer": {respondsAfterTransfer: true},
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -8,12 +8,12 @@
 	"cherrywall/internal/tuning"
 )
 
-// outgoingTransfer is the transfer of a shard of this controller that another one has requested.
+// outgoingTransfer is the transfer of a local shard to the controller that has requested it.
 type outgoingTransfer struct {
 	epoch       uint64
 	recipient   string
 	requestedAt time.Time
-	sentAt      time.Time // zero: waits for releases and moves of the shard's machines
+	sentAt      time.Time // zero while the transfer waits for releases and moves of the shard's machines
 }
 
 func (o *outgoingTransfer) isSent() bool { return !o.sentAt.IsZero() }
@@ -27,15 +27,16 @@
 			continue
 		}
 		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: from, requestedAt: now}
-		shard.PrepareTransfer() // from now on none of its machines is released or moved
+		shard.PrepareTransfer() // prevents new releases and moves of the shard's machines
 		c.sendShard(shard, now)
 	}
 }
 
 // canTransfer reports whether a transfer of a shard can begin. Unless this controller is shutting
-// down, a shard is transferred to its home only. An unreconciled shard is not transferred: the
-// snapshot could lack tasks, which the recipient would start a second time. Nothing is transferred
-// by a stale cache, which may not show yet that the shard has another owner.
+// down, it transfers a shard only to the shard's home controller. An unreconciled shard is not
+// transferred: its snapshot could lack running tasks, which the recipient would start a second
+// time. No shard is transferred while the cache is stale, because the cache may not show yet that
+// the shard has another owner.
 func (c *Coordinator) canTransfer(shard *membership.Shard, id, recipient string, now time.Time) bool {
 	switch {
 	case id != recipient && !c.isLeaving:
@@ -48,8 +49,8 @@
 	return now.Sub(c.failedAt[id]) >= tuning.TransferRetryDelay
 }
 
-// advanceOutgoing sends what could not be sent yet, and ends transfers that are done or have
-// timed out.
+// advanceOutgoing sends the shards that could not be sent before, and ends transfers that are done
+// or have timed out.
 func (c *Coordinator) advanceOutgoing(now time.Time) {
 	for id, transfer := range c.outgoing {
 		shard := c.Membership.Shard(id)
@@ -58,19 +59,20 @@
 			c.endOutgoing(id, transfer, shard, now)
 		case !transfer.isSent() && now.Sub(transfer.requestedAt) < tuning.TransferTimeout:
 			c.sendShard(shard, now)
-		case !transfer.isSent(): // releases or moves took too long: the shard stays here
+		case !transfer.isSent(): // releases or moves took too long: this controller keeps the shard
 			shard.AbortTransfer()
 			delete(c.outgoing, id)
 		case now.Sub(transfer.sentAt) > tuning.TransferTimeout:
-			// The recipient has not acquired the shard. Its write may still arrive: without a
-			// new epoch of ours both controllers could command the workers.
+			// The recipient has not acquired the shard, but its write may still arrive. A new
+			// epoch of this controller makes that write fail. Otherwise both controllers could
+			// command the workers.
 			c.Cache.ReacquireShard(shard, now)
 		}
 	}
 }
 
-// endOutgoing ends a transfer whose shard has another epoch now; shard is nil if its record is
-// gone.
+// endOutgoing ends a transfer after its shard got another owner or a new epoch. shard is nil if the
+// shard's record no longer exists.
 func (c *Coordinator) endOutgoing(id string, transfer *outgoingTransfer, shard *membership.Shard, now time.Time) {
 	delete(c.outgoing, id)
 	if !transfer.isSent() || shard == nil {
@@ -78,18 +80,18 @@
 	}
 	switch {
 	case shard.Owner() == transfer.recipient:
-		c.record(id, transfer.recipient, OutcomeTransferred, transfer.sentAt, now)
+		c.recordEnded(id, transfer.recipient, OutcomeTransferred, transfer.sentAt, now)
 		c.log.Info("shard transferred", "shard", id, "recipient", transfer.recipient, "after_s", now.Sub(transfer.sentAt).Seconds())
 	case shard.IsLocal():
 		c.failedAt[id] = now
-		c.record(id, transfer.recipient, OutcomeReacquired, transfer.sentAt, now)
+		c.recordEnded(id, transfer.recipient, OutcomeReacquired, transfer.sentAt, now)
 		c.log.Info("shard transfer failed, shard reacquired", "shard", id, "recipient", transfer.recipient)
 	}
 }
 
-// reacquireForgotten acquires shards anew that were transferred, but whose transfer was dropped
-// because the records were read again meanwhile.
-func (c *Coordinator) reacquireForgotten(now time.Time) {
+// reacquireUntracked acquires again the local shards that are marked as transferred but have no
+// outgoing transfer, because the records were read again meanwhile: see Reset and membership.Table.
+func (c *Coordinator) reacquireUntracked(now time.Time) {
 	for _, shard := range c.Membership.LocalShards() {
 		if shard.IsTransferred() && c.outgoing[shard.ID()] == nil {
 			c.Cache.ReacquireShard(shard, now)
@@ -97,10 +99,10 @@
 	}
 }
 
-// sendShard sends what is known of a shard to the recipient, and ends the responses to its workers.
-// While one of the shard's machines is being released or moved it does nothing, and Tick calls it
-// again: the result is not known yet, so the snapshot could be wrong about the machine. A shard too
-// large for a transfer is kept.
+// sendShard sends the state of a shard to the recipient and ends the responses to the shard's
+// workers. While one of the shard's machines is being released or moved, sendShard does nothing and
+// Tick calls it again: the result is not known yet, so the snapshot could be wrong about the
+// machine. If the shard is too large for a transfer, this controller keeps it.
 func (c *Coordinator) sendShard(shard *membership.Shard, now time.Time) {
 	transfer := c.outgoing[shard.ID()]
 	var machines []*clusterstate.Machine
@@ -120,7 +122,7 @@
 	}
 	c.Membership.MarkTransferred(shard)
 	transfer.sentAt = now
-	// Kept for this controller, in case that the recipient does not acquire the shard.
+	// This controller continues from the payload if the recipient does not acquire the shard.
 	c.payloads[shard.ID()] = newCompletePayload(shard.Epoch(), chunks, now)
 	queued := c.send(transfer.recipient, chunks)
 	c.log.Info("shard transfer sent", "shard", shard.ID(), "recipient", transfer.recipient,
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -10,10 +10,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// buildChunks returns what is known of a shard in chunks, each of which fits a frame. It returns
-// nil if it is too much to be sent within the time for which the workers may go without responses.
+// buildChunks returns the state of a shard as chunks, each of which fits a frame. It returns nil if
+// sending all chunks would take longer than the workers may go without responses.
 func (c *Coordinator) buildChunks(shard *membership.Shard, machines []*clusterstate.Machine, now time.Time) []*peer.TransferChunk {
-	snapshots := c.completedTasks(shard)
+	snapshots := c.unrecordedCompletions(shard)
 	for _, machine := range machines {
 		snapshots = append(snapshots, c.machineSnapshot(machine, now))
 	}
@@ -40,10 +40,10 @@
 	return chunks
 }
 
-// completedTasks returns the tasks that are done but not recorded as done, as snapshots without a
-// host. A recipient that did not know of them would find them on no machine, take them for not
-// running, and start them again.
-func (c *Coordinator) completedTasks(shard *membership.Shard) []peer.MachineSnapshot {
+// unrecordedCompletions returns the tasks that are done but not recorded as done, as snapshots
+// without a host. A recipient that did not know that they are done would find them on no machine,
+// conclude that they do not run, and start them again.
+func (c *Coordinator) unrecordedCompletions(shard *membership.Shard) []peer.MachineSnapshot {
 	var snapshots []peer.MachineSnapshot
 	var tasks []peer.TaskSnapshot
 	for taskRange := range c.State.TaskRangesIn(shard.ID()) {
@@ -61,8 +61,8 @@
 	return snapshots
 }
 
-// machineSnapshot returns what is known of a machine. Assignments for which no start command was sent
-// are left out, unless one was sent for another task of the same gang.
+// machineSnapshot returns the state of a machine. An assignment for which no start command was sent
+// is left out, unless a start command was sent for another task of the same gang.
 func (c *Coordinator) machineSnapshot(machine *clusterstate.Machine, now time.Time) peer.MachineSnapshot {
 	snapshot := peer.MachineSnapshot{
 		Host:              machine.Host(),
@@ -102,8 +102,8 @@
 	return snapshot
 }
 
-// gangStarted reports whether a start command was sent for some task of a gang; false for jobs
-// of other kinds.
+// gangStarted reports whether a start command was sent for any task of a gang. It returns false for
+// nil and for jobs that are not gangs.
 func gangStarted(job *clusterstate.Job) bool {
 	if job == nil || job.Record().Kind != jobs.Gang {
 		return false
