--- a/internal/reconciliation/discrepancy.go
+++ b/internal/reconciliation/discrepancy.go
@@ -2,24 +2,25 @@
 
 import "cherrywall/internal/clusterstate"
 
-// Discrepancy classifies what a worker's heartbeat, or its absence, shows against the records.
+// Discrepancy classifies the difference between the records and a worker's heartbeat or the lack of
+// one. Agrees means that there is no difference.
 type Discrepancy int
 
 // The discrepancies of a task come first, then those of a worker.
 const (
 	Agrees               Discrepancy = iota // the task runs as recorded
-	RunningUnclaimed                        // the task runs, and its shard has not claimed it
-	ClaimedNotRunning                       // the task is claimed, and no worker runs it
+	RunningUnclaimed                        // the task runs, but its shard has not claimed it
+	ClaimedNotRunning                       // the task is claimed, but no worker runs it
 	StaleAttempt                            // the task runs while another attempt of it is assigned
-	UnknownJob                              // the task runs, and no unfinished job has it
-	JobFinished                             // the task runs, and its job has ended
-	CompletionUnrecorded                    // the task is done, and its completion is not recorded
+	UnknownJob                              // the task runs, but belongs to no unfinished job that is known
+	JobFinished                             // the task runs, but its job has ended
+	CompletionUnrecorded                    // the task is done, but its completion is not recorded
 	WorkerUnrecorded                        // a worker without a record sends heartbeats
 	WorkerMissing                           // a recorded worker sends no heartbeats
 	discrepancyCount                        // the number of discrepancies
 )
 
-// Action is what reconciliation does about a discrepancy.
+// Action is the response of reconciliation to a discrepancy.
 type Action int
 
 // The actions.
@@ -27,19 +28,19 @@
 	ActionKeep             Action = iota // the task keeps running where it is
 	ActionStop                           // the task is stopped
 	ActionStart                          // the task may be started
-	ActionRecordCompletion               // the completion is recorded, then the worker may drop the task
+	ActionRecordCompletion               // the completion is recorded, and afterwards the worker may drop the task
 	ActionRegisterWorker                 // the worker is recorded before its heartbeat is answered
 	ActionAwaitWorker                    // nothing is decided until the worker reports or its lease has expired
 )
 
-// Rule says which action follows from one discrepancy. docs/recovery.md shows the same table.
+// Rule says which action follows from one discrepancy. docs/recovery.md shows the table of all rules.
 type Rule struct {
-	Name         string // in logs and in operators' views; it is output and keeps its form
+	Name         string // as logs and operators' views show it; it must not change
 	Action       Action
-	ProtocolRule string // the rule of the protocol that any other action would break
+	ProtocolRule string // name of the protocol rule that any other action would break
 }
 
-// Rules holds the rule of each discrepancy. All decisions about discrepancies follow it.
+// Rules holds the rule of each discrepancy. All decisions about discrepancies follow these rules.
 var Rules = [discrepancyCount]Rule{
 	Agrees:               {"agrees", ActionKeep, "ran_twice"},
 	RunningUnclaimed:     {"without a claim", ActionStop, "ran_twice"},
@@ -60,8 +61,9 @@
 	return Rules[Classify(lookup)].Action == ActionKeep
 }
 
-// Classify returns the discrepancy of a task that a worker lists and that is not assigned to it. It never
-// returns ClaimedNotRunning, WorkerUnrecorded or WorkerMissing, which no listed task can show.
+// Classify returns the discrepancy of a task that a worker lists although the task is not assigned to
+// the worker. It never returns ClaimedNotRunning, WorkerUnrecorded or WorkerMissing, which do not
+// concern a listed task.
 func Classify(lookup clusterstate.TaskLookup) Discrepancy {
 	switch {
 	case !lookup.JobKnown:
--- a/internal/reconciliation/fault_injection_test.go
+++ b/internal/reconciliation/fault_injection_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/reconciliation"
 )
 
-// Random fault runs break no rule, and accepted jobs end. In every other run the controllers exchange
-// peer messages and transfer shards.
+// Random faults violate no invariant, and accepted jobs end. In every second run the controllers
+// exchange peer messages and transfer shards.
 func TestRandomFaultsKeepInvariants(t *testing.T) {
 	ended := 0
 	for seed := range uint64(16) {
@@ -29,7 +29,8 @@
 	}
 }
 
-// A shard that does not wait for its workers breaks a rule in one of a few runs.
+// The invariant checkers detect the mutation in which a shard does not wait for its workers: at least
+// one of 30 runs violates an invariant.
 func TestMutationWithoutWaitingForWorkersIsDetected(t *testing.T) {
 	defer reconciliation.SkipUnconfirmedWorkers()()
 	for seed := range uint64(30) {
@@ -37,11 +38,12 @@
 			return
 		}
 	}
-	t.Error("30 runs of the mutation kept every rule")
+	t.Error("30 runs of the mutation violated no invariant")
 }
 
-// Faults that break rules when they coincide, with leases and cancellation times of several lengths:
-// docs/meetings.md. NIGHT_SEEDS="from to" runs other seeds than these few.
+// Combinations of faults that have violated invariants when they coincided, with leases and
+// cancellation times of several lengths: see docs/meetings.md. NIGHT_SEEDS="from to" replaces the
+// default seeds.
 func TestCombinedFaultsKeepInvariants(t *testing.T) {
 	from, to := uint64(0), uint64(8)
 	if seeds := os.Getenv("NIGHT_SEEDS"); seeds != "" {
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -13,28 +13,29 @@
 	"golang.org/x/time/rate"
 )
 
-// Prober shows a worker a fencing token without any command and returns the worker's present
-// heartbeat. agentEpoch is the agent epoch in which the worker is believed to be.
+// Prober sends a worker a fencing token without any command and returns the worker's current
+// heartbeat. agentEpoch is the last known agent epoch of the worker.
 type Prober interface {
 	Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*workerapi.Heartbeat, error)
 }
 
-// AgentSessions is what FirstContact needs of the manager of the agent sessions.
+// AgentSessions is the part of the agent session manager that FirstContact uses.
 type AgentSessions interface {
 	// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
 	AgentEpoch(machine *clusterstate.Machine) uint64
-	// ProbeAnswered receives the heartbeat that answers a probe under a fencing token.
+	// ProbeAnswered receives the heartbeat with which a worker answered a probe that carried
+	// fencingToken.
 	ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64)
 }
 
 // FirstContact makes the first exchange with each worker of a shard that has a new owner: either
 // the response to the worker's first heartbeat, which carries the new fencing token, or a probe.
 // Each exchange costs processor time and makes the worker send one more heartbeat, and after a
-// start of all controllers all workers come within the same second. So the exchanges are limited
-// to a rate that follows from the processor limit. Responses go first, since the leases of those
-// workers depend on them; then come probes of the workers that have sent nothing.
+// start of all controllers all workers make contact within the same second. So the rate of the
+// exchanges is limited, in proportion to the processor limit. Responses are sent first, because the
+// workers' leases depend on them, and then probes to the workers that have sent no heartbeat.
 //
-// It has no locks: the actor whose mailbox it was given owns it.
+// A FirstContact is not safe for concurrent use: the actor that owns its mailbox also owns it.
 type FirstContact struct {
 	Dependencies
 	mailbox  *actor.Mailbox
@@ -42,19 +43,20 @@
 	sessions AgentSessions
 	limiter  *rate.Limiter
 
-	pendingResponses []func()                            // in the order of arrival
-	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was answered with the token
+	pendingResponses []func()                            // in the order in which the heartbeats arrived
+	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was last answered with the token
 	probeQueue       []*clusterstate.Machine
 	isQueued         map[*clusterstate.Machine]bool
 	timer            *time.Timer // calls Run at timerDueAt
 	timerDueAt       time.Time
-	// Probes in flight. Slow ones will most likely not be answered, and count only against the
-	// larger limit in atProbeLimit. Otherwise they delay the probes of reachable workers: a shard
-	// with 230 workers behind a network partition took 15 s to probe the rest.
+	// Numbers of probes in flight. Slow probes will most likely not be answered, and count only
+	// against the larger limit in atProbeLimit. Otherwise they would delay the probes of reachable
+	// workers: a shard with 230 workers behind a network partition took 15 s to probe the others.
 	recentProbes, slowProbes int
 }
 
-// NewFirstContact returns an empty FirstContact. prober may be nil.
+// NewFirstContact returns a FirstContact with empty queues. prober may be nil: then no worker is
+// probed.
 func NewFirstContact(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies, prober Prober, sessions AgentSessions) *FirstContact {
 	c := &FirstContact{
 		Dependencies: deps,
@@ -67,8 +69,9 @@
 	return c
 }
 
-// NewContactLimiter limits exchanges with workers to the rate that takes a fraction of the
-// controller's processor limit. Without such a limit the rate is not limited.
+// NewContactLimiter returns a limiter for exchanges with workers, which allows the rate that uses
+// cpuFraction of the controller's processor limit. If no processor limit is configured, the limiter
+// allows any rate.
 func NewContactLimiter(cfg *config.Config, cpuFraction float64) *rate.Limiter {
 	cores := cfg.Cluster.Limits.Cores
 	if cores <= 0 {
@@ -79,8 +82,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// Reset drops all machines, since their records are read again. Probes in flight still complete,
-// and pending responses are still sent.
+// Reset drops all machines, because their records are about to be read again. Probes in flight
+// still complete, and pending responses are still sent.
 func (c *FirstContact) Reset() {
 	c.probeQueue = nil
 	c.isQueued = map[*clusterstate.Machine]bool{}
@@ -93,12 +96,12 @@
 	delete(c.isQueued, machine)
 }
 
-// EnqueueResponse has respond, which answers the worker's first heartbeat to a new owner, called
-// when the worker's turn comes. A later Reset or RemoveWorker does not prevent the call, so respond
-// must check again whether the worker may still be answered.
+// EnqueueResponse queues respond, which answers the worker's first heartbeat to a new owner, and
+// calls it when the rate limit allows. A later Reset or RemoveWorker does not prevent the call, so
+// respond must check again whether the worker may still be answered.
 //
 // EnqueueResponse returns false, and drops respond, if more responses are pending than can be sent
-// while the workers wait: the caller then refuses the heartbeat at once.
+// while the workers wait. The caller then refuses the heartbeat at once.
 func (c *FirstContact) EnqueueResponse(machine *clusterstate.Machine, respond func()) bool {
 	if c.isOverloaded() {
 		return false
@@ -111,8 +114,7 @@
 	return true
 }
 
-// isOverloaded reports whether the responses that are pending take longer to send than their workers
-// wait for them.
+// isOverloaded reports whether sending the pending responses takes longer than their workers wait.
 func (c *FirstContact) isOverloaded() bool {
 	perSecond := c.limiter.Limit()
 	if perSecond == rate.Inf {
@@ -122,14 +124,15 @@
 	return float64(len(c.pendingResponses)) > float64(perSecond)*usableWait.Seconds()
 }
 
-// EnqueueProbe has a worker that has a new owner probed when its turn comes. It does nothing for a
-// worker that needs no probe, has no address or is being released.
+// EnqueueProbe queues a probe of a worker that has a new owner, and sends it when the rate limit
+// allows. It does nothing for a worker that needs no probe, has no address or is being released.
 //
-// Without a probe the owner would wait until the worker has found it, has learned the new fencing
-// token and has sent one more heartbeat: up to 15 s at a heartbeat interval of 5 s. The answer is
-// worth as much as a heartbeat under the new token: the worker made it after it had seen the token,
-// and obeys no older one from then on. A probe that arrives late does no harm, since it shows a token
-// that this controller did own, and a worker that has seen a higher one refuses it.
+// Without a probe the owner would wait until the worker has found the owner, has learned the new
+// fencing token and has sent one more heartbeat: up to 15 s at a heartbeat interval of 5 s. The
+// answer to a probe is as reliable as a heartbeat under the new token: the worker composed it after
+// it had seen the token, and obeys no older token from then on. A probe that arrives late does no
+// harm: it carries a token that belonged to this controller, and a worker that has seen a higher
+// token refuses it.
 func (c *FirstContact) EnqueueProbe(machine *clusterstate.Machine) {
 	if c.prober == nil || c.isQueued[machine] || machine.Record().Addr == "" {
 		return
@@ -144,13 +147,13 @@
 }
 
 // needsProbe reports whether a worker belongs to a local shard, has not reported to this controller
-// yet, and may still do so because its lease may be valid.
+// yet, and may still report because its lease may be valid.
 func (c *FirstContact) needsProbe(machine *clusterstate.Machine) bool {
 	return c.State.OwnedShard(machine) != nil && !machine.HasReported() && !machine.IsLost()
 }
 
-// Run sends the responses and probes that the rate limit allows now, and schedules itself for the
-// others.
+// Run sends the responses and probes that the rate limit allows now, and schedules another call of
+// Run for the others.
 func (c *FirstContact) Run() {
 	c.sendResponses()
 	if len(c.pendingResponses) == 0 {
@@ -159,14 +162,15 @@
 }
 
 func (c *FirstContact) sendResponses() {
-	for len(c.pendingResponses) > 0 && c.reserveTurn() {
+	for len(c.pendingResponses) > 0 && c.reserveExchange() {
 		respond := c.pendingResponses[0]
 		c.pendingResponses = c.pendingResponses[1:]
 		respond()
 	}
 }
 
-// sendProbes looks at each queued worker at most once.
+// sendProbes sends the queued probes until a limit is reached. It considers each queued worker at
+// most once.
 func (c *FirstContact) sendProbes() {
 	for range len(c.probeQueue) {
 		if c.atProbeLimit() {
@@ -175,7 +179,7 @@
 		machine := c.probeQueue[0]
 		shard := c.State.OwnedShard(machine)
 		if shard != nil && !c.Cache.HasReachedEpoch(shard) {
-			return // Run is called again when the cache has caught up
+			return // Run is called again when the cache has reached the shard's epoch
 		}
 		if !c.needsProbe(machine) || !c.State.IsCurrentMachine(machine) {
 			c.dequeueProbe()
@@ -183,10 +187,10 @@
 		}
 		if wait := c.heartbeatWait(machine); wait > 0 {
 			c.probeQueue = append(c.probeQueue[1:], machine)
-			c.runAfter(wait)
+			c.scheduleRun(wait)
 			continue
 		}
-		if !c.reserveTurn() {
+		if !c.reserveExchange() {
 			return
 		}
 		c.dequeueProbe()
@@ -199,8 +203,9 @@
 		c.recentProbes+c.slowProbes >= tuning.MaxOpenFirstContacts
 }
 
-// heartbeatWait returns how long a worker is still left to send its next heartbeat by itself,
-// because it was sent the fencing token a moment ago.
+// heartbeatWait returns how much longer to wait for a worker's next heartbeat before it is probed: a
+// worker that was just sent the fencing token sends a heartbeat without a probe. It is zero or
+// negative if there is nothing to wait for.
 func (c *FirstContact) heartbeatWait(machine *clusterstate.Machine) time.Duration {
 	return tuning.HeartbeatAfterTokenDelay - time.Since(c.tokenSentAt[machine])
 }
@@ -210,21 +215,21 @@
 	c.probeQueue = c.probeQueue[1:]
 }
 
-// reserveTurn reports whether the rate limit allows one more exchange now. If not, Run is called
-// when it does.
-func (c *FirstContact) reserveTurn() bool {
+// reserveExchange reports whether the rate limit allows one more exchange now. If not, it schedules a
+// call of Run for the time at which the limit allows one.
+func (c *FirstContact) reserveExchange() bool {
 	reservation := c.limiter.Reserve()
 	wait := reservation.Delay()
 	if wait == 0 {
 		return true
 	}
 	reservation.Cancel()
-	c.runAfter(wait)
+	c.scheduleRun(wait)
 	return false
 }
 
-// runAfter has Run called after wait, unless it is due earlier already.
-func (c *FirstContact) runAfter(wait time.Duration) {
+// scheduleRun schedules a call of Run after wait, unless an earlier call is already scheduled.
+func (c *FirstContact) scheduleRun(wait time.Duration) {
 	dueAt := time.Now().Add(wait)
 	if c.timer != nil {
 		if !dueAt.Before(c.timerDueAt) {
@@ -242,7 +247,7 @@
 // probe is a probe in flight.
 type probe struct{ isSlow, isDone bool }
 
-// sendProbe probes a worker. The goroutine ends with the mailbox's context at the latest.
+// sendProbe probes a worker in a goroutine, which ends with the mailbox's context at the latest.
 func (c *FirstContact) sendProbe(machine *clusterstate.Machine, fencingToken uint64) {
 	p := &probe{}
 	c.recentProbes++
@@ -257,9 +262,9 @@
 				c.sessions.ProbeAnswered(machine, heartbeat, fencingToken)
 			} else {
 				// The machine may no longer exist: the previous owner may have released it just
-				// before it ended itself. The mark makes machinelifecycle read the cloud's list
-				// at once. Otherwise the shard would wait for the machine until several
-				// heartbeats are missed.
+				// before that controller stopped. The mark makes machinelifecycle read the
+				// cloud's list of machines at once. Otherwise the shard would wait for the
+				// machine until several heartbeats are missed.
 				c.State.MarkProbeUnanswered(machine)
 			}
 			c.Run()
@@ -269,7 +274,7 @@
 
 func (c *FirstContact) markSlow(p *probe) {
 	if p.isDone {
-		return // the answer came while the timer's message was queued
+		return // the probe completed while the timer's message was queued
 	}
 	p.isSlow = true
 	c.recentProbes--
--- a/internal/reconciliation/gang_workers_test.go
+++ b/internal/reconciliation/gang_workers_test.go
@@ -18,9 +18,9 @@
 	return h.State.Job(ref).TaskRange(0)
 }
 
-// If all machines are of one type, every unconfirmed worker could run every task: nothing that was
-// claimed may start before all are confirmed or their leases have expired. The recorded workers of
-// a gang say where the gang can be.
+// If all machines are of one type, every unconfirmed worker could run every task, so no claimed task
+// may start before all workers are confirmed or their leases have expired. The recorded workers of a
+// gang limit the workers on which the gang can run.
 func TestUnconfirmedWorkerBlocksOnlyGangsRecordedForIt(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -43,7 +43,7 @@
 	}
 	h.Reconciler.Check(time.Now())
 	if onConfirmed.CountTasks(clusterstate.TaskReady) != 2 || onUnconfirmed.CountTasks(clusterstate.TaskUnknown) != 2 || onAny.CountTasks(clusterstate.TaskUnknown) != 2 {
-		t.Errorf("ready: %d of the gang on confirmed workers; unknown: %d of the gang recorded for the unconfirmed one, %d of the gang without recorded workers",
+		t.Errorf("ready: %d tasks of the gang on confirmed workers; unknown: %d tasks of the gang recorded for the unconfirmed worker, %d tasks of the gang without recorded workers",
 			onConfirmed.CountTasks(clusterstate.TaskReady), onUnconfirmed.CountTasks(clusterstate.TaskUnknown), onAny.CountTasks(clusterstate.TaskUnknown))
 	}
 	views := h.Reconciler.Views(time.Now())
@@ -52,8 +52,8 @@
 	}
 }
 
-// A controller of an earlier version does not keep to the recorded workers of a gang: they are not
-// trusted for ranges that such a controller owned.
+// A controller of an earlier version may start a gang on other workers than the recorded ones. So the
+// recorded workers are not trusted for ranges that such a controller owned.
 func TestGangWorkersNotTrustedAfterOwnerOfEarlierVersion(t *testing.T) {
 	h := harness.New(t, nil)
 	h.SetOwner("n1", harness.OtherNode, 2)
@@ -63,17 +63,18 @@
 	}
 	h.WriteRecord(jobs.ShardPrefix+"n1", map[string]any{"holder": "n2", "boot": 3}, 6)
 	if !taskRange.MayBeOn("i-2") {
-		t.Error("trusted under an owner that records no gang workers")
+		t.Error("the recorded workers are trusted under an owner that records no gang workers")
 	}
 	h.WriteRecord(jobs.ShardPrefix+"n1", membership.EncodeShard(harness.Self, harness.Incarnation, h.Membership.Shard("n1"), time.Now()), 8)
 	late := addGang(h, "wk-2", "n1", 9, "i-1")
 	if !taskRange.MayBeOn("i-2") || late.MayBeOn("i-2") {
-		t.Errorf("may run on another worker: claimed before %v, claimed after %v", taskRange.MayBeOn("i-2"), late.MayBeOn("i-2"))
+		t.Errorf("may run on another worker: gang claimed before %v, gang claimed after %v", taskRange.MayBeOn("i-2"), late.MayBeOn("i-2"))
 	}
 }
 
-// A gang that is planned on other workers starts only once these are recorded. A write without an
-// answer leaves it open which workers are recorded until the record has another revision.
+// A gang that is planned again, on other workers, starts only once these workers are recorded. After a
+// write without an answer it is unknown which workers are recorded, until the record has a new
+// revision.
 func TestReplannedGangWaitsForRecordedWorkers(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -98,7 +99,7 @@
 	}
 	plan(a, b)
 	if !h.State.GangCanStart(job) {
-		t.Fatal("planned on the recorded workers, and cannot start")
+		t.Fatal("cannot start although it is planned on the recorded workers")
 	}
 	plan(a, c)
 	if h.State.GangCanStart(job) {
@@ -114,7 +115,7 @@
 	}
 	h.WriteRecord(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n0", Count: 2, GangWorkers: []string{"i-1", "i-3"}}, 11)
 	if h.State.GangCanStart(job) {
-		t.Error("the write was applied after all, and it can start elsewhere")
+		t.Error("can start on other workers although the write was applied after all")
 	}
 	if plan(a, c); !h.State.GangCanStart(job) {
 		t.Error("cannot start on the recorded workers")
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -1,7 +1,7 @@
 // Package reconciliation brings a shard back to work after its owner changed or all controllers
 // went down (docs/recovery.md). It makes first contact with the shard's workers at a rate that
-// leaves the processor to users, compares their heartbeats with the records, and decides from when
-// on a claimed task that no worker lists may be started.
+// leaves processor time for user requests, compares the workers' heartbeats with the records, and
+// decides when a claimed task that no worker lists may be started.
 package reconciliation
 
 import (
@@ -17,15 +17,17 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Dependencies are the components of the same actor that reconciliation reads and changes.
+// Dependencies are the components of the controller that reconciliation reads and changes. They
+// belong to the same actor as the Reconciler.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
 	Cache      *statecache.Cache
 }
 
-// Reconciler follows the recovery of the local shards. A worker is confirmed when its first
-// heartbeat under the shard's epoch was applied. It has no locks: one actor owns it.
+// Reconciler tracks the recovery of the local shards. A worker is confirmed when its first
+// heartbeat under the shard's epoch was applied. A Reconciler is not safe for concurrent use: a
+// single actor owns it.
 type Reconciler struct {
 	Dependencies
 	cfg        *config.Config
@@ -33,7 +35,7 @@
 	recoveries map[string]*shardRecovery // by shard
 }
 
-// New returns a reconciler that follows no shard yet.
+// New returns a reconciler that tracks no shard yet.
 func New(cfg *config.Config, deps Dependencies, log *slog.Logger) *Reconciler {
 	return &Reconciler{Dependencies: deps, cfg: cfg, log: log, recoveries: map[string]*shardRecovery{}}
 }
@@ -41,7 +43,8 @@
 // Reset drops all recoveries, since the records are read again.
 func (r *Reconciler) Reset() { clear(r.recoveries) }
 
-// recoveryOf returns the recovery of a local shard under its present epoch.
+// recoveryOf returns the recovery of a local shard under its current epoch, and creates it at the
+// first call for this epoch.
 func (r *Reconciler) recoveryOf(shard *membership.Shard) *shardRecovery {
 	recovery := r.recoveries[shard.ID()]
 	if recovery != nil && recovery.epoch == shard.Epoch() {
@@ -52,7 +55,7 @@
 		acquiredAt:      shard.KnownSince(),
 		recordedWorkers: r.State.MachineCountIn(shard.ID()),
 		commandsSent:    map[string]int{},
-		exempt:          map[*clusterstate.Machine]bool{},
+		exemptWorkers:   map[*clusterstate.Machine]bool{},
 	}
 	r.recoveries[shard.ID()] = recovery
 	return recovery
@@ -66,7 +69,8 @@
 	return nil
 }
 
-// CountDiscrepancy counts a discrepancy in a worker's first heartbeat under the present epoch.
+// CountDiscrepancy counts a discrepancy if it is in the worker's first heartbeat under the current
+// epoch.
 func (r *Reconciler) CountDiscrepancy(machine *clusterstate.Machine, discrepancy Discrepancy) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery != nil && !machine.HasReported() {
@@ -74,11 +78,11 @@
 	}
 }
 
-// WorkerRegistered counts a worker that sent heartbeats without a record and was recorded now, if its
-// shard was acquired recently.
+// WorkerRegistered counts a worker that sent heartbeats before it had a record and has just been
+// recorded, if its shard was acquired recently.
 func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
-	if recovery != nil && recovery.isTracked(now) {
+	if recovery != nil && recovery.inTrackingPeriod(now) {
 		recovery.discrepancies[WorkerUnrecorded]++
 	}
 }
@@ -87,7 +91,7 @@
 // recently.
 func (r *Reconciler) CommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
-	if recovery == nil || !recovery.isTracked(now) {
+	if recovery == nil || !recovery.inTrackingPeriod(now) {
 		return
 	}
 	for _, command := range commands {
@@ -95,7 +99,7 @@
 	}
 }
 
-// WorkerConfirmed notes that a worker's first heartbeat under the present epoch was applied.
+// WorkerConfirmed notes that a worker's first heartbeat under the current epoch was applied.
 func (r *Reconciler) WorkerConfirmed(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery == nil {
@@ -105,23 +109,24 @@
 	r.reconcileShard(r.State.OwnedShard(machine), now)
 }
 
-// WorkerTransferred confirms a worker by the previous owner's snapshot, which lists the worker's tasks.
-// The caller calls Check when it has applied the whole snapshot.
+// WorkerTransferred confirms a worker on the basis of the previous owner's snapshot, which lists the
+// worker's tasks. The caller calls Check when it has applied the whole snapshot.
 func (r *Reconciler) WorkerTransferred(machine *clusterstate.Machine) {
 	if recovery := r.recoveryOfWorker(machine); recovery != nil {
 		recovery.confirm(machine)
 	}
 }
 
-// ExemptWorker notes that a worker need not be confirmed: by the previous owner's snapshot no
-// command was ever sent to it.
+// ExemptWorker notes that a worker need not be confirmed, because the previous owner's snapshot shows
+// that no command was ever sent to it.
 func (r *Reconciler) ExemptWorker(machine *clusterstate.Machine) {
 	if recovery := r.recoveryOfWorker(machine); recovery != nil {
-		recovery.exempt[machine] = true
+		recovery.exemptWorkers[machine] = true
 	}
 }
 
-// Check completes what can be completed of the recovery of each local shard.
+// Check completes the recovery of each local shard, or of single task ranges, where the confirmed
+// workers and expired leases allow it.
 func (r *Reconciler) Check(now time.Time) {
 	for _, shard := range r.Membership.LocalShards() {
 		r.reconcileShard(shard, now)
@@ -129,25 +134,25 @@
 	}
 }
 
-// isOpen reports whether a shard's records are read and its recovery is not complete.
+// isReconciling reports whether a shard's records are read and its recovery is not complete.
 //
-// The write that acquired a shard is known here before the watch has delivered earlier changes. A
-// worker or task range that was recorded just before it may still be missing, and a task on that
-// worker would be started a second time. So nothing is decided before the cache has reached the
-// shard's epoch.
-func (r *Reconciler) isOpen(shard *membership.Shard) bool {
+// This controller knows of the write that acquired the shard before the watch has delivered earlier
+// changes. A worker or task range that was recorded just before that write may still be missing in
+// the cache, and a task on that worker would be started a second time. So nothing is decided before
+// the cache has reached the shard's epoch.
+func (r *Reconciler) isReconciling(shard *membership.Shard) bool {
 	return !shard.IsReconciled() && r.Cache.HasReachedEpoch(shard)
 }
 
-// reconcileShard completes the recovery of a shard once each of its workers is confirmed or its
-// lease has expired: then no worker runs a task that no heartbeat has listed.
+// reconcileShard completes the recovery of a shard once each of its workers is confirmed or the
+// worker's lease has expired. From then on no worker runs a task that no heartbeat has listed.
 func (r *Reconciler) reconcileShard(shard *membership.Shard, now time.Time) {
-	if !r.isOpen(shard) {
+	if !r.isReconciling(shard) {
 		return
 	}
 	recovery := r.recoveryOf(shard)
-	// This runs for each first heartbeat. It is cheap because mostly the first unconfirmed worker ends
-	// the loop.
+	// This runs for each first heartbeat. It is cheap because the first unconfirmed worker usually
+	// ends the loop.
 	for machine := range listUnconfirmed(r, shard) {
 		if !isLeaseExpired(r, shard, machine, now) {
 			return
@@ -163,7 +168,8 @@
 	r.log.Info("shard reconciled", append(attributes, recovery.logAttributes()...)...)
 }
 
-// markAllNotRunning lets the tasks of a reconciled shard be started whose place is still unknown.
+// markAllNotRunning allows the start of those tasks of a reconciled shard whose location is still
+// unknown.
 func (r *Reconciler) markAllNotRunning(shard *membership.Shard, recovery *shardRecovery) {
 	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
 		if taskRange.IsOwned() {
@@ -172,8 +178,8 @@
 	}
 }
 
-// countMissingWorkers counts the workers recorded before the shard was acquired that have sent no
-// heartbeat since.
+// countMissingWorkers counts the workers that were recorded before the shard was acquired and have
+// sent no heartbeat since.
 func (r *Reconciler) countMissingWorkers(shard *membership.Shard, recovery *shardRecovery) {
 	for machine := range r.State.OwnedMachinesIn(shard.ID()) {
 		if machine.Revision() < shard.Epoch() && !machine.HasReported() {
@@ -183,11 +189,11 @@
 }
 
 // reconcileRanges completes single task ranges while some workers are unconfirmed. Every controller
-// sends a task only to a worker on which it is allowed and which is large enough: if no unconfirmed
-// worker is, none of them runs the task, and the confirmed ones did not list it. So the loss of many
-// spot machines does not hold back work that may not use any.
+// sends a task only to a worker that is large enough and that the job allows. If this holds for no
+// unconfirmed worker, none of them runs the task, and the confirmed workers did not list it. So the
+// loss of many spot machines does not delay tasks that may not run on spot machines.
 func (r *Reconciler) reconcileRanges(shard *membership.Shard) {
-	if !r.isOpen(shard) {
+	if !r.isReconciling(shard) {
 		return
 	}
 	unconfirmed := slices.Collect(listUnconfirmed(r, shard))
@@ -205,29 +211,30 @@
 }
 
 // listUnconfirmed and isLeaseExpired are variables so that mutation tests can replace them and show
-// that the invariant checkers notice.
+// that the invariant checkers detect the fault.
 var (
 	listUnconfirmed = (*Reconciler).unconfirmedWorkers
 	isLeaseExpired  = (*Reconciler).leaseExpired
 )
 
-// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more: no
-// controller can have renewed its lease recently enough, see Config.WorkerLeaseExpiresAt.
+// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more,
+// because no controller can have renewed its lease recently enough: see Config.WorkerLeaseExpiresAt.
 func (r *Reconciler) leaseExpired(shard *membership.Shard, machine *clusterstate.Machine, now time.Time) bool {
 	return now.After(r.cfg.WorkerLeaseExpiresAt(shard.KnownSince(), machine.LastHeartbeatAt()))
 }
 
-// unconfirmedWorkers yields the workers of a shard that are neither confirmed nor lost, and that a
+// unconfirmedWorkers yields the workers of a shard that are neither confirmed nor lost, and to which a
 // previous owner may have sent tasks of the shard.
 //
-// Workers whose record is younger than the shard's epoch registered since, or came empty from
-// another shard. They are left out: when a shard was acquired while hundreds of machines started,
-// waiting for the last of them delayed its recovery by 12 s after all that mattered was confirmed.
+// Workers whose record is newer than the shard's epoch are left out: they have registered since, or
+// have come from another shard without tasks. When a shard was acquired while hundreds of machines
+// started, waiting for the last of them delayed its recovery by 12 s after all relevant workers were
+// confirmed.
 //
 // The order is that of State.Machines, which is random. A fixed order would make reconcileShard slow:
-// the first unconfirmed worker of thousands would come after all those that are confirmed.
+// it could pass thousands of confirmed workers before it finds the first unconfirmed one.
 func (r *Reconciler) unconfirmedWorkers(shard *membership.Shard) iter.Seq[*clusterstate.Machine] {
-	exempt := r.recoveryOf(shard).exempt
+	exempt := r.recoveryOf(shard).exemptWorkers
 	return func(yield func(*clusterstate.Machine) bool) {
 		for machine := range r.State.Machines() {
 			if machine.Record().Shard != shard.ID() || machine.Revision() >= shard.Epoch() {
@@ -249,9 +256,9 @@
 	})
 }
 
-// couldRun reports whether a task of a range may ever have been sent to a worker: by the recorded
-// workers of a gang, by what the job allows, and by size. A machine type that is not known rules
-// nothing out.
+// couldRun reports whether a task of a range may ever have been sent to a worker. It checks the
+// recorded workers of a gang, the machines and the zone that the job and the range allow, and the
+// machine's size. A machine whose type is not known counts as large enough.
 func (r *Reconciler) couldRun(taskRange *clusterstate.TaskRange, machine *clusterstate.Machine) bool {
 	if !taskRange.MayBeOn(machine.Host()) || !taskRange.Job().Record().Allows(machine.Group()) {
 		return false
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -14,9 +14,9 @@
 	"cherrywall/internal/workerapi"
 )
 
-// A controller that had acquired a shard applied its own write before the watch had delivered a
-// worker recorded just before. It took all workers of the shard for confirmed, and would have started
-// that worker's tasks a second time.
+// A controller that had acquired a shard applied its own write before the watch had delivered the
+// record of a worker that was written just before. The controller considered all workers of the shard
+// confirmed, and would have started that worker's tasks a second time.
 func TestAcquiredShardNotReconciledBeforeCacheReachesItsEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
@@ -42,8 +42,8 @@
 	}
 }
 
-// One unconfirmed spot machine blocked every task of a shard with a new owner, also those of jobs
-// that may not run on it.
+// One unconfirmed spot machine blocked every task of a shard with a new owner, even tasks of jobs that
+// may not run on spot machines.
 func TestUnconfirmedWorkerBlocksOnlyTasksItCouldRun(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 100)
@@ -55,7 +55,7 @@
 		h.AddJob(jobs.Spec{Ref: ref, Kind: jobs.Array, Urgency: "normal", Tasks: 2, CPU: cpu, Spot: spot}, 0, 4)
 		h.AddTaskRange(ref, "n1", 2, 5)
 	}
-	addJob("wk-1", 7, false) // could not be on i-2, a spot machine; perhaps on i-3, whose type is not known
+	addJob("wk-1", 7, false) // cannot be on i-2, a spot machine; may be on i-3 while its type is unknown
 	addJob("wk-2", 7, true)  // could be on i-2
 	addJob("wk-3", 1, false) // could be on i-3
 	h.SetOwner("n1", harness.Self, 6)
@@ -77,9 +77,10 @@
 	}
 }
 
-// A shard was acquired while many new machines came up: there was always one that had not sent two
-// heartbeats, and what had been claimed before waited for the last of them. No previous owner can
-// have sent a command to a worker that registered since.
+// A shard was acquired while many new machines started. At any time one of them had not sent two
+// heartbeats yet, so tasks that had been claimed before the acquisition waited for the last of these
+// machines. No previous owner can have sent a command to a worker that registered after the
+// acquisition.
 func TestMachinesRegisteredSinceAcquisitionAreNotAwaited(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -99,9 +100,10 @@
 	}
 }
 
-// A worker came late from an owner that was partitioned together with it, was answered here, and was
-// partitioned itself. It was taken for lost by the time of the shard's acquisition alone, with up to
-// a lease left of our own response, and its tasks were started a second time.
+// A worker that had been partitioned together with its previous owner reconnected late, got a response
+// from this controller, and was partitioned again. The controller considered only the time of the
+// shard's acquisition and took the worker for lost, although up to a full lease remained from its own
+// response. The worker's tasks were started a second time.
 func TestAnsweredWorkerIsLostOnlyAfterItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
@@ -130,7 +132,7 @@
 		time.Sleep(2 * time.Second)
 		h.Reconciler.Check(time.Now())
 		if taskRange.CountTasks(clusterstate.TaskReady) != 1 {
-			t.Error("its task is still unaccounted for")
+			t.Error("the location of the worker's task is still unknown after its lease has expired")
 		}
 	})
 }
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -10,24 +10,26 @@
 )
 
 // FencingToken returns the fencing token for a worker of a shard: the shard's epoch, or the revision of
-// the worker's record if that is newer, because the worker registered or came from another shard since.
+// the worker's record if that is newer. The record is newer if the worker has registered, or has come
+// from another shard, since the shard was acquired.
 func FencingToken(shard *membership.Shard, machine *clusterstate.Machine) uint64 {
 	return max(shard.Epoch(), machine.Revision())
 }
 
-// Stage is how far the recovery of a shard is.
+// Stage is the progress of the recovery of a shard.
 type Stage int
 
-// The stages. From StageReconciling on, the shard's owner schedules whatever is certain: jobs that
-// nobody had claimed, workers that are confirmed, task ranges that are accounted for.
+// The stages. From StageReconciling on, the shard's owner schedules everything whose state is certain:
+// jobs that no controller had claimed, workers that are confirmed, and task ranges without a task
+// whose location is unknown.
 const (
 	StageReadingRecords Stage = iota // the cache has not reached the shard's epoch
 	StageReconciling                 // workers are being confirmed
 	StageReconciled                  // every worker is confirmed or its lease has expired
 )
 
-// String returns the stage's name in views. The names are output of the administration API and keep
-// their form.
+// String returns the stage's name in views. The names are part of the administration API
+// and must not change.
 func (s Stage) String() string {
 	return [...]string{"reading records", "squaring reports", "settled"}[s]
 }
@@ -38,10 +40,10 @@
 	acquiredAt       time.Time
 	reconciledAt     time.Time
 	recordedWorkers  int    // when the shard was acquired
-	confirmedWorkers int    // those that reported under the epoch, or were part of a transfer
-	lastConfirmed    string // host name
-	// exempt are workers that need not be confirmed: no command was ever sent to them.
-	exempt        map[*clusterstate.Machine]bool
+	confirmedWorkers int    // workers that reported under the epoch or were part of a transfer
+	lastConfirmed    string // host name of the worker that was confirmed last
+	// exemptWorkers need not be confirmed, because no command was ever sent to them.
+	exemptWorkers map[*clusterstate.Machine]bool
 	discrepancies [discrepancyCount]int
 	commandsSent  map[string]int // by verb, within tuning.AcquisitionTrackingPeriod
 }
@@ -52,20 +54,20 @@
 	s.lastConfirmed = machine.Host()
 }
 
-// isTracked reports whether the shard was acquired so recently that commands and registrations
+// inTrackingPeriod reports whether the shard was acquired so recently that commands and registrations
 // still count as part of its recovery.
-func (s *shardRecovery) isTracked(now time.Time) bool {
+func (s *shardRecovery) inTrackingPeriod(now time.Time) bool {
 	return now.Sub(s.acquiredAt) < tuning.AcquisitionTrackingPeriod
 }
 
-// markNotRunning records that no worker runs the tasks of a range whose place is unknown: they may
-// be started.
+// markNotRunning records that no worker runs those tasks of a range whose location is unknown, so
+// that they may be started.
 func (s *shardRecovery) markNotRunning(taskRange *clusterstate.TaskRange) {
 	s.discrepancies[ClaimedNotRunning] += taskRange.CountTasks(clusterstate.TaskUnknown)
 	taskRange.MarkUnknownReady()
 }
 
-// discrepancyCounts returns the discrepancies that were found, by name.
+// discrepancyCounts returns the number of each kind of discrepancy that was found, by name.
 func (s *shardRecovery) discrepancyCounts() map[string]int {
 	counts := map[string]int{}
 	for discrepancy, count := range s.discrepancies {
--- a/internal/reconciliation/view.go
+++ b/internal/reconciliation/view.go
@@ -9,20 +9,20 @@
 	"cherrywall/internal/tuning"
 )
 
-// View shows operators the recovery of a shard. Durations are in seconds.
+// View describes the recovery of a shard to operators. Durations are in seconds.
 type View struct {
 	Shard              string         `json:"share"`
 	Stage              string         `json:"stage"`
 	SinceS             float64        `json:"since_s"`        // since the shard was acquired
-	ReconciledAfterS   float64        `json:"settled_s"`      // from the acquisition on; 0: not yet
+	ReconciledAfterS   float64        `json:"settled_s"`      // from the acquisition to the end of the recovery; 0: not reconciled yet
 	RecordedWorkers    int            `json:"machines"`       // when the shard was acquired
-	ConfirmedWorkers   int            `json:"heard"`          // of these and of new ones
-	UnconfirmedWorkers int            `json:"waits_for"`      // neither confirmed nor lost
+	ConfirmedWorkers   int            `json:"heard"`          // recorded workers and workers that registered later
+	UnconfirmedWorkers int            `json:"waits_for"`      // workers that are neither confirmed nor lost
 	UnconfirmedSample  []string       `json:"some,omitempty"` // host names, tuning.MaxListedNames at most
 	LongestWaitS       float64        `json:"within_s"`       // until the leases of all unconfirmed workers have expired
 	UnaccountedTasks   int            `json:"unaccounted"`
 	Discrepancies      map[string]int `json:"outcomes"`
-	CommandsSent       map[string]int `json:"orders"` // by verb, within tuning.AcquisitionTrackingPeriod
+	CommandsSent       map[string]int `json:"orders"` // by verb, within tuning.AcquisitionTrackingPeriod after the acquisition
 }
 
 // Views returns the recoveries of the local shards.
@@ -48,7 +48,7 @@
 	}
 	switch {
 	case stage == StageReconciling:
-		r.addUnconfirmed(&view, shard, now)
+		r.addPending(&view, shard, now)
 	case stage == StageReconciled && !recovery.reconciledAt.IsZero():
 		view.ReconciledAfterS = recovery.reconciledAt.Sub(recovery.acquiredAt).Seconds()
 	}
@@ -65,8 +65,9 @@
 	return StageReconciled
 }
 
-// addUnconfirmed adds to a view what the shard still waits for.
-func (r *Reconciler) addUnconfirmed(view *View, shard *membership.Shard, now time.Time) {
+// addPending adds to a view the unconfirmed workers for which the shard waits and the number of tasks
+// whose location is unknown.
+func (r *Reconciler) addPending(view *View, shard *membership.Shard, now time.Time) {
 	var hosts []string
 	for machine := range listUnconfirmed(r, shard) {
 		hosts = append(hosts, machine.Host())
