--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -1,8 +1,9 @@
-// Package reachability decides whether this controller can reach workers at all.
+// Package reachability decides whether this controller can reach any worker.
 //
-// A controller that reaches the key-value store but no worker would keep its shards until the
-// leases of all their machines have expired, and lose every task on them. It gives its shards up
-// to other controllers instead, and takes them back once it reaches workers again.
+// A controller that reaches the key-value store but no worker would keep its shards until the leases
+// of all their machines have expired, and every task on these machines would be lost. Instead, such a
+// controller gives up its shards to other controllers, and takes them back once it reaches workers
+// again.
 package reachability
 
 import (
@@ -11,14 +12,16 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxBackoffDoublings bounds how often the backoff after repeated losses is doubled.
+// maxBackoffDoublings is the maximum number of times that the backoff is doubled after repeated losses
+// of contact.
 const maxBackoffDoublings = 4
 
-// Monitor tracks the controller's contact with workers, by their heartbeats and by probes: when
-// heartbeats are missing, the owner of the Monitor sends a request to a sample of workers. It is
-// not safe for concurrent use: a single actor owns it. Its zero value is ready to use.
+// Monitor tracks the controller's contact with workers by their heartbeats and by probes. When
+// heartbeats are missing, the owner of the Monitor probes a sample of workers, that is, sends them a
+// request. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready
+// to use.
 type Monitor struct {
-	lastContactAt time.Time // of a heartbeat, or of a probe with a response
+	lastContactAt time.Time // time of the last heartbeat or successful probe
 	lastTickAt    time.Time
 
 	isProbing   bool
@@ -26,15 +29,16 @@
 
 	isUnreachable    bool
 	changedAt        time.Time // when isUnreachable last changed
-	recentLosses     int       // how often workers have become unreachable lately
-	successfulProbes int       // in succession, while unreachable
+	recentLosses     int       // losses of contact that count for the backoff, see markUnreachable
+	successfulProbes int       // in succession, while isUnreachable
 }
 
 // ObserveHeartbeat records that a worker's heartbeat has arrived.
 func (m *Monitor) ObserveHeartbeat(now time.Time) { m.lastContactAt = now }
 
-// Tick has to be called several times a second. A gap between calls shows that this process was
-// stalled, so that the missing heartbeats do not count against the workers.
+// Tick detects stalls of this process, and must be called several times a second. After a gap between
+// two calls, Tick resets the time of the last contact, because heartbeats that were missed during the
+// stall do not show that workers are unreachable.
 func (m *Monitor) Tick(now time.Time) {
 	if now.Sub(m.lastTickAt) > tuning.ProcessStallThreshold {
 		m.lastContactAt = now
@@ -43,7 +47,7 @@
 }
 
 // ShouldProbe reports whether a sample of workers should be probed now. workers is the number of
-// those that should send a heartbeat every interval.
+// workers that should send a heartbeat every interval.
 func (m *Monitor) ShouldProbe(now time.Time, workers int, interval time.Duration) bool {
 	switch {
 	case m.isProbing || now.Sub(m.lastProbeAt) < tuning.ReachabilityProbeInterval:
@@ -51,27 +55,28 @@
 	case m.isUnreachable:
 		return true
 	case workers == 0:
-		// No heartbeat is due, so its absence must not count once there are workers.
+		// No heartbeat is expected. The time without workers must not count as missing contact
+		// once there are workers.
 		m.lastContactAt = now
 		return false
 	}
-	// Heartbeats of workers that are spread evenly arrive interval/workers apart. Three missing
-	// ones in succession, and a second for delays, still prove nothing.
-	explainedSilence := 3*interval/time.Duration(workers) + time.Second
-	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, explainedSilence)
+	// If the heartbeats are spread evenly, they arrive interval/workers apart. A silence of three
+	// such distances plus one second for delays is normal.
+	normalSilence := 3*interval/time.Duration(workers) + time.Second
+	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
 }
 
-// ProbeStarted records that a probe is under way.
+// ProbeStarted records that a probe has started.
 func (m *Monitor) ProbeStarted() { m.isProbing = true }
 
-// Transition is the consequence of a probe.
+// Transition is the change of reachability that follows from the result of a probe.
 type Transition int
 
 // The transitions.
 const (
 	NoTransition Transition = iota
-	Unreachable             // no worker can be reached: give the shards up
-	Restored                // workers can be reached again: take the shards back
+	Unreachable             // no worker can be reached: the shards must be given up
+	Restored                // workers can be reached again: the shards may be taken back
 )
 
 // String returns the transition's name.
@@ -85,33 +90,35 @@
 	return "none"
 }
 
-// ProbeFinished records the result of a probe that was started at startedAt: whether any worker
-// has responded. hasLivePeer says whether another controller could take the shards over; without
-// one there is nothing to gain by giving them up.
+// ProbeFinished records the result of a probe that was started at startedAt: whether any worker has
+// responded. It returns the transition that follows from the result. hasLivePeer says whether another
+// controller could take over the shards. Without such a controller there is no point in giving them
+// up, so the transition is never Unreachable.
 func (m *Monitor) ProbeFinished(anyResponse bool, startedAt, now time.Time, hasLivePeer bool) Transition {
 	m.isProbing = false
 	m.lastProbeAt = now
 	if now.Sub(startedAt) > tuning.ProcessStallThreshold+tuning.FirstContactTimeout {
-		// The process was stalled meanwhile and may have missed responses, so the result proves
-		// nothing.
+		// The process was stalled during the probe and may have missed responses, so the result
+		// is not reliable.
 		return NoTransition
 	}
 	if m.isUnreachable {
-		return m.probedWhileUnreachable(anyResponse, now)
+		return m.probeFinishedWhileUnreachable(anyResponse, now)
 	}
 	if anyResponse {
 		m.lastContactAt = now
 		return NoTransition
 	}
 	if startedAt.After(m.lastContactAt) && hasLivePeer {
-		m.becomeUnreachable(now)
+		m.markUnreachable(now)
 		return Unreachable
 	}
 	return NoTransition
 }
 
-// becomeUnreachable begins a loss of contact, and counts it for the backoff of the next restoration.
-func (m *Monitor) becomeUnreachable(now time.Time) {
+// markUnreachable records the start of a loss of contact, and counts the loss for the backoff before
+// the next restoration. Losses count until tuning.InboundLossBackoffReset has passed without a change.
+func (m *Monitor) markUnreachable(now time.Time) {
 	if now.Sub(m.changedAt) > tuning.InboundLossBackoffReset {
 		m.recentLosses = 0
 	}
@@ -121,16 +128,16 @@
 	m.successfulProbes = 0
 }
 
-// probedWhileUnreachable restores contact after enough successful probes in succession and the
-// backoff.
-func (m *Monitor) probedWhileUnreachable(anyResponse bool, now time.Time) Transition {
+// probeFinishedWhileUnreachable records a probe's result while workers are unreachable. It returns
+// Restored once enough probes in succession have succeeded and the backoff has passed.
+func (m *Monitor) probeFinishedWhileUnreachable(anyResponse bool, now time.Time) Transition {
 	if !anyResponse {
 		m.successfulProbes = 0
 		return NoTransition
 	}
 	m.successfulProbes++
-	// The backoff grows with each loss: an unstable link must not make the shards change owners
-	// each time.
+	// The backoff grows with each loss, so that an unstable link does not make the shards change
+	// owners each time it recovers.
 	backoff := tuning.InboundLossBackoff << min(m.recentLosses-1, maxBackoffDoublings)
 	if m.successfulProbes < tuning.ReachabilityProbeSuccesses || now.Sub(m.changedAt) <= backoff {
 		return NoTransition
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -10,13 +10,12 @@
 	heartbeatInterval = 5 * time.Second
 )
 
-// A link that fails and recovers again and again: each restoration takes longer than the one
-// before.
+// If a link fails and recovers repeatedly, each restoration takes longer than the one before.
 func TestBackoffGrowsWithRepeatedLoss(t *testing.T) {
 	now := time.Now()
 	m := &Monitor{}
 	m.ObserveHeartbeat(now)
-	pass := func(duration time.Duration) {
+	advance := func(duration time.Duration) {
 		for end := now.Add(duration); now.Before(end); {
 			now = now.Add(250 * time.Millisecond)
 			m.Tick(now)
@@ -24,20 +23,20 @@
 	}
 	var previous time.Duration
 	for round := range 3 {
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		if !m.ShouldProbe(now, workers, heartbeatInterval) {
 			t.Fatal("no probe after 5 s without a heartbeat")
 		}
 		m.ProbeStarted()
 		if m.ShouldProbe(now, workers, heartbeatInterval) {
-			t.Error("a second probe at the same time")
+			t.Error("a second probe is started while one is under way")
 		}
 		if transition := m.ProbeFinished(false, now, now, true); transition != Unreachable {
 			t.Fatalf("round %d: %v", round, transition)
 		}
 		took := time.Duration(0)
 		for transition := NoTransition; transition != Restored; took += time.Second {
-			pass(time.Second)
+			advance(time.Second)
 			if !m.ShouldProbe(now, workers, heartbeatInterval) {
 				continue
 			}
@@ -45,7 +44,7 @@
 			transition = m.ProbeFinished(true, now, now, true)
 		}
 		if took <= previous {
-			t.Errorf("round %d: restored after %v, before after %v", round, took, previous)
+			t.Errorf("round %d: restored after %v, in the previous round after %v", round, took, previous)
 		}
 		previous = took
 	}
@@ -59,7 +58,7 @@
 	now = now.Add(time.Minute)
 	m.Tick(now)
 	if m.ShouldProbe(now, workers, heartbeatInterval) {
-		t.Error("probe after a minute in which the process was stalled")
+		t.Error("a probe is started after the process was stalled for a minute")
 	}
 	if transition := m.ProbeFinished(false, now.Add(-10*time.Second), now, true); transition != NoTransition {
 		t.Errorf("a probe that took 10 s leads to %v", transition)
