--- a/internal/workerapi/command_client.go
+++ b/internal/workerapi/command_client.go
@@ -16,17 +16,17 @@
 	"cherrywall/internal/tuning"
 )
 
-// The paths of the requests to workers.
+// URL paths of the requests to workers.
 const (
 	commandPath = "/do"
 	inspectPath = "/inspect"
 )
 
-// Errors of a probe.
+// Errors that Probe returns.
 var (
 	// ErrStaleToken means that the worker has seen a higher fencing token.
 	ErrStaleToken = errors.New("worker has seen a higher fencing token")
-	// ErrEpochChanges means that the worker's agent epoch changed with each request.
+	// ErrEpochChanges means that the worker's agent epoch changed between the requests of a probe.
 	ErrEpochChanges = errors.New("agent epoch keeps changing")
 )
 
@@ -39,32 +39,33 @@
 // DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// CommandClient sends requests to workers at their own addresses. After a failover hundreds of workers are
-// contacted within a second, each once. So a connection is opened, used for one request and closed, without
-// what the client of net/http sets up to keep it. It may be used by several goroutines.
+// CommandClient sends requests to workers at their own addresses. After a failover, hundreds of workers are
+// contacted within a second, each of them once. So the client opens a connection for each request and closes it
+// afterwards, without the structures that the client of net/http sets up to keep connections open. A
+// CommandClient is safe for concurrent use.
 type CommandClient struct {
 	dial DialFunc
 }
 
-// NewCommandClient returns a client that opens its connections by dial.
+// NewCommandClient returns a client that opens its connections with dial.
 func NewCommandClient(dial DialFunc) *CommandClient {
 	return &CommandClient{dial}
 }
 
-// Probe shows a worker a fencing token without any command and returns the worker's present heartbeat: from
-// then on the worker obeys no lower token. agentEpoch is the agent epoch in which the worker is believed to
-// be; if it is in another one, it is asked once more. The error is or wraps ErrStaleToken, ErrEpochChanges, a
-// *StatusError, or the error of the connection or of ParseHeartbeat.
+// Probe sends a worker a fencing token without any command and returns the worker's current heartbeat. From
+// then on the worker obeys no lower token. agentEpoch is the last known agent epoch of the worker; if the worker
+// is in another agent epoch, Probe repeats the request once with that epoch. The error is or wraps
+// ErrStaleToken, ErrEpochChanges, a *StatusError, or the error of the connection or of ParseHeartbeat.
 func (c *CommandClient) Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
 	for range 2 {
 		request := CommandRequest{FencingToken: fencingToken, AgentEpoch: agentEpoch, Commands: []Command{}}
-		heartbeat, done, err := c.send(ctx, addr, request)
+		heartbeat, executed, err := c.send(ctx, addr, request)
 		if err != nil {
 			return nil, fmt.Errorf("probe: %w", err)
 		}
-		if done {
+		if executed {
 			return heartbeat, nil
 		}
 		if heartbeat.FencingToken > fencingToken {
@@ -75,19 +76,20 @@
 	return nil, fmt.Errorf("probe: %w", ErrEpochChanges)
 }
 
-// Execute sends a worker commands. It returns the worker's present heartbeat, and whether the worker has
-// executed the commands: it has not if it is in another agent epoch or has seen a higher fencing token. With
-// an error nothing is known of the commands.
-func (c *CommandClient) Execute(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, done bool, err error) {
+// Execute sends commands to a worker. It returns the worker's current heartbeat, and whether the worker has
+// executed the commands. The worker does not execute them if it is in another agent epoch or has seen a higher
+// fencing token. If Execute returns an error, it is unknown whether the commands were executed.
+func (c *CommandClient) Execute(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
-	if heartbeat, done, err = c.send(ctx, addr, request); err != nil {
+	if heartbeat, executed, err = c.send(ctx, addr, request); err != nil {
 		return nil, false, fmt.Errorf("command: %w", err)
 	}
-	return heartbeat, done, nil
+	return heartbeat, executed, nil
 }
 
-// Inspect asks a worker for its heartbeat only to see whether the worker can be reached.
+// Inspect requests a worker's heartbeat and discards it, to check whether the worker can be reached. It returns
+// nil if the worker answers with status 200.
 func (c *CommandClient) Inspect(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
@@ -101,20 +103,21 @@
 	return nil
 }
 
-// send sends a command request. A worker that does not execute it answers with its heartbeat, too.
-func (c *CommandClient) send(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, done bool, err error) {
+// send sends a command request. It returns the worker's heartbeat, and whether the worker has executed the
+// request. A worker that does not execute the request answers with its heartbeat as well.
+func (c *CommandClient) send(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, executed bool, err error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, false, fmt.Errorf("encode request: %w", err)
 	}
-	status, answer, err := c.roundTrip(ctx, http.MethodPost, addr, commandPath, body)
+	status, responseBody, err := c.roundTrip(ctx, http.MethodPost, addr, commandPath, body)
 	if err != nil {
 		return nil, false, err
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
 		return nil, false, &StatusError{status}
 	}
-	if heartbeat, err = ParseHeartbeat(answer); err != nil {
+	if heartbeat, err = ParseHeartbeat(responseBody); err != nil {
 		return nil, false, fmt.Errorf("heartbeat: %w", err)
 	}
 	return heartbeat, status == http.StatusOK, nil
@@ -122,14 +125,15 @@
 
 var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// roundTrip makes one request over a connection of its own and reads the whole answer.
-func (c *CommandClient) roundTrip(ctx context.Context, method, addr, path string, body []byte) (status int, answer []byte, err error) {
+// roundTrip sends one request over a new connection and reads the response body, up to
+// tuning.MaxDirectHeartbeatBytes.
+func (c *CommandClient) roundTrip(ctx context.Context, method, addr, path string, body []byte) (status int, responseBody []byte, err error) {
 	conn, err := c.dial(ctx, "tcp", addr)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { _ = conn.Close() }()
-	// A deadline in the past ends a call that hangs when the context ends.
+	// When the context ends, a deadline in the past ends a read or write that blocks.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.Write(encodeRequest(method, addr, path, body)); err != nil {
@@ -142,11 +146,11 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, err = io.ReadAll(io.LimitReader(response.Body, tuning.MaxDirectHeartbeatBytes))
-	return response.StatusCode, answer, err
+	responseBody, err = io.ReadAll(io.LimitReader(response.Body, tuning.MaxDirectHeartbeatBytes))
+	return response.StatusCode, responseBody, err
 }
 
-// encodeRequest returns an HTTP request in its wire form; body is JSON or nil.
+// encodeRequest returns an HTTP request in its wire form. body is JSON, or nil for a request without a body.
 func encodeRequest(method, addr, path string, body []byte) []byte {
 	const headersSize = 256
 	request := make([]byte, 0, headersSize+len(body))
--- a/internal/workerapi/command_client_test.go
+++ b/internal/workerapi/command_client_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// newTestClient returns a client whose requests are answered over connections in memory.
-func newTestClient(t *testing.T, answer func(body string) (status int, heartbeat string)) *CommandClient {
+// newTestClient returns a client whose requests respond answers over in-memory connections.
+func newTestClient(t *testing.T, respond func(body string) (status int, heartbeat string)) *CommandClient {
 	t.Helper()
 	return NewCommandClient(func(context.Context, string, string) (net.Conn, error) {
 		clientConn, serverConn := net.Pipe()
 		go func() {
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				request, _ := io.ReadAll(r.Body)
-				status, heartbeat := answer(string(request))
+				status, heartbeat := respond(string(request))
 				w.WriteHeader(status)
 				_, _ = io.WriteString(w, heartbeat)
 			})}
@@ -49,7 +49,7 @@
 	heartbeatWithToken := func(token string) string {
 		return `{"host":"i-1","addr":"x","build":"g8","valley":"a","watch":3,"tick":9,"baton":` + token + `,"shifts":[]}`
 	}
-	t.Run("asks again in the worker's agent epoch", func(t *testing.T) {
+	t.Run("repeats the request in the worker's agent epoch", func(t *testing.T) {
 		client := newTestClient(t, func(body string) (int, string) {
 			if strings.Contains(body, `"watch":3`) {
 				return 200, heartbeatWithToken("41")
@@ -89,7 +89,7 @@
 	})
 }
 
-// BenchmarkProbe is a probe over loopback, the worker's part included.
+// BenchmarkProbe measures a probe over the loopback interface, including the worker's part.
 func BenchmarkProbe(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -8,22 +8,23 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxHostLength bounds the names of workers, which are part of keys, in bytes.
+// maxHostLength is the maximum length of a worker's host name in bytes. Host names are part of keys in the
+// key-value store.
 const maxHostLength = 100
 
-// FieldError means that a field of a heartbeat is missing or wrong.
+// FieldError means that a field of a heartbeat is missing or invalid.
 type FieldError struct {
-	Field string // by its name in the JSON form, or "body"
+	Field string // the field's path in the JSON form, or "body"
 	Err   error
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the error in it.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the error in the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// What may be wrong with a field, besides its type.
+// Errors in a field, apart from a wrong type.
 var (
 	errMissing          = errors.New("missing")
 	errMissingOrTooLong = errors.New("missing or too long")
@@ -32,14 +33,14 @@
 	errIncomplete       = errors.New("incomplete")
 )
 
-// parserPool keeps the memory of the parsers for the next heartbeat: a controller spends most of its processor
-// time on reading heartbeats.
+// parserPool reuses the memory of the parsers, because a controller spends most of its processor time on reading
+// heartbeats.
 var parserPool fastjson.ParserPool
 
 // ParseHeartbeat reads and checks a heartbeat. The error is a *FieldError.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	parser := parserPool.Get()
-	defer parserPool.Put(parser) // nothing of its memory is kept: strings are copied
+	defer parserPool.Put(parser) // safe because the heartbeat contains copies of all strings
 	value, err := parser.ParseBytes(body)
 	if err != nil {
 		return nil, &FieldError{"body", err}
@@ -72,7 +73,7 @@
 	return heartbeat, nil
 }
 
-// parseTasks reads the tasks of a heartbeat; without any it returns nil.
+// parseTasks reads the tasks of a heartbeat. It returns nil if there are none.
 func parseTasks(values []*fastjson.Value) ([]TaskStatus, error) {
 	if len(values) == 0 {
 		return nil, nil
@@ -90,7 +91,7 @@
 	return tasks, nil
 }
 
-// parse reads a task. An error without a field concerns the whole task.
+// parse reads a task. An error with an empty Field concerns the whole task.
 func (t *TaskStatus) parse(value *fastjson.Value) *FieldError {
 	object, err := value.Object()
 	if err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// validate checks the fields that a heartbeat must have.
+// validate checks the required fields of a heartbeat.
 func (h *Heartbeat) validate() error {
 	switch {
 	case h.Host == "" || len(h.Host) > maxHostLength:
@@ -134,7 +135,7 @@
 }
 
 // objectReader reads the fields of a JSON object. A field that is missing or null reads as the zero value. err
-// is the first field of a wrong type.
+// describes the first field of a wrong type.
 type objectReader struct {
 	object *fastjson.Object
 	err    *FieldError
@@ -154,7 +155,7 @@
 	}
 }
 
-// readField reads a field by a conversion, which fails if the field is of another type.
+// readField reads a field with convert, which fails if the field is of another type.
 func readField[T any](r *objectReader, name string, convert func(*fastjson.Value) (T, error)) (field T) {
 	value := r.get(name)
 	if value == nil {
@@ -185,8 +186,7 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// taskState reads a state that is nearly always one of the protocol's constants, for which it allocates
-// nothing.
+// taskState reads a task state. It does not allocate for the protocol's constants, which nearly all states are.
 func (r *objectReader) taskState(name string) TaskState {
 	text := r.bytes(name)
 	switch TaskState(text) { // the compiler does not copy the bytes for the comparison
@@ -204,7 +204,7 @@
 	return TaskState(text)
 }
 
-// exitCause reads a cause. It allocates nothing for that of most ended tasks.
+// exitCause reads an exit cause. It does not allocate for CauseDone, with which most tasks end.
 func (r *objectReader) exitCause(name string) ExitCause {
 	text := r.bytes(name)
 	if ExitCause(text) == CauseDone { // the compiler does not copy the bytes for the comparison
@@ -213,7 +213,8 @@
 	return ExitCause(text)
 }
 
-// seconds reads a finite number; nil if there is none.
+// seconds reads a finite number. It returns nil if the field is missing or null. Any other value is
+// a wrong type.
 func (r *objectReader) seconds(name string) *float64 {
 	value := r.get(name)
 	if value == nil {
--- a/internal/workerapi/parse_heartbeat_test.go
+++ b/internal/workerapi/parse_heartbeat_test.go
@@ -13,7 +13,7 @@
 	"shifts":[{"shift":"wk-000412/3","try":18446744073709551615,"status":"running","cause":null},
 	          {"shift":"wk-000398/0","try":1,"status":"ended","cause":"stopped","kept":true}]}`
 
-// The parser reads a heartbeat like encoding/json.
+// ParseHeartbeat gives the same result as encoding/json.
 func TestParseHeartbeatMatchesEncodingJSON(t *testing.T) {
 	got, err := ParseHeartbeat([]byte(sampleHeartbeat))
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// A heartbeat is refused with the name of the field that is wrong.
+// The error for an invalid heartbeat names the invalid field.
 func TestParseHeartbeatRefusesBadFields(t *testing.T) {
 	for _, test := range []struct{ name, old, new, wantError string }{
 		{"agent epoch is zero", `"watch":1`, `"watch":0`, "watch: missing"},
@@ -59,7 +59,7 @@
 	}
 }
 
-// Whatever a network delivers, a heartbeat is refused or complete.
+// For any input, ParseHeartbeat returns an error or a heartbeat with all required fields.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(sampleHeartbeat))
 	f.Add([]byte(`{"host":"i","build":"b","valley":"a","watch":1}`))
