--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -228,9 +228,9 @@
 	return len(seen), nil
 }
 
-// Both workers never run the task, whatever the order of events. The test must find a violation if
-// the old owner still responds after a transfer, or if a recipient continues from the payload of an
-// older epoch.
+// The two workers never run the task at the same time, whatever the order of events. The test must
+// find a violation if the old owner still responds after a transfer, or if a recipient continues from
+// the payload of an older epoch.
 func TestModelNeverRunsTaskTwice(t *testing.T) {
 	visited, violation := explore(mutation{}, 10)
 	if violation != nil {
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -11,7 +11,8 @@
 )
 
 // buildChunks returns the state of a shard as chunks, each of which fits a frame. It returns nil if
-// sending all chunks would take longer than the workers may go without responses.
+// sending all chunks would take longer than the workers may go without responses, or if the tasks of
+// one machine do not fit a chunk.
 func (c *Coordinator) buildChunks(shard *membership.Shard, machines []*clusterstate.Machine, now time.Time) []*peer.TransferChunk {
 	snapshots := c.unrecordedCompletions(shard)
 	for _, machine := range machines {
