--- a/internal/workersession/cancellation_test.go
+++ b/internal/workersession/cancellation_test.go
@@ -16,7 +16,7 @@
 )
 
 // clusterViolations runs a scenario on three controllers that exchange peer messages, and some machines. It
-// returns the rules that were broken.
+// returns the rules that were violated.
 func clusterViolations(t *testing.T, machineCount int, scenario func(cluster *fake.Cluster)) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,18 +37,18 @@
 	return violations
 }
 
-// runScenario is clusterViolations for scenarios in which no rule may be broken.
+// runScenario runs a scenario like clusterViolations, and fails the test for each rule that was violated.
 func runScenario(t *testing.T, machineCount int, scenario func(cluster *fake.Cluster)) {
 	t.Helper()
 	for _, violation := range clusterViolations(t, machineCount, scenario) {
-		t.Error("broken rule:", violation)
+		t.Error("violated rule:", violation)
 	}
 }
 
 func submit(t *testing.T, cluster *fake.Cluster, node string, spec jobs.Spec, runTime time.Duration) {
 	t.Helper()
 	if response := cluster.Submit(node, spec, runTime); response.Code != 201 {
-		t.Fatalf("%s: submission answered %+v", spec.Ref, response)
+		t.Fatalf("%s: response to the submission: %+v", spec.Ref, response)
 	}
 }
 
@@ -61,12 +61,12 @@
 	mu          sync.Mutex
 	confirmedAt map[string]time.Time // by job
 	started     []string             // tasks that started after the confirmation
-	commanded   []string             // those of them whose start was also sent after it
+	startsSent  []string             // the tasks in started whose start was also sent after the confirmation
 }
 
 func recordLateStarts(cluster *fake.Cluster) *lateStarts {
 	s := &lateStarts{confirmedAt: map[string]time.Time{}}
-	cluster.OnTaskStart(func(task, host string, commandedAt time.Time) {
+	cluster.OnTaskStart(func(task, host string, startSentAt time.Time) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		ref, _, _ := jobs.ParseTask(task)
@@ -75,15 +75,15 @@
 			return
 		}
 		s.started = append(s.started, fmt.Sprintf("%s on %s after %v", task, host, time.Since(confirmedAt)))
-		if commandedAt.After(confirmedAt) {
-			s.commanded = append(s.commanded, task)
+		if startSentAt.After(confirmedAt) {
+			s.startsSent = append(s.startsSent, task)
 		}
 	})
 	return s
 }
 
-// cancel cancels jobs within a fifth of a second, each at the controller that nodeOf names, and waits for
-// the confirmations.
+// cancel cancels jobs within a fifth of a second, each at the controller that nodeOf returns, and waits for the
+// confirmations.
 func (s *lateStarts) cancel(t *testing.T, cluster *fake.Cluster, nodeOf func(index int) string, refs ...string) {
 	t.Helper()
 	var cancellations sync.WaitGroup
@@ -103,8 +103,8 @@
 	cancellations.Wait()
 }
 
-// Jobs are cancelled while their tasks fetch their image, or while their starts are being sent: none of
-// their tasks starts once the cancellation is confirmed.
+// Jobs are cancelled while their tasks fetch the image, or while the starts are being sent: no task starts after
+// the cancellation is confirmed.
 func TestNoTaskStartsAfterConfirmedCancellation(t *testing.T) {
 	for _, freeze := range []bool{false, true} {
 		for seed := range uint64(6) {
@@ -131,7 +131,7 @@
 	}
 	time.Sleep(randomDuration(rnd, 0, 3000))
 	starts := recordLateStarts(cluster)
-	if freeze { // some within the lease of 10 s, some longer
+	if freeze { // some for less than the lease of 10 s, some for longer
 		for _, host := range cluster.Hosts()[:5] {
 			cluster.FreezeMachine(host, true)
 			time.AfterFunc(randomDuration(rnd, 500, 14000), func() { cluster.FreezeMachine(host, false) })
@@ -153,8 +153,8 @@
 	}
 }
 
-// The key-value store refuses one owner alone, which reaches its peers or nobody at all, and goes on sending
-// starts of what it knows: none of a job whose cancellation is confirmed.
+// The key-value store refuses the requests of a single owner, which can reach its peers or is isolated from them
+// too. The owner continues to send starts, but none for a job whose cancellation is confirmed.
 func TestOwnerCutOffFromStoreSendsNoStartAfterCancellation(t *testing.T) {
 	for _, isolated := range []bool{false, true} {
 		for seed := range uint64(4) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Without the bound on the age of what is known, such starts are sent.
+// Without the bound on the age of the known cancellations, such starts are sent.
 func TestMutationStartsWithoutReadBarrierIsDetected(t *testing.T) {
 	defer workersession.StartWithoutReadBarrier()()
 	for seed := range uint64(20) {
@@ -173,14 +173,14 @@
 			return
 		}
 	}
-	t.Error("20 scenarios of the mutation kept the rule")
+	t.Error("20 scenarios of the mutation did not violate the rule")
 }
 
 func startsSentAfterCancellation(t *testing.T, isolated bool, seed uint64) (tasks []string) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 10))
 	runScenario(t, 6, func(cluster *fake.Cluster) {
-		// More tasks than there are resources for: those that are claimed ahead start one after the other.
+		// There are more tasks than resources: the tasks that are claimed ahead start one after the other.
 		submit(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 90, 1), randomDuration(rnd, 6000, 3000))
 		time.Sleep(randomDuration(rnd, 2000, 2000))
 		starts := recordLateStarts(cluster)
@@ -196,21 +196,21 @@
 		for !cluster.IsCancelled("wk-1") {
 			time.Sleep(time.Millisecond)
 		}
-		cluster.Store.SetOutage(true) // before anybody acquires the shard of the refused owner
+		cluster.Store.SetOutage(true) // before another controller acquires the shard of the refused owner
 		<-confirmed
 		time.Sleep(15 * time.Second)
 		cluster.Store.SetOutage(false)
 		cluster.Store.RefuseNode("n0", false)
 		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(10 * time.Second)
-		tasks = slices.Clone(starts.commanded)
+		tasks = slices.Clone(starts.startsSent)
 	})
 	return tasks
 }
 
-// Responses take almost as long as workers wait for them, heartbeats are close together, and machines reach
-// no controller for a moment: a start that is in flight does not count as lost.
-func TestStartInFlightIsNotTakenForLost(t *testing.T) {
+// Responses take almost as long as workers wait for them, the heartbeat interval is short, and machines cannot
+// reach a controller for a short time: a start that is in flight must not be treated as lost.
+func TestStartInFlightIsNotTreatedAsLost(t *testing.T) {
 	for seed := range uint64(8) {
 		for _, violation := range violationsWithDelayedResponses(t, seed) {
 			t.Errorf("seed %d: %s", seed, violation)
@@ -218,7 +218,7 @@
 	}
 }
 
-// Asked a moment after their last heartbeat, workers do not list the tasks whose start is in flight.
+// Workers that are asked shortly after their last heartbeat do not list the tasks whose start is still in flight.
 func TestMutationTrustingEveryDirectHeartbeatIsDetected(t *testing.T) {
 	defer workersession.TrustEveryDirectHeartbeat()()
 	for seed := range uint64(30) {
@@ -226,7 +226,7 @@
 			return
 		}
 	}
-	t.Error("30 scenarios of the mutation kept the rule")
+	t.Error("30 scenarios of the mutation did not violate the rule")
 }
 
 func violationsWithDelayedResponses(t *testing.T, seed uint64) []string {
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -30,9 +30,10 @@
 	return false
 }
 
-// commands returns the commands of the response to a heartbeat: first stops, then acknowledgements of
-// ended tasks, then starts for which there are resources.
-func (m *Manager) commands(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) []workerapi.Command {
+// responseCommands returns the commands of the response to a heartbeat: first stops, then acknowledgements
+// of ended tasks, then the starts that the gate admits. A machine that takes no more tasks gets no starts,
+// and its planned tasks are unplaced.
+func (m *Manager) responseCommands(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{} // encoded as an empty list, not as null
 	commands = append(commands, m.stopCommands(machine)...)
 	commands = append(commands, m.acknowledgements(machine, heartbeat)...)
@@ -43,8 +44,8 @@
 	return append(commands, m.startCommands(machine)...)
 }
 
-// stopCommands stops tasks. A stop is repeated until the worker reports that it saves a checkpoint, or
-// that the task has ended.
+// stopCommands returns the stop commands for the started tasks that are to be stopped. A stop is repeated
+// until the worker reports that it saves a checkpoint, or that the task has ended.
 func (m *Manager) stopCommands(machine *clusterstate.Machine) []workerapi.Command {
 	var commands []workerapi.Command
 	for assignment := range machine.Assignments() {
@@ -73,7 +74,8 @@
 	}
 }
 
-// acknowledgements lets the worker drop the ended tasks that it need not keep any longer.
+// acknowledgements returns the commands that acknowledge ended tasks, so that the worker drops them. A task is
+// not acknowledged while its completion is not durable, or while the same attempt is assigned to the worker.
 func (m *Manager) acknowledgements(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	var commands []workerapi.Command
 	for _, task := range heartbeat.Tasks {
@@ -89,21 +91,22 @@
 	return commands
 }
 
-// isCompletionPending reports whether a task is done and its completion is not durable yet. Until then
-// the worker must keep it, since its heartbeat is the only evidence.
+// isCompletionPending reports whether a task is done and its completion is not durable yet. Until it is
+// durable, the worker must keep the task, because only its heartbeats show the completion.
 func (m *Manager) isCompletionPending(task workerapi.TaskStatus) bool {
 	ref, index, ok := jobs.ParseTask(task.Task)
 	if !ok || task.Cause != workerapi.CauseDone {
 		return false
 	}
-	if taskRange, at := m.State.FindTask(ref, index); taskRange != nil && !taskRange.Record().Done.Has(at) {
+	if taskRange, offset := m.State.FindTask(ref, index); taskRange != nil && !taskRange.Record().Done.Has(offset) {
 		return true
 	}
 	job := m.State.Job(ref)
 	return job != nil && !job.HasEnded() && job.InTransaction()
 }
 
-// unplacePlanned frees the tasks that were planned on a machine that takes no more tasks.
+// unplacePlanned unplaces the planned tasks of a machine that takes no more tasks, so that they can be placed
+// on other machines.
 func (m *Manager) unplacePlanned(machine *clusterstate.Machine) {
 	for assignment := range machine.Assignments() {
 		if assignment.Status().IsPlanned() && assignment.Job() != nil {
@@ -112,7 +115,8 @@
 	}
 }
 
-// startCommands starts the planned tasks that the gate admits.
+// startCommands returns the start commands for the planned tasks that the gate admits, and records the reason
+// for each refusal.
 func (m *Manager) startCommands(machine *clusterstate.Machine) []workerapi.Command {
 	var commands []workerapi.Command
 	now := time.Now()
@@ -121,11 +125,11 @@
 			continue
 		}
 		if refusal := checkStart(m.Gate, assignment, now); refusal != startgate.Allowed {
-			m.noteRefusal(assignment, refusal)
+			m.recordRefusal(assignment, refusal)
 			continue
 		}
 		if isGang(assignment) {
-			m.noteGangStart(assignment.Job(), machine)
+			m.markGangStarted(assignment.Job(), machine)
 		}
 		m.State.MarkStartSent(assignment)
 		m.Claims.NoteStartSent(assignment)
@@ -138,8 +142,8 @@
 // checkStart is a variable so that mutation tests can replace it.
 var checkStart = (*startgate.Gate).Check
 
-// noteRefusal records why a start is not sent, each time that the reason changes.
-func (m *Manager) noteRefusal(assignment *clusterstate.Assignment, refusal startgate.Refusal) {
+// recordRefusal adds to the decision log why a start is not sent, each time that the reason changes.
+func (m *Manager) recordRefusal(assignment *clusterstate.Assignment, refusal startgate.Refusal) {
 	if m.State.NoteStartRefused(assignment, string(refusal)) {
 		m.record(decisionlog.StartRefused, assignment, string(refusal))
 	}
@@ -164,9 +168,10 @@
 	m.Decisions.Add(decision)
 }
 
-// checkStarts reports start commands that the gate has not admitted: only MarkStartSent, after the gate,
-// marks a task as started. Commands of direct exchanges contain none.
-func (m *Manager) checkStarts(machine *clusterstate.Machine, commands []workerapi.Command) {
+// reportUnadmittedStarts reports an invariant violation for each start command that the gate has not admitted.
+// It finds them by Status.StartSent, which is set only by MarkStartSent, after the gate has admitted the start.
+// Direct requests contain no start commands.
+func (m *Manager) reportUnadmittedStarts(machine *clusterstate.Machine, commands []workerapi.Command) {
 	for _, command := range commands {
 		if command.Verb != workerapi.VerbStart {
 			continue
@@ -178,8 +183,8 @@
 	}
 }
 
-// noteGangStart marks a gang as started when the first of its tasks is.
-func (m *Manager) noteGangStart(job *clusterstate.Job, machine *clusterstate.Machine) {
+// markGangStarted marks a gang as started, and logs it, when the first start of its tasks is sent.
+func (m *Manager) markGangStarted(job *clusterstate.Job, machine *clusterstate.Machine) {
 	if !m.State.StartGang(job) {
 		return
 	}
@@ -188,8 +193,8 @@
 		"shard", machine.Record().Shard, "waited_s", job.Age(time.Now()).Seconds())
 }
 
-// needsStart reports whether a task is planned, its claim is durable, and no start was sent yet. Whether
-// the start may be sent is the gate's to decide.
+// needsStart reports whether a task is planned, its claim is durable, and no start was sent yet. The gate
+// decides whether the start may be sent.
 func needsStart(assignment *clusterstate.Assignment) bool {
 	status := assignment.Status()
 	return !status.StartSent && !status.Stopping && assignment.Job() != nil && !assignment.IsTentative()
@@ -199,8 +204,9 @@
 	return assignment.Job().Record().Kind == jobs.Gang
 }
 
-// requestReadBarrier requests a linearizable read when what is known of cancellations is about to become
-// too old for starts, and sends the delayed responses when it has completed.
+// requestReadBarrier requests a linearizable read when the known cancellations are older than half of
+// tuning.MaxStartKnowledgeAge, before they become too old for starts. It sends the delayed responses when the
+// read has succeeded.
 func (m *Manager) requestReadBarrier(now time.Time) {
 	if m.isReadBarrierPending || now.Sub(m.Cache.ConsistentAsOf()) < tuning.MaxStartKnowledgeAge/2 {
 		return
--- a/internal/workersession/export_test.go
+++ b/internal/workersession/export_test.go
@@ -7,22 +7,22 @@
 	"cherrywall/internal/startgate"
 )
 
-// AcceptStaleHeartbeats is a mutation: a heartbeat that comes late counts like a new one. The returned
-// function restores the correct code.
+// AcceptStaleHeartbeats is a mutation: a heartbeat that arrives after a newer one is applied like a new one. The
+// returned function restores the correct code.
 func AcceptStaleHeartbeats() (restore func()) {
 	isStale = func(heartbeatID, heartbeatID) bool { return false }
 	return func() { isStale = heartbeatID.notAfter }
 }
 
-// StartWithoutReadBarrier is a mutation: start commands are sent whatever may have been cancelled meanwhile.
-// The returned function restores the correct code.
+// StartWithoutReadBarrier is a mutation: start commands are sent even if the job may have been cancelled
+// meanwhile. The returned function restores the correct code.
 func StartWithoutReadBarrier() (restore func()) {
-	return admitDespite(startgate.CancellationUnknown)
+	return ignoreRefusal(startgate.CancellationUnknown)
 }
 
-// admitDespite has starts admitted that the gate refuses for a reason. The returned function restores the
-// correct code.
-func admitDespite(ignored startgate.Refusal) (restore func()) {
+// ignoreRefusal admits the starts that the gate refuses for the reason ignored. The returned function restores
+// the correct code.
+func ignoreRefusal(ignored startgate.Refusal) (restore func()) {
 	original := checkStart
 	checkStart = func(gate *startgate.Gate, assignment *clusterstate.Assignment, now time.Time) startgate.Refusal {
 		refusal := original(gate, assignment, now)
@@ -34,8 +34,8 @@
 	return func() { checkStart = original }
 }
 
-// TrustEveryDirectHeartbeat is a mutation: what the answer to a direct exchange does not list counts as not
-// on the worker, whatever may still be in flight to it. The returned function restores the correct code.
+// TrustEveryDirectHeartbeat is a mutation: a task that the answer to a direct request does not list is treated as
+// not on the worker, even if its start may still be in flight. The returned function restores the correct code.
 func TrustEveryDirectHeartbeat() (restore func()) {
 	original := responsesExpired
 	responsesExpired = func(time.Duration) bool { return true }
--- a/internal/workersession/faults.go
+++ b/internal/workersession/faults.go
@@ -8,7 +8,8 @@
 	"cherrywall/internal/workerapi"
 )
 
-// taskFailed has the failure of a task attributed to its job or to the machine.
+// taskFailed records the failure of a task, which is attributed to the task's job or to the machine. A machine
+// at fault is quarantined.
 func (m *Manager) taskFailed(machine *clusterstate.Machine, assignment *clusterstate.Assignment) {
 	now, ref := time.Now(), assignment.Job().Ref()
 	var ranFor time.Duration
@@ -24,14 +25,14 @@
 	}
 }
 
-// recordSuccess notes that a task of a job works on a machine, and quarantines the machines that are at fault
-// by this: the job fails there.
+// recordSuccess records that a task of a job works on a machine. It quarantines the machines on which the job
+// fails if the success shows that they are at fault.
 func (m *Manager) recordSuccess(ref string, machine *clusterstate.Machine) {
 	m.quarantine(m.Faults.RecordSuccess(ref, machine.Host(), m.faultThresholds())...)
 }
 
-// clearSuspectedJobs looks for jobs that failed on some machine and run elsewhere for much longer than until
-// that failure: then the machine is at fault.
+// clearSuspectedJobs looks for jobs that failed on one machine, and that have run on another machine for much
+// longer than they ran before the failure: then the first machine is at fault, not the job.
 func (m *Manager) clearSuspectedJobs(now time.Time) {
 	for ref, minimumRunTime := range m.Faults.UnprovenJobs() {
 		job := m.State.Job(ref)
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordLongRuns counts the tasks of a range as successes that run for longer than a minimum.
+// recordLongRuns records a success for each task of a range that has run for longer than minimumRunTime.
 func (m *Manager) recordLongRuns(ref string, taskRange *clusterstate.TaskRange, minimumRunTime time.Duration, now time.Time) {
 	for index := range taskRange.Len() {
 		assignment := taskRange.Assignment(index)
@@ -67,7 +68,7 @@
 	return faultattribution.Thresholds{MachineFailures: settings.QuarantineErrors, JobMachines: settings.JobErrorHosts}
 }
 
-// quarantine cordons machines on which tasks fail that work elsewhere.
+// quarantine cordons machines that are at fault: tasks fail on them that work on other machines.
 func (m *Manager) quarantine(hosts ...string) {
 	for _, host := range hosts {
 		machine := m.State.Machine(host)
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -11,12 +11,12 @@
 	"cherrywall/internal/workerapi"
 )
 
-// pendingHeartbeat is a heartbeat that waits for its reply.
+// pendingHeartbeat is a heartbeat that has not been replied to.
 type pendingHeartbeat struct {
 	heartbeat  *workerapi.Heartbeat
 	receivedAt time.Time
 	reply      chan<- HeartbeatReply
-	isDelayed  bool // a timer will answer it
+	isDelayed  bool // a timer is set that will reply to it
 }
 
 func (p *pendingHeartbeat) refuse() { p.reply <- *unavailableReply() }
@@ -32,13 +32,12 @@
 	m.process(&pendingHeartbeat{heartbeat: heartbeat, receivedAt: receivedAt, reply: reply})
 }
 
-// ProcessEarlyHeartbeats processes again the heartbeats that could not be processed when they came, see
-// isEarly. It is called when the records are known or a shard was acquired, and regularly, to refuse those
-// that have waited too long.
+// ProcessEarlyHeartbeats processes the deferred heartbeats again, see mustDefer. It is called when the records
+// have been read or a shard was acquired, and periodically, to refuse heartbeats that have waited too long.
 func (m *Manager) ProcessEarlyHeartbeats() {
-	early := m.earlyHeartbeats
-	m.earlyHeartbeats = nil
-	for _, pending := range early {
+	deferred := m.deferredHeartbeats
+	m.deferredHeartbeats = nil
+	for _, pending := range deferred {
 		m.process(pending)
 	}
 }
@@ -48,8 +47,8 @@
 		pending.refuse()
 		return
 	}
-	if m.isEarly(pending) {
-		m.keepEarly(pending)
+	if m.mustDefer(pending) {
+		m.deferHeartbeat(pending)
 		return
 	}
 	if !m.Cache.Synced() {
@@ -68,14 +67,14 @@
 	}
 }
 
-// isEarly reports whether a heartbeat cannot be processed yet, but most likely can be in a moment: the
-// records are being read, or all controllers have just started and nobody owns the worker's shard yet.
-// Refused or redirected, the worker would try one controller after the other, a second each: after a
-// start of all controllers each worker came three times before it found its owner.
-func (m *Manager) isEarly(pending *pendingHeartbeat) bool {
+// mustDefer reports whether a heartbeat cannot be processed yet, but most likely can be soon: the records are
+// being read, or all controllers have just started and the worker's shard has no owner yet. If such a
+// heartbeat were refused or redirected, the worker would try one controller after the other, one per second:
+// after a start of all controllers each worker made three attempts before it found its owner.
+func (m *Manager) mustDefer(pending *pendingHeartbeat) bool {
 	if !m.Cache.Synced() {
-		// Only after a start, not while the key-value store is down: each heartbeat that waits
-		// holds a connection.
+		// Heartbeats are deferred only after the start of this process, not while the key-value
+		// store is down, because each deferred heartbeat holds a connection.
 		return time.Since(m.startedAt) < tuning.MaxHeartbeatAge
 	}
 	machine := m.State.Machine(pending.heartbeat.Host)
@@ -83,7 +82,7 @@
 		return false
 	}
 	if shard := m.State.OwnedShard(machine); shard != nil {
-		return shard.IsTransferred() // the new owner is known in a moment
+		return shard.IsTransferred() // the new owner will be known soon
 	}
 	if !m.Membership.InStartupGrace(time.Now()) {
 		return false
@@ -91,16 +90,16 @@
 	return !m.Membership.OwnerIsLive(m.Membership.Shard(machine.Record().Shard))
 }
 
-// keepEarly keeps an early heartbeat, within the limits of memory and connections: each one that waits holds
-// a connection, and half of the sockets stay free for other uses.
-func (m *Manager) keepEarly(pending *pendingHeartbeat) {
-	count, maxSockets := len(m.earlyHeartbeats), m.cfg.Cluster.Limits.MaxSockets
+// deferHeartbeat keeps a heartbeat until it can be processed, or refuses it if a limit of memory or connections
+// is reached: each deferred heartbeat holds a connection, and half of the sockets stay free for other uses.
+func (m *Manager) deferHeartbeat(pending *pendingHeartbeat) {
+	count, maxSockets := len(m.deferredHeartbeats), m.cfg.Cluster.Limits.MaxSockets
 	exceedsSockets := maxSockets > 0 && count >= maxSockets/2
 	if count >= tuning.MaxQueuedHeartbeats || exceedsSockets {
 		pending.refuse()
 		return
 	}
-	m.earlyHeartbeats = append(m.earlyHeartbeats, pending)
+	m.deferredHeartbeats = append(m.deferredHeartbeats, pending)
 }
 
 // processRegistered processes the heartbeat of a worker that has a record.
@@ -113,32 +112,33 @@
 	}
 	id := idOf(pending.heartbeat)
 	if isStale(id, m.lastHeartbeats[machine.Host()]) {
-		pending.refuse() // it came late: the worker has sent another one since
+		pending.refuse() // it arrived late: the worker has sent another one since
 		return
 	}
-	session.refusePending() // the worker has given up waiting for that reply
+	session.refusePending() // the worker no longer waits for the reply to its earlier heartbeat
 	if pending.heartbeat.FencingToken != fencingToken || !m.Cache.HasReachedEpoch(m.State.OwnedShard(machine)) {
 		m.lastHeartbeats[machine.Host()] = id
 		m.announceToken(pending, machine, session)
 		return
 	}
 	m.ApplyHeartbeat(machine, pending.heartbeat, pending.receivedAt)
-	m.schedule() // so that what takes the freed resources goes out with this response
+	m.schedule() // so that this response contains the starts of tasks that use the freed resources
 	session.pending = pending
 	m.respondOrDelay(machine, session)
 }
 
-// announceToken answers a heartbeat that was sent before the worker knew the present fencing token. A
-// network partition may have held it up for minutes, and the previous owner may have moved its tasks
-// since: it counts for nothing, and is answered only to send the worker the token. The same holds while
-// task ranges of the shard may still be unknown here, see Cache.HasReachedEpoch.
+// announceToken answers a heartbeat that was sent before the worker knew the current fencing token. A
+// network partition may have delayed the heartbeat for minutes, and the previous owner may have started the
+// worker's tasks elsewhere since. The heartbeat is therefore not applied, and is answered only to send the
+// worker the token. The same holds while task ranges of the shard may still be unknown to this controller,
+// see Cache.HasReachedEpoch.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
-		session.unconfirmedResponses = 0 // its tasks may start elsewhere already: it may be answered
+		session.unconfirmedResponses = 0 // its tasks may already start elsewhere, so it may be answered
 	} else if m.IgnoresToken(machine) {
-		// Each answer counts as a renewal of the worker's lease. Without this limit the lease of a
-		// worker that never receives the answers would never expire here, and the tasks that it may
-		// run would never be started elsewhere.
+		// Each answer renews the worker's lease as far as this controller knows. Without this limit
+		// the lease of a worker that never receives the answers would never expire here, and the
+		// tasks that it may run would never be started elsewhere.
 		pending.refuse()
 		return
 	}
@@ -149,15 +149,15 @@
 	}
 }
 
-// IgnoresToken reports whether a worker was answered with the present fencing token several times, and
-// no heartbeat shows it.
+// IgnoresToken reports whether a worker was sent the current fencing token tuning.MaxUnseenTokenAnswers times
+// or more, and none of its heartbeats contained the token since.
 func (m *Manager) IgnoresToken(machine *clusterstate.Machine) bool {
 	session := m.sessions[machine]
 	return session != nil && session.unconfirmedResponses >= tuning.MaxUnseenTokenAnswers
 }
 
-// authorize decides whether a heartbeat may be answered. It returns the fencing token for the response,
-// or else the refusal.
+// authorize decides whether a heartbeat may be answered. It returns the fencing token for the response, or the
+// refusal if the heartbeat may not be answered.
 func (m *Manager) authorize(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) (fencingToken uint64, refusal *HeartbeatReply) {
 	shard := m.State.OwnedShard(machine)
 	if shard == nil {
@@ -166,66 +166,67 @@
 	if owner, isNewer := m.Peers.NewerOwner(shard.ID(), shard.Epoch()); isNewer {
 		return 0, &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest, OwnerNode: owner}
 	}
-	// A shard that was transferred may have its new owner already. An answer from here would then
-	// renew a lease that the new owner does not know of.
+	// A shard that was transferred may already have its new owner. An answer of this controller would
+	// then renew a lease that the new owner does not know of.
 	if shard.IsTransferred() || !m.Cache.MayRenewWorkerLeases(time.Now()) {
 		return 0, unavailableReply()
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
-	// The worker has seen the token of a newer owner, or its lease has expired here: its tasks may run
-	// elsewhere already.
+	// The worker has received the token of a newer owner, or its lease has expired here: its tasks may
+	// already run elsewhere.
 	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.endedEpoch {
 		return 0, unavailableReply()
 	}
 	return fencingToken, nil
 }
 
-// redirect refuses a heartbeat of a worker whose shard is not local, and names the owner if it lives.
+// redirect refuses a heartbeat of a worker whose shard is not local. The reply names the owner if it is another
+// controller and live.
 func (m *Manager) redirect(shardID string) *HeartbeatReply {
 	reply := &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest}
 	shard := m.Membership.Shard(shardID)
 	if m.Membership.OwnerIsLive(shard) && shard.Owner() != m.cfg.Node {
 		reply.OwnerNode = shard.Owner()
-		m.misdirected[shardID] = append(m.misdirected[shardID], time.Now())
+		m.misdirectedAt[shardID] = append(m.misdirectedAt[shardID], time.Now())
 	}
 	return reply
 }
 
-// MisdirectedHeartbeats returns how many heartbeats came within tuning.StrayWorkerWindow from workers of a
-// shard that another live controller owns. They are many if that controller cannot reach its workers and
-// this one can. Older ones are forgotten.
+// MisdirectedHeartbeats returns how many heartbeats this controller received within tuning.StrayWorkerWindow
+// from workers of a shard that another live controller owns, and drops the entries of older ones. The number is
+// high if the workers can reach this controller but not the owner.
 func (m *Manager) MisdirectedHeartbeats(shardID string, now time.Time) int {
-	m.misdirected[shardID] = slices.DeleteFunc(m.misdirected[shardID], func(at time.Time) bool {
+	m.misdirectedAt[shardID] = slices.DeleteFunc(m.misdirectedAt[shardID], func(at time.Time) bool {
 		return now.Sub(at) > tuning.StrayWorkerWindow
 	})
-	return len(m.misdirected[shardID])
+	return len(m.misdirectedAt[shardID])
 }
 
-// ApplyHeartbeat applies a heartbeat under the present fencing token.
+// ApplyHeartbeat applies a heartbeat that contains the current fencing token.
 func (m *Manager) ApplyHeartbeat(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, receivedAt time.Time) {
 	isNewSession := heartbeat.AgentEpoch > m.AgentEpoch(machine)
 	m.lastHeartbeats[machine.Host()] = idOf(heartbeat)
-	m.inbound.ObserveHeartbeat(time.Now())
+	m.reachabilityMonitor.ObserveHeartbeat(time.Now())
 	wasLost := m.State.BeginHeartbeat(machine, receivedAt)
 	changes := m.applyTasks(machine, heartbeat, isNewSession)
 	m.trackCommandDelivery(machine, changes.delivery, isNewSession, receivedAt)
-	isQuiet := changes.isQuiet && !wasLost && !isNewSession
-	if m.State.EndHeartbeat(machine, len(heartbeat.Tasks) == 0, isQuiet) {
+	isUnchanged := changes.isUnchanged && !wasLost && !isNewSession
+	if m.State.EndHeartbeat(machine, len(heartbeat.Tasks) == 0, isUnchanged) {
 		m.Reconciler.WorkerConfirmed(machine, time.Now())
 	}
 }
 
-// ProbeAnswered applies the heartbeat that answers a probe, if the fencing token that the worker was
-// shown is still the present one.
+// ProbeAnswered applies the heartbeat that answers a probe, if fencingToken, which the probe contained, is
+// still the current one and the worker has not reported yet.
 func (m *Manager) ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HasReported() && m.isCurrentAnswer(machine, heartbeat, fencingToken) {
 		m.ApplyHeartbeat(machine, heartbeat, time.Now())
 	}
 }
 
-// isCurrentAnswer reports whether the heartbeat that answers a request still counts: the fencing token of
-// the request is the present one and the worker has taken it, and the heartbeat is newer than the last
-// one.
+// isCurrentAnswer reports whether the heartbeat that answers a request may be applied: the worker is not lost,
+// the fencing token of the request is the current one, the heartbeat contains it, and the heartbeat is newer
+// than the last one.
 func (m *Manager) isCurrentAnswer(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) bool {
 	if heartbeat.Host != machine.Host() || !m.isOwned(machine) || machine.IsLost() {
 		return false
@@ -238,20 +239,21 @@
 		!idOf(heartbeat).notAfter(m.lastHeartbeats[machine.Host()])
 }
 
-// trackCommandDelivery decides whether a worker receives what is sent to it. Commands that do not show in
-// the next heartbeat, and one expired lease after the other, show that it does not; an agent epoch that
-// lasts longer than a lease shows that it does. (A worker that receives nothing tries one controller after
-// the other, so that with a short lease each heartbeat to its owner is of another agent epoch.)
+// trackCommandDelivery decides whether a worker receives responses, and logs and marks changes. Signs that it
+// does not are commands without effect on the next heartbeat, and leases that expire repeatedly. Signs that it
+// does are commands that the next heartbeat reflects, and an agent epoch that lasts longer than a lease. (A
+// worker that receives nothing tries one controller after the other, so that with a short lease each heartbeat
+// to its owner has another agent epoch.)
 func (m *Manager) trackCommandDelivery(machine *clusterstate.Machine, delivery commandDelivery, isNewSession bool, now time.Time) {
 	session := m.sessionOf(machine)
 	session.unconfirmedResponses = 0
-	hasExpired := isNewSession && !session.startedAt.IsZero()
-	if isNewSession || session.startedAt.IsZero() {
-		session.startedAt = now
+	leaseExpired := isNewSession && !session.epochStartedAt.IsZero()
+	if isNewSession || session.epochStartedAt.IsZero() {
+		session.epochStartedAt = now
 	}
-	outlastedLease := now.Sub(session.startedAt) > m.cfg.WorkerLeaseExpiryDelay()
+	outlastedLease := now.Sub(session.epochStartedAt) > m.cfg.WorkerLeaseExpiryDelay()
 	switch {
-	case hasExpired || delivery == commandsMissed:
+	case leaseExpired || delivery == commandsMissed:
 		session.missedCommands++
 	case delivery == commandsDelivered || outlastedLease:
 		session.missedCommands = 0
--- a/internal/workersession/reachability.go
+++ b/internal/workersession/reachability.go
@@ -9,10 +9,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// checkReachability inspects a few workers if those that should send heartbeats do not, see
-// reachability.Monitor.
+// checkReachability inspects a few workers if the expected heartbeats do not arrive, see reachability.Monitor.
 func (m *Manager) checkReachability(now time.Time) {
-	m.inbound.Tick(now)
+	m.reachabilityMonitor.Tick(now)
 	if m.Cache.IsStale(now) {
 		return
 	}
@@ -22,13 +21,13 @@
 			reporting++
 		}
 	}
-	if m.inbound.ShouldProbe(now, reporting, config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)) {
+	if m.reachabilityMonitor.ShouldProbe(now, reporting, config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)) {
 		m.inspectSample(now)
 	}
 }
 
-// inspectSample asks a few workers, of any shard, for their heartbeat. The goroutines end with the client's
-// timeout, or with the mailbox's context.
+// inspectSample asks a random sample of workers, of any shard, for their heartbeat. The goroutines end with the
+// client's timeout, or with the mailbox's context.
 func (m *Manager) inspectSample(now time.Time) {
 	if m.workers == nil {
 		return
@@ -37,7 +36,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	m.inbound.ProbeStarted()
+	m.reachabilityMonitor.ProbeStarted()
 	go func() {
 		answers := make(chan bool, len(addrs))
 		for _, addr := range addrs {
@@ -47,11 +46,12 @@
 		for range addrs {
 			anyAnswered = <-answers || anyAnswered
 		}
-		m.mailbox.Send(func() { m.sampleInspected(anyAnswered, now) })
+		m.mailbox.Send(func() { m.applySampleResult(anyAnswered, now) })
 	}()
 }
 
-// sampleWorkerAddrs returns the addresses of a random sample of the workers that may be there.
+// sampleWorkerAddrs returns the addresses of a random sample of the workers that are neither lost nor released,
+// at most tuning.ReachabilityProbeWorkers.
 func (m *Manager) sampleWorkerAddrs() []string {
 	var addrs []string
 	for machine := range m.State.Machines() {
@@ -63,13 +63,13 @@
 	return addrs[:min(len(addrs), tuning.ReachabilityProbeWorkers)]
 }
 
-// sampleInspected gives up the shards of this controller if it can reach no worker and a peer may, and
-// takes part again when it can.
-func (m *Manager) sampleInspected(anyAnswered bool, startedAt time.Time) {
+// applySampleResult releases the shards of this controller if it can reach no worker but a live peer may be able
+// to, and lets the controller own shards again when it can reach workers.
+func (m *Manager) applySampleResult(anyAnswered bool, startedAt time.Time) {
 	now := time.Now()
-	switch m.inbound.ProbeFinished(anyAnswered, startedAt, now, m.Membership.HasLivePeer()) {
+	switch m.reachabilityMonitor.ProbeFinished(anyAnswered, startedAt, now, m.Membership.HasLivePeer()) {
 	case reachability.Unreachable:
-		m.log.Info("no worker reachable, releasing shards", "since_last_contact_s", m.inbound.SinceLastContact(now).Seconds())
+		m.log.Info("no worker reachable, releasing shards", "since_last_contact_s", m.reachabilityMonitor.SinceLastContact(now).Seconds())
 		m.Cache.ReleaseLiveness()
 	case reachability.Restored:
 		m.log.Info("workers reachable again")
--- a/internal/workersession/registration.go
+++ b/internal/workersession/registration.go
@@ -9,25 +9,24 @@
 	"cherrywall/internal/workerapi"
 )
 
-// registrations are the workers whose records are being written.
+// registrations holds the workers whose records are being written.
 type registrations struct {
 	hosts map[string]bool
-	count map[shardAndType]int
+	count map[shardAndType]int // number of hosts
 }
 
-// shardAndType is a shard and a machine type.
 type shardAndType struct{ shardID, machineType string }
 
 func newRegistrations() registrations {
 	return registrations{hosts: map[string]bool{}, count: map[shardAndType]int{}}
 }
 
-// register assigns an unknown worker to a shard, durably, before its heartbeat is answered.
+// register durably assigns an unknown worker to a shard before its heartbeat is answered.
 func (m *Manager) register(pending *pendingHeartbeat) {
 	heartbeat := pending.heartbeat
 	shardID := m.leastLoadedShard(heartbeat.Zone, heartbeat.MachineType)
 	shard := m.Membership.Shard(shardID)
-	// The record cannot be written now, or is being written already: the worker sends its heartbeat again.
+	// The record cannot be written now, or is already being written. The worker will send another heartbeat.
 	if m.Cache.IsStale(time.Now()) || m.registrations.hosts[heartbeat.Host] || shard == nil {
 		pending.refuse()
 		return
@@ -51,13 +50,13 @@
 	m.Cache.Commit(kvstore.Normal, txn, func(kvstore.TxnResult, error) {
 		delete(m.registrations.hosts, heartbeat.Host)
 		m.registrations.count[target]--
-		m.registered(pending)
+		m.finishRegistration(pending)
 	})
 }
 
-// registered continues with a worker's heartbeat after its record was written, by this controller or by
-// another one.
-func (m *Manager) registered(pending *pendingHeartbeat) {
+// finishRegistration processes a new worker's heartbeat after the worker's record was written, by this
+// controller or by another one.
+func (m *Manager) finishRegistration(pending *pendingHeartbeat) {
 	heartbeat := pending.heartbeat
 	machine := m.State.Machine(heartbeat.Host)
 	if machine == nil {
@@ -70,12 +69,13 @@
 	m.process(pending)
 }
 
-// leastLoadedShard chooses the shard of a new worker: among those whose home is in the worker's zone the
-// one with the fewest workers of the machine type.
+// leastLoadedShard chooses the shard of a new worker: of the candidate shards, the one with the fewest workers of
+// the machine type.
 func (m *Manager) leastLoadedShard(zone, machineType string) string {
 	leastLoaded, leastCount := "", 0
-	for _, shardID := range m.shardsNear(zone) {
-		// Workers that are being registered count, so that many new machines are spread.
+	for _, shardID := range m.candidateShards(zone) {
+		// Workers that are being registered are counted too, so that many new machines are spread
+		// over the shards.
 		count := m.registrations.count[shardAndType{shardID, machineType}] + m.countWorkers(shardID, machineType)
 		if leastLoaded == "" || count < leastCount {
 			leastLoaded, leastCount = shardID, count
@@ -84,9 +84,9 @@
 	return leastLoaded
 }
 
-// shardsNear returns, in order, the shards whose home is in a zone, or all shards if there are none. A
-// shard has the name of its home controller.
-func (m *Manager) shardsNear(zone string) []string {
+// candidateShards returns the IDs, sorted, of the shards whose home controller is in a zone, or of all shards if
+// there are none in the zone. A shard has the name of its home controller.
+func (m *Manager) candidateShards(zone string) []string {
 	var local, all []string
 	for _, member := range m.cfg.Members() {
 		all = append(all, member.Node)
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -13,12 +13,12 @@
 
 // HeartbeatReply is the reply to a heartbeat.
 type HeartbeatReply struct {
-	StatusCode int                         // of HTTP
+	StatusCode int                         // HTTP status
 	OwnerNode  string                      // the owner of the worker's shard, with http.StatusMisdirectedRequest; may be empty
 	Response   workerapi.HeartbeatResponse // with http.StatusOK
 }
 
-// unavailableReply refuses a heartbeat without naming an owner.
+// unavailableReply returns a refusal that names no owner.
 func unavailableReply() *HeartbeatReply {
 	return &HeartbeatReply{StatusCode: http.StatusServiceUnavailable}
 }
@@ -30,7 +30,8 @@
 	}
 }
 
-// respondWithToken answers a worker with the fencing token and no command.
+// respondWithToken answers a worker's heartbeat with the fencing token and no command, or refuses it if it may
+// no longer be answered.
 func (m *Manager) respondWithToken(pending *pendingHeartbeat, machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
 	fencingToken, refusal := m.authorize(pending, machine, session)
@@ -45,10 +46,11 @@
 	}
 }
 
-// respondOrDelay answers a worker's pending heartbeat, or delays the response a moment if there is no
-// command: a start that is decided meanwhile then needs no further heartbeat. A worker reports a change half
-// a second after its last heartbeat at the earliest, so a shorter delay holds up no report. A worker without
-// tasks has nothing to report, and may wait for a part of its heartbeat interval; see MaxResponseDelay.
+// respondOrDelay answers a worker's pending heartbeat, or delays the response if there is no command: a start
+// that is decided during the delay need not wait for the next heartbeat. A worker reports a change no earlier
+// than half a second after its last heartbeat, so a shorter delay does not delay reports. A worker without tasks
+// has nothing to report, and its response may be delayed for part of the heartbeat interval; see
+// MaxResponseDelay.
 func (m *Manager) respondOrDelay(machine *clusterstate.Machine, session *agentSession) {
 	pending := session.pending
 	if pending == nil {
@@ -82,7 +84,8 @@
 	})
 }
 
-// MaxResponseDelay returns how long a heartbeat may wait for commands, longer if the worker is idle.
+// MaxResponseDelay returns how long the response to a heartbeat may wait for commands. It is longer if the worker
+// is idle.
 func (m *Manager) MaxResponseDelay(isIdle bool) time.Duration {
 	if !isIdle {
 		return tuning.BusyHeartbeatAnswerDelay
@@ -100,13 +103,14 @@
 		pending.reply <- *refusal
 		return
 	}
-	commands := m.commands(machine, pending.heartbeat)
-	m.checkStarts(machine, commands)
+	commands := m.responseCommands(machine, pending.heartbeat)
+	m.reportUnadmittedStarts(machine, commands)
 	m.Reconciler.CommandsSent(machine, commands, time.Now())
 	pending.reply <- okReply(fencingToken, commands)
 }
 
-// SendResponses answers the pending heartbeats for which there are commands by now.
+// SendResponses answers the pending heartbeats for which there are commands now. It also requests a read barrier
+// if one is needed for starts.
 func (m *Manager) SendResponses() {
 	m.requestReadBarrier(time.Now())
 	for _, machine := range m.State.OwnedMachines() {
@@ -118,7 +122,7 @@
 }
 
 // FlushResponses answers the pending heartbeats of a shard's workers. It is called before the shard is
-// transferred, since nobody is answered afterwards.
+// transferred, because heartbeats of the shard's workers are not answered afterwards.
 func (m *Manager) FlushResponses(shard *membership.Shard) {
 	for machine := range m.State.OwnedMachinesIn(shard.ID()) {
 		session := m.sessions[machine]
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -8,18 +8,18 @@
 	"cherrywall/internal/workerapi"
 )
 
-// agentSession is what the manager knows of the communication with a worker.
+// agentSession is the state of the communication with a worker.
 type agentSession struct {
-	pending              *pendingHeartbeat // the heartbeat that is not answered yet
-	endedEpoch           uint64            // heartbeats up to this agent epoch no longer count
-	unconfirmedResponses int               // responses with the present token since the last heartbeat that showed it
+	pending              *pendingHeartbeat // the heartbeat that was not answered yet, or nil
+	endedEpoch           uint64            // heartbeats of this and earlier agent epochs are refused
+	unconfirmedResponses int               // responses with the current token since the last heartbeat that contained it
 	missedCommands       int               // see trackCommandDelivery
-	exchange             directExchange
-	startedAt            time.Time // first heartbeat of the present agent epoch
+	directRequest        directRequestState
+	epochStartedAt       time.Time // when the first heartbeat of the current agent epoch was received
 }
 
-// refusePending refuses the pending heartbeat, if there is one. A timer that was to answer it later
-// finds none.
+// refusePending refuses the pending heartbeat, if there is one. A timer that was set to answer it will then do
+// nothing.
 func (s *agentSession) refusePending() {
 	if s.pending != nil {
 		s.pending.refuse()
@@ -27,14 +27,14 @@
 	}
 }
 
-// heartbeatID orders the heartbeats of a worker.
+// heartbeatID identifies a heartbeat of a worker and orders the worker's heartbeats.
 type heartbeatID struct{ agentEpoch, sequence uint64 }
 
 func idOf(heartbeat *workerapi.Heartbeat) heartbeatID {
 	return heartbeatID{heartbeat.AgentEpoch, heartbeat.Sequence}
 }
 
-// notAfter reports whether a heartbeat is the other one or was sent before it.
+// notAfter reports whether the heartbeat is the same as other or was sent before it.
 func (id heartbeatID) notAfter(other heartbeatID) bool {
 	if id.agentEpoch != other.agentEpoch {
 		return id.agentEpoch < other.agentEpoch
@@ -45,7 +45,7 @@
 // isStale is a variable so that a mutation test can replace it.
 var isStale = heartbeatID.notAfter
 
-// sessionOf returns a worker's session, a new one if it has none.
+// sessionOf returns a worker's session. It creates the session if there is none.
 func (m *Manager) sessionOf(machine *clusterstate.Machine) *agentSession {
 	session := m.sessions[machine]
 	if session == nil {
@@ -55,35 +55,36 @@
 	return session
 }
 
-// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
+// AgentEpoch returns the agent epoch of a worker's last heartbeat, or 0 if there was none.
 func (m *Manager) AgentEpoch(machine *clusterstate.Machine) uint64 {
 	return m.lastHeartbeats[machine.Host()].agentEpoch
 }
 
-// OwnerChanged notes that a worker's shard has a new owner. Ended agent epochs count again: an owner
-// that was partitioned may have taken the worker for lost while another owner kept it alive.
+// OwnerChanged handles a change of the owner of a worker's shard: the worker is probed, and heartbeats of ended
+// agent epochs are accepted again, since an owner that was partitioned may have treated the worker as lost while
+// another owner renewed its lease.
 func (m *Manager) OwnerChanged(machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
 	session.endedEpoch, session.unconfirmedResponses = 0, 0
 	m.firstContact.EnqueueProbe(machine)
 }
 
-// CloseSession ends a worker's present agent epoch, because its lease has expired: heartbeats of this
-// and earlier epochs no longer count.
+// CloseSession ends a worker's current agent epoch, because its lease has expired: heartbeats of this and
+// earlier epochs are refused from now on.
 func (m *Manager) CloseSession(machine *clusterstate.Machine) {
 	m.sessionOf(machine).endedEpoch = m.AgentEpoch(machine)
 }
 
-// CloseAllSessions ends all agent epochs of a worker, also future ones. It is called when the cloud has
+// CloseAllSessions ends all agent epochs of a worker, including future ones. It is called when the cloud has
 // terminated the machine, so that a heartbeat that arrives late is refused.
 func (m *Manager) CloseAllSessions(machine *clusterstate.Machine) {
 	m.sessionOf(machine).endedEpoch = math.MaxUint64
 }
 
-// SessionState is what a new owner needs to know of a worker's session.
+// SessionState is the part of a worker's session that the snapshot for a new owner contains.
 type SessionState struct {
 	AgentEpoch, Sequence uint64 // of the last heartbeat
-	EndedAgentEpoch      uint64 // heartbeats up to this agent epoch no longer count
+	EndedAgentEpoch      uint64 // heartbeats of this and earlier agent epochs are refused
 }
 
 // SessionState returns the state of a worker's session, for the snapshot of a shard that is transferred.
@@ -96,7 +97,8 @@
 	}
 }
 
-// RestoreSession applies what the previous owner's snapshot says of a worker's session.
+// RestoreSession applies the state of a worker's session from the previous owner's snapshot. A heartbeat of the
+// worker that was received meanwhile stays the last one if it is newer.
 func (m *Manager) RestoreSession(machine *clusterstate.Machine, state SessionState) {
 	id := heartbeatID{state.AgentEpoch, state.Sequence}
 	if !id.notAfter(m.lastHeartbeats[machine.Host()]) {
--- a/internal/workersession/tasks.go
+++ b/internal/workersession/tasks.go
@@ -10,31 +10,31 @@
 	"cherrywall/internal/workerapi"
 )
 
-// taskChanges is what a heartbeat changes in the state of a worker's tasks.
+// taskChanges describes what a heartbeat changes in the state of a worker's tasks.
 type taskChanges struct {
-	isQuiet  bool // it says nothing new of tasks or of a preemption
-	delivery commandDelivery
+	isUnchanged bool // the heartbeat contains nothing new about tasks or a preemption
+	delivery    commandDelivery
 }
 
-// commandDelivery is what a heartbeat shows of the last start commands.
+// commandDelivery tells whether the last start commands arrived at the worker, as its heartbeat shows.
 type commandDelivery int
 
 const (
-	noCommands        commandDelivery = iota // there were none
+	noCommands        commandDelivery = iota // none were sent
 	commandsDelivered                        // at least one arrived
 	commandsMissed                           // none arrived
 )
 
-// applyTasks applies the tasks of a heartbeat: what it lists is on the worker, and what was sent to the worker
-// and is not listed is not there.
+// applyTasks applies the tasks and the preemption notice of a heartbeat. A listed task is on the worker; a task
+// whose start was sent and that is not listed is not on the worker.
 func (m *Manager) applyTasks(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, isNewSession bool) taskChanges {
 	now := time.Now()
-	changes := taskChanges{isQuiet: true}
+	changes := taskChanges{isUnchanged: true}
 	if heartbeat.PreemptionInS != nil && !machine.IsPreempted() {
 		m.log.Info("machine preempted by the cloud", "worker", machine.Host(), "in_s", *heartbeat.PreemptionInS)
 		m.State.MarkPreempted(machine)
-		m.evacuate(machine, *heartbeat.PreemptionInS)
-		changes.isQuiet = false
+		m.prepareForPreemption(machine, *heartbeat.PreemptionInS)
+		changes.isUnchanged = false
 	}
 	if isNewSession {
 		machine.ResetImages()
@@ -54,17 +54,17 @@
 	assignment := machine.Assignment(task.Task)
 	if assignment != nil && assignment.Attempt() != task.Attempt {
 		if task.Status == workerapi.StatusEnded {
-			return false // left over from an older attempt; it is acknowledged with the response
+			return false // an earlier attempt, which the response acknowledges
 		}
 		// Another attempt is on the worker, so the planned one is not.
 		m.record(decisionlog.TaskLeft, assignment, "the worker lists another attempt")
 		m.State.Unplace(assignment)
-		assignment, changes.isQuiet = nil, false
+		assignment, changes.isUnchanged = nil, false
 	}
 	if task.Status == workerapi.StatusEnded {
 		m.taskEnded(machine, assignment, task)
 		if assignment != nil {
-			changes.isQuiet = false
+			changes.isUnchanged = false
 		}
 		return false
 	}
@@ -72,32 +72,33 @@
 		lookup := m.State.LookupTask(machine, task)
 		m.Reconciler.CountDiscrepancy(machine, reconciliation.Classify(lookup))
 		assignment = m.State.Adopt(machine, task, reconciliation.KeepsRunning(lookup))
-		changes.isQuiet = false
+		changes.isUnchanged = false
 	}
 	if status := assignment.Status(); status.StartSent && !status.Reported {
 		changes.delivery = commandsDelivered
 	}
 	if isKnown := m.State.UpdateStatus(assignment, task.Status, now); !isKnown {
-		changes.isQuiet = false
+		changes.isUnchanged = false
 	}
 	return true
 }
 
-// applyUnlisted frees the tasks that are not on the worker although their start was sent.
+// applyUnlisted handles the tasks whose start was sent and that the worker does not list. A task that the worker
+// has listed before, or that is to be stopped, is unplaced; the start of any other task is sent again.
 func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewSession bool, changes *taskChanges) {
 	for assignment := range machine.Assignments() {
 		status := assignment.Status()
 		if listed[assignment.Name()] || !status.StartSent {
 			continue
 		}
-		changes.isQuiet = false
+		changes.isUnchanged = false
 		if status.Reported || status.Stopping {
 			m.record(decisionlog.TaskLeft, assignment, "the worker does not list it any more")
 			m.State.Unplace(assignment)
 			continue
 		}
 		m.record(decisionlog.TaskLeft, assignment, "the worker does not list it: the start never arrived")
-		// The start never arrived, or the worker's agent epoch had ended: send it again.
+		// The start never arrived, or the worker's agent epoch had ended. It will be sent again.
 		m.State.ClearStartSent(assignment)
 		if changes.delivery == noCommands && !isNewSession {
 			changes.delivery = commandsMissed
@@ -105,8 +106,10 @@
 	}
 }
 
-// evacuate saves what can be saved before the cloud takes a machine back.
-func (m *Manager) evacuate(machine *clusterstate.Machine, remainingS float64) {
+// prepareForPreemption stops the tasks of a machine that the cloud will preempt in remainingS seconds. Planned
+// tasks are unplaced, and gangs are stopped. Another task is stopped with a last checkpoint if there is time to
+// save it; otherwise it is stopped at once if it belongs to a service, and continues if it belongs to an array.
+func (m *Manager) prepareForPreemption(machine *clusterstate.Machine, remainingS float64) {
 	for assignment := range machine.Assignments() {
 		job := assignment.Job()
 		if job == nil || assignment.Status().Stopping {
@@ -126,7 +129,7 @@
 	}
 }
 
-// applyCompletions applies only the completions of a heartbeat.
+// applyCompletions applies the completed tasks of a heartbeat and ignores all others.
 func (m *Manager) applyCompletions(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) {
 	for _, task := range heartbeat.Tasks {
 		if task.Status != workerapi.StatusEnded || task.Cause != workerapi.CauseDone {
@@ -165,8 +168,9 @@
 	m.State.Unplace(assignment)
 }
 
-// taskDone applies the completion of a task. A worker repeats it until it is acknowledged: then the task is
-// not assigned to the worker any more, and only the first report counts as a success.
+// taskDone applies the completion of a task. assignment is nil if the task is not assigned to the worker. A worker
+// reports a completion until it is acknowledged; only the first report finds the task still assigned, and only
+// this one counts as a success.
 func (m *Manager) taskDone(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus, ref string, index int) {
 	if assignment != nil {
 		m.recordSuccess(ref, machine)
@@ -176,12 +180,12 @@
 		m.record(decisionlog.TaskLeft, assignment, "it is done")
 		m.State.RemoveExited(assignment)
 	}
-	taskRange, at := m.State.FindTask(ref, index)
+	taskRange, offset := m.State.FindTask(ref, index)
 	if taskRange == nil {
 		return
 	}
 	if reconciliation.Classify(m.State.LookupTask(machine, task)) == reconciliation.CompletionUnrecorded {
 		m.Reconciler.CountDiscrepancy(machine, reconciliation.CompletionUnrecorded)
 	}
-	m.State.MarkDone(taskRange, at, assignment)
+	m.State.MarkDone(taskRange, offset, assignment)
 }
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -1,6 +1,6 @@
 // Package workersession manages the agent sessions of the workers: it answers their heartbeats with
-// commands, probes workers that have a new owner, sends commands that cannot wait for the next
-// heartbeat directly, and applies what workers report of their tasks.
+// commands, probes workers whose shard has a new owner, sends commands that cannot wait for the next
+// heartbeat directly to the workers, and applies the task states that workers report.
 package workersession
 
 import (
@@ -30,9 +30,9 @@
 // WorkerClient sends requests to workers at their own addresses.
 type WorkerClient interface {
 	reconciliation.Prober
-	// Inspect asks a worker for its heartbeat only to see whether the worker can be reached.
+	// Inspect asks a worker for its heartbeat, only to check whether the worker can be reached.
 	Inspect(ctx context.Context, addr string) error
-	// Execute sends commands. It returns the worker's present heartbeat, and whether the worker
+	// Execute sends commands. It returns the worker's current heartbeat, and whether the worker
 	// has executed the commands.
 	Execute(ctx context.Context, addr string, request workerapi.CommandRequest) (heartbeat *workerapi.Heartbeat, done bool, err error)
 }
@@ -61,26 +61,26 @@
 	schedule func()       // runs a scheduling cycle, so that its commands go out with a response
 	log      *slog.Logger
 
-	startedAt       time.Time                               // of this process
-	sessions        map[*clusterstate.Machine]*agentSession // by worker
-	lastHeartbeats  map[string]heartbeatID                  // by worker
-	earlyHeartbeats []*pendingHeartbeat                     // see isEarly
-	misdirected     map[string][]time.Time                  // by shard, see MisdirectedHeartbeats
-	removedWorkers  *lru.Cache[string, bool]                // by worker, see RemoveWorker
-	registrations   registrations
-	inbound         reachability.Monitor
-	firstContact    *reconciliation.FirstContact
-	exchanges       directExchanges
-	// isReadBarrierPending is true while requestReadBarrier waits for an answer.
+	startedAt           time.Time                               // of this process
+	sessions            map[*clusterstate.Machine]*agentSession // by worker
+	lastHeartbeats      map[string]heartbeatID                  // by worker
+	deferredHeartbeats  []*pendingHeartbeat                     // see mustDefer
+	misdirectedAt       map[string][]time.Time                  // when heartbeats were redirected, by shard, see MisdirectedHeartbeats
+	removedWorkers      *lru.Cache[string, bool]                // by worker, see RemoveWorker
+	registrations       registrations
+	reachabilityMonitor reachability.Monitor
+	firstContact        *reconciliation.FirstContact
+	directRequests      directRequestQueue
+	// isReadBarrierPending is true while a read that requestReadBarrier has requested is in flight.
 	isReadBarrierPending bool
 }
 
-// New returns a manager without sessions. schedule is called when a heartbeat should be answered
-// with new scheduling decisions. workers may be nil.
+// New returns a manager without sessions. schedule runs a scheduling cycle; it is called before a heartbeat is
+// answered, so that the response contains the new decisions. If workers is nil, no requests are sent to workers.
 func New(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies, workers WorkerClient, schedule func(), log *slog.Logger) *Manager {
 	removedWorkers, err := lru.New[string, bool](tuning.MaxRememberedRemovedMachines)
 	if err != nil {
-		panic(err) // only a size below 1 can fail
+		panic(err) // lru.New fails only if the size is below 1
 	}
 	m := &Manager{
 		Dependencies:   deps,
@@ -92,7 +92,7 @@
 		startedAt:      time.Now(),
 		sessions:       map[*clusterstate.Machine]*agentSession{},
 		lastHeartbeats: map[string]heartbeatID{},
-		misdirected:    map[string][]time.Time{},
+		misdirectedAt:  map[string][]time.Time{},
 		removedWorkers: removedWorkers,
 		registrations:  newRegistrations(),
 	}
@@ -101,28 +101,28 @@
 		prober = workers
 	}
 	m.firstContact = reconciliation.NewFirstContact(mailbox, cfg, deps.Reconciler.Dependencies, prober, m)
-	m.exchanges.limiter = reconciliation.NewContactLimiter(cfg, tuning.DirectCommandCPUFraction)
+	m.directRequests.limiter = reconciliation.NewContactLimiter(cfg, tuning.DirectCommandCPUFraction)
 	return m
 }
 
-// Reset drops all sessions, since the records are read again. Probes and exchanges in flight still
-// complete.
+// Reset drops all sessions. It is called when the records are read again. Probes and direct requests in flight
+// still complete.
 func (m *Manager) Reset() {
 	for _, session := range m.sessions {
 		session.refusePending()
 	}
 	m.sessions = map[*clusterstate.Machine]*agentSession{}
-	m.exchanges.queue = nil
+	m.directRequests.queue = nil
 	m.isReadBarrierPending = false
 	m.firstContact.Reset()
 }
 
-// FirstContact returns the first contacts with workers that have a new owner.
+// FirstContact returns the component that contacts workers for the first time after their shard was acquired.
 func (m *Manager) FirstContact() *reconciliation.FirstContact { return m.firstContact }
 
-// RemoveWorker drops a worker that no longer exists. Its name is never used again and is remembered, so
-// that a late copy of a heartbeat is refused. Such a copy once registered the worker anew: it counted
-// as a paid machine, and its shard waited for it.
+// RemoveWorker drops a worker that no longer exists. Its name, which is never used again, is kept, so that a
+// heartbeat that arrives late is refused. Such a heartbeat once registered the worker again: it counted as a
+// paid machine, and its shard waited for it.
 func (m *Manager) RemoveWorker(machine *clusterstate.Machine) {
 	m.removedWorkers.Add(machine.Host(), true)
 	delete(m.lastHeartbeats, machine.Host())
@@ -130,13 +130,13 @@
 	m.firstContact.RemoveWorker(machine)
 }
 
-// Tick does the periodic work. The owning actor calls it several times a second.
+// Tick does the periodic work. The actor that owns the manager calls it several times a second.
 func (m *Manager) Tick(now time.Time) {
 	m.checkReachability(now)
-	m.contactOverdue(now)
+	m.queryOverdueWorkers(now)
 	m.clearSuspectedJobs(now)
-	for shardID := range m.misdirected {
-		m.MisdirectedHeartbeats(shardID, now) // drops the old ones
+	for shardID := range m.misdirectedAt {
+		m.MisdirectedHeartbeats(shardID, now) // called to drop old entries
 	}
 	m.ProcessEarlyHeartbeats()
 }
--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -12,11 +12,11 @@
 	"cherrywall/internal/workersession"
 )
 
-// A heartbeat that a network partition had held up counted like a new one at the shard's next owner: the
-// owner assigned the task to the worker where it had been, and when the worker's next heartbeat did not list
-// it, took it for not running, while the owner in between had started it on another worker (rule ran_twice on
-// five random days of sinai).
-func TestHeartbeatUnderOldTokenIsNoEvidence(t *testing.T) {
+// A heartbeat that a network partition had delayed was applied like a new one by the shard's next owner. The
+// owner assigned the task to the worker that had run it before. When the worker's next heartbeat did not list the
+// task, the owner treated it as not running, although another owner in between had started it on another worker
+// (rule ran_twice on five random days of sinai).
+func TestHeartbeatWithOldTokenIsNotApplied(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
 	h.AddMachine("i-1", "n0", "m4", false)
@@ -27,7 +27,7 @@
 	h.SyncCache(10)
 	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
 	if reply := h.Heartbeat("i-1", 5, 6, running); reply.StatusCode != 200 || reply.Response.FencingToken != 10 || len(reply.Response.Commands) > 0 {
-		t.Fatalf("the old heartbeat was answered %+v", reply)
+		t.Fatalf("reply to the heartbeat with the old token: %+v", reply)
 	}
 	h.Heartbeat("i-1", 6, 10)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskUnknown {
@@ -35,17 +35,17 @@
 	}
 	h.Heartbeat("i-2", 9, 10, running)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskPlaced {
-		t.Errorf("the task is in state %d, not assigned where it runs", state)
+		t.Errorf("the task is in state %d, not assigned to the worker that runs it", state)
 	}
 	if reply := h.Heartbeat("i-2", 8, 10); reply.StatusCode != 503 || taskRange.TaskState(0) != clusterstate.TaskPlaced {
-		t.Errorf("a heartbeat that came late was answered %+v", reply)
+		t.Errorf("reply to a heartbeat that arrived late: %+v", reply)
 	}
 }
 
-// A new owner applied the heartbeats of its workers before the watch had delivered a task range that the
-// previous owner had claimed last: the range's task ran on, its worker counted as confirmed without it, and
-// it was started a second time.
-func TestNoHeartbeatCountsBeforeCacheReachesEpoch(t *testing.T) {
+// A new owner applied the heartbeats of its workers before the watch had delivered the task range that the
+// previous owner had claimed last. The worker counted as confirmed without the range's task, which it still ran,
+// and the task was started a second time.
+func TestHeartbeatIsNotAppliedBeforeCacheReachesEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
 	h.AddMachine("i-1", "n1", "m16", false)
@@ -54,14 +54,14 @@
 	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 4, Status: workerapi.StatusRunning}
 	h.Heartbeat("i-1", 1, 10, running)
 	if machine := h.State.Machine("i-1"); machine.HasReported() || machine.AssignmentCount() > 0 {
-		t.Error("confirmed before the task ranges are known")
+		t.Error("the worker was confirmed before the task ranges were known")
 	}
 	job := jobs.JobRecord{Spec: jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 2, CPU: 7}}
 	h.Cache.ApplyEvents([]kvstore.Event{harness.Event(jobs.JobKey("wk-1"), job, 8),
 		harness.Event(jobs.RangeKey("wk-1", 0), jobs.RangeRecord{Shard: "n1", Count: 2}, 8)}, 10)
 	taskRange := h.State.Job("wk-1").TaskRange(0)
 	if taskRange.CountTasks(clusterstate.TaskUnknown) != 2 {
-		t.Error("accounted for by a heartbeat that came too early")
+		t.Error("the state of the tasks is known from a heartbeat that arrived before the task range")
 	}
 	h.Heartbeat("i-1", 2, 10, running)
 	if assignment := taskRange.Assignment(0); assignment == nil || assignment.Attempt() != 4 || assignment.Status().Stopping || taskRange.CountTasks(clusterstate.TaskUnknown) != 0 {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Checkpoints are saved of the tasks for which a preemption notice leaves time, and tasks that were only
-// planned are freed at once.
+// After a preemption notice, a task saves a checkpoint if there is time, and tasks that were only planned are
+// unplaced at once.
 func TestPreemptedMachineSavesCheckpoints(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -99,10 +99,11 @@
 	}
 }
 
-// In the runs with combined faults a late heartbeat that counts like a new one would have a task run twice.
+// The runs with combined faults detect that a heartbeat which arrives late is applied like a new one: a task runs
+// twice.
 func TestMutationAcceptingStaleHeartbeatsIsDetected(t *testing.T) {
 	defer workersession.AcceptStaleHeartbeats()()
 	if !faultinjection.FindsViolation(t, 60, "ran_twice") {
-		t.Error("60 runs of the mutation kept the rule")
+		t.Error("60 runs of the mutation did not violate the rule")
 	}
 }
