--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -13,17 +13,17 @@
 	"cherrywall/internal/workerapi"
 )
 
-// markSurplus marks the on-demand machines that run only tasks which may also run on spot machines,
-// and that are not needed for the growth buffers. Without the mark arrays would go on using such
-// machines, which would never become empty and never be released.
+// markSurplus marks an on-demand machine as surplus if all its tasks may also run on spot machines
+// and the growth buffers do not need the machine. Without the mark, arrays would continue to use such
+// machines, which would then never become empty and never be released.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
 	shardCount := float64(m.Membership.Size())
-	kept := map[string][]int{} // by shard, the tasks of each buffer that fit on the machines kept
-	for _, machine := range m.usableFullestFirst() {
-		fitting := kept[machine.Record().Shard]
+	keptTasks := map[string][]int{} // by shard: how many tasks of each buffer fit on the machines that are not surplus
+	for _, machine := range m.usableMachinesByTaskCount() {
+		fitting := keptTasks[machine.Record().Shard]
 		if fitting == nil {
 			fitting = make([]int, len(buffers))
-			kept[machine.Record().Shard] = fitting
+			keptTasks[machine.Record().Shard] = fitting
 		}
 		surplus := !machine.Record().Spot && m.State.OrdinaryTasks(machine) == 0
 		for i, buffer := range buffers {
@@ -39,10 +39,10 @@
 	}
 }
 
-// usableFullestFirst returns the usable machines, those with the most tasks first: they are
-// kept for the growth buffers, so that the emptiest become empty. It marks unusable machines as
-// not surplus.
-func (m *Manager) usableFullestFirst() []*clusterstate.Machine {
+// usableMachinesByTaskCount returns the usable machines, those with the most tasks first, so that
+// machines with many tasks are kept for the growth buffers and those with few tasks become empty.
+// It marks unusable machines as not surplus.
+func (m *Manager) usableMachinesByTaskCount() []*clusterstate.Machine {
 	var machines []*clusterstate.Machine
 	for _, machine := range m.State.OwnedMachines() {
 		if m.State.IsUsable(machine) {
@@ -60,16 +60,17 @@
 	return machines
 }
 
-// consolidate drains the emptiest surplus machine whose long tasks can be checkpointed and fit
-// on fuller machines: a few long tasks on each machine kept all machines of a large cluster
-// half empty for minutes. It drains one machine at a time, so that the next decision sees where
-// the tasks went.
+// consolidate drains the machine that emptiestMigratable returns, if its tasks fit on machines with a
+// higher CPU use and its minimum charged period is over. Without consolidation a few long tasks on
+// each machine kept all machines of a large cluster half empty for minutes. At most one machine is
+// drained in each tuning.ConsolidationInterval, so that the next decision takes into account where
+// the tasks were placed.
 func (m *Manager) consolidate(now time.Time) {
-	if now.Sub(m.consolidatedAt) < tuning.ConsolidationInterval {
+	if now.Sub(m.lastConsolidationAt) < tuning.ConsolidationInterval {
 		return
 	}
-	m.consolidatedAt = now
-	emptiest := m.emptiestMovable(now)
+	m.lastConsolidationAt = now
+	emptiest := m.emptiestMigratable(now)
 	if emptiest == nil || m.isWithinMinimumCharge(emptiest, now) || !m.fitsOnFullerMachines(emptiest) {
 		return
 	}
@@ -77,9 +78,9 @@
 	m.State.Cordon(emptiest)
 }
 
-// emptiestMovable returns the surplus machine with the lowest CPU use whose tasks can all be
-// migrated, nil if there is none.
-func (m *Manager) emptiestMovable(now time.Time) *clusterstate.Machine {
+// emptiestMigratable returns the usable surplus machine with the lowest CPU use whose tasks can all
+// be migrated. It returns nil if there is none.
+func (m *Manager) emptiestMigratable(now time.Time) *clusterstate.Machine {
 	var emptiest *clusterstate.Machine
 	for _, machine := range m.State.OwnedMachines() {
 		if !m.State.IsUsable(machine) || !machine.IsSurplus() || machine.AssignmentCount() == 0 || !m.canMigrateTasks(machine, now) {
@@ -92,8 +93,8 @@
 	return emptiest
 }
 
-// fitsOnFullerMachines reports whether there is room for each task of a machine on fuller
-// machines of its shard. Jobs get equal fractions of the room.
+// fitsOnFullerMachines reports whether all tasks of a machine fit on the machines of its shard that
+// have a higher CPU use. Each job is assumed to get an equal fraction of the free resources.
 func (m *Manager) fitsOnFullerMachines(source *clusterstate.Machine) bool {
 	tasksByJob := map[*clusterstate.Job]int{}
 	for assignment := range source.Assignments() {
@@ -112,15 +113,15 @@
 	return true
 }
 
-// isFullerPeer reports whether a machine is usable, of the same shard as source, and has a
-// higher CPU use.
+// isFullerPeer reports whether a machine is usable, is in the same shard as source, and has a higher
+// CPU use than source.
 func (m *Manager) isFullerPeer(machine, source *clusterstate.Machine) bool {
 	return machine != source && machine.Record().Shard == source.Record().Shard && m.State.IsUsable(machine) &&
 		m.State.UsedCPUFraction(machine) > m.State.UsedCPUFraction(source)
 }
 
-// canMigrateTasks reports whether every task of a machine belongs to an array with checkpoints
-// and has enough run time before and behind it that a migration pays.
+// canMigrateTasks reports whether every task of a machine belongs to an array with checkpoints and a
+// migration is worth its cost: the task has run for long enough and has enough run time left.
 func (m *Manager) canMigrateTasks(machine *clusterstate.Machine, now time.Time) bool {
 	for assignment := range machine.Assignments() {
 		if !m.canMigrate(assignment, now) {
--- a/internal/machinelifecycle/export_test.go
+++ b/internal/machinelifecycle/export_test.go
@@ -6,9 +6,9 @@
 	"cherrywall/internal/clusterstate"
 )
 
-// Single steps of Tick and Maintain, for tests.
+// The methods below give tests access to single steps of Tick and Maintain.
 
-func (m *Manager) Release(machine *clusterstate.Machine) { m.release(machine) }
+func (m *Manager) Release(machine *clusterstate.Machine) { m.queueRelease(machine) }
 func (m *Manager) SendReleases()                         { m.sendReleases() }
 func (m *Manager) CheckCloudListing(now time.Time)       { m.checkCloudListing(now) }
 func (m *Manager) MarkSurplus()                          { m.markSurplus(nil) }
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -12,15 +12,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// suspectHeartbeats is the number of heartbeat intervals without a heartbeat after which the
-// cloud's list is asked whether a machine still exists.
-const suspectHeartbeats = 3
+// missedHeartbeatsUntilSuspect is the number of heartbeat intervals without a heartbeat after which
+// the cloud's machine list is read to see whether the machine still exists.
+const missedHeartbeatsUntilSuspect = 3
 
-// checkMachines checks the next batch of machines for missed heartbeats, lease expiry and
-// drains.
+// checkMachines checks the next batch of machines for missed heartbeats, lease expiry and drains. It
+// reads the cloud's machine list if a machine of the batch is suspect.
 func (m *Manager) checkMachines(now time.Time) {
 	if now.Sub(m.lastCheckAt) > tuning.ProcessStallThreshold {
-		m.resumedAt = now // this process stalled: missing heartbeats say nothing about the workers
+		m.stallEndedAt = now // this process stalled, so missing heartbeats are no evidence about the workers
 	}
 	m.lastCheckAt = now
 	settings, _ := m.Cache.Settings()
@@ -35,8 +35,8 @@
 	}
 }
 
-// nextBatch returns the machines to check in this tick; the batches of about a second cover
-// all owned machines.
+// nextBatch returns the machines to check in this tick. All owned machines are checked about once
+// per second.
 func (m *Manager) nextBatch() []*clusterstate.Machine {
 	machines := m.State.OwnedMachines()
 	count := len(machines)
@@ -52,8 +52,8 @@
 	return batch
 }
 
-// checkMachine updates what is known of one machine and releases it where needed.
-// drainedHosts are the machines that the operators drain.
+// checkMachine updates the state of one machine and releases the machine if needed. drainedHosts are
+// the machines that the operators drain.
 func (m *Manager) checkMachine(machine *clusterstate.Machine, drainedHosts []string, now time.Time) {
 	m.State.SetSuspected(machine, m.Faults.IsSuspected(machine.Host(), now))
 	m.expireLease(machine, now)
@@ -61,7 +61,7 @@
 		m.State.MarkHeartbeatOverdue(machine)
 	}
 	if m.Cache.IsStale(now) {
-		return // the record of a released machine could not be deleted, see Maintain
+		return // no machine is released now: its record could not be deleted, see Maintain
 	}
 	m.releaseIfUnreachable(machine, now)
 	if slices.Contains(drainedHosts, machine.Host()) && !machine.IsCordoned() {
@@ -69,22 +69,23 @@
 		m.State.Cordon(machine)
 	}
 	if machine.IsCordoned() && !machine.IsReleasing() && m.evictTasks(machine) {
-		m.release(machine)
+		m.queueRelease(machine)
 	}
 }
 
-// missedHeartbeat reports whether a heartbeat of the machine became overdue since the last
-// check. Time in which this process stalled does not count.
+// missedHeartbeat reports whether a heartbeat of the machine became overdue since the last check.
+// The time before the end of the last stall of this process is not counted.
 func (m *Manager) missedHeartbeat(machine *clusterstate.Machine, now time.Time) bool {
 	if !machine.HasReported() || machine.IsLost() || machine.HeartbeatOverdue() {
 		return false
 	}
-	waitingSince := laterOf(machine.LastHeartbeatAt(), m.resumedAt)
-	return now.Sub(waitingSince) > m.heartbeatDueAfter(machine)
+	silentSince := laterOf(machine.LastHeartbeatAt(), m.stallEndedAt)
+	return now.Sub(silentSince) > m.heartbeatDueAfter(machine)
 }
 
-// heartbeatDueAfter is the time without a heartbeat after which the next one is overdue. The
-// response to the last heartbeat may have been delayed, longer if the worker had no task.
+// heartbeatDueAfter returns the time without a heartbeat after which the next one is overdue. It
+// includes the delay of the response to the last heartbeat, which may be longer if the worker has no
+// task.
 func (m *Manager) heartbeatDueAfter(machine *clusterstate.Machine) time.Duration {
 	interval := config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	isEmpty := machine.AssignmentCount() == 0
@@ -114,7 +115,7 @@
 	return y
 }
 
-// expireLease marks a machine as lost when its worker's lease has expired: its tasks no
+// expireLease marks a machine as lost when its worker's lease has expired, after which its tasks no
 // longer run.
 func (m *Manager) expireLease(machine *clusterstate.Machine, now time.Time) {
 	if !machine.IsLost() && machine.HasReported() && now.Sub(machine.LastHeartbeatAt()) > m.cfg.WorkerLeaseExpiryDelay() {
@@ -123,8 +124,8 @@
 		m.Sessions.CloseSession(machine)
 		m.State.MarkLost(machine)
 	}
-	// The machine is known only by its record or by a delayed heartbeat: no controller can
-	// have renewed its lease since the shard was acquired.
+	// A machine that has not reported is known only from its record or from a delayed heartbeat: no
+	// controller can have renewed its lease since the shard was acquired.
 	acquiredAt := laterOf(m.State.OwnedShard(machine).KnownSince(), machine.JoinedShardAt())
 	if !machine.IsLost() && !machine.HasReported() && now.After(m.cfg.WorkerLeaseExpiresAt(acquiredAt, machine.LastHeartbeatAt())) {
 		m.record(decisionlog.LeaseExpired, machine, fmt.Sprintf("no heartbeat under the present token; shard acquired %.1f s ago", now.Sub(acquiredAt).Seconds()))
@@ -132,37 +133,39 @@
 	}
 }
 
-// releaseIfUnreachable releases a machine that was unreachable for too long, and deletes the
-// record of one whose release the cloud has confirmed.
+// releaseIfUnreachable releases a machine that was unreachable for too long. It deletes the record
+// of a machine that the cloud has terminated.
 func (m *Manager) releaseIfUnreachable(machine *clusterstate.Machine, now time.Time) {
 	switch {
 	case machine.IsReleased() && !machine.IsReleasing():
-		// The cloud's list shows that it was terminated: only its record is left to delete.
+		// The cloud's list shows that the machine was terminated: only its record has to be deleted.
 		m.State.SetReleasing(machine, true)
 		m.deleteRecords(machine)
 	case machine.HasNoInbound() && now.Sub(machine.NoInboundChangedAt()) > m.unreachableGracePeriod():
 		m.log.Info("worker without inbound connectivity released", "worker", machine.Host())
-		m.release(machine)
+		m.queueRelease(machine)
 	case machine.IsLost() && m.Sessions.ReachableByCommand(machine, now) && now.Sub(machine.LostAt()) < m.unreachableGracePeriod():
-		// The machine answers commands but cannot reach a controller. Replacing a whole zone
-		// because of a short network partition would cost more than waiting.
+		// The machine answers commands but cannot reach a controller. It is not released yet:
+		// replacing a whole zone because of a short network partition would cost more than
+		// waiting.
 	case machine.IsLost() && now.Sub(machine.LostAt()) > tuning.UnreachableReleaseDelay:
-		m.release(machine)
+		m.queueRelease(machine)
 	case !machine.IsLost() && !machine.HasReported() && m.timeSinceHeartbeat(machine, now) > m.cfg.HeartbeatAnswerValidity()+tuning.WorkerReconnectPeriod:
-		// The previous owner of the shard must have stopped answering the worker, and it has
-		// not reconnected: it is most likely dead, and a confirmed release proves it.
-		m.release(machine)
+		// The previous owner of the shard must have stopped answering the worker by now, and the
+		// worker has not reconnected. It has most likely failed, and a confirmed release proves
+		// that it no longer runs.
+		m.queueRelease(machine)
 	}
 }
 
-// unreachableGracePeriod is how long a healthy machine with a one-way or lost connection to
-// the controllers is kept.
+// unreachableGracePeriod returns how long a healthy machine is kept whose connection to the
+// controllers is lost or works in one direction only.
 func (m *Manager) unreachableGracePeriod() time.Duration {
 	return max(tuning.InboundLossReleaseDelay, 2*m.cfg.WorkerLeaseExpiryDelay())
 }
 
 // evictTasks stops all tasks of a drained machine, with time for a last checkpoint. It reports
-// whether the machine was empty already.
+// whether the machine was already empty.
 func (m *Manager) evictTasks(machine *clusterstate.Machine) (wasEmpty bool) {
 	wasEmpty = machine.AssignmentCount() == 0
 	for assignment := range machine.Assignments() {
@@ -177,18 +180,18 @@
 	return wasEmpty
 }
 
-// isSuspect reports whether several heartbeats or the probe of a machine are missing, so that
-// it may no longer exist.
+// isSuspect reports whether a machine may no longer exist, because several heartbeats are missing or
+// its probe was not answered.
 func (m *Manager) isSuspect(machine *clusterstate.Machine, now time.Time) bool {
 	if m.State.OwnedShard(machine) == nil || machine.IsReleased() || machine.IsLost() && machine.HasReported() {
 		return false
 	}
-	limit := suspectHeartbeats * config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
-	return machine.ProbeUnanswered() || m.timeSinceHeartbeat(machine, now) > limit
+	maxSilence := missedHeartbeatsUntilSuspect * config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
+	return machine.ProbeUnanswered() || m.timeSinceHeartbeat(machine, now) > maxSilence
 }
 
-// timeSinceHeartbeat is the time since the last heartbeat of a machine in a local shard,
-// counted at the earliest from the acquisition of the shard and from the machine's record.
+// timeSinceHeartbeat returns the time since the last heartbeat of a machine in a local shard. The
+// time before the shard was acquired and before the machine joined the shard is not counted.
 func (m *Manager) timeSinceHeartbeat(machine *clusterstate.Machine, now time.Time) time.Duration {
 	sinceAcquired := now.Sub(m.State.OwnedShard(machine).KnownSince())
 	return min(sinceAcquired, now.Sub(machine.JoinedShardAt()), now.Sub(machine.LastHeartbeatAt()))
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -12,12 +12,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// idleCapacity counts, by shard, what may be released: idle machines, and the tasks of each
-// growth buffer that fit on all usable machines.
+// idleCapacity contains the counts, by shard, that limit how many machines may be released.
 type idleCapacity struct {
 	buffers     []classstats.GrowthBuffer
-	machines    map[string]int
-	bufferTasks map[string][]int // parallel to buffers
+	machines    map[string]int   // usable machines that are idle or run only best-effort tasks
+	bufferTasks map[string][]int // how many tasks of each buffer fit on all usable machines; parallel to buffers
 }
 
 // countIdleCapacity counts the idle capacity of all local shards.
@@ -41,8 +40,8 @@
 	return idle
 }
 
-// isNeededForGrowth reports whether a growth buffer would become too small without the
-// machine. Each shard keeps an equal fraction of a buffer.
+// isNeededForGrowth reports whether a growth buffer would become too small without the machine.
+// Each shard keeps an equal fraction of a buffer.
 func (m *Manager) isNeededForGrowth(machine *clusterstate.Machine, idle *idleCapacity) bool {
 	shardCount := float64(m.Membership.Size())
 	tasks := idle.bufferTasks[machine.Record().Shard]
@@ -55,8 +54,8 @@
 	return false
 }
 
-// subtract removes a machine that will be released from the idle capacity.
-func (m *Manager) subtract(machine *clusterstate.Machine, idle *idleCapacity) {
+// subtractIdleMachine removes a machine that will be released from the idle capacity.
+func (m *Manager) subtractIdleMachine(machine *clusterstate.Machine, idle *idleCapacity) {
 	shardID := machine.Record().Shard
 	for i, buffer := range idle.buffers {
 		idle.bufferTasks[shardID][i] -= m.Scheduler.LendableTasks(machine, buffer)
@@ -64,8 +63,9 @@
 	idle.machines[shardID]--
 }
 
-// releaseIdle releases machines that have been idle for their retention time and that neither
-// the operators' spare machines, nor waiting jobs, nor the growth buffers need.
+// releaseIdle releases machines that have been idle for their retention time, except those that are
+// within their minimum charged period or that are needed as the operators' spare machines, for
+// waiting jobs or for the growth buffers.
 func (m *Manager) releaseIdle(now time.Time, buffers []classstats.GrowthBuffer) {
 	settings, _ := m.Cache.Settings()
 	idle := m.countIdleCapacity(buffers)
@@ -80,14 +80,14 @@
 		if m.isNeededForGrowth(machine, idle) {
 			continue
 		}
-		m.subtract(machine, idle)
+		m.subtractIdleMachine(machine, idle)
 		if machine.AssignmentCount() > 0 {
-			// Best-effort tasks save a checkpoint and go on elsewhere.
+			// Best-effort tasks save a checkpoint and continue on another machine.
 			m.log.Info("surplus machine drained of best-effort tasks", "worker", machine.Host(), "tasks", machine.AssignmentCount())
 			m.State.Cordon(machine)
 			continue
 		}
-		m.release(machine)
+		m.queueRelease(machine)
 	}
 }
 
@@ -104,9 +104,9 @@
 	return !idleSince.IsZero() && now.Sub(idleSince) >= m.idleRetention(machine)
 }
 
-// idleRetention is how long a machine is kept for which no work is expected: as long as it
-// costs half of what a new on-demand machine costs while it boots. A spot machine is kept
-// longer, since the next one may not be had as cheaply.
+// idleRetention returns how long an idle machine is kept: until it has cost half as much as a new
+// on-demand machine costs while it boots, and at least tuning.MinIdlePeriod. A spot machine is kept
+// longer, up to tuning.MaxIdlePeriod, because the next spot machine may be more expensive.
 func (m *Manager) idleRetention(machine *clusterstate.Machine) time.Duration {
 	typeName := machine.Record().MachineType
 	machineType, _ := m.MachineTypes.Get(typeName)
@@ -118,14 +118,15 @@
 	return retention
 }
 
-// isWithinMinimumCharge reports whether keeping a machine costs nothing for the moment: the
+// isWithinMinimumCharge reports whether a machine can be kept at no additional cost for now: the
 // cloud charges each machine for a minimum period, counted from the scale-out request.
 func (m *Manager) isWithinMinimumCharge(machine *clusterstate.Machine, now time.Time) bool {
 	bootTime := config.Seconds(m.MachineTypes.BootSeconds(machine.Record().MachineType))
 	return machine.EnrolledFor(now)+bootTime < tuning.MinChargedPeriod-tuning.MinScaleInRequestGap
 }
 
-// jobsWaitingForMachines returns the gangs and services that have tasks to place.
+// jobsWaitingForMachines returns the gangs and services that have tasks to place, except faulty jobs,
+// jobs that wait for dependencies, and jobs that wait for their team's quota.
 func (m *Manager) jobsWaitingForMachines() []*clusterstate.Job {
 	var waiting []*clusterstate.Job
 	allowance := m.Scheduler.NewQuotaAllowance()
@@ -133,8 +134,8 @@
 		if job.HasEnded() || job.Record().Kind == jobs.Array || m.Faults.IsJobFaulty(job.Ref()) {
 			continue
 		}
-		// Tasks that wait for their team's quota do not count, since they cannot use a machine:
-		// those of a single team at its limit once kept a third of all machines idle.
+		// Tasks that wait for their team's quota do not count, since they cannot use a machine.
+		// The waiting tasks of a single team at its limit once kept a third of all machines idle.
 		if !job.IsBlocked() && (job.HasReadyTasks() || len(job.Record().Unclaimed) > 0 && allowance.Take(job) > 0) {
 			waiting = append(waiting, job)
 		}
@@ -142,8 +143,8 @@
 	return waiting
 }
 
-// isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. A machine that
-// is released while the other machines of a gang boot would have to be requested again.
+// isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. If the machine
+// were released while the other machines of a gang boot, another one would have to be requested.
 func (m *Manager) isNeededByWaitingJob(machine *clusterstate.Machine, waiting []*clusterstate.Job) bool {
 	return slices.ContainsFunc(waiting, func(job *clusterstate.Job) bool {
 		return job.Record().Allows(machine.Group()) && capacity.FitCount(m.State.Free(machine), job.Need()) > 0
--- a/internal/machinelifecycle/listing.go
+++ b/internal/machinelifecycle/listing.go
@@ -8,11 +8,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// checkCloudListing reads the cloud's machine list while a worker misses heartbeats: a machine
-// that is listed as failed or no longer listed has been terminated, and its tasks need not wait
-// for the expiry of its lease.
+// checkCloudListing reads the cloud's machine list. It is called while a worker misses heartbeats: a
+// machine that is listed as failed or no longer listed has been terminated, and its tasks can be
+// started elsewhere before its lease expires.
 func (m *Manager) checkCloudListing(now time.Time) {
-	if m.listInFlight || now.Sub(m.listedAt) < tuning.MinMachineListGap || m.Cache.IsStale(now) {
+	if m.listInFlight || now.Sub(m.lastListAt) < tuning.MinMachineListGap || m.Cache.IsStale(now) {
 		return
 	}
 	m.listInFlight = true
@@ -20,7 +20,7 @@
 	go func() {
 		listing, err := m.provider.List(m.mailbox.Context())
 		m.mailbox.Send(func() {
-			m.listInFlight, m.listedAt = false, time.Now()
+			m.listInFlight, m.lastListAt = false, time.Now()
 			if err == nil {
 				m.applyCloudListing(listing, requestedAt)
 			}
@@ -28,11 +28,11 @@
 	}()
 }
 
-// applyCloudListing marks suspect machines as terminated that the cloud no longer runs. A list
-// may describe an earlier moment, so only machines that were enrolled before it count as
-// missing: a young machine that boots in a second and is not listed yet may run tasks.
+// applyCloudListing marks suspect machines as terminated if the cloud no longer runs them. The list
+// may describe an earlier time, so an unlisted machine counts as terminated only if it was registered
+// before that time: a new machine that has booted in a second may run tasks before it is listed.
 func (m *Manager) applyCloudListing(listing []cloud.Machine, requestedAt time.Time) {
-	lag := config.Seconds(tuning.MaxListLagFactor * m.cfg.Cluster.Cloud.ListLagSeconds)
+	maxListLag := config.Seconds(tuning.MaxListLagFactor * m.cfg.Cluster.Cloud.ListLagSeconds)
 	statusByHost := map[string]string{}
 	for _, listedMachine := range listing {
 		statusByHost[listedMachine.Host] = listedMachine.Status
@@ -40,7 +40,7 @@
 	now := time.Now()
 	for _, machine := range m.State.OwnedMachines() {
 		status, isListed := statusByHost[machine.Host()]
-		mustBeListed := machine.EnrolledFor(requestedAt) > lag+tuning.ListAbsenceMargin
+		mustBeListed := machine.EnrolledFor(requestedAt) > maxListLag+tuning.ListAbsenceMargin
 		if m.isSuspect(machine, now) && (status == cloud.StatusFailed || !isListed && mustBeListed) {
 			m.log.Info("machine terminated by cloud", "worker", machine.Host(), "status", status, "tasks", machine.AssignmentCount())
 			m.markTerminated(machine)
--- a/internal/machinelifecycle/manager.go
+++ b/internal/machinelifecycle/manager.go
@@ -1,6 +1,6 @@
-// Package machinelifecycle follows the machines of the local shards until they are released:
-// missed heartbeats, lease expiry, operator drains, idle and surplus machines, release through
-// the cloud, and the transfer of idle machines to a shard that needs them for a gang.
+// Package machinelifecycle manages the machines of the local shards until they are released. It
+// handles missed heartbeats, lease expiry, drains by operators, idle and surplus machines, the
+// release through the cloud, and the transfer of idle machines to a shard that needs them for a gang.
 package machinelifecycle
 
 import (
@@ -23,12 +23,12 @@
 	"cherrywall/internal/workersession"
 )
 
-// Cloud is the part of the cloud's interface that the manager uses. It is called from
-// goroutines of the manager's own, never from the actor.
+// Cloud is the part of the cloud's interface that the manager uses. The manager calls it from
+// separate goroutines, never from the actor's.
 type Cloud interface {
-	// Release gives machines back. Releasing a machine twice does no harm.
+	// Release returns machines to the cloud. It is idempotent.
 	Release(ctx context.Context, hosts []string) error
-	// List reads the cloud's list of machines, which may lag behind.
+	// List returns the cloud's list of machines, which may be out of date.
 	List(ctx context.Context) ([]cloud.Machine, error)
 }
 
@@ -54,16 +54,16 @@
 	provider Cloud
 	log      *slog.Logger
 
-	checkCursor     int                     // number of owned machines already checked in this pass
-	pendingReleases []*clusterstate.Machine // marked as releasing, not yet sent to the cloud
-	lastReleaseAt   time.Time               // when the last release request was sent
-	releaseInFlight bool
-	listInFlight    bool
-	listedAt        time.Time // when the last machine list was received
-	maintainedAt    time.Time // when Maintain last ran
-	consolidatedAt  time.Time // when consolidate last ran
-	lastCheckAt     time.Time // when checkMachines last ran
-	resumedAt       time.Time // end of the last stall of this process
+	checkCursor         int                     // number of owned machines checked in the current pass
+	pendingReleases     []*clusterstate.Machine // marked as releasing, release not yet requested from the cloud
+	lastReleaseAt       time.Time               // when the last release request was sent
+	releaseInFlight     bool
+	listInFlight        bool
+	lastListAt          time.Time // when the last machine list was received
+	lastMaintenanceAt   time.Time // when Maintain last ran
+	lastConsolidationAt time.Time // when consolidate last ran
+	lastCheckAt         time.Time // when checkMachines last ran
+	stallEndedAt        time.Time // end of the last stall of this process
 }
 
 // New returns a manager without pending work.
@@ -71,22 +71,21 @@
 	return &Manager{Dependencies: deps, mailbox: mailbox, cfg: cfg, provider: provider, log: log}
 }
 
-// Reset discards the pending releases. It is called when the machines' records are read anew.
+// Reset discards the pending releases. It is called when the machines' records are read again.
 func (m *Manager) Reset() { m.pendingReleases = nil }
 
-// Tick checks a batch of machines, runs the maintenance when it is due and sends pending
-// releases.
+// Tick checks a batch of machines, calls Maintain when it is due, and sends the pending releases.
 func (m *Manager) Tick(now time.Time) {
 	m.checkMachines(now)
-	if now.Sub(m.maintainedAt) >= tuning.MaintenanceInterval {
-		m.maintainedAt = now
+	if now.Sub(m.lastMaintenanceAt) >= tuning.MaintenanceInterval {
+		m.lastMaintenanceAt = now
 		m.Maintain(now)
 	}
 	m.sendReleases()
 }
 
-// Maintain releases idle machines, marks and consolidates surplus ones, and transfers empty
-// machines to shards that wait for them. It does nothing while the cache is stale.
+// Maintain releases idle machines, marks and consolidates surplus machines, and transfers empty
+// machines to shards that need them for a gang. It does nothing while the cache is stale.
 func (m *Manager) Maintain(now time.Time) {
 	// Without the key-value store the record of a released machine would stay, and the next
 	// owner of the shard would wait for a worker that no longer exists.
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -43,8 +43,8 @@
 	return nil, false, context.DeadlineExceeded
 }
 
-// A machine that was being released when its controller ended delayed the reconciliation of its
-// shard until it had missed three heartbeats, although the cloud no longer listed it.
+// A machine was being released when its controller ended. It delayed the reconciliation of its shard
+// until it had missed three heartbeats, although the cloud no longer listed it.
 func TestUnansweredProbeChecksCloudListingAtOnce(t *testing.T) {
 	h := harness.New(t, func(h *harness.Harness) {
 		h.Workers, h.Cfg.Cluster.Cloud.ListLagSeconds = unreachableWorkers{}, 8
@@ -65,8 +65,8 @@
 	}
 }
 
-// A few long tasks on each of many machines kept all machines: half of the paid capacity was
-// idle for four minutes.
+// A few long tasks on each of many machines kept all machines from being released: half of the paid
+// capacity was idle for four minutes.
 func TestLongTasksAreConsolidated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
@@ -104,7 +104,7 @@
 		h.Machines.MarkSurplus()
 		h.Machines.Consolidate(time.Now())
 		if !isDrained(0) || isDrained(1) || isDrained(2) {
-			t.Error("not exactly the emptiest machine drained, whose task fits on the others")
+			t.Error("only the machine with the fewest tasks should be drained, whose task fits on the others")
 		}
 	})
 }
@@ -138,8 +138,8 @@
 	})
 }
 
-// An idle machine is kept for a gang that waits for other machines to boot, but not for one
-// that its team's quota keeps from starting.
+// An idle machine is kept for a gang that waits for other machines to boot, but not for a gang that
+// cannot start because of its team's quota.
 func TestIdleMachineIsNotKeptForJobBlockedByQuota(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -176,8 +176,8 @@
 	}
 }
 
-// A shard changed its owner just after machines of it had been released. The records stayed,
-// since the shard's epoch was a precondition of their deletion, and the next owner waited for
+// The owner of a shard changed just after machines of the shard had been released. The records
+// remained, since the shard's epoch was a precondition of their deletion, and the next owner waited
 // 13 to 36 s for machines that no longer existed.
 func TestReleasedMachineRecordsAreDeletedAfterShardOwnerChange(t *testing.T) {
 	h := harness.New(t, nil)
@@ -192,8 +192,8 @@
 	h.RunNext() // the result of the request
 	h.RunNext()
 	h.RunNext() // both transactions
-	if _, left := h.State.Sizes(); left != 0 || len(h.Store.Transactions()) != 2 {
-		t.Errorf("%d records left after %d transactions", left, len(h.Store.Transactions()))
+	if _, remaining := h.State.Sizes(); remaining != 0 || len(h.Store.Transactions()) != 2 {
+		t.Errorf("%d records left after %d transactions", remaining, len(h.Store.Transactions()))
 	}
 	for _, txn := range h.Store.Transactions() {
 		for _, condition := range txn.Conditions {
--- a/internal/machinelifecycle/release.go
+++ b/internal/machinelifecycle/release.go
@@ -12,10 +12,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// release queues a machine for release. Once the cloud confirms it, the machine counts as
-// terminated, its tasks may start elsewhere, and its record is deleted. A machine that is being
-// released already or whose shard is being transferred is left alone.
-func (m *Manager) release(machine *clusterstate.Machine) {
+// queueRelease queues a machine for release. Once the cloud confirms the release, the machine counts
+// as terminated, its tasks may start elsewhere, and its record is deleted. queueRelease does nothing
+// if the machine is already being released or its shard is being transferred.
+func (m *Manager) queueRelease(machine *clusterstate.Machine) {
 	shard := m.State.OwnedShard(machine)
 	if machine.IsReleasing() || shard != nil && shard.IsTransferring() {
 		return
@@ -24,8 +24,8 @@
 	m.pendingReleases = append(m.pendingReleases, machine)
 }
 
-// sendReleases asks the cloud to release the pending machines, many in one request: the cloud
-// accepts only few requests per second.
+// sendReleases asks the cloud to release the pending machines. It puts many machines into one
+// request, because the cloud accepts only few requests per second.
 func (m *Manager) sendReleases() {
 	if m.releaseInFlight || len(m.pendingReleases) == 0 || time.Since(m.lastReleaseAt) < tuning.MinScaleInRequestGap {
 		return
@@ -51,7 +51,7 @@
 	for len(m.pendingReleases) > 0 && len(machines) < tuning.MaxScaleInPerRequest {
 		machine := m.pendingReleases[0]
 		m.pendingReleases = m.pendingReleases[1:]
-		// A machine whose shard has another owner by now is left to that owner.
+		// If the shard has another owner by now, that owner decides about the machine.
 		if m.State.IsCurrentMachine(machine) && machine.IsReleasing() && m.State.OwnedShard(machine) != nil {
 			machines = append(machines, machine)
 		}
@@ -89,8 +89,8 @@
 	return true
 }
 
-// markTerminated records that the cloud has terminated a machine; heartbeats that it sent
-// before are ignored from now on.
+// markTerminated records that the cloud has terminated a machine. Heartbeats of its worker are
+// refused from now on.
 func (m *Manager) markTerminated(machine *clusterstate.Machine) {
 	m.record(decisionlog.MachineReleased, machine, fmt.Sprintf("the cloud has terminated it; %d tasks", machine.AssignmentCount()))
 	m.Sessions.CloseAllSessions(machine)
@@ -100,10 +100,10 @@
 // deleteRecords deletes the records of terminated machines, as many in one transaction as the
 // store allows, and retries until they are deleted.
 //
-// The shard's epoch is no precondition: a terminated machine stays terminated whoever owns its
-// shard, and its name is never used again. With that precondition the records stayed when the
-// shard changed its owner just after the release, and the next owner waited up to 36 s for
-// machines that no longer existed. For the same reason the write has the normal priority.
+// The shard's epoch is not a precondition: a terminated machine stays terminated, regardless of which
+// controller owns its shard, and its name is never used again. With that precondition the records
+// remained when the owner of the shard changed just after the release, and the next owner waited up
+// to 36 s for machines that no longer existed. For the same reason the write has the normal priority.
 func (m *Manager) deleteRecords(machines ...*clusterstate.Machine) {
 	for batch := range slices.Chunk(machines, m.cfg.EffectiveStateLimits().TxnOps) {
 		var txn kvstore.Txn
@@ -120,8 +120,8 @@
 	}
 }
 
-// retryDeletion deletes each record in a transaction of its own: a single record that was
-// written since would fail the others again.
+// retryDeletion deletes each record in a separate transaction after a delay. In a common transaction,
+// a single record that was written meanwhile would fail the deletion of all others again.
 func (m *Manager) retryDeletion(machines []*clusterstate.Machine) {
 	for _, machine := range machines {
 		m.mailbox.SendAfter(tuning.MaxRetryDelay, func() {
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -12,14 +12,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// gangTarget is the shard that collects machines for a gang, and the zone that they must be
+// gangTarget is the shard that collects machines for a gang, and the zone that the machines must be
 // in ("" for any).
 type gangTarget struct{ shardID, zone string }
 
-// shardForGang chooses the shard that collects machines for a gang which no shard can place
-// alone: the one with the most room for it by machine types, as the records say, so that all
-// controllers choose the same. ok is false if that shard has enough room already, or if the
-// gang has not waited long enough.
+// shardForGang chooses the shard that collects machines for a gang that no shard can place alone. It
+// is the shard whose machines would fit the most tasks of the gang if they were empty. Only stored
+// records are counted, so that all controllers choose the same shard. ok is false if all tasks would
+// fit in that shard already, if the gang has not waited for tuning.GangConsolidationDelay, or if the
+// job is not an unclaimed gang.
 func (m *Manager) shardForGang(job *clusterstate.Job, now time.Time) (target gangTarget, ok bool) {
 	record := job.Record()
 	isUnclaimedGang := record.Kind == jobs.Gang && record.UnclaimedCount() == record.Tasks
@@ -32,7 +33,7 @@
 	}
 	mostTasks := -1
 	for _, shardID := range m.Membership.Controllers() {
-		tasks := fittingTasks(record, capacityByShard[shardID], target.zone)
+		tasks := fittingTaskCount(record, capacityByShard[shardID], target.zone)
 		if tasks > mostTasks {
 			target.shardID, mostTasks = shardID, tasks
 		}
@@ -40,46 +41,47 @@
 	return target, mostTasks < record.Tasks
 }
 
-// zoneWithMostCapacity returns the zone with the most room in all shards together, the first
-// by name among equals.
+// zoneWithMostCapacity returns the zone in which the most tasks fit, counted over all shards. Of
+// several such zones it returns the first by name.
 func zoneWithMostCapacity(capacityByShard map[string]map[string]int) string {
-	sum := map[string]int{}
+	tasksByZone := map[string]int{}
 	for _, capacityByZone := range capacityByShard {
 		for zone, tasks := range capacityByZone {
-			sum[zone] += tasks
+			tasksByZone[zone] += tasks
 		}
 	}
 	best := ""
-	for zone, tasks := range sum {
-		if best == "" || tasks > sum[best] || tasks == sum[best] && zone < best {
+	for zone, tasks := range tasksByZone {
+		if best == "" || tasks > tasksByZone[best] || tasks == tasksByZone[best] && zone < best {
 			best = zone
 		}
 	}
 	return best
 }
 
-// fittingTasks returns the number of a gang's tasks that fit in a shard; if onlyZone is not "",
-// in that zone only. Of a gang that must be spread, half may be in one zone.
-func fittingTasks(record *jobs.JobRecord, capacityByZone map[string]int, onlyZone string) int {
-	sum := 0
+// fittingTaskCount returns the number of a gang's tasks that fit in a shard. If onlyZone is not "",
+// it counts that zone only. At most half of the tasks of a gang that must be spread may be in one
+// zone.
+func fittingTaskCount(record *jobs.JobRecord, capacityByZone map[string]int, onlyZone string) int {
+	taskCount := 0
 	for zone, tasks := range capacityByZone {
 		switch {
 		case onlyZone != "" && zone != onlyZone:
 		case record.Spread:
-			sum += min(tasks, (record.Tasks+1)/2)
+			taskCount += min(tasks, (record.Tasks+1)/2)
 		default:
-			sum += tasks
+			taskCount += tasks
 		}
 	}
-	return sum
+	return taskCount
 }
 
-// transferIdleMachines moves empty machines of the local shards to the shard that collects
-// machines for a waiting gang, in one transaction. Only a machine whose last heartbeat lists no
-// task, and for which no start is planned, moves: no task can run on it, so neither shard has
-// to wait for the other.
+// transferIdleMachines moves empty machines of the local shards to the shard that collects machines
+// for a waiting gang, in one transaction. A machine is moved only if its last heartbeat lists no task
+// and no start is planned on it. No task can then run on the machine, so neither shard has to wait
+// for the other.
 func (m *Manager) transferIdleMachines(now time.Time) {
-	// Few machines are empty at a time, and many jobs may wait.
+	// The machines are checked first, since few of them are empty at a time while many jobs may wait.
 	empty := m.transferableMachines()
 	if len(empty) == 0 {
 		return
@@ -116,8 +118,8 @@
 	return empty
 }
 
-// machinesForGang returns the machines of other shards that the gang can use, the longest
-// unchanged records first.
+// machinesForGang returns the empty machines that the gang can use and that are not in the target
+// shard yet. Machines whose records have been unchanged for longest are first.
 func machinesForGang(record *jobs.JobRecord, empty []*clusterstate.Machine, target gangTarget) []*clusterstate.Machine {
 	var chosen []*clusterstate.Machine
 	for _, machine := range empty {
@@ -130,8 +132,8 @@
 	return chosen
 }
 
-// moveToShard writes the target shard into the machines' records, on the precondition that the
-// records and the owners of all shards concerned are unchanged.
+// moveToShard writes the target shard into the machines' records. The preconditions are that the
+// records and the owners of the source and target shards are unchanged.
 func (m *Manager) moveToShard(machines []*clusterstate.Machine, target *membership.Shard) {
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: jobs.ShardPrefix + target.ID(), Revision: target.Epoch()}}}
 	sources := map[string]bool{}
@@ -150,8 +152,8 @@
 	}
 	m.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		if err != nil {
-			// The transaction may have been applied or may still be: the machines stay out of
-			// use until the same transaction, repeated, settles it.
+			// The transaction may have been applied, or may still be applied later. The machines
+			// are not used until a retry of the transaction has a known result.
 			m.mailbox.SendAfter(tuning.MaxRetryDelay, func() { m.retryMove(machines, target.ID()) })
 			return
 		}
@@ -172,7 +174,7 @@
 	}
 }
 
-// finishMove ends a move whose result is known.
+// finishMove marks the machines as no longer moving once the result of the move is known.
 func (m *Manager) finishMove(machines []*clusterstate.Machine, targetID string, moved bool) {
 	for _, machine := range machines {
 		if moved || m.State.IsCurrentMachine(machine) {
--- a/internal/machinelifecycle/utilization.go
+++ b/internal/machinelifecycle/utilization.go
@@ -7,22 +7,22 @@
 	"cherrywall/internal/workerapi"
 )
 
-// utilization sums up what the machines of a shard are used for.
+// utilization contains totals of the use of a shard's machines.
 type utilization struct {
-	idle, surplus, spot, onDemand, unusable int // machines
+	idle, surplus, spot, onDemand, unusable int // number of machines; each is counted in one field
 	used, total                             capacity.Resources
 
-	onDemandCPU, gangCPU, arrayCPU float64 // CPUs of on-demand machines, and what uses them
-	fetchingCPU                    float64 // CPUs of tasks that do not run yet
+	onDemandCPU, gangCPU, arrayCPU float64 // CPUs of on-demand machines; CPUs used there by gangs and services, and by arrays
+	fetchingCPU                    float64 // CPUs of tasks that fetch their image or wait for their gang
 }
 
-// LogUtilization logs, for each local shard, what its machines are used for.
+// LogUtilization logs the utilization of the machines of each local shard.
 func (m *Manager) LogUtilization() {
 	for _, shard := range m.Membership.LocalShards() {
 		var u utilization
 		for _, machine := range m.State.OwnedMachines() {
 			if machine.Record().Shard == shard.ID() {
-				m.addUtilization(&u, machine)
+				m.addMachineUtilization(&u, machine)
 			}
 		}
 		m.log.Debug("shard utilization", "shard", shard.ID(), "idle", u.idle, "surplus", u.surplus, "spot", u.spot, "on_demand", u.onDemand,
@@ -31,8 +31,8 @@
 	}
 }
 
-// addUtilization adds one machine to the sum.
-func (m *Manager) addUtilization(u *utilization, machine *clusterstate.Machine) {
+// addMachineUtilization adds one machine and its tasks to the totals.
+func (m *Manager) addMachineUtilization(u *utilization, machine *clusterstate.Machine) {
 	if !m.State.IsUsable(machine) {
 		u.unusable++
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// addAssignment adds the CPUs of one task.
+// addAssignment adds the CPUs of one task to the totals.
 func (u *utilization) addAssignment(assignment *clusterstate.Assignment, onSpot bool) {
 	status, job := assignment.Status().WorkerStatus, assignment.Job()
 	cpu := assignment.Need().CPU
