--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -6,89 +6,99 @@
 const (
 	// PeerHeartbeatInterval is how often a controller sends its status to its peers.
 	PeerHeartbeatInterval = 500 * time.Millisecond
-	// PeerIdleTimeout ends a connection without messages: several heartbeats.
+	// PeerIdleTimeout ends a connection on which no message arrives: several heartbeat
+	// intervals.
 	PeerIdleTimeout = 4 * time.Second
 	// PeerTimeout ends an attempt to connect or to write, and is the pause between two
 	// attempts.
 	PeerTimeout = time.Second
-	// MaxPeerFrameBytes bounds a frame. A heartbeat has a few hundred bytes.
+	// MaxPeerFrameBytes bounds the size of a frame. A heartbeat takes a few hundred bytes.
 	MaxPeerFrameBytes = 64 << 10
 	// MaxPeerHeartbeatShapes bounds the task shapes whose counts a heartbeat carries.
 	MaxPeerHeartbeatShapes = 12
-	// MaxPeerHeartbeatFaultyJobs is how many jobs at fault a heartbeat names at most: more than
-	// a few at a time mean that it is not the jobs.
+	// MaxPeerHeartbeatFaultyJobs is the maximum number of jobs at fault that a heartbeat
+	// names. If more than a few are at fault at the same time, the cause is not the jobs.
 	MaxPeerHeartbeatFaultyJobs = 32
 )
 
 // The failure detector.
 const (
-	// MinSuspicionTimeout is the least time without a peer's heartbeat until the peer is
-	// suspected: three are missing. Measured on lumenweg-ops-fleet at 9.6% of a core, no gap
-	// was above 0.9 s except where a controller had ended.
+	// MinSuspicionTimeout is the minimum time without a heartbeat before a peer is suspected:
+	// three heartbeats are missing. On lumenweg-ops-fleet at 9.6% of a core, no gap was above
+	// 0.9 s except where a controller had ended.
 	MinSuspicionTimeout = 1500 * time.Millisecond
 	// HeartbeatGapWeight is the weight of a new gap between heartbeats in their mean.
 	HeartbeatGapWeight = 0.05
-	// HeartbeatGapDeviations is how many deviations above the mean a gap may be without
-	// suspicion.
+	// HeartbeatGapDeviations is how many deviations a gap may be above the mean before the
+	// peer is suspected.
 	HeartbeatGapDeviations = 8
-	// MinHeartbeatGapSamples is after how many heartbeats the gaps of a peer are known.
+	// MinHeartbeatGapSamples is the number of heartbeats after which the gaps of a peer count
+	// as known.
 	MinHeartbeatGapSamples = 4
-	// SuspicionSuppressionPeriod is how long a controller that was paused, or lost the
-	// key-value store, suspects nobody afterwards.
+	// SuspicionSuppressionPeriod is how long a controller suspects no peer after it was paused
+	// or lost the key-value store.
 	SuspicionSuppressionPeriod = 3 * time.Second
-	// OwnerActivityValidity is how long a record that only a shard's owner writes shows that
+	// OwnerActivityValidity is how long a record that only a shard's owner writes proves that
 	// the owner is alive.
 	OwnerActivityValidity = 1200 * time.Millisecond
 )
 
 // The transfer of shards between live controllers.
 const (
-	// MaxTransferChunkTasks is how many tasks, and machines counted as one each, a chunk of a
-	// transfer describes: at some 110 bytes each it fits a frame beside a heartbeat.
+	// MaxTransferChunkTasks is the maximum number of tasks that a chunk of a transfer
+	// describes, where each machine counts as one task. At about 110 bytes each, a chunk fits
+	// a frame together with a heartbeat.
 	MaxTransferChunkTasks = 400
-	// MaxPendingTransferChunks is how many chunks a shard may have, and may wait to be sent:
-	// some 50,000 tasks, which take a tenth of a second of a core to write.
+	// MaxPendingTransferChunks is the maximum number of chunks that a shard may have and that
+	// may wait to be sent: about 50,000 tasks, which take a tenth of a second of a core to
+	// write.
 	MaxPendingTransferChunks = 128
-	// TransferTimeout is how long an owner prepares a transfer, and how long, once it has sent
-	// the shard, it waits for the acquisition before it reclaims the shard. Chunks take some
-	// 100 ms.
+	// TransferTimeout is how long an owner may prepare a transfer. Once it has sent the shard,
+	// the owner waits for the acquisition for the same time before it reclaims the shard.
+	// Chunks take about 100 ms.
 	TransferTimeout = 2 * time.Second
 	// TransferRequestTimeout is how long a controller that requests its home shard waits for
-	// the transfer before it acquires the shard without. After a pause of seconds its link to
-	// the owner is up again within two, and the owner serves the shard meanwhile.
+	// the transfer before it acquires the shard without one. After a pause of seconds its
+	// connection to the owner is up again within two seconds, and the owner serves the shard
+	// in the meantime.
 	TransferRequestTimeout = 6 * time.Second
-	// TransferRetryDelay is how long a shard whose transfer failed is not transferred again:
-	// during each attempt its workers are not answered.
+	// TransferRetryDelay is how long a shard is not transferred again after a failed transfer:
+	// during each attempt the workers of the shard are not answered.
 	TransferRetryDelay = 30 * time.Second
-	// StrayWorkerFraction of a shard's workers, contacting its home controller within
-	// StrayWorkerWindow though another controller owns it, show that they cannot reach the
-	// owner.
+	// StrayWorkerFraction is the fraction of a shard's workers that must contact the shard's
+	// home controller within StrayWorkerWindow, although another controller owns the shard, to
+	// show that they cannot reach the owner.
 	StrayWorkerFraction = 0.1
-	// StrayWorkerWindow is one heartbeat interval.
+	// StrayWorkerWindow is how far back these contacts count: one heartbeat interval.
 	StrayWorkerWindow = 5 * time.Second
 	// ShutdownTransferTimeout bounds the time in which a controller that shuts down transfers
-	// its shards: they are requested within a heartbeat, and sent one after the other.
+	// its shards. The transfers are requested within a heartbeat interval, and sent one after
+	// the other.
 	ShutdownTransferTimeout = 4 * time.Second
-	// ShutdownLastWriteTimeout is the time for its last write to the key-value store.
+	// ShutdownLastWriteTimeout bounds the controller's last write to the key-value store at
+	// shutdown.
 	ShutdownLastWriteTimeout = 250 * time.Millisecond
 )
 
 // The acquisition of shards.
 const (
 	// StartupGracePeriod is how long a controller that has just started does not acquire the
-	// shards of others: when all start together the last was 1.5 s behind the first.
+	// shards of others. When all controllers start together, the last one is 1.5 s behind the
+	// first.
 	StartupGracePeriod = 2 * time.Second
-	// AcquisitionWindow is how far back acquisitions of a shard count.
+	// AcquisitionWindow is how far back acquisitions of a shard count towards
+	// MaxUndelayedAcquisitions.
 	AcquisitionWindow = 2 * time.Minute
-	// MaxUndelayedAcquisitions is how many acquisitions in that window have no consequence: a
-	// crash and the return from it, twice. Beyond them the home controller waits before it
-	// reclaims the shard from a live owner.
+	// MaxUndelayedAcquisitions is how many acquisitions of a shard cause no delay: those of a
+	// crash and the return from it, twice. After more of them the home controller waits before
+	// it reclaims the shard from a live owner.
 	MaxUndelayedAcquisitions = 3
 	// MaxRecordedAcquisitions is how many acquisitions are recorded (entries).
 	MaxRecordedAcquisitions = 8
-	// MinShardReturnDelay is the first such wait, doubled with each further acquisition.
+	// MinShardReturnDelay is the first wait before the home controller reclaims the shard. It
+	// doubles with each further acquisition.
 	MinShardReturnDelay = 5 * time.Second
-	// MaxShardReturnDelay bounds it: a minute, in which a machine that was kept waiting all
-	// along would have been replaced.
+	// MaxShardReturnDelay bounds this wait to a minute, in which a machine that was kept
+	// waiting throughout would have been replaced.
 	MaxShardReturnDelay = time.Minute
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -4,52 +4,56 @@
 
 // Scheduling cycles.
 const (
-	// MinCycleInterval is the least time between two scheduling cycles, so that a burst of
-	// events shares one.
+	// MinCycleInterval is the minimum time between two scheduling cycles, so that a burst of
+	// events causes only one.
 	MinCycleInterval = 40 * time.Millisecond
-	// MinHeartbeatCycleInterval is the least time before a cycle that a heartbeat requests: its
-	// answer should carry what uses the room that it frees.
+	// MinHeartbeatCycleInterval is the minimum time between the last cycle and a cycle that a
+	// heartbeat requests. The answer to the heartbeat should already carry starts for the
+	// capacity that the heartbeat reports as free.
 	MinHeartbeatCycleInterval = 25 * time.Millisecond
 	// ClaimStaggerDelay delays the claim of a job accepted by another controller, so that the
-	// one that accepted it goes first and conflicts are rare.
+	// accepting controller claims first and conflicts are rare.
 	ClaimStaggerDelay = 120 * time.Millisecond
-	// SurplusPlacementDelay is how long an array waits before it takes a machine that is to be
-	// drained: about a heartbeat interval, in which spot room shows in some shard.
+	// SurplusPlacementDelay is how long an array waits before it uses a machine that is to be
+	// drained: about a heartbeat interval, in which spot capacity may become known in some
+	// shard.
 	SurplusPlacementDelay = 1500 * time.Millisecond
 )
 
 // Order of jobs.
 const (
-	// JobOverdueAfter is how long a job may wait without any task started until it goes before
-	// all others, for one task or as a gang. Users count a day as failed if a largest job
-	// starts after four minutes; a gang's room needs one run of another gang to become free, a
-	// minute or so.
+	// JobOverdueAfter is how long a job may wait without any task started before it takes
+	// precedence over all others, either for one task or as a gang. Users count a day as
+	// failed if one of the largest jobs starts after four minutes. The capacity for a gang
+	// becomes free when another gang has run, which takes about a minute.
 	JobOverdueAfter = 150 * time.Second
-	// GangReservationPeriod is how long room is reserved for an overdue gang at a time: two or
-	// three runs of gangs of usual length.
+	// GangReservationPeriod is how long capacity is reserved for an overdue gang at a time:
+	// two or three runs of gangs of usual length.
 	GangReservationPeriod = 2 * time.Minute
-	// DeadlineAtRiskMargin is how long before its latest start for an objective a gang goes
-	// before those that have more time: a few times in which room for it becomes free.
+	// DeadlineAtRiskMargin is how long before its latest start for an objective a gang takes
+	// precedence over gangs that have more time. It is a few times as long as it takes until
+	// capacity for the gang becomes free.
 	DeadlineAtRiskMargin = 20 * time.Second
-	// AgingPeriod is how long after it could first have run an array without a deadline or
-	// objective that it can still meet counts as having to start, so that it does not starve. A
-	// gang that has waited for longer goes before all others of its priority.
+	// AgingPeriod is how long after it became runnable an array should start if it has no
+	// deadline or objective that it can still meet, so that it does not starve. A gang that
+	// has waited for longer takes precedence over all others of its priority.
 	AgingPeriod = 5 * time.Minute
 )
 
 // Estimates of run times.
 const (
-	// RunTimeSpread is by which fraction of the usual run time the slowest of many tasks runs
-	// longer.
+	// RunTimeSpread is the fraction of the usual run time by which the slowest of many tasks
+	// runs longer.
 	RunTimeSpread = 0.5
-	// JobOverheadSeconds is how long a job takes besides its run time (s): claim, start
-	// command, an image of a gigabyte or two, the last heartbeat and the record of the end.
+	// JobOverheadSeconds is how long a job takes besides its run time (s): the claim, the
+	// start command, the fetch of an image of one or two gigabytes, the last heartbeat and the
+	// record of the end.
 	JobOverheadSeconds = 6.0
-	// MinRunTimeSampleWeight is the least weight of a new run time in the mean by which the
-	// users' estimates are corrected: the last twenty count most.
+	// MinRunTimeSampleWeight is the minimum weight of a new run time in the mean that corrects
+	// the users' estimates: the last twenty run times count most.
 	MinRunTimeSampleWeight = 0.05
-	// MinEstimateRatio and MaxEstimateRatio bound that correction: beyond them it is more
-	// likely that a few unusual tasks were seen.
+	// MinEstimateRatio and MaxEstimateRatio bound this correction. A ratio beyond these bounds
+	// more likely comes from a few unusual tasks.
 	MinEstimateRatio = 0.3
 	// MaxEstimateRatio: see MinEstimateRatio.
 	MaxEstimateRatio = 3.0
@@ -57,30 +61,30 @@
 
 // Placement of tasks on machines.
 const (
-	// TieBreakWeight decides between machine types or zones that cost the same otherwise (per
-	// CPU or machine): small against every real difference.
+	// TieBreakWeight decides between machine types or zones of otherwise equal cost (per CPU
+	// or machine). It is small compared with every real difference.
 	TieBreakWeight = 0.001
-	// ScoreCachedImage is added for a machine with the task's image, so that it goes before a
-	// fuller one: fullness counts up to 1.
+	// ScoreCachedImage is added to the score of a machine that has the task's image, so that
+	// it is preferred to a fuller machine: fullness adds up to 1.
 	ScoreCachedImage = 2.0
-	// ScoreRetained is added for a machine that is not surplus.
+	// ScoreRetained is added to the score of a machine that is not surplus.
 	ScoreRetained = 4.0
-	// ScoreOnDemand is added for a retained machine that is not spot.
+	// ScoreOnDemand is added to the score of a retained machine that is not spot.
 	ScoreOnDemand = 4.0
-	// ScoreGangSafe is added for room that urgent gangs do not need: it counts for more than
-	// all the others together.
+	// ScoreGangSafe is added to the score of a machine whose capacity urgent gangs do not
+	// need. It counts for more than all the other scores together.
 	ScoreGangSafe = 16.0
-	// RankNoRoom is a controller's rank for a gang for which it has no room at all, behind
-	// every count of free tasks.
+	// RankNoRoom is the cost of placing a gang at a controller that has no capacity for it. It
+	// is above every count of free tasks.
 	RankNoRoom = 1 << 20
-	// RankAfterPreemption is the rank for a gang for which it has room only by preemption, also
-	// behind every count of free tasks.
+	// RankAfterPreemption is the base cost of placing a gang at a controller that has capacity
+	// for it only after preemption. It is also above every count of free tasks.
 	RankAfterPreemption = 1 << 18
 	// GangConsolidationDelay is how long a gang that fits no shard waits before idle workers
 	// are moved into one shard for it.
 	GangConsolidationDelay = 3 * time.Second
-	// MaxPreemptionWait is how long a gang waits for room that is being cleared before its plan
-	// is given up.
+	// MaxPreemptionWait is how long a gang waits for capacity that is being freed by
+	// preemption before its plan is given up.
 	MaxPreemptionWait = 20 * time.Second
 )
 
@@ -89,8 +93,9 @@
 	// BackgroundSpotOnlyPeriod is how long only spot machines are scaled out for background
 	// work.
 	BackgroundSpotOnlyPeriod = 150 * time.Second
-	// BackgroundHorizon is the time in which background work should be finished after that.
+	// BackgroundHorizon is the time within which background work should be finished after
+	// BackgroundSpotOnlyPeriod.
 	BackgroundHorizon = 150 * time.Second
-	// BackgroundUnclaimAfter replaces UnclaimAfter for background work, which is in no hurry.
+	// BackgroundUnclaimAfter replaces UnclaimAfter for background work, which is not urgent.
 	BackgroundUnclaimAfter = 30 * time.Second
 )
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// Liveness and knowledge of the key-value store.
+// Leases of controllers and reads of the store's revision.
 const (
 	// ControllerLeaseTTL is the time to live of a controller's lease in the key-value store:
-	// how long a controller may fail to renew it before its shards fail over. It is shorter than a
-	// restart, so that a crash does not leave workers unanswered for the whole of it, and
-	// longer than a slow answer of the store.
+	// how long a controller may fail to renew it before its shards fail over. It is shorter
+	// than a restart, so that workers are not unanswered for the whole restart after a crash,
+	// and longer than a slow answer of the store.
 	ControllerLeaseTTL = 4 * time.Second
 	// ControllerLeaseRenewInterval is how often that lease is renewed: three attempts fit into
 	// one ControllerLeaseTTL.
 	ControllerLeaseRenewInterval = 1200 * time.Millisecond
 	// RevisionReadInterval is how often the store's revision is read when no poll causes a
-	// read. The answer dates the knowledge on which a controller answers workers.
+	// read. The time of the read tells how recent the records are on which a controller
+	// answers workers.
 	RevisionReadInterval = time.Second
-	// MinRevisionReadGap is the least time between two reads of the revision, so that a burst
-	// of polls shares one read.
+	// MinRevisionReadGap is the minimum time between two reads of the revision, so that a
+	// burst of polls shares one read.
 	MinRevisionReadGap = 20 * time.Millisecond
-	// MinPollRevisionReadGap replaces MinRevisionReadGap when only polls wait. Users give a
-	// poll up after 2 s, and all controllers together may make 150 requests a second.
+	// MinPollRevisionReadGap replaces MinRevisionReadGap when only polls wait. Users give up a
+	// poll after 2 s, and all controllers together may make 150 requests a second.
 	MinPollRevisionReadGap = 100 * time.Millisecond
 )
 
 // Requests to the key-value store.
 const (
 	// StoreRequestTimeout ends a request to the store. Answers take under 10 ms and
-	// occasionally a few hundred.
+	// occasionally a few hundred milliseconds.
 	StoreRequestTimeout = 1500 * time.Millisecond
 	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s;
-	// this is short enough that a watch on a dead connection is noticed.
+	// the shorter time lets a watch on a dead connection be noticed.
 	WatchRequestWait = 10 * time.Second
-	// WatchStuckAfter is how long a watch may be behind a known revision before it is restarted.
+	// WatchStuckAfter is how long a watch may lag behind a known revision before it is
+	// restarted.
 	WatchStuckAfter = 1200 * time.Millisecond
-	// MinWatchRequestGap is the least time between two watch requests. With many changes the
-	// watches of all controllers would use up the request budget otherwise.
+	// MinWatchRequestGap is the minimum time between two watch requests. Otherwise the watches
+	// of all controllers would use up the request budget when there are many changes.
 	MinWatchRequestGap = 100 * time.Millisecond
 	// WatchTimeoutMargin is how much longer than WatchRequestWait a watch may take to answer.
 	WatchTimeoutMargin = 5 * time.Second
@@ -53,18 +55,19 @@
 // The rate limits of the key-value store, as shared by the controllers.
 const (
 	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller
-	// allows itself. It is above 1/controllers, since the others are rarely all busy.
+	// may use. It is above 1/controllers, since the others are rarely all busy.
 	ControllerBudgetFraction = 0.5
-	// EvenBudgetFraction times 1/controllers is what a controller's fraction falls to while the
-	// store refuses requests. The rest absorbs how the store counts bursts.
+	// EvenBudgetFraction times 1/controllers is the fraction to which a controller falls back
+	// while the store refuses requests. The rest absorbs how the store counts bursts.
 	EvenBudgetFraction = 0.95
-	// BusyControllerBudgetFraction is the most that one controller takes while its peers report
-	// that they use little. All of them may start at once, and a peer heartbeat reports that
-	// half a second later.
+	// BusyControllerBudgetFraction is the maximum fraction that one controller uses while its
+	// peers report low usage. All of them may become busy at once, and a peer heartbeat
+	// reports that half a second later.
 	BusyControllerBudgetFraction = 0.6
-	// ReportedBudgetFactor times the limits is divided by the usage that controllers report to
-	// each other. It is above one: a refusal costs a few tens of milliseconds, and waiting for
-	// budget that a peer does not use after all may cost more.
+	// ReportedBudgetFactor times the limits is the budget that remains for a controller after
+	// the usage reported by its peers is subtracted. It is above one: a refusal costs a few
+	// tens of milliseconds, and waiting for budget that a peer does not use after all may cost
+	// more.
 	ReportedBudgetFactor = 1.25
 	// BudgetUsageSmoothingPeriod is the time constant of the usage that is reported to peers.
 	BudgetUsageSmoothingPeriod = 500 * time.Millisecond
@@ -73,11 +76,11 @@
 	// BudgetRecoveryInterval is the time without a refusal after which the fraction rises by
 	// the same factor.
 	BudgetRecoveryInterval = 2 * time.Second
-	// RateLimitedAttempts is how many times in all a request is made that the store refuses
-	// for its rate limits.
+	// RateLimitedAttempts is the maximum number of attempts at a request that the store
+	// refuses because of its rate limits.
 	RateLimitedAttempts = 4
-	// RateLimitedRetryDelay is the first pause between these attempts: a budget of 50 changes a
-	// second has regained a few by the last.
+	// RateLimitedRetryDelay is the first pause between these attempts. By the last attempt a
+	// budget of 50 changes a second has regained a few changes.
 	RateLimitedRetryDelay = 30 * time.Millisecond
 	// BudgetPollInterval is how often a caller that leaves budget to more urgent ones checks
 	// again.
@@ -86,33 +89,34 @@
 
 // Sizes of records in the key-value store.
 const (
-	// RecordValueFraction is the fraction of the largest value that a job's record may use. The
-	// rest is for the store's own counting of bytes and for fields to come.
+	// RecordValueFraction is the fraction of the maximum value size that a job's record may
+	// use. The rest is for the store's own counting of bytes and for fields that are added
+	// later.
 	RecordValueFraction = 0.8
-	// ValueMarginBytes is left free in every value, should the store count slightly more than
-	// the value.
+	// ValueMarginBytes is left free in every value, in case the store counts slightly more
+	// bytes than the value has.
 	ValueMarginBytes = 16
 	// MaxTxnBytes bounds what one transaction writes. The store accepts 64 KiB, including keys
 	// and preconditions.
 	MaxTxnBytes = 48 << 10
 	// MaxChunkedRecordBytes bounds a record that is stored in chunks: the largest user request
-	// and half as much again for what accompanies it.
+	// and, for the record's other fields, half as much again.
 	MaxChunkedRecordBytes = 96 << 10
-	// MaxCachedChunkedRecords is how many records stored in chunks are cached whole (entries).
-	// There are few.
+	// MaxCachedChunkedRecords is how many records that are stored in chunks are cached in full
+	// (entries). There are few such records.
 	MaxCachedChunkedRecords = 64
-	// MaxChunkPointerBytes is more than any record takes that names chunks.
+	// MaxChunkPointerBytes is an upper bound on the size of a record that refers to chunks.
 	MaxChunkPointerBytes = 128
-	// MaxChunkAssembleAttempts is how many times in all a record is read that is written anew
-	// while its chunks are read.
+	// MaxChunkAssembleAttempts is the maximum number of attempts to read a record that is
+	// rewritten while its chunks are read.
 	MaxChunkAssembleAttempts = 4
-	// ChunkCleanupInterval is how often chunks without a record are looked for. What is being
-	// written has its record long before a second look.
+	// ChunkCleanupInterval is how often the controller looks for chunks without a record.
+	// Chunks that are being written have their record long before a second pass.
 	ChunkCleanupInterval = time.Minute
-	// MinValueKB is the least value size limit (KiB) with which the program can work: that of a
-	// job of usual size.
+	// MinValueKB is the smallest limit of the value size (KiB) with which the program can
+	// work: the size of a usual job's record.
 	MinValueKB = 1.0
-	// MinTxnOps is the least number of changes a transaction must allow: the end of a job with
-	// one task range.
+	// MinTxnOps is the minimum number of changes that a transaction must allow: those at the
+	// end of a job with one task range.
 	MinTxnOps = 4
 )
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,5 +1,5 @@
-// Package tuning holds every constant of the program that is not a setting, each with its
-// unit and the reason for its value. Durations carry their unit in their type; other units
-// stand in the name or in the comment. The files divide the constants by the component that
-// uses them.
+// Package tuning holds every constant of the program that is not a setting, each with its unit
+// and, where it is not obvious, the reason for its value. Durations carry their unit in their
+// type; other constants have it in the name or in the comment. The constants are divided into
+// files by the component that uses them.
 package tuning
