--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads and validates the settings file that the platform hands to a controller,
-// and derives from it the limits and durations on which other packages rest.
+// and derives from it the limits and durations that other packages use.
 package config
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the whole file. Unknown fields are ignored: newer platforms may add some.
+// Config is the settings file. Unknown fields are ignored: newer platforms may add some.
 type Config struct {
 	// Node is this controller's name. Zone is the zone in which it runs.
 	Node string `toml:"node"`
@@ -55,7 +55,7 @@
 type WorkerTimings struct {
 	// HeartbeatIntervalSeconds is the time between two heartbeats of a worker.
 	HeartbeatIntervalSeconds float64 `toml:"report_s"`
-	// LeaseSeconds is how long after its last answered heartbeat a worker stops its tasks.
+	// LeaseSeconds is the time after its last answered heartbeat at which a worker stops its tasks.
 	LeaseSeconds float64 `toml:"lease_s"`
 	// GangWaitSeconds is how long a gang's task waits for the others before it gives up.
 	GangWaitSeconds float64 `toml:"gang_wait_s"`
@@ -69,8 +69,8 @@
 // StateSettings are the limits of the key-value store.
 type StateSettings struct {
 	StateLimits
-	// Next are the limits that will replace the current ones at some time, without notice. A limit
-	// of 0 stays as it is.
+	// Next are the limits that will replace the current ones at some time, without notice. 0 means
+	// that the current limit stays.
 	Next StateLimits `toml:"next"`
 }
 
@@ -104,7 +104,7 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Load reads and validates the file. An invalid value gives a *FieldError.
+// Load reads and validates the settings file. The error for an invalid value wraps a *FieldError.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -41,19 +41,19 @@
 mem_mb = 125.0
 `
 
-// load loads settings from a temporary file.
-func load(t *testing.T, text string) error {
+// loadSettings writes settings to a temporary file and loads them.
+func loadSettings(t *testing.T, settings string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Load(path)
 	return err
 }
 
-func TestInvalidSettingsNameField(t *testing.T) {
-	if err := load(t, validSettings); err != nil {
+func TestErrorNamesInvalidField(t *testing.T) {
+	if err := loadSettings(t, validSettings); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, field string }{
@@ -62,7 +62,7 @@
 		{`node = "n1"`, `node = "n0"`, "others[0].node"}, {`txn_ops = 40`, `txn_ops = "x"`, "txn_ops"},
 		{`[outside]`, `[outside`, ""},
 	} {
-		err := load(t, strings.Replace(validSettings, c.from, c.to, 1))
+		err := loadSettings(t, strings.Replace(validSettings, c.from, c.to, 1))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%q -> %q: %v", c.from, c.to, err)
 		}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,8 +2,8 @@
 
 import "cherrywall/internal/tuning"
 
-// EffectiveStateLimits returns the limits that every write observes: the smaller ones of the
-// store's current limits and those to come, since these come into force without notice.
+// EffectiveStateLimits returns the limits that every write observes. Each is the smaller of the
+// store's current limit and the next one, since the next limits come into force without notice.
 func (c *Config) EffectiveStateLimits() StateLimits {
 	current, next := c.Cluster.State.StateLimits, c.Cluster.State.Next
 	return StateLimits{
@@ -14,7 +14,8 @@
 	}
 }
 
-// smallerLimit returns the smaller of a limit and the one to come; 0 is none to come.
+// smallerLimit returns the smaller of the current and the next limit. If next is 0, the current
+// limit stays.
 func smallerLimit[T int | float64](current, next T) T {
 	if next > 0 {
 		return min(current, next)
@@ -22,18 +23,19 @@
 	return current
 }
 
-// TargetValueBytes returns how long a record should be at most, with room for fields to come.
+// TargetValueBytes returns the size (bytes) that a record should not exceed. It leaves space for
+// fields that are added later.
 func (c *Config) TargetValueBytes() int {
 	return int(c.EffectiveStateLimits().ValueKB * 1024 * tuning.RecordValueFraction)
 }
 
-// MaxValueBytes returns how long a value may be both now and when the limits to come are in
-// force.
+// MaxValueBytes returns the maximum size (bytes) of a value that satisfies both the current and
+// the next limits.
 func (c *Config) MaxValueBytes() int {
 	return int(c.EffectiveStateLimits().ValueKB*1024) - tuning.ValueMarginBytes
 }
 
-// CurrentMaxValueBytes returns how long a value may be as long as the limits to come are not in
+// CurrentMaxValueBytes returns the maximum size (bytes) of a value until the next limits come into
 // force.
 func (c *Config) CurrentMaxValueBytes() int {
 	return int(c.Cluster.State.ValueKB*1024) - tuning.ValueMarginBytes
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -2,10 +2,10 @@
 
 import "cherrywall/internal/tuning"
 
-// ObjectiveKind says what an objective measures. The configuration may also have other kinds.
+// ObjectiveKind is what an objective measures. The settings may also have other kinds.
 type ObjectiveKind string
 
-// Kinds of objectives that are about single jobs.
+// Kinds of objectives that apply to single jobs.
 const (
 	// ObjectiveStarted: a job's tasks have started within a time.
 	ObjectiveStarted ObjectiveKind = "wait"
@@ -20,13 +20,13 @@
 	Kind          ObjectiveKind `toml:"kind"`
 	Class         string        `toml:"class"`
 	WithinSeconds float64       `toml:"within_s"`
-	Fraction      float64       `toml:"share"` // of the jobs that must meet it
+	Fraction      float64       `toml:"share"` // of the jobs that must meet the objective
 	// DeadlineMultiple is for ObjectiveDeadline; 0 means 1.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
-// HasObjective reports whether the objectives name a class. If none names any class, all
-// classes count as named.
+// HasObjective reports whether an objective names the class. If no objective names a class, every
+// class counts as named.
 func (c *Config) HasObjective(class string) bool {
 	namesAnyClass := false
 	for _, objective := range c.Cluster.Objectives {
@@ -38,8 +38,8 @@
 	return !namesAnyClass
 }
 
-// DeadlineMultiple returns the largest multiple of its deadline within which a job of a class
-// should be done, at least 1.
+// DeadlineMultiple returns the multiple of its deadline within which a job of a class should be
+// done: the largest among the objectives of the class, at least 1.
 func (c *Config) DeadlineMultiple(class string) float64 {
 	largest := 1.0
 	for _, objective := range c.Cluster.Objectives {
@@ -50,9 +50,9 @@
 	return largest
 }
 
-// TargetSeconds returns the time (s) in which a job of a class should be done: its deadline, or
-// the objective of its class if that is less. Without a deadline it follows from
-// tuning.WorkHorizon.
+// TargetSeconds returns the time (s) within which a job of a class should be done: its deadline,
+// or the objective of its class if that is shorter. For a job without a deadline, a time derived
+// from tuning.WorkHorizon replaces the deadline.
 func TargetSeconds(objectives []Objective, class string, deadline *float64) float64 {
 	within := tuning.WorkHorizon.Seconds() / tuning.DeadlineTargetFraction
 	if deadline != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,11 +13,12 @@
 // Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func invalid(field, format string, args ...any) error {
+// fieldErrorf returns a *FieldError whose reason is formatted as by fmt.Sprintf.
+func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate returns the first invalid value.
+// validate returns a *FieldError for the first invalid value, nil if all are valid.
 func (c *Config) validate() error {
 	for _, check := range []func() error{
 		c.validateNode,
@@ -36,15 +37,15 @@
 
 func (c *Config) validateNode() error {
 	if c.Node == "" {
-		return invalid("node", "missing")
+		return fieldErrorf("node", "missing")
 	}
 	if c.Zone == "" {
-		return invalid("zone", "missing")
+		return fieldErrorf("zone", "missing")
 	}
 	names := map[string]bool{c.Node: true}
 	for i, peer := range c.Peers {
 		if peer.Node == "" || names[peer.Node] {
-			return invalid(fmt.Sprintf("others[%d].node", i), "missing or given twice")
+			return fieldErrorf(fmt.Sprintf("others[%d].node", i), "missing or given twice")
 		}
 		names[peer.Node] = true
 	}
@@ -62,24 +63,24 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return invalid(a.field, "%q is not host:port", a.value)
+			return fieldErrorf(a.field, "%q is not host:port", a.value)
 		}
 	}
 	return nil
 }
 
-// number is a value with the path of its field.
-type number struct {
+// numericField is a value with the path of its field.
+type numericField struct {
 	field string
 	value float64
 }
 
 func (c *Config) validatePositive() error {
 	if len(c.Cluster.Zones) == 0 {
-		return invalid("cluster.zones", "missing")
+		return fieldErrorf("cluster.zones", "missing")
 	}
 	workers, state := c.Cluster.Workers, c.Cluster.State
-	for _, n := range []number{
+	for _, n := range []numericField{
 		{"cluster.workers.report_s", workers.HeartbeatIntervalSeconds}, {"cluster.workers.lease_s", workers.LeaseSeconds},
 		{"cluster.workers.gang_wait_s", workers.GangWaitSeconds}, {"cluster.workers.gang_peer_s", workers.GangPeerTimeoutSeconds},
 		{"cluster.workers.cancel_s", workers.CancelSeconds},
@@ -89,7 +90,7 @@
 		{"cluster.limits.mem_mb", c.Cluster.Limits.MemMB},
 	} {
 		if !(n.value > 0) { // also refuses NaN, which TOML allows
-			return invalid(n.field, "must be above 0")
+			return fieldErrorf(n.field, "must be above 0")
 		}
 	}
 	return nil
@@ -97,34 +98,34 @@
 
 func (c *Config) validateNextLimits() error {
 	next := c.Cluster.State.Next
-	for _, n := range []number{
+	for _, n := range []numericField{
 		{"cluster.state.next.rps", next.RPS}, {"cluster.state.next.write_rps", next.WriteRPS},
 		{"cluster.state.next.value_kb", next.ValueKB}, {"cluster.state.next.txn_ops", float64(next.TxnOps)},
 	} {
 		if !(n.value >= 0) { // also refuses NaN, which TOML allows
-			return invalid(n.field, "must not be negative")
+			return fieldErrorf(n.field, "must not be negative")
 		}
 	}
 	if next.ValueKB > 0 && next.ValueKB < tuning.MinValueKB {
-		return invalid("cluster.state.next.value_kb", "must be at least %g", tuning.MinValueKB)
+		return fieldErrorf("cluster.state.next.value_kb", "must be at least %g", tuning.MinValueKB)
 	}
 	if next.TxnOps > 0 && next.TxnOps < tuning.MinTxnOps {
-		return invalid("cluster.state.next.txn_ops", "must be at least %d", tuning.MinTxnOps)
+		return fieldErrorf("cluster.state.next.txn_ops", "must be at least %d", tuning.MinTxnOps)
 	}
 	return nil
 }
 
 func (c *Config) validateTimings() error {
 	if c.Cluster.Cloud.ListLagSeconds < 0 {
-		return invalid("cluster.cloud.list_lag_s", "must not be negative")
+		return fieldErrorf("cluster.cloud.list_lag_s", "must not be negative")
 	}
-	// A worker's lease must be able to expire within the time that a cancellation has.
-	// Otherwise no controller could ever continue without the key-value store.
+	// A worker's lease must be able to expire within the time that a cancellation may take.
+	// Otherwise no controller could ever answer heartbeats without the key-value store.
 	if c.Cluster.Workers.CancelSeconds <= c.Cluster.Workers.LeaseSeconds {
-		return invalid("cluster.workers.cancel_s", "must be above lease_s")
+		return fieldErrorf("cluster.workers.cancel_s", "must be above lease_s")
 	}
 	if c.Cluster.ClockErrorMS < 0 {
-		return invalid("cluster.clock_error_ms", "must not be negative")
+		return fieldErrorf("cluster.clock_error_ms", "must not be negative")
 	}
 	return nil
 }
@@ -133,11 +134,11 @@
 	names := map[string]bool{}
 	for i, team := range c.Cluster.Teams {
 		if team.Name == "" || names[team.Name] {
-			return invalid(fmt.Sprintf("cluster.teams[%d].name", i), "missing or given twice")
+			return fieldErrorf(fmt.Sprintf("cluster.teams[%d].name", i), "missing or given twice")
 		}
 		names[team.Name] = true
 		if team.GuaranteedCPUs < 0 || team.MaxCPUs < 0 || team.GuaranteedGPUs < 0 || team.MaxGPUs < 0 {
-			return invalid(fmt.Sprintf("cluster.teams[%d]", i), "negative amount")
+			return fieldErrorf(fmt.Sprintf("cluster.teams[%d]", i), "negative amount")
 		}
 	}
 	return nil
