--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,9 +1,10 @@
 // Package autoscaler requests machines from the cloud for jobs that wait for capacity.
 //
 // Only the controller that holds the autoscaler lease scales out, so that three controllers do
-// not answer one demand three times. Scaling in is left to the owners of the shards
-// (machinelifecycle): they alone know that nothing runs on a machine, and can keep it so. The
-// autoscaler itself releases only machines that failed or never reported.
+// not request machines for the same demand three times. Scaling in is left to the owners of the
+// shards (machinelifecycle): only they know that nothing runs on a machine, and can prevent new
+// tasks from starting there. The autoscaler itself releases only machines that failed or whose
+// worker never sent a heartbeat.
 package autoscaler
 
 import (
@@ -25,10 +26,10 @@
 	// MachineTypes reads the machine types on offer.
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	// ScaleOut requests machines and returns the hosts that will boot, which may be fewer than
-	// requested. Repeated with the same idempotency key it starts nothing twice. The error is
-	// cloud.ErrNoCapacity if none can be had, cloud.ErrUnavailable if the result is unknown.
+	// requested. A repeated call with the same idempotency key starts nothing twice. The error is
+	// cloud.ErrNoCapacity if no machine is available, cloud.ErrUnavailable if the result is unknown.
 	ScaleOut(ctx context.Context, request cloud.ScaleOutRequest) ([]string, error)
-	// Release gives machines back. Releasing a machine twice does no harm.
+	// Release returns machines to the cloud. Releasing a machine twice does no harm.
 	Release(ctx context.Context, hosts []string) error
 	// List reads the cloud's list of machines, which may lag behind.
 	List(ctx context.Context) ([]cloud.Machine, error)
@@ -42,14 +43,14 @@
 	KeepAlive(ctx context.Context, leaseID uint64) error
 }
 
-// Controller is what the autoscaler needs of the controller. Its methods may be called from any
+// Controller is the part of the controller that the autoscaler uses. Its methods may be called from any
 // goroutine.
 type Controller interface {
 	// SetMachineTypes passes on the machine types that the cloud offers.
 	SetMachineTypes(machineTypes []cloud.MachineType)
 	// SetBootTimes passes on the learned boot times in seconds, by machine type.
 	SetBootTimes(bootSeconds map[string]float64)
-	// Demand returns the jobs that wait for capacity and the machines that are there.
+	// Demand returns the jobs that wait for capacity and the existing machines.
 	Demand() scheduler.Demand
 }
 
@@ -58,14 +59,14 @@
 	node        string
 	incarnation uint64
 	objectives  []config.Objective // service-level objectives of the job classes
-	listLag     time.Duration      // by how much the cloud's machine list may lag behind
+	listLag     time.Duration      // the maximum lag of the cloud's machine list, as stated
 
 	store      Store
 	provider   Cloud
 	controller Controller
 	log        *slog.Logger
 
-	leaseID        uint64 // 0 without the lease
+	leaseID        uint64 // 0 if this controller does not hold the lease
 	leaseRenewedAt time.Time
 	requestCount   int
 
@@ -76,8 +77,8 @@
 	pending         map[string]*pendingMachine   // by host
 	refusedAt       map[capacity.Group]time.Time // when the cloud last had no capacity
 	unreportedSince map[string]time.Time         // listed as running without a heartbeat, by host
-	// hasReported holds the machines that have sent a heartbeat. The cloud's list may show them
-	// as booting long after, and they must not count as pending once they are released.
+	// hasReported holds the machines that have sent a heartbeat, by host. The cloud's list may show
+	// them as booting long afterwards, and they must not count as pending once they are released.
 	hasReported map[string]bool
 
 	bootTimes           forecast.BootTimes
@@ -147,8 +148,8 @@
 	a.controller.SetMachineTypes(machineTypes)
 }
 
-// runCycle reviews the machine list when it is due, follows the pending machines and scales out
-// for the present demand.
+// runCycle reviews the machine list when that is due, updates the pending machines and scales out
+// for the current demand.
 func (a *Autoscaler) runCycle(ctx context.Context) {
 	demand := a.controller.Demand()
 	if !demand.IsCurrent {
@@ -160,18 +161,18 @@
 	a.updatePending(demand)
 	a.updateBootTimes(demand)
 	a.logDemand(demand)
-	// Capacity that is refused is requested elsewhere at once: a zone or machine type without
-	// capacity must not cost a cycle of its own.
+	// Refused capacity is requested elsewhere in the same cycle: a zone or machine type without
+	// capacity must not delay the request by a cycle.
 	for range tuning.ScaleOutPlanAttempts {
-		if !a.requestPlanned(ctx, demand) {
+		if !a.planAndRequest(ctx, demand) {
 			return
 		}
 	}
 }
 
-// requestPlanned plans and requests machines once. It reports whether to plan again, because
-// some of the capacity was refused.
-func (a *Autoscaler) requestPlanned(ctx context.Context, demand scheduler.Demand) (planAgain bool) {
+// planAndRequest plans and requests machines once. It reports whether to plan again, because
+// the cloud refused some of the capacity.
+func (a *Autoscaler) planAndRequest(ctx context.Context, demand scheduler.Demand) (planAgain bool) {
 	for _, request := range a.planScaleOut(demand) {
 		if !a.ensureLease(ctx) {
 			return false // a long cycle must not outlive the lease
@@ -183,7 +184,7 @@
 	return planAgain
 }
 
-// logDemand logs the demand that a cycle works on.
+// logDemand logs the demand for which a cycle scales out.
 func (a *Autoscaler) logDemand(demand scheduler.Demand) {
 	tasks, arrayCPU := 0, 0.0
 	for _, job := range demand.Jobs {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -37,8 +37,8 @@
 	return count
 }
 
-// An estimated run time of zero made the needed CPUs zero, and no machine was requested although
-// there was none.
+// An estimated run time of zero makes the needed CPUs zero. A machine must be requested nevertheless
+// if there is none.
 func TestArrayWithoutEstimateGetsMachine(t *testing.T) {
 	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{waitingJob(jobs.Array, 5, 1, 0)}}
 	if n := machineCount(newTestAutoscaler().planScaleOut(demand)); n != 1 {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestGangScaleOutCountsFreeRoomAndPendingMachines(t *testing.T) {
+func TestGangScaleOutCountsFreeCapacityAndPendingMachines(t *testing.T) {
 	job := waitingJob(jobs.Gang, 8, 2, 60)
 	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job},
 		FittingTasks: map[capacity.Resources]map[string]int{job.Need: {"a": 5, "b": 2}}}
@@ -60,8 +60,8 @@
 		a.pending[host] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now()}
 	}
 	demand.FittingTasks = map[capacity.Resources]map[string]int{job.Need: {"a": 5, "b": 2}}
-	if again := a.planScaleOut(demand); len(again) != 0 {
-		t.Errorf("requested again: %+v", again)
+	if repeated := a.planScaleOut(demand); len(repeated) != 0 {
+		t.Errorf("requested again: %+v", repeated)
 	}
 }
 
@@ -76,8 +76,8 @@
 		}
 	}
 	withoutMachines := machineCount(requests)
-	// Three machines are live. On-demand machines count if they are there for urgent gangs
-	// anyway; otherwise spot machines are to take over their work, but no more on-demand ones.
+	// Three machines are live. On-demand machines count if urgent gangs need them. Otherwise spot
+	// machines are requested to take over their work, but no more on-demand machines.
 	for _, test := range []struct {
 		name          string
 		spot          bool
@@ -98,7 +98,7 @@
 			if count := machineCount(a.planScaleOut(demand)); count != test.want {
 				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, withoutMachines)
 			}
-			refuseSpot(a)
+			markSpotUnavailable(a)
 			if count := machineCount(a.planScaleOut(demand)); count != withoutMachines-3 {
 				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, withoutMachines-3)
 			}
@@ -107,8 +107,8 @@
 	}
 }
 
-// refuseSpot lets the cloud have no spot machines in any zone.
-func refuseSpot(a *Autoscaler) {
+// markSpotUnavailable makes the autoscaler treat spot machines as refused in every zone.
+func markSpotUnavailable(a *Autoscaler) {
 	for zone := range a.zones() {
 		a.refusedAt[capacity.Group{Zone: zone, MachineType: "m4", Spot: true}] = time.Now()
 	}
@@ -129,14 +129,14 @@
 	}
 }
 
-// The cloud accepts at most 50 machines per request, and missing capacity of a group was noticed
-// only one cycle later: a burst waited 15 s for its machines.
+// The cloud accepts at most 50 machines per request. If missing capacity of a group were noticed only
+// one cycle later, a burst would wait 15 s for its machines.
 func TestLargeShortfallIsRequestedInOneCycle(t *testing.T) {
 	a := newTestAutoscaler()
 	provider := &limitedCloud{remaining: map[bool]int{true: 30, false: 1000}}
-	a.provider, a.controller = provider, fixedDemand{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(),
+	a.provider, a.controller = provider, fixedDemandController{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(),
 		Jobs: []scheduler.PendingJob{waitingJob(jobs.Array, 4000, 1, 60)}}}
-	a.controller.(fixedDemand).demand.Jobs[0].Record.Spot = true
+	a.controller.(fixedDemandController).demand.Jobs[0].Record.Spot = true
 	a.listedAt, a.leaseID, a.leaseRenewedAt = time.Now(), 1, time.Now()
 	a.runCycle(t.Context())
 	if len(a.pending) < 200 || provider.remaining[true] != 0 || provider.largestRequest > 50 {
@@ -144,14 +144,14 @@
 	}
 }
 
-// fixedDemand is a controller with a constant demand.
-type fixedDemand struct{ demand scheduler.Demand }
+// fixedDemandController is a Controller with a constant demand.
+type fixedDemandController struct{ demand scheduler.Demand }
 
-func (c fixedDemand) SetMachineTypes([]cloud.MachineType) {}
-func (c fixedDemand) SetBootTimes(map[string]float64)     {}
-func (c fixedDemand) Demand() scheduler.Demand            { return c.demand }
+func (c fixedDemandController) SetMachineTypes([]cloud.MachineType) {}
+func (c fixedDemandController) SetBootTimes(map[string]float64)     {}
+func (c fixedDemandController) Demand() scheduler.Demand            { return c.demand }
 
-// limitedCloud is a cloud with a limited number of machines.
+// limitedCloud is a Cloud with a limited number of machines.
 type limitedCloud struct {
 	remaining               map[bool]int // by whether they are spot machines
 	created, largestRequest int
@@ -175,8 +175,8 @@
 func (c *limitedCloud) List(context.Context) ([]cloud.Machine, error)             { return c.listing, nil }
 func (c *limitedCloud) Release(context.Context, []string) error                   { return nil }
 
-// Long running background tasks counted whole against the next job's deadline: every possible
-// machine was requested for them.
+// If the whole work of long running background tasks counted against the next job's deadline, every
+// possible machine would be requested for them.
 func TestRunningBackgroundWorkIsNotDueWithinHorizon(t *testing.T) {
 	job := waitingJob(jobs.Array, 40, 1, 10)
 	job.Record.Spot = true
@@ -200,7 +200,7 @@
 			t.Fatalf("on-demand machine requested: %+v", request)
 		}
 	}
-	refuseSpot(a)
+	markSpotUnavailable(a)
 	if n := machineCount(a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}})); n != 0 {
 		t.Errorf("%d on-demand machines requested", n)
 	}
@@ -210,7 +210,7 @@
 	}
 }
 
-// Every late machine was requested again, although all machines were late.
+// When all machines are late, a late machine must not be requested again.
 func TestLateMachinesAreRequestedAgainOnlyIfOthersBooted(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -224,7 +224,7 @@
 			a := newTestAutoscaler()
 			job := waitingJob(jobs.Array, 160, 1, 300)
 			demand := scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, RecordedMachines: map[string]bool{}}
-			a.controller = fixedDemand{demand}
+			a.controller = fixedDemandController{demand}
 			first := machineCount(a.planScaleOut(demand))
 			for i := range first {
 				a.pending[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
@@ -253,16 +253,16 @@
 	}
 }
 
-// A machine that booted in a second and was released at once was still listed as booting, and
-// counted as pending for minutes.
+// A machine that boots in a second and is released at once is still listed as booting. It must not
+// count as pending, which would last for minutes.
 func TestReleasedMachineInLaggingListIsNotPending(t *testing.T) {
 	a := newTestAutoscaler()
 	a.provider = &limitedCloud{listing: []cloud.Machine{{Host: "i-1", MachineType: "m4", Zone: "a", Status: "booting", AgeS: 3},
 		{Host: "i-2", MachineType: "m4", Zone: "a", Status: "booting", AgeS: 3}}}
 	demand := scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(), RecordedMachines: map[string]bool{"i-1": true}}
-	a.controller, a.leaseID, a.leaseRenewedAt, a.listedAt = fixedDemand{demand}, 1, time.Now(), time.Now()
+	a.controller, a.leaseID, a.leaseRenewedAt, a.listedAt = fixedDemandController{demand}, 1, time.Now(), time.Now()
 	a.runCycle(t.Context())
-	a.controller, a.listedAt = fixedDemand{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings()}}, time.Time{}
+	a.controller, a.listedAt = fixedDemandController{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings()}}, time.Time{}
 	a.runCycle(t.Context())
 	if a.pending["i-1"] != nil || a.pending["i-2"] == nil {
 		t.Errorf("pending: %v", a.pending)
--- a/internal/autoscaler/boottimes.go
+++ b/internal/autoscaler/boottimes.go
@@ -14,8 +14,8 @@
 	return forecast.TypeZone{MachineType: group.MachineType, Zone: group.Zone}
 }
 
-// updatePending removes the pending machines that have sent a heartbeat, whose boot times are
-// learned, and those that are given up.
+// updatePending removes the pending machines that have sent a heartbeat, and learns from their boot
+// times. It also removes those that have exceeded the boot timeout and a grace period.
 func (a *Autoscaler) updatePending(demand scheduler.Demand) {
 	for host, pending := range a.pending {
 		age := time.Since(pending.requestedAt)
@@ -56,8 +56,8 @@
 	a.controller.SetBootTimes(longest)
 }
 
-// bootSeconds is the expected boot time of a group, as stated by the cloud if nothing was
-// learned.
+// bootSeconds returns the expected boot time of a group in seconds, or the time that the cloud
+// states if none was learned.
 func (a *Autoscaler) bootSeconds(group capacity.Group) float64 {
 	if seconds, ok := a.expectedBootSeconds[typeZoneOf(group)]; ok {
 		return seconds
@@ -65,20 +65,20 @@
 	return a.machineTypes[group.MachineType].StartupS
 }
 
-// bootTimeoutSeconds is the age at which a machine that still boots is released: later if other
-// machines of the group boot slowly, too.
+// bootTimeoutSeconds returns the age in seconds at which a machine that is still booting is
+// released. It is higher if other machines of the group boot slowly, too.
 func (a *Autoscaler) bootTimeoutSeconds(group capacity.Group) float64 {
 	stated := a.machineTypes[group.MachineType].StartupS
 	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), stated), tuning.MaxBootTimeoutFactor*stated)
 }
 
-// pendingWeight is the fraction, 0 to 1, as which a pending machine counts: less the longer it
-// is overdue.
+// pendingWeight returns the fraction, 0 to 1, with which a pending machine counts. The longer the
+// machine is overdue, the lower is the fraction.
 func (a *Autoscaler) pendingWeight(pending *pendingMachine) float64 {
 	return forecast.PendingWeight(time.Since(pending.requestedAt).Seconds(), a.bootSeconds(pending.group))
 }
 
-// expectedMachines is the number of pending machines that are likely to boot soon, by group.
+// expectedMachines returns the number of pending machines that are likely to boot soon, by group.
 func (a *Autoscaler) expectedMachines() map[capacity.Group]int {
 	weights := map[capacity.Group]float64{}
 	for _, pending := range a.pending {
--- a/internal/autoscaler/choose.go
+++ b/internal/autoscaler/choose.go
@@ -29,10 +29,11 @@
 		capacity.FitCount(machineType.Total(), job.Need) > 0
 }
 
-// chooseGroup returns the group with the lowest price per task, in the given zone only if it is
-// not "". Among similar prices a job that must stay in one zone prefers the zone with the most
-// machines, any other job the one with the fewest. Equal costs are decided by name, so that the
-// choice does not depend on the order of a map. ok is false if no machine can be had.
+// chooseGroup returns the group with the lowest price per task. If onlyZone is not "", it considers
+// only that zone. Among similar prices it prefers the zone with the most machines for a job that must
+// stay in one zone, and the zone with the fewest for any other job. Equal costs are decided by name,
+// so that the choice does not depend on the order of a map. ok is false if no machine can be
+// requested.
 func (a *Autoscaler) chooseGroup(job scheduler.PendingJob, spotAllowed bool, machinesInZone map[string]int, onlyZone string, tasks int) (best capacity.Group, ok bool) {
 	lowestCost := 0.0
 	for typeName, machineType := range a.machineTypes {
@@ -55,9 +56,9 @@
 	return best, ok
 }
 
-// canRequest reports whether a machine of the group may be requested for the job: spot machines
-// if the operators allow them, on-demand machines if the job is worth one, and neither shortly
-// after the cloud had no capacity.
+// canRequest reports whether a machine of the group may be requested for the job. Spot machines are
+// requested only if the operators allow them, on-demand machines only if the job is not best-effort
+// work, and neither shortly after the cloud had no capacity for the group.
 func (a *Autoscaler) canRequest(job scheduler.PendingJob, group capacity.Group, spotAllowed bool) bool {
 	if group.Spot && !spotAllowed || !group.Spot && job.BestEffort {
 		return false
@@ -65,8 +66,8 @@
 	return a.fits(job, group) && time.Since(a.refusedAt[group]) >= tuning.CapacityRefusalBackoff
 }
 
-// groupCost is the hourly price per task that a machine holds, weighted a little by the number
-// of machines in its zone.
+// groupCost returns a machine's hourly price per task that the machine can run, weighted slightly by
+// the number of machines in its zone.
 func groupCost(job scheduler.PendingJob, machineType cloud.MachineType, spot bool, tasks, machinesInZone int) float64 {
 	price := machineType.HourlyPrice
 	if spot {
--- a/internal/autoscaler/lease.go
+++ b/internal/autoscaler/lease.go
@@ -15,7 +15,7 @@
 // controller's lease and disappears with it.
 const ownerKey = jobs.Prefix + "fleet/holder"
 
-// leaseRenewalsPerTTL is how many times the lease is renewed before it would expire.
+// leaseRenewalsPerTTL is the number of renewals of the lease in one time to live.
 const leaseRenewalsPerTTL = 3
 
 // ensureLease renews the autoscaler lease or tries to acquire it, and reports whether this
@@ -46,7 +46,8 @@
 }
 
 // acquireLease creates the owner record under a new lease, on the precondition that no other
-// controller has one. Pending machines and the machine list are learned anew.
+// controller has created it, and reports whether it succeeded. The pending machines are cleared, and
+// the next cycle learns them from the machine list.
 func (a *Autoscaler) acquireLease(ctx context.Context) bool {
 	now := time.Now()
 	if owner, err := a.store.Get(ctx, kvstore.Background, ownerKey); err != nil || owner.Found {
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// refreshListing reads the machine list and reviews it. After an error it is read again in the
-// next cycle.
+// refreshListing reads the machine list and reviews it. After an error the next cycle reads the list
+// again.
 func (a *Autoscaler) refreshListing(ctx context.Context, demand scheduler.Demand) {
 	listing, err := a.provider.List(ctx)
 	if err != nil {
@@ -23,8 +23,8 @@
 	a.reviewListing(ctx, listing, demand)
 }
 
-// reviewListing releases machines that failed, that do not boot, and that run without ever
-// sending a heartbeat, and adds unknown booting machines to the pending ones.
+// reviewListing releases machines that failed, that do not boot in time, or that run but have sent
+// no heartbeat, and adds unknown booting machines to the pending ones.
 func (a *Autoscaler) reviewListing(ctx context.Context, listing []cloud.Machine, demand scheduler.Demand) {
 	now := time.Now()
 	var unusable []string
@@ -35,7 +35,7 @@
 			unusable = append(unusable, machine.Host)
 		}
 	}
-	a.forgetUnlisted(listed, demand, now)
+	a.dropUnlisted(listed, demand, now)
 	a.releaseUnusable(ctx, unusable)
 }
 
@@ -53,7 +53,7 @@
 	case machine.Status == cloud.StatusBooting && machine.AgeS > bootTimeout:
 		return true
 	case a.hasReported[host]:
-		// It has sent heartbeats and was released since: the list lags behind.
+		// The machine has sent heartbeats and has been released since: the list lags behind.
 	case machine.Status == cloud.StatusBooting:
 		if a.pending[host] == nil {
 			age := time.Duration(machine.AgeS * float64(time.Second))
@@ -61,7 +61,7 @@
 			a.pending[host] = &pendingMachine{group: group, requestedAt: now.Add(-age)}
 		}
 	case a.unreportedSince[host].IsZero():
-		// It runs, but its worker has sent no heartbeat yet.
+		// The machine runs, but its worker has sent no heartbeat yet.
 		a.unreportedSince[host] = now
 	default:
 		return now.Sub(a.unreportedSince[host]).Seconds() > bootTimeout
@@ -69,8 +69,8 @@
 	return false
 }
 
-// forgetUnlisted forgets machines that the cloud no longer lists.
-func (a *Autoscaler) forgetUnlisted(listed map[string]bool, demand scheduler.Demand, now time.Time) {
+// dropUnlisted drops the state of machines that the cloud no longer lists.
+func (a *Autoscaler) dropUnlisted(listed map[string]bool, demand scheduler.Demand, now time.Time) {
 	for host := range a.unreportedSince {
 		if !listed[host] {
 			delete(a.unreportedSince, host)
@@ -82,15 +82,15 @@
 		}
 	}
 	for host, pending := range a.pending {
-		// It was preempted or released before it ever sent a heartbeat.
+		// The machine was preempted or released before it sent a heartbeat.
 		if !listed[host] && now.Sub(pending.requestedAt) > 2*a.listLag+tuning.ListAbsenceMargin {
 			delete(a.pending, host)
 		}
 	}
 }
 
-// releaseUnusable releases unusable machines, as many as one request may name. The others are
-// found again in the next list.
+// releaseUnusable releases unusable machines, at most as many as one request may name. The next
+// review of the machine list finds the others again.
 func (a *Autoscaler) releaseUnusable(ctx context.Context, hosts []string) {
 	if len(hosts) == 0 {
 		return
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -12,39 +12,39 @@
 	"cherrywall/internal/tuning"
 )
 
-// planner turns the demand into machines to request, for one job after the other.
+// planner plans the machines to request for a demand, one job after the other.
 type planner struct {
 	*Autoscaler
 	demand         scheduler.Demand
-	machines       []*plannedMachine // pending ones and those that this plan requests
+	machines       []*plannedMachine // pending machines and those that this plan requests
 	requested      map[capacity.Group]int
 	machinesInZone map[string]int
-	// ahead is the work of the arrays planned so far and of running array tasks, by class.
-	ahead map[string]scheduler.RunningWork
-	// free is the number of gang tasks that fit on the machines there are, by task shape and
+	// precedingWork is the work of the arrays planned so far and of running array tasks, by class.
+	precedingWork map[string]scheduler.RunningWork
+	// freeGangSlots is the number of gang tasks that fit on the existing machines, by task shape and
 	// zone, less those of the jobs planned so far.
-	free map[capacity.Resources]map[string]int
+	freeGangSlots map[capacity.Resources]map[string]int
 }
 
-// plannedMachine is a machine that does not run yet, with the room that the jobs planned so far
-// leave on it.
+// plannedMachine is a machine that does not run yet, with the capacity that the jobs planned so far
+// leave free.
 type plannedMachine struct {
 	group     capacity.Group
-	room      capacity.Resources
+	free      capacity.Resources
 	requested bool // by this plan
 }
 
-// place takes the room of up to limit tasks of a shape and returns their number.
+// place allocates free capacity to up to limit tasks of a shape and returns their number.
 func (m *plannedMachine) place(need capacity.Resources, limit int) int {
-	count := min(limit, capacity.FitCount(m.room, need))
+	count := min(limit, capacity.FitCount(m.free, need))
 	for range count {
-		m.room = m.room.Sub(need)
+		m.free = m.free.Sub(need)
 	}
 	return count
 }
 
-// planScaleOut returns the machines to request for the waiting jobs, which come with the most
-// urgent first. Room on pending machines is used before more machines are requested.
+// planScaleOut returns the machines to request for the waiting jobs, which are listed with the most
+// urgent first. Capacity on pending machines is used before more machines are requested.
 func (a *Autoscaler) planScaleOut(demand scheduler.Demand) []cloud.ScaleOutRequest {
 	p := a.newPlanner(demand)
 	for _, job := range demand.Jobs {
@@ -59,14 +59,14 @@
 		demand:         demand,
 		requested:      map[capacity.Group]int{},
 		machinesInZone: map[string]int{},
-		ahead:          maps.Clone(demand.Running),
-		free:           map[capacity.Resources]map[string]int{},
+		precedingWork:  maps.Clone(demand.Running),
+		freeGangSlots:  map[capacity.Resources]map[string]int{},
 	}
-	if p.ahead == nil {
-		p.ahead = map[string]scheduler.RunningWork{}
+	if p.precedingWork == nil {
+		p.precedingWork = map[string]scheduler.RunningWork{}
 	}
 	for shape, tasksByZone := range demand.FittingTasks {
-		p.free[shape] = maps.Clone(tasksByZone)
+		p.freeGangSlots[shape] = maps.Clone(tasksByZone)
 	}
 	for _, group := range demand.LiveMachines {
 		p.machinesInZone[group.Zone]++
@@ -74,7 +74,7 @@
 	for group, count := range a.expectedMachines() {
 		machineType := a.machineTypes[group.MachineType]
 		for range count {
-			p.machines = append(p.machines, &plannedMachine{group: group, room: machineType.Total()})
+			p.machines = append(p.machines, &plannedMachine{group: group, free: machineType.Total()})
 		}
 	}
 	return p
@@ -82,45 +82,45 @@
 
 // addJob plans the machines for one job.
 func (p *planner) addJob(job scheduler.PendingJob) {
-	missing, spotOnly, zone := job.Tasks, 0, ""
+	unplaced, spotOnly, zone := job.Tasks, 0, ""
 	switch job.Record.Kind {
 	case jobs.Array:
-		shortfall := p.shortfallOfArray(job)
-		missing, spotOnly = shortfall.tasks, shortfall.spotOnly
+		shortfall := p.computeArrayShortfall(job)
+		unplaced, spotOnly = shortfall.tasks, shortfall.spotOnly
 	case jobs.Gang:
-		shortfall := p.shortfallOfGang(job)
-		missing, zone = shortfall.tasks, shortfall.zone
+		shortfall := p.computeGangShortfall(job)
+		unplaced, zone = shortfall.tasks, shortfall.zone
 	}
-	missing, zone = p.placeOnPlanned(job, missing, zone)
-	p.requestMachines(job, missing, spotOnly, zone)
+	unplaced, zone = p.placeOnPlanned(job, unplaced, zone)
+	p.requestMachines(job, unplaced, spotOnly, zone)
 }
 
 // placeOnPlanned places tasks on machines that do not run yet. It returns the number of tasks
 // that remain and the zone of the last machine used.
-func (p *planner) placeOnPlanned(job scheduler.PendingJob, missing int, zone string) (remaining int, lastZone string) {
+func (p *planner) placeOnPlanned(job scheduler.PendingJob, unplaced int, zone string) (remaining int, lastZone string) {
 	for _, machine := range p.machines {
-		if missing <= 0 {
+		if unplaced <= 0 {
 			break
 		}
 		if job.Record.Kind == jobs.Array && !machine.requested {
-			continue // shortfallOfArray has counted the pending machines
+			continue // computeArrayShortfall has counted the pending machines
 		}
 		if !p.fits(job, machine.group) || job.Record.OneZone && zone != "" && machine.group.Zone != zone {
 			continue
 		}
-		count := machine.place(job.Need, missing)
+		count := machine.place(job.Need, unplaced)
 		if count > 0 {
 			zone = machine.group.Zone
 		}
-		missing -= count
+		unplaced -= count
 	}
-	return missing, zone
+	return unplaced, zone
 }
 
-// requestMachines adds machines for tasks that have no room anywhere, the last spotOnly of them
-// on spot machines only. It stops when no machine can be had.
-func (p *planner) requestMachines(job scheduler.PendingJob, missing, spotOnly int, zone string) {
-	remaining := missing + spotOnly
+// requestMachines adds machines to the plan for tasks that fit on no existing, pending or planned
+// machine. The last spotOnly tasks get spot machines only. It stops when no machine can be requested.
+func (p *planner) requestMachines(job scheduler.PendingJob, unplaced, spotOnly int, zone string) {
+	remaining := unplaced + spotOnly
 	for remaining > 0 {
 		candidate := job
 		candidate.BestEffort = candidate.BestEffort || remaining <= spotOnly
@@ -128,7 +128,7 @@
 		if !ok {
 			return
 		}
-		machine := &plannedMachine{group: group, room: p.machineTypes[group.MachineType].Total(), requested: true}
+		machine := &plannedMachine{group: group, free: p.machineTypes[group.MachineType].Total(), requested: true}
 		remaining -= machine.place(job.Need, remaining)
 		p.machines = append(p.machines, machine)
 		p.requested[group]++
@@ -168,7 +168,7 @@
 	return requests
 }
 
-// splitRequest divides a request into ones that the cloud accepts.
+// splitRequest divides a request into requests of a size that the cloud accepts.
 func splitRequest(group capacity.Group, count int) []cloud.ScaleOutRequest {
 	var requests []cloud.ScaleOutRequest
 	for ; count > 0; count -= tuning.MaxScaleOutPerRequest {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -17,10 +17,11 @@
 const (
 	// scaledOut means that all requested machines will boot.
 	scaledOut scaleOutResult = iota
-	// capacityRefused means that the cloud gave fewer machines than requested: others may be
-	// had elsewhere.
+	// capacityRefused means that the cloud provided fewer machines than requested. Other zones or
+	// machine types may have capacity.
 	capacityRefused
-	// scaleOutFailed means that the cloud did not answer: requests elsewhere are no use.
+	// scaleOutFailed means that the cloud did not answer. Requests for other zones or machine types
+	// would fail as well.
 	scaleOutFailed
 )
 
@@ -39,15 +40,16 @@
 // scaleOut requests machines and adds those that will boot to the pending ones.
 func (a *Autoscaler) scaleOut(ctx context.Context, request cloud.ScaleOutRequest) scaleOutResult {
 	a.requestCount++
-	// The node makes the key unique among controllers, the incarnation after a restart.
+	// The node makes the key unique among controllers, and the incarnation makes it unique after a
+	// restart.
 	request.IdempotencyKey = fmt.Sprintf("%s-%x-%d", a.node, a.incarnation, a.requestCount)
 	group := capacity.Group{Zone: request.Zone, MachineType: request.MachineType, Spot: request.Spot}
 	if time.Since(a.refusedAt[group]) < tuning.CapacityRefusalBackoff {
-		return capacityRefused // by an earlier request of the same plan
+		return capacityRefused // an earlier request of the same plan was refused
 	}
 	hosts, err := a.provider.ScaleOut(ctx, request)
 	if errors.Is(err, cloud.ErrUnavailable) {
-		// The same key starts nothing twice.
+		// A repetition with the same key starts nothing twice.
 		hosts, err = a.provider.ScaleOut(ctx, request)
 	}
 	if errors.Is(err, cloud.ErrNoCapacity) {
