--- a/internal/diagnostics/diagnostics.go
+++ b/internal/diagnostics/diagnostics.go
@@ -1,9 +1,9 @@
-// Package diagnostics describes the state of a controller to operators: the views of the
-// administration API, the findings of "cherrywall doctor", the problems that last, the reasons
+// Package diagnostics describes the state of a controller to operators. It provides the views of
+// the administration API, the findings of "cherrywall doctor", the lasting problems, the reasons
 // why jobs wait, and the gauges of the metrics endpoint.
 //
-// A Reporter only reads. It uses the same components as the controller and takes no locks, so
-// all its methods must be called on the goroutine of the controller that owns these components.
+// A Reporter changes nothing. It reads the components of the controller without locks, so all its
+// methods must be called on the goroutine of the controller that owns these components.
 package diagnostics
 
 import (
@@ -50,7 +50,7 @@
 	IsLeaving func() bool
 }
 
-// Reporter answers operators' questions about the controller that it belongs to.
+// Reporter describes the state of one controller to operators.
 type Reporter struct {
 	cfg              *config.Config
 	deps             Dependencies
@@ -63,8 +63,8 @@
 	return &Reporter{cfg: cfg, deps: deps, log: log}
 }
 
-// View returns the view of that name, one of admin.ViewNames, as a value to be encoded as JSON.
-// It returns nil for any other name.
+// View returns the view with the given name as a value to be encoded as JSON. The name is one of
+// admin.ViewNames; View returns nil for any other name.
 func (r *Reporter) View(name string, now time.Time) any {
 	switch name {
 	case admin.ViewShards:
--- a/internal/diagnostics/findings.go
+++ b/internal/diagnostics/findings.go
@@ -10,22 +10,24 @@
 	"cherrywall/internal/tuning"
 )
 
-// Finding is something that is not as it should be, as "cherrywall doctor" prints it.
+// Finding is a problem of the deployment that "cherrywall doctor" prints.
 type Finding struct {
 	Problem string `json:"what"`
-	// Action is what a person must do. It is empty if the controllers repair it by themselves.
+	// Action is what an operator must do. It is empty if the controllers resolve the problem
+	// without an operator.
 	Action string `json:"do"`
 }
 
 // findingList collects findings.
 type findingList []Finding
 
-// add appends a finding with the problem formatted as by fmt.Sprintf.
+// add appends a finding. format and args describe the problem as in fmt.Sprintf.
 func (l *findingList) add(action, format string, args ...any) {
 	*l = append(*l, Finding{Problem: fmt.Sprintf(format, args...), Action: action})
 }
 
-// findings examines the key-value store, the controllers, the shards, the machines and the jobs.
+// findings examines the key-value store, the controllers, the shards, the machines, the jobs and the
+// invariants, and returns what it found.
 func (r *Reporter) findings(now time.Time) []Finding {
 	list := findingList{}
 	r.checkStore(&list, now)
@@ -41,30 +43,30 @@
 	counts := r.deps.Violations.Counts()
 	for _, invariant := range slices.Sorted(maps.Keys(counts)) {
 		if counts[invariant] > 0 {
-			list.add("keep this controller's log and report it: it is a fault of the program", "invariant %s was violated %d times", invariant, counts[invariant])
+			list.add("keep this controller's log and report the violation: it is a bug in cherrywall", "invariant %s was violated %d times", invariant, counts[invariant])
 		}
 	}
 }
 
 func (r *Reporter) checkStore(list *findingList, now time.Time) {
 	if silentFor := now.Sub(r.deps.Cache.LastContactAt()); silentFor > tuning.HealthGracePeriod {
-		list.add("see to the state service, or to this controller's way there", "the state service has been silent for %.0f s", silentFor.Seconds())
+		list.add("check the state service and this controller's network path to it", "the state service has not responded for %.0f s", silentFor.Seconds())
 	}
 	for _, record := range r.deps.Cache.QuarantinedRecords() {
-		list.add("look at the record; if it is beyond help, delete the key", "record %s is set aside: %s", record.Key, record.Error)
+		list.add("look at the record; if it is beyond help, delete the key", "record %s is quarantined: %s", record.Key, record.Error)
 	}
 }
 
 func (r *Reporter) checkControllers(list *findingList, now time.Time) {
 	if pending := r.deps.FeatureGate.PendingControllers(); len(pending) > 0 {
-		list.add("upgrade them, or take them out of the settings", "the upgrade is not over: %s left no mark of this version", strings.Join(pending, ", "))
+		list.add("upgrade them, or remove them from the configuration", "the upgrade is not complete: %s recorded no version or an older one", strings.Join(pending, ", "))
 	}
 	for _, node := range r.deps.Membership.Controllers() {
 		if node == r.cfg.Node {
 			continue
 		}
 		if !r.deps.Membership.IsLive(node, 0) {
-			list.add("start it, if nothing starts it by itself", "controller %s is down", node)
+			list.add("start it, unless it is restarted automatically", "controller %s is down", node)
 			continue
 		}
 		if state := r.deps.Detector.State(node, now); isFailureState(state) {
@@ -78,9 +80,9 @@
 		ownedFor := now.Sub(shard.KnownSince())
 		switch {
 		case !r.deps.Membership.OwnerIsLive(shard):
-			list.add("", "share %s has no living holder; it is taken in a moment", shard.ID())
+			list.add("", "shard %s has no live owner; a controller acquires it shortly", shard.ID())
 		case shard.IsLocal() && !shard.IsReconciled() && ownedFor > tuning.UnreconciledShardReportAfter:
-			list.add("", "share %s has not settled for %.0f s: some of its machines are silent and are returned", shard.ID(), ownedFor.Seconds())
+			list.add("", "shard %s has not been reconciled for %.0f s: some of its machines do not respond and are being released", shard.ID(), ownedFor.Seconds())
 		}
 	}
 }
@@ -88,17 +90,17 @@
 func (r *Reporter) checkMachines(list *findingList) {
 	counts := map[machineState]int{}
 	for _, machine := range r.deps.State.OwnedMachines() {
-		counts[stateOf(machine)]++
+		counts[machineStateOf(machine)]++
 	}
 	for _, state := range []machineState{stateLost, stateNoInbound, stateSuspected, stateDrained} {
 		if count := counts[state]; count > 0 {
-			list.add("", "%d machines of this controller are %s", count, state)
+			list.add("", "%d machines of this controller are in the state: %s", count, state)
 		}
 	}
 }
 
 func (r *Reporter) checkJobs(list *findingList, now time.Time) {
-	overdue, faulty := 0, 0
+	overdueJobs, faultyJobs := 0, 0
 	for job := range r.deps.State.Jobs() {
 		if job.HasEnded() {
 			continue
@@ -106,15 +108,15 @@
 		isUnclaimed := job.Record().UnclaimedCount() == job.Record().Tasks
 		switch {
 		case r.deps.Faults.IsJobFaulty(job.Ref()):
-			faulty++
+			faultyJobs++
 		case !job.IsBlocked() && isUnclaimed && job.Age(now) > tuning.JobOverdueAfter:
-			overdue++
+			overdueJobs++
 		}
 	}
-	if overdue > 0 {
-		list.add("look at cherrywall jobs for why; more machines may be needed", "%d jobs have waited for more than %.0f s without a task begun", overdue, tuning.JobOverdueAfter.Seconds())
+	if overdueJobs > 0 {
+		list.add("run cherrywall jobs to see the reasons; more machines may be needed", "%d jobs have waited for more than %.0f s without starting a task", overdueJobs, tuning.JobOverdueAfter.Seconds())
 	}
-	if faulty > 0 {
-		list.add("tell their users: they were probably submitted with a mistake", "%d jobs fail on machines where others work", faulty)
+	if faultyJobs > 0 {
+		list.add("tell their users: the jobs were probably submitted with a mistake", "%d jobs fail on machines where other jobs work", faultyJobs)
 	}
 }
--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -2,13 +2,15 @@
 
 import "slices"
 
-// upgradeView shows which versions the controllers run, and what depends on it.
+// upgradeView shows which versions the controllers run, whether jobs with dependencies are accepted,
+// and the limits of the key-value store.
 type upgradeView struct {
 	// GateOpen reports whether jobs with dependencies are accepted.
-	GateOpen    bool          `json:"open"`
+	GateOpen bool `json:"open"`
+	// WaitsFor are the controllers that have recorded no version or an older one.
 	WaitsFor    []string      `json:"waits_for"`
 	Controllers []versionView `json:"controllers"`
-	// Limits are the limits of the key-value store in force for writes.
+	// Limits are the limits of the key-value store that writes observe, by name.
 	Limits map[string]float64 `json:"limits"`
 }
 
@@ -42,7 +44,8 @@
 	return view
 }
 
-// fleetView counts the machines by "zone/type/ordinary" or "zone/type/spot".
+// fleetView shows the number of machines, by "zone/type/ordinary" or "zone/type/spot", and their
+// total price per hour.
 type fleetView struct {
 	Machines   map[string]int `json:"machines"`
 	HourlyCost float64        `json:"cost_per_hour"`
--- a/internal/diagnostics/gauges.go
+++ b/internal/diagnostics/gauges.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Gauges returns the values of the controller's gauges by metric name, without the prefix of
-// the program. The gauges of the reconciliation ("start_...") are missing if this controller owns no
-// shard.
+// Gauges returns the values of the controller's gauges by metric name, without the prefix
+// "cherrywall_". The gauges of the reconciliation ("start_...") are missing if this controller owns
+// no shard.
 func (r *Reporter) Gauges(now time.Time) map[string]float64 {
 	gauges := map[string]float64{
 		"jobs_unfinished":         0,
--- a/internal/diagnostics/jobs.go
+++ b/internal/diagnostics/jobs.go
@@ -31,12 +31,12 @@
 	Dependents int `json:"behind,omitempty"`
 	// EffectivePriority is the highest priority of the job and its dependents.
 	EffectivePriority string `json:"effective"`
-	// DueInSeconds is the time left until the job should be done for the sake of its own or its
-	// dependents' deadlines; negative once that is over, nil without any deadline.
+	// DueInSeconds is the time left until the job should be done to meet its own deadline and
+	// those of its dependents. It is negative after that time, and nil without any deadline.
 	DueInSeconds *float64 `json:"due_in_s"`
 }
 
-// jobs lists all unfinished jobs by reference.
+// jobs lists all unfinished jobs, sorted by reference.
 func (r *Reporter) jobs(now time.Time) []JobView {
 	views := []JobView{}
 	for job := range r.deps.State.Jobs() {
@@ -71,15 +71,15 @@
 	return view
 }
 
-// describeWait fills in how long a job has waited, and for what. A job that does not wait keeps
-// both fields empty.
+// describeWait sets WaitSeconds and WaitReason of a job that waits. For a job that does not wait,
+// both fields stay empty. A job that is cancelled because of a dependency gets only a reason.
 func (r *Reporter) describeWait(view *JobView, job *clusterstate.Job, now time.Time) {
 	switch {
 	case job.IsCancelledByDependency():
-		view.WaitReason = "a job that it needs is cancelled, and so is this one"
+		view.WaitReason = "cancelled, because a job that it depends on is cancelled"
 		return
 	case job.IsBlocked():
-		view.WaitReason = "for other jobs: " + abbreviate(view.WaitsFor)
+		view.WaitReason = "waiting for other jobs: " + joinFirstNames(view.WaitsFor)
 	case view.UnclaimedTasks > 0 || r.deps.Faults.IsJobFaulty(job.Ref()):
 		view.WaitReason = r.deps.Scheduler.WaitReason(job)
 	default:
@@ -91,57 +91,57 @@
 	view.WaitSeconds = job.Age(now).Seconds()
 }
 
-// abbreviate names the first few of many.
-func abbreviate(names []string) string {
-	if hidden := len(names) - tuning.MaxListedNames; hidden > 0 {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:tuning.MaxListedNames], ", "), hidden)
+// joinFirstNames joins the first tuning.MaxListedNames names and states how many more there are.
+func joinFirstNames(names []string) string {
+	if omitted := len(names) - tuning.MaxListedNames; omitted > 0 {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:tuning.MaxListedNames], ", "), omitted)
 	}
 	return strings.Join(names, ", ")
 }
 
-// Reasons why a job waits. They are output of the administration API and keep their form.
+// Reasons why a job waits, as operators read them in the administration API.
 const (
-	reasonClaimedNoRoom = "its tasks are claimed, and there is no room for one of them here"
-	// reasonNotScheduled is given if no scheduling cycle of this controller has said more.
-	reasonNotScheduled = "others go first, or there is no room for a task of it"
+	reasonClaimedNoCapacity = "its tasks are claimed, but this controller has no capacity for any of them"
+	// reasonNotScheduled is used if the scheduler of this controller has given no reason.
+	reasonNotScheduled = "other jobs go first, or there is no capacity for one of its tasks"
 )
 
-// waitReason returns why an unfinished job that depends on no other unfinished job waits. It
-// returns an empty text if a task of the job is known to have started, or if the tasks are
-// claimed by other controllers, which know more.
+// waitReason returns why a job waits. The job must be unfinished and must not depend on another
+// unfinished job. The reason is empty if a task of the job is known to have started, or if the
+// tasks are claimed by other controllers, which know the reason.
 func (r *Reporter) waitReason(job *clusterstate.Job) string {
-	unknown, ready, isClaimed := 0, 0, false
+	unknownTasks, readyTasks, isClaimed := 0, 0, false
 	for taskRange := range job.TaskRanges() {
 		if taskRange.DoneTasks() > 0 {
 			return ""
 		}
 		if taskRange.CountTasks(clusterstate.TaskPlaced) > 0 {
-			return startRefusal(job)
+			return startRefusalReason(job)
 		}
 		isClaimed = isClaimed || !taskRange.IsTentative()
-		unknown += taskRange.CountTasks(clusterstate.TaskUnknown)
-		ready += taskRange.CountTasks(clusterstate.TaskReady)
+		unknownTasks += taskRange.CountTasks(clusterstate.TaskUnknown)
+		readyTasks += taskRange.CountTasks(clusterstate.TaskReady)
 	}
 	reason := r.deps.Scheduler.WaitReason(job)
 	switch {
 	case job.Record().Completed > 0:
 		return ""
-	case unknown > 0:
-		return fmt.Sprintf("%d tasks may be on machines that can't be asked", unknown)
-	case isClaimed && ready == 0:
+	case unknownTasks > 0:
+		return fmt.Sprintf("%d tasks may be on machines that can't be asked", unknownTasks)
+	case isClaimed && readyTasks == 0:
 		return ""
 	case reason == "" && isClaimed:
-		return reasonClaimedNoRoom
+		return reasonClaimedNoCapacity
 	case reason == "":
 		return reasonNotScheduled
 	}
 	return reason
 }
 
-// startRefusal returns why the starts of a job's placed tasks are refused; empty if one was sent, or if
-// none was refused yet.
-func startRefusal(job *clusterstate.Job) string {
-	refusal := ""
+// startRefusalReason returns why the starts of a job's placed tasks are refused. It returns an empty
+// string if a start was sent or a worker reports a task, or if no start was refused yet.
+func startRefusalReason(job *clusterstate.Job) string {
+	reason := ""
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
 			assignment := taskRange.Assignment(i)
@@ -151,10 +151,10 @@
 			if !assignment.Status().IsPlanned() {
 				return ""
 			}
-			if refusal == "" {
-				refusal = assignment.LastRefusal()
+			if reason == "" {
+				reason = assignment.LastRefusal()
 			}
 		}
 	}
-	return refusal
+	return reason
 }
--- a/internal/diagnostics/members.go
+++ b/internal/diagnostics/members.go
@@ -7,36 +7,36 @@
 	"cherrywall/internal/tuning"
 )
 
-// memberState is the state of a controller as this one sees it: one of those below, or
-// failuredetector.Suspected or Failed. The texts are output of the administration API and keep
-// their form.
+// memberState is the state of a controller as this controller sees it: one of the constants below,
+// failuredetector.Suspected or failuredetector.Failed. The values are output of the administration
+// API and must not change.
 type memberState string
 
 const (
 	memberLeaving      memberState = "leaving"
 	memberAlive        memberState = "alive"
-	memberUnheard      memberState = "alive, but not heard"
+	memberNoHeartbeats memberState = "alive, but not heard"
 	memberLeaseExpired memberState = "heard, but its grant has ended"
 	memberFailed       memberState = "failed"
 )
 
-// memberView is a controller as this one sees it.
+// memberView is a controller as this controller sees it.
 type memberView struct {
 	Node  string      `json:"controller"`
 	State memberState `json:"state"`
-	// HeartbeatAgeSeconds is the age of the last peer heartbeat; nil if there was none, and for
-	// this controller itself.
+	// HeartbeatAgeSeconds is the age of the last peer heartbeat. It is nil if no heartbeat was
+	// received, and for this controller itself.
 	HeartbeatAgeSeconds *float64 `json:"beat_s"`
-	// StoreSilentSeconds is the time since the key-value store answered the controller, by the
-	// controller's last heartbeat.
+	// StoreSilentSeconds is the time since the key-value store last responded to the controller.
+	// For other controllers it is taken from their last heartbeat.
 	StoreSilentSeconds float64  `json:"state_silent_s"`
 	OwnedShards        []string `json:"holds"`
-	// LongestOwnedSeconds is how long the controller has owned the oldest of these shards, as
-	// far as this controller knows.
+	// LongestOwnedSeconds is the longest time for which the controller has owned one of these
+	// shards, as far as this controller knows.
 	LongestOwnedSeconds float64 `json:"held_s"`
 }
 
-// members lists all configured controllers by name.
+// members lists all configured controllers, sorted by name.
 func (r *Reporter) members(now time.Time) []memberView {
 	views := []memberView{}
 	for _, node := range r.deps.Membership.Controllers() {
@@ -54,7 +54,8 @@
 	return views
 }
 
-// describeLiveness fills in the state of a controller and the age of what is known of it.
+// describeLiveness sets the state of a controller, the age of its last heartbeat, and the time since
+// the key-value store last responded to it.
 func (r *Reporter) describeLiveness(view *memberView, now time.Time) {
 	isLive := r.deps.Membership.IsLive(view.Node, 0)
 	heartbeat, age, hasHeartbeat := r.deps.Peers.Latest(view.Node, now)
@@ -78,7 +79,8 @@
 	return state == failuredetector.Suspected || state == failuredetector.Failed
 }
 
-// livenessState says whether a controller's lease is valid and whether its heartbeats arrive.
+// livenessState returns the state of a controller that is not suspected: whether it is shutting down,
+// whether its lease is valid, and whether its heartbeats arrive.
 func livenessState(isLive, sendsHeartbeats, isLeaving bool) memberState {
 	switch {
 	case isLeaving:
@@ -86,7 +88,7 @@
 	case isLive && sendsHeartbeats:
 		return memberAlive
 	case isLive:
-		return memberUnheard
+		return memberNoHeartbeats
 	case sendsHeartbeats:
 		return memberLeaseExpired
 	}
--- a/internal/diagnostics/problems.go
+++ b/internal/diagnostics/problems.go
@@ -8,8 +8,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// Problem is a condition that has lasted for a while and concerns one machine, controller or job: a
-// machine that receives nothing, a controller that is cut off, a job that has waited for long.
+// Problem is a lasting condition of one machine, controller or job: a machine that receives no
+// messages, a controller without a connection to the key-value store or to its peers, or a job that
+// has waited for a long time.
 type Problem struct {
 	Kind            ProblemKind `json:"kind"`
 	Name            string      `json:"name"`
@@ -17,7 +18,7 @@
 	Reason          string      `json:"why"`
 }
 
-// ProblemKind says what a Problem's name names.
+// ProblemKind is the kind of object that a Problem's name refers to.
 type ProblemKind string
 
 // The kinds of problems.
@@ -27,27 +28,28 @@
 	JobProblem        ProblemKind = "job"
 )
 
-// Reasons of problems. They are output of the administration API and keep their form.
+// Reasons of problems, as operators read them in the administration API and in the log.
 const (
-	reasonNoInbound        = "its reports come, but what is said to it does not arrive"
-	reasonStoreSilent      = "the state service does not answer it"
+	reasonNoInbound        = "its heartbeats arrive, but responses and commands do not reach it"
+	reasonStoreUnreachable = "the state service does not answer it"
 	reasonIsolated         = "neither the state service nor another controller answers it"
-	reasonHeartbeatsMissed = "its grant runs, and it is not heard here"
+	reasonHeartbeatsMissed = "its lease is valid, but its heartbeats do not arrive here"
 )
 
-// problems lists the problems known to this controller, in each group the longest first: those
-// of the machines of its own shards and of all controllers, then the few jobs that have waited
-// longest without a task started, for at least tuning.MinReportedJobWait.
+// problems lists the problems known to this controller in two groups, each sorted by descending
+// duration. The first group contains the problems of the machines in its own shards and of all
+// controllers. The second group contains the jobs that have waited longest without starting a task, for
+// at least tuning.MinReportedJobWait; it has at most tuning.MaxListedNames jobs.
 func (r *Reporter) problems(now time.Time) []Problem {
 	problems := []Problem{}
 	problems = r.appendMachineProblems(problems, now)
 	for _, node := range r.deps.Membership.Controllers() {
-		if lasted, reason := r.isolation(node, now); reason != "" {
-			problems = append(problems, Problem{ControllerProblem, node, lasted.Seconds(), reason})
+		if duration, reason := r.connectivityProblem(node, now); reason != "" {
+			problems = append(problems, Problem{ControllerProblem, node, duration.Seconds(), reason})
 		}
 	}
 	slices.SortFunc(problems, compareByDuration)
-	waiting := r.waitingJobs(now)
+	waiting := r.waitingJobProblems(now)
 	return append(problems, waiting[:min(len(waiting), tuning.MaxListedNames)]...)
 }
 
@@ -64,8 +66,9 @@
 	return problems
 }
 
-// waitingJobs lists the jobs that wait for something else than other jobs, the longest first.
-func (r *Reporter) waitingJobs(now time.Time) []Problem {
+// waitingJobProblems lists the jobs that wait for another reason than unfinished dependencies, sorted
+// by descending waiting time.
+func (r *Reporter) waitingJobProblems(now time.Time) []Problem {
 	var waiting []Problem
 	for job := range r.deps.State.Jobs() {
 		if job.HasEnded() || job.IsCancelledByDependency() || job.IsBlocked() || job.Age(now) < tuning.MinReportedJobWait {
@@ -83,9 +86,10 @@
 	return cmp.Or(cmp.Compare(y.DurationSeconds, x.DurationSeconds), cmp.Compare(x.Name, y.Name))
 }
 
-// isolation returns for how long a controller has been cut off and from what, as far as this
-// controller can see. The reason is empty if it is not cut off.
-func (r *Reporter) isolation(node string, now time.Time) (lasted time.Duration, reason string) {
+// connectivityProblem returns how long a controller has had no connection to the key-value store or to
+// this controller, and the reason, as far as this controller can see. The reason is empty if both
+// connections work, or if nothing is known about them.
+func (r *Reporter) connectivityProblem(node string, now time.Time) (duration time.Duration, reason string) {
 	storeSilentFor := now.Sub(r.deps.Cache.LastContactAt())
 	if node == r.cfg.Node {
 		switch {
@@ -94,13 +98,13 @@
 		case !r.deps.Peers.HasRecentHeartbeat(now) && len(r.deps.Membership.Controllers()) > 1:
 			return storeSilentFor, reasonIsolated
 		}
-		return storeSilentFor, reasonStoreSilent
+		return storeSilentFor, reasonStoreUnreachable
 	}
 	heartbeat, age, hasHeartbeat := r.deps.Peers.Latest(node, now)
 	switch {
 	case hasHeartbeat && age < tuning.PeerIdleTimeout:
-		if peerSilentFor := heartbeat.StoreSilentFor + age; peerSilentFor >= tuning.HealthGracePeriod {
-			return peerSilentFor, reasonStoreSilent
+		if peerStoreSilentFor := heartbeat.StoreSilentFor + age; peerStoreSilentFor >= tuning.HealthGracePeriod {
+			return peerStoreSilentFor, reasonStoreUnreachable
 		}
 	case hasHeartbeat && r.deps.Membership.IsLive(node, 0) && storeSilentFor < tuning.HealthGracePeriod:
 		return age, reasonHeartbeatsMissed
@@ -108,7 +112,7 @@
 	return 0, ""
 }
 
-// LogProblems logs the problems that last, once in tuning.ProblemLogInterval.
+// LogProblems logs the lasting problems, at most once in tuning.ProblemLogInterval.
 func (r *Reporter) LogProblems(now time.Time) {
 	if now.Sub(r.problemsLoggedAt) < tuning.ProblemLogInterval {
 		return
@@ -116,7 +120,7 @@
 	r.problemsLoggedAt = now
 	for _, problem := range r.problems(now) {
 		if problem.Kind == JobProblem && problem.DurationSeconds < tuning.JobOverdueAfter.Seconds() {
-			continue // waiting behind others in an ordinary queue
+			continue // a short wait behind other jobs is normal
 		}
 		r.log.Info("lasting problem", "kind", problem.Kind, "name", problem.Name, "duration_s", problem.DurationSeconds, "reason", problem.Reason)
 	}
--- a/internal/diagnostics/shards.go
+++ b/internal/diagnostics/shards.go
@@ -15,8 +15,8 @@
 	Workers    int    `json:"workers"`
 }
 
-// shards lists all shards by name. Whether a shard of another controller is reconciled is not
-// known here; it is shown as reconciled.
+// shards lists all shards, sorted by name. A shard of another controller is always shown as
+// reconciled, because this controller does not know whether it is.
 func (r *Reporter) shards() []shardView {
 	views := []shardView{}
 	for _, shard := range r.deps.Membership.Shards() {
--- a/internal/diagnostics/workers.go
+++ b/internal/diagnostics/workers.go
@@ -32,7 +32,7 @@
 	Stopping bool                `json:"stopping,omitempty"`
 }
 
-// workers lists all machines by host name.
+// workers lists all machines, sorted by host name.
 func (r *Reporter) workers() []workerView {
 	views := []workerView{}
 	for machine := range r.deps.State.Machines() {
@@ -50,7 +50,7 @@
 func (r *Reporter) describeOwnedWorker(view *workerView, machine *clusterstate.Machine) {
 	free := r.deps.State.Free(machine)
 	view.OwnedHere = true
-	view.State = stateOf(machine)
+	view.State = machineStateOf(machine)
 	view.Free = &free
 	view.Errors = r.deps.Faults.FailureCount(machine.Host())
 	for assignment := range machine.Assignments() {
@@ -64,25 +64,25 @@
 }
 
 // machineState is the state of a machine as operators see it. The values are output of the
-// administration API and keep their form.
+// administration API and must not change.
 type machineState string
 
 const (
-	stateReleased  machineState = "returned"
-	stateLost      machineState = "silent"
-	stateReleasing machineState = "being returned"
-	stateDrained   machineState = "drained"
-	statePreempted machineState = "recalled"
-	stateMoving    machineState = "moving"
-	stateNoInbound machineState = "deaf"
-	stateSuspected machineState = "in doubt"
-	stateNotSeen   machineState = "unheard"
-	stateSurplus   machineState = "surplus"
-	stateInUse     machineState = "in use"
+	stateReleased    machineState = "returned"
+	stateLost        machineState = "silent"
+	stateReleasing   machineState = "being returned"
+	stateDrained     machineState = "drained"
+	statePreempted   machineState = "recalled"
+	stateMoving      machineState = "moving"
+	stateNoInbound   machineState = "deaf"
+	stateSuspected   machineState = "in doubt"
+	stateNotReported machineState = "unheard"
+	stateSurplus     machineState = "surplus"
+	stateInUse       machineState = "in use"
 )
 
-// stateOf returns the most severe state that applies to a machine.
-func stateOf(machine *clusterstate.Machine) machineState {
+// machineStateOf returns the most severe state that applies to a machine.
+func machineStateOf(machine *clusterstate.Machine) machineState {
 	switch {
 	case machine.IsReleased():
 		return stateReleased
@@ -101,7 +101,7 @@
 	case machine.IsSuspected():
 		return stateSuspected
 	case !machine.HasReported():
-		return stateNotSeen
+		return stateNotReported
 	case machine.IsSurplus():
 		return stateSurplus
 	}
