--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the administration interface of a controller: the operators' settings, views of
-// the cluster, and metrics. Settings are stored in the key-value store and changed only here.
+// Package admin is the administration API of a controller: the operators' settings, views of the
+// cluster, and metrics. The settings are stored in the key-value store and changed only through this
+// API.
 package admin
 
 import (
@@ -13,46 +14,46 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Errors of changes of the settings.
+// Errors of Controller.ChangeSettings.
 var (
-	// ErrVersionConflict means that the settings were changed by somebody else meanwhile.
+	// ErrVersionConflict means that the settings no longer have the version that the change was made for.
 	ErrVersionConflict = errors.New("settings have another version")
-	// ErrUnavailable means that the change could not be stored now.
+	// ErrUnavailable means that the key-value store could not store the change now.
 	ErrUnavailable = errors.New("state service unavailable")
 )
 
-// reasonNotSynced is answered as long as the controller has not read the key-value store.
+// reasonNotSynced is the error text while the controller has not read the key-value store yet.
 const reasonNotSynced = "state not read yet"
 
-// Controller is what the interface needs of a controller. Its methods may be called from any
-// goroutine.
+// Controller is the part of a controller that the administration API uses. Its methods may be called
+// from any goroutine.
 type Controller interface {
-	// Settings returns the settings in force and their version; ok is false as long as they have
-	// not been read.
+	// Settings returns the current settings and their version. ok is false while the settings have
+	// not been read yet.
 	Settings() (settings Settings, version uint64, ok bool)
-	// ChangeSettings stores settings if those in force have the given version, and returns the new
+	// ChangeSettings stores settings if the current ones have the given version, and returns the new
 	// version. The error is ErrVersionConflict or ErrUnavailable.
 	ChangeSettings(settings Settings, version uint64) (uint64, error)
-	// View returns the view of a name out of ViewNames, to be encoded as JSON; ok is false as long
-	// as the records have not been read.
+	// View returns the view with a name from ViewNames as a value to be encoded as JSON. ok is false
+	// while the records have not been read yet.
 	View(name string) (view any, ok bool)
 }
 
-// settingsDocument is the answer to a request for the settings.
-type settingsDocument struct {
+// settingsResponse is the response to a request for the settings.
+type settingsResponse struct {
 	Defaults Settings          `json:"defaults"`
 	Settings Settings          `json:"settings"`
 	Units    map[string]string `json:"units"`
 	Version  uint64            `json:"version"`
 }
 
-// changedSettings is the answer to a change of the settings.
-type changedSettings struct {
+// settingsChangeResponse is the response to a change of the settings.
+type settingsChangeResponse struct {
 	Settings Settings `json:"settings"`
 	Version  uint64   `json:"version"`
 }
 
-// RegisterRoutes adds the interface to a router.
+// RegisterRoutes adds the routes of the settings and of all views to a router.
 func RegisterRoutes(router *httprouter.Router, controller Controller) {
 	router.GET("/admin/v1/settings", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		getSettings(w, controller)
@@ -82,26 +83,27 @@
 		WriteError(w, http.StatusServiceUnavailable, reasonNotSynced)
 		return
 	}
-	WriteJSON(w, http.StatusOK, settingsDocument{Defaults: DefaultSettings(), Settings: settings, Units: SettingUnits, Version: version})
+	WriteJSON(w, http.StatusOK, settingsResponse{Defaults: DefaultSettings(), Settings: settings, Units: SettingUnits, Version: version})
 }
 
-// settingsChange is the body of a change of the settings.
-type settingsChange struct {
-	// Version is the version that the change was made for; nil if the field is missing.
+// settingsChangeRequest is the body of a request to change the settings.
+type settingsChangeRequest struct {
+	// Version is the version of the settings that the change was made for; nil if the field is missing.
 	Version *uint64 `json:"version"`
-	// Settings are the fields to be changed.
+	// Settings is a JSON object with the fields to be changed.
 	Settings json.RawMessage `json:"settings"`
 }
 
-// readChange reads the body of a change. Its errors are of type *ValidationError.
-func readChange(w http.ResponseWriter, request *http.Request) (settingsChange, error) {
-	var change settingsChange
+// readSettingsChange reads the body of a request to change the settings. Its errors are of type
+// *ValidationError.
+func readSettingsChange(w http.ResponseWriter, request *http.Request) (settingsChangeRequest, error) {
+	var change settingsChangeRequest
 	raw, err := io.ReadAll(http.MaxBytesReader(w, request.Body, tuning.MaxRequestBodyBytes))
 	if err != nil {
 		return change, &ValidationError{Field: "body", Reason: "too long or not received"}
 	}
 	if err := json.Unmarshal(raw, &change); err != nil {
-		return change, &ValidationError{Field: "body", Reason: "not JSON as expected"}
+		return change, &ValidationError{Field: "body", Reason: "invalid JSON, or a field of the wrong type"}
 	}
 	if change.Version == nil {
 		return change, &ValidationError{Field: "version", Reason: "missing"}
@@ -113,7 +115,7 @@
 }
 
 func changeSettings(w http.ResponseWriter, request *http.Request, controller Controller) {
-	change, err := readChange(w, request)
+	change, err := readSettingsChange(w, request)
 	if err != nil {
 		WriteError(w, http.StatusBadRequest, err.Error())
 		return
@@ -139,6 +141,6 @@
 	case err != nil:
 		WriteError(w, http.StatusServiceUnavailable, err.Error())
 	default:
-		WriteJSON(w, http.StatusOK, changedSettings{Settings: settings, Version: version})
+		WriteJSON(w, http.StatusOK, settingsChangeResponse{Settings: settings, Version: version})
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -10,29 +10,29 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// settingsStore is a controller that keeps settings in memory.
-type settingsStore struct {
-	settings Settings
-	version  uint64
-	isDown   bool
+// fakeController is a Controller that keeps the settings in memory.
+type fakeController struct {
+	settings           Settings
+	version            uint64
+	isStoreUnavailable bool
 }
 
-func (s *settingsStore) Settings() (Settings, uint64, bool) { return s.settings, s.version, true }
+func (c *fakeController) Settings() (Settings, uint64, bool) { return c.settings, c.version, true }
 
-func (s *settingsStore) ChangeSettings(settings Settings, version uint64) (uint64, error) {
-	if s.isDown {
+func (c *fakeController) ChangeSettings(settings Settings, version uint64) (uint64, error) {
+	if c.isStoreUnavailable {
 		return 0, ErrUnavailable
 	}
-	if version != s.version {
+	if version != c.version {
 		return 0, ErrVersionConflict
 	}
-	s.settings, s.version = settings, s.version+1
-	return s.version, nil
+	c.settings, c.version = settings, c.version+1
+	return c.version, nil
 }
 
-func (s *settingsStore) View(string) (any, bool) { return []string{}, true }
+func (c *fakeController) View(string) (any, bool) { return []string{}, true }
 
-// putSettings sends a change of the settings to a controller.
+// putSettings sends a request to change the settings to a controller and returns the response.
 func putSettings(controller Controller, body string) *httptest.ResponseRecorder {
 	router := httprouter.New()
 	RegisterRoutes(router, controller)
@@ -42,8 +42,8 @@
 }
 
 func TestSettingsAreValidatedAndVersioned(t *testing.T) {
-	store := &settingsStore{settings: DefaultSettings(), version: 4}
-	for _, c := range []struct {
+	controller := &fakeController{settings: DefaultSettings(), version: 4}
+	for _, test := range []struct {
 		body string
 		code int
 		text string
@@ -60,21 +60,21 @@
 		{`{"version":4,"settings":{"spot":true}}`, http.StatusConflict, "version"},
 		{`{"version":5,"settings":{"drain":["i-1"]}}`, http.StatusOK, "i-1"},
 	} {
-		if recorder := putSettings(store, c.body); recorder.Code != c.code || !strings.Contains(recorder.Body.String(), c.text) {
-			t.Errorf("%s: %d %s", c.body, recorder.Code, recorder.Body)
+		if recorder := putSettings(controller, test.body); recorder.Code != test.code || !strings.Contains(recorder.Body.String(), test.text) {
+			t.Errorf("%s: %d %s", test.body, recorder.Code, recorder.Body)
 		}
 	}
-	if store.settings.Spot || len(store.settings.Drain) != 1 || store.settings.QuarantineErrors != DefaultSettings().QuarantineErrors {
-		t.Errorf("in force: %+v", store.settings)
+	if controller.settings.Spot || len(controller.settings.Drain) != 1 || controller.settings.QuarantineErrors != DefaultSettings().QuarantineErrors {
+		t.Errorf("settings after the changes: %+v", controller.settings)
 	}
-	store.isDown = true
-	if recorder := putSettings(store, `{"version":6,"settings":{"spot":true}}`); recorder.Code != http.StatusServiceUnavailable || store.settings.Spot {
-		t.Errorf("without the store: %d, spot %v", recorder.Code, store.settings.Spot)
+	controller.isStoreUnavailable = true
+	if recorder := putSettings(controller, `{"version":6,"settings":{"spot":true}}`); recorder.Code != http.StatusServiceUnavailable || controller.settings.Spot {
+		t.Errorf("while the store is unavailable: status %d, spot %v", recorder.Code, controller.settings.Spot)
 	}
 }
 
 func TestMergeSettingsErrorNamesField(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		change string
 		want   string
 	}{
@@ -86,23 +86,23 @@
 		{`{"log_level":"loud"}`, "log_level: must be error, info, debug or empty"},
 		{`{"quarantine_errors":0}`, "quarantine_errors: must be 1 to 1000"},
 		{`{"job_error_hosts":1}`, "job_error_hosts: must be 2 to 1000"},
-		{`{"drain":[""]}`, "drain: bad machine name"},
+		{`{"drain":[""]}`, "drain: invalid machine name"},
 		{`{"class_limits":{"c":{"tasks":-1}}}`, "class_limits.c: retries must be 0 to 10, tasks and run_s not negative"},
 		{`{"rent_per_type":{"m4":-1}}`, "rent_per_type.m4: must not be negative"},
 	} {
-		_, err := MergeSettings(DefaultSettings(), []byte(c.change))
+		_, err := MergeSettings(DefaultSettings(), []byte(test.change))
 		var invalid *ValidationError
-		if !errors.As(err, &invalid) || err.Error() != c.want {
-			t.Errorf("%s: %v, want %s", c.change, err, c.want)
+		if !errors.As(err, &invalid) || err.Error() != test.want {
+			t.Errorf("%s: %v, want %s", test.change, err, test.want)
 		}
 	}
 }
 
-// The answers keep the form that clients know: these fields in this order.
-func TestAnswersKeepTheirForm(t *testing.T) {
-	store := &settingsStore{settings: DefaultSettings(), version: 4}
+// Clients rely on the names of these fields in responses, and on their order.
+func TestSettingsResponsesKeepFieldsInOrder(t *testing.T) {
+	controller := &fakeController{settings: DefaultSettings(), version: 4}
 	router := httprouter.New()
-	RegisterRoutes(router, store)
+	RegisterRoutes(router, controller)
 	recorder := httptest.NewRecorder()
 	router.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/admin/v1/settings", http.NoBody))
 	body := recorder.Body.String()
@@ -114,8 +114,8 @@
 		}
 		position += next
 	}
-	changed := putSettings(store, `{"version":4,"settings":{}}`).Body.String()
+	changed := putSettings(controller, `{"version":4,"settings":{}}`).Body.String()
 	if !strings.HasPrefix(changed, `{"settings":{"growth_factor":1,`) || !strings.HasSuffix(changed, `},"version":5}`) {
-		t.Errorf("answer to a change: %s", changed)
+		t.Errorf("response to a change: %s", changed)
 	}
 }
--- a/internal/admin/merge.go
+++ b/internal/admin/merge.go
@@ -12,34 +12,34 @@
 	"cherrywall/internal/tuning"
 )
 
-// MaxSpareMachines is the most idle machines that the settings can keep in each shard.
+// MaxSpareMachines is the largest valid value of Settings.SpareMachines (machines in each shard).
 const MaxSpareMachines = 100
 
-// Limits of the settings. They keep a mistake of an operator from harming the cluster, and the
-// record within the size limit of a value.
+// Limits of the settings. They prevent a mistake of an operator from harming the cluster, and they
+// keep the settings record within the size limit of a value in the key-value store.
 const (
 	maxGrowthFactor   = 10
 	maxFailures       = 1000
-	minFaultMachines  = 2 // on one machine alone the machine may be at fault
+	minFaultMachines  = 2 // if a job fails on one machine only, the machine may be at fault
 	maxListEntries    = 50
 	maxHostNameLength = 100
 )
 
-// ValidationError is an invalid field of the settings or of a change of them.
+// ValidationError describes an invalid field of the settings, or of a request to change them.
 type ValidationError struct {
-	Field  string // in JSON
+	Field  string // the name in JSON
 	Reason string
 }
 
-// Error returns the field with the reason.
+// Error returns the field and the reason.
 func (e *ValidationError) Error() string { return e.Field + ": " + e.Reason }
 
-// MergeSettings returns the settings base with the fields that change, a JSON object, contains.
-// Lists and maps are replaced as a whole. The error is a *ValidationError if the result has an
-// invalid field; base is returned with any error.
+// MergeSettings returns a copy of base in which the fields of change, a JSON object, replace those of
+// base. Lists and maps are replaced as a whole. The error is a *ValidationError if the result has an
+// invalid field. MergeSettings returns base with any error.
 func MergeSettings(base Settings, change []byte) (Settings, error) {
 	merged := base
-	// JSON would be decoded into the maps and the list of base.
+	// Without this, the JSON decoder would write into the maps and the list that merged shares with base.
 	merged.MaxMachinesPerType, merged.Drain, merged.ClassLimits = nil, nil, nil
 	if err := decodeSettings(change, &merged); err != nil {
 		return base, err
@@ -59,7 +59,8 @@
 	return merged, nil
 }
 
-// decodeSettings decodes a single JSON object without unknown fields into settings.
+// decodeSettings decodes a JSON object into settings. It returns an error if the object has unknown
+// fields or if anything follows the object.
 func decodeSettings(raw []byte, settings *Settings) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -90,7 +91,7 @@
 		return &ValidationError{"class_limits", "50 classes at most"}
 	}
 	for class, limits := range s.ClassLimits {
-		if class == "" || !isValidLimits(limits) {
+		if class == "" || !areLimitsValid(limits) {
 			reason := fmt.Sprintf("retries must be 0 to %d, tasks and run_s not negative", tuning.MaxPipelineRetries)
 			return &ValidationError{"class_limits." + class, reason}
 		}
@@ -102,7 +103,7 @@
 	}
 	for _, host := range s.Drain {
 		if host == "" || len(host) > maxHostNameLength {
-			return &ValidationError{"drain", "bad machine name"}
+			return &ValidationError{"drain", "invalid machine name"}
 		}
 	}
 	return nil
@@ -127,7 +128,7 @@
 	return nil
 }
 
-func isValidLimits(limits jobs.ClassLimits) bool {
+func areLimitsValid(limits jobs.ClassLimits) bool {
 	isRetryLimitValid := limits.MaxRetries >= 0 && limits.MaxRetries <= tuning.MaxPipelineRetries
 	return isRetryLimitValid && limits.MaxTasks >= 0 && limits.MaxRunSeconds >= 0
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -9,16 +9,17 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics are the metrics of a controller. No label names a job, so that their number is bounded.
+// Metrics are the metrics of a controller. No label contains a job reference, so the number of time
+// series is bounded.
 type Metrics struct {
-	// UserRequestSeconds is the time to answer users, by kind of request and status.
+	// UserRequestSeconds is the response time of user requests in seconds, by kind of request and status.
 	UserRequestSeconds *prometheus.HistogramVec
-	// WorkerHeartbeats counts the heartbeats of workers by the status of the answer.
+	// WorkerHeartbeats counts the heartbeats of workers by the status of the response.
 	WorkerHeartbeats *prometheus.CounterVec
 	registry         *prometheus.Registry
 }
 
-// NewMetrics returns metrics in a registry of their own.
+// NewMetrics returns metrics with their own registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -36,13 +37,13 @@
 	return m
 }
 
-// AddCollectors adds the metrics of another component. It panics if one is registered already.
+// AddCollectors adds the metrics of another component. It panics if a metric is registered already.
 func (m *Metrics) AddCollectors(collectors ...prometheus.Collector) {
 	m.registry.MustRegister(collectors...)
 }
 
 // RegisterRoutes adds /metrics to a router. gauges is called for each request and returns further
-// gauges by name, without the prefix of the program.
+// gauges by metric name, without the prefix "cherrywall_".
 func (m *Metrics) RegisterRoutes(router *httprouter.Router, gauges func() map[string]float64) {
 	m.registry.MustRegister(gaugeCollector{gauges})
 	handler := promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
@@ -51,16 +52,16 @@
 	})
 }
 
-// counterSuffix ends the names of those values that only rise.
+// counterSuffix is the suffix of the names of values that never decrease, which are exported as counters.
 const counterSuffix = "_total"
 
-// gaugeCollector collects gauges whose names are known only when they are read.
+// gaugeCollector collects gauges whose names are not known before they are read.
 type gaugeCollector struct{ read func() map[string]float64 }
 
-// Describe sends nothing, which makes the collector unchecked.
+// Describe sends no descriptions, so that the registry does not check the collector's metrics.
 func (gaugeCollector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads and sends the gauges.
+// Collect reads the gauges and sends them to metrics.
 func (c gaugeCollector) Collect(metrics chan<- prometheus.Metric) {
 	for name, value := range c.read() {
 		desc := prometheus.NewDesc("cherrywall_"+name, "See the operations guide.", nil, nil)
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -8,17 +8,17 @@
 	"cherrywall/internal/tuning"
 )
 
-// errorBody is the answer to a request that failed.
-type errorBody struct {
+// errorResponse is the body of the response to a request that failed.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// WriteJSON answers a request with a value encoded as JSON. An answer with the code 503 always
-// says when to retry.
+// WriteJSON responds to a request with a value encoded as JSON. A response with the status code 503
+// always has a Retry-After header.
 func WriteJSON(w http.ResponseWriter, code int, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		code, raw = http.StatusInternalServerError, []byte(`{"error":"answer not encoded"}`)
+		code, raw = http.StatusInternalServerError, []byte(`{"error":"response could not be encoded"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
@@ -26,10 +26,10 @@
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	}
 	w.WriteHeader(code)
-	_, _ = w.Write(raw) // a client that has disconnected sends its request again
+	_, _ = w.Write(raw) // a client that has disconnected repeats its request
 }
 
-// WriteError answers a request with what is wrong.
+// WriteError responds to a request with an error text, encoded as JSON.
 func WriteError(w http.ResponseWriter, code int, reason string) {
-	WriteJSON(w, code, errorBody{Error: reason})
+	WriteJSON(w, code, errorResponse{Error: reason})
 }
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -5,31 +5,32 @@
 	"cherrywall/internal/tuning"
 )
 
-// Settings are the settings that operators change at run time. SettingUnits explains them to operators.
+// Settings are the settings that operators can change at run time. SettingUnits explains each of them
+// to operators.
 type Settings struct {
-	// GrowthFactor multiplies the growth buffers that are computed from arrivals.
+	// GrowthFactor multiplies the growth buffers that are computed from the arrivals of jobs.
 	GrowthFactor float64 `json:"growth_factor"`
-	// SpareMachines are the idle machines kept in each shard for failures.
+	// SpareMachines is the number of idle machines that are kept in each shard as a reserve for failures.
 	SpareMachines int `json:"spare_machines"`
-	// Spot allows spot machines to be scaled out.
+	// Spot allows the scale-out of spot machines.
 	Spot bool `json:"spot"`
-	// MaxMachines limits the fleet; 0 is no limit.
+	// MaxMachines limits the number of all machines; 0 means no limit.
 	MaxMachines int `json:"rent_total"`
-	// MaxMachinesPerType limits machine types; a type left out has no limit.
+	// MaxMachinesPerType limits the number of machines by type. A type without an entry has no limit.
 	MaxMachinesPerType map[string]int `json:"rent_per_type"`
-	// Drain are the machines to be drained and released.
+	// Drain lists the host names of machines to be drained and released.
 	Drain []string `json:"drain"`
-	// LogLevel is error, info or debug; empty for the level given at the start.
+	// LogLevel is error, info or debug. It is empty for the level that was given at startup.
 	LogLevel string `json:"log_level"`
-	// QuarantineErrors are the failed tasks in a row that take a machine out of use.
+	// QuarantineErrors is the number of consecutive failed tasks after which a machine is quarantined.
 	QuarantineErrors int `json:"quarantine_errors"`
-	// JobErrorHosts are the machines on which a job has to fail to be found faulty.
+	// JobErrorHosts is the number of machines on which a job must fail before it is considered faulty.
 	JobErrorHosts int `json:"job_error_hosts"`
-	// ClassLimits limit what jobs of a class may ask for; a class left out has no limits.
+	// ClassLimits limits what jobs may request, by class. A class without an entry has no limits.
 	ClassLimits map[string]jobs.ClassLimits `json:"class_limits"`
 }
 
-// DefaultSettings returns the settings in force until an operator changes them.
+// DefaultSettings returns the settings that apply until an operator changes them.
 func DefaultSettings() Settings {
 	return Settings{
 		GrowthFactor:       1,
@@ -47,14 +48,14 @@
 
 // SettingUnits explains the values of the settings to operators, by JSON field.
 var SettingUnits = map[string]string{
-	"growth_factor":     "multiple of the growth buffers reckoned from arrivals, 0 to 10",
-	"spare_machines":    "idle machines kept in each share for failures, 0 to 100",
-	"spot":              "whether cheap machines are rented",
-	"rent_total":        "machines at most, 0: no limit",
-	"rent_per_type":     "machines at most by type, a type left out: no limit",
-	"drain":             "machines to be emptied and returned",
-	"log_level":         "error, info or debug; empty: the level given at the start",
-	"quarantine_errors": "failed tasks in a row that take a machine out of use, 1 to 1000",
-	"job_error_hosts":   "machines on which a job must fail before the job is blamed, 2 to 1000",
+	"growth_factor":     "factor of the growth buffers that are computed from arrivals, 0 to 10",
+	"spare_machines":    "idle machines kept in each shard as a reserve for failures, 0 to 100",
+	"spot":              "whether spot machines are requested",
+	"rent_total":        "maximum number of machines; 0: no limit",
+	"rent_per_type":     "maximum number of machines by type; a type left out: no limit",
+	"drain":             "machines to be drained and released",
+	"log_level":         "error, info or debug; empty: the level given at startup",
+	"quarantine_errors": "consecutive failed tasks after which a machine is quarantined, 1 to 1000",
+	"job_error_hosts":   "machines on which a job must fail before it is considered faulty, 2 to 1000",
 	"class_limits":      "by class: retries in a pipeline file, tasks, run_s (expected seconds of a task); 0 tasks or run_s: no limit; a class left out: no limit",
 }
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -1,6 +1,6 @@
 package admin
 
-// Names of the views, which are also the last part of their paths.
+// Names of the views. The path of a view is /admin/v1/ followed by its name.
 const (
 	ViewShards         = "shares"
 	ViewMembers        = "members"
