--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -1,5 +1,5 @@
-// Package httpapi serves users, health checks, workers and pipeline files over HTTP. It maps the
-// names of the protocol to the terms of the program.
+// Package httpapi serves the HTTP requests of users and workers, health checks, and requests with
+// pipeline files. It maps the names of the protocol to the terms of the program.
 package httpapi
 
 import (
@@ -16,30 +16,30 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Controller is the part of the controller that answers requests. Its methods return at once;
-// the answer is sent to the reply channel, which must have room for it.
+// Controller is the part of the controller that handles requests. Its methods do not wait for the
+// response. They send it to the reply channel later, which must have buffer space for it.
 type Controller interface {
-	// Submit takes a job. invalid is what is wrong with it; spec is nil then.
+	// Submit submits a job. For an invalid job, invalid is the reason and spec is nil.
 	Submit(ref string, spec *jobs.Spec, invalid error, reply chan controller.Response)
 	// Poll returns the status of a job.
 	Poll(ref string, reply chan controller.Response)
 	// Cancel cancels a job.
 	Cancel(ref string, reply chan controller.Response)
-	// HandleHeartbeat takes the heartbeat of a worker and answers with commands for it.
+	// HandleHeartbeat processes the heartbeat of a worker and replies with commands for the worker.
 	HandleHeartbeat(heartbeat *workerapi.Heartbeat, reply chan workersession.HeartbeatReply)
 	// Healthy reports whether the controller can serve users.
 	Healthy() bool
 }
 
-// handler serves users, health checks and workers.
+// handler serves the requests of users and workers, and health checks.
 type handler struct {
 	backend       Controller
 	metrics       *admin.Metrics
-	pollSemaphore chan struct{} // bounds the polls that wait for an answer
+	pollSemaphore chan struct{} // limits the polls that wait for a response
 }
 
-// NewHandler returns the handler of the listen address. Each of the functions addRoutes adds
-// further routes to its router.
+// NewHandler returns the handler for a controller's listen address. Each function in addRoutes adds
+// further routes to the handler's router.
 func NewHandler(backend Controller, metrics *admin.Metrics, addRoutes ...func(*httprouter.Router)) http.Handler {
 	h := &handler{backend: backend, metrics: metrics, pollSemaphore: make(chan struct{}, tuning.MaxWaitingPolls)}
 	router := httprouter.New()
@@ -50,9 +50,9 @@
 	router.GET("/submissions/:id", h.poll)
 	router.POST("/submissions/:id/withdraw", h.cancel)
 	router.GET("/healthz", h.health)
-	router.POST("/hello", h.heartbeat)
-	for _, add := range addRoutes {
-		add(router)
+	router.POST("/hello", h.handleHeartbeat)
+	for _, addTo := range addRoutes {
+		addTo(router)
 	}
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		admin.WriteError(w, http.StatusNotFound, "no such path")
@@ -63,7 +63,8 @@
 	return router
 }
 
-// readBody reads a request body of bounded size. After a failure it has answered the request.
+// readBody reads a request body of at most tuning.MaxRequestBodyBytes. If it fails, it sends the error
+// response and returns false.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxRequestBodyBytes))
 	if err != nil {
--- a/internal/httpapi/handler_test.go
+++ b/internal/httpapi/handler_test.go
@@ -17,11 +17,11 @@
 	"cherrywall/internal/workersession"
 )
 
-// unavailableController answers as a controller without the key-value store.
+// unavailableController responds like a controller that cannot reach the key-value store.
 type unavailableController struct{}
 
 func (unavailableController) Submit(_ string, _ *jobs.Spec, _ error, reply chan controller.Response) {
-	reply <- controller.Response{Code: 503, Error: "state service"}
+	reply <- controller.Response{Code: 503, Error: "state service unavailable"}
 }
 func (unavailableController) Poll(ref string, reply chan controller.Response) {
 	reply <- controller.Response{Code: 200, Ref: ref, Status: jobs.Running, DoneTasks: 3, ActiveTasks: 13}
@@ -45,7 +45,7 @@
 		{"GET", "/submissions/wk-1", "", 200, `{"ref":"wk-1","status":"running","done":3,"running":13}`},
 		{"GET", "/submissions/nonsense", "", 404, "error"},
 		{"POST", "/submissions", "{", 400, "error"},
-		{"POST", "/submissions", `{"ref":"wk-1"}`, 503, "error"}, // the store must be asked whether the job exists
+		{"POST", "/submissions", `{"ref":"wk-1"}`, 503, "error"}, // the store must be read to know whether the job exists
 		{"POST", "/submissions", `{"ref":"wk-1","x":"` + strings.Repeat("y", 70<<10) + `"}`, 400, "body"},
 		{"POST", "/submissions/wk-1/withdraw", "", 404, "error"},
 		{"GET", "/healthz", "", 503, "error"},
@@ -66,41 +66,41 @@
 	}
 }
 
-// unansweredPolls is a controller that never answers a poll.
-type unansweredPolls struct{ unavailableController }
+// hangingPollController is a controller that never responds to a poll.
+type hangingPollController struct{ unavailableController }
 
-func (unansweredPolls) Poll(string, chan controller.Response) {}
+func (hangingPollController) Poll(string, chan controller.Response) {}
 
-// Eight times the usual polls took all processor time: health checks failed on all controllers at
-// once, and submissions were late.
-func TestPollOverloadIsRefused(t *testing.T) {
-	synctest.Test(t, testPollOverload)
+// With eight times the usual rate of polls, the polls took all CPU time: health checks failed on all
+// controllers at once, and submissions were delayed.
+func TestPollsAboveLimitAreRefused(t *testing.T) {
+	synctest.Test(t, testPollsAboveLimit)
 }
 
-func testPollOverload(t *testing.T) {
-	handler := NewHandler(unansweredPolls{}, admin.NewMetrics())
-	ask := func(ctx context.Context, method, path, body string) *httptest.ResponseRecorder {
+func testPollsAboveLimit(t *testing.T) {
+	handler := NewHandler(hangingPollController{}, admin.NewMetrics())
+	call := func(ctx context.Context, method, path, body string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body)))
 		return recorder
 	}
-	ctx, giveUp := context.WithCancel(t.Context())
-	var waiting sync.WaitGroup
+	ctx, cancelPolls := context.WithCancel(t.Context())
+	var polls sync.WaitGroup
 	for range tuning.MaxWaitingPolls {
-		waiting.Go(func() { ask(ctx, "GET", "/submissions/wk-1", "") })
+		polls.Go(func() { call(ctx, "GET", "/submissions/wk-1", "") })
 	}
-	synctest.Wait() // until all of them wait
-	if response := ask(t.Context(), "GET", "/submissions/wk-3", ""); response.Code != 503 || response.Header().Get("Retry-After") == "" {
+	synctest.Wait() // until all polls wait for a response
+	if response := call(t.Context(), "GET", "/submissions/wk-3", ""); response.Code != 503 || response.Header().Get("Retry-After") == "" {
 		t.Errorf("poll above the limit: %d %v", response.Code, response.Header())
 	}
-	if response := ask(t.Context(), "POST", "/submissions/wk-3/withdraw", ""); response.Code != 404 {
-		t.Errorf("cancellation: %d", response.Code)
+	if response := call(t.Context(), "POST", "/submissions/wk-3/withdraw", ""); response.Code != 404 {
+		t.Errorf("cancellation during the overload: %d", response.Code)
 	}
-	giveUp()
-	waiting.Wait()
-	ended, end := context.WithCancel(t.Context())
-	end() // the poll is accepted, but its client is gone
-	if response := ask(ended, "GET", "/submissions/wk-4", ""); response.Code == 503 {
+	cancelPolls()
+	polls.Wait()
+	canceledCtx, cancel := context.WithCancel(t.Context())
+	cancel() // the poll is accepted, but its client has disconnected
+	if response := call(canceledCtx, "GET", "/submissions/wk-4", ""); response.Code == 503 {
 		t.Error("poll refused after the overload")
 	}
 }
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -12,7 +12,7 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// requestKind is the kind of a user request, a label of the metrics.
+// requestKind is the kind of a user request. It is the value of a metrics label.
 type requestKind string
 
 const (
@@ -21,7 +21,7 @@
 	kindCancel requestKind = "withdraw"
 )
 
-// jobStatus is a job in the protocol.
+// jobStatus is the status of a job as the protocol represents it.
 type jobStatus struct {
 	Ref    string      `json:"ref"`
 	Status jobs.Status `json:"status"`
@@ -29,7 +29,7 @@
 	Active int         `json:"running"`
 }
 
-func respond(w http.ResponseWriter, response controller.Response) {
+func writeResponse(w http.ResponseWriter, response controller.Response) {
 	if response.Error != "" {
 		admin.WriteError(w, response.Code, response.Error)
 		return
@@ -37,14 +37,14 @@
 	admin.WriteJSON(w, response.Code, jobStatus{response.Ref, response.Status, response.DoneTasks, response.ActiveTasks})
 }
 
-// awaitResponse sends the controller's response to the client, unless the client goes away
-// first.
+// awaitResponse waits for the controller's response and sends it to the client. It returns without
+// a response if the client disconnects first.
 func (h *handler) awaitResponse(w http.ResponseWriter, r *http.Request, kind requestKind, reply chan controller.Response) {
 	start := time.Now()
 	select {
 	case response := <-reply:
 		h.metrics.UserRequestSeconds.WithLabelValues(string(kind), strconv.Itoa(response.Code)).Observe(time.Since(start).Seconds())
-		respond(w, response)
+		writeResponse(w, response)
 	case <-r.Context().Done():
 	}
 }
@@ -62,8 +62,8 @@
 		admin.WriteError(w, http.StatusBadRequest, invalid.Error())
 		return
 	}
-	// An invalid job with a reference is passed on, too: a job of that reference may exist, and
-	// then its status is the answer.
+	// An invalid job with a valid reference is also passed to the controller: if a job with that
+	// reference exists, the response is its status.
 	reply := make(chan controller.Response, 1)
 	h.backend.Submit(ref, spec, invalid, reply)
 	h.awaitResponse(w, r, kindSubmit, reply)
@@ -73,25 +73,26 @@
 	select {
 	case h.pollSemaphore <- struct{}{}:
 		defer func() { <-h.pollSemaphore }()
-		h.askByID(w, r, params, kindPoll, h.backend.Poll)
+		h.forwardByRef(w, r, params, kindPoll, h.backend.Poll)
 	default:
 		h.metrics.UserRequestSeconds.WithLabelValues(string(kindPoll), strconv.Itoa(http.StatusServiceUnavailable)).Observe(0)
-		admin.WriteError(w, http.StatusServiceUnavailable, "too many polls at once")
+		admin.WriteError(w, http.StatusServiceUnavailable, "too many concurrent polls")
 	}
 }
 
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	h.askByID(w, r, params, kindCancel, h.backend.Cancel)
+	h.forwardByRef(w, r, params, kindCancel, h.backend.Cancel)
 }
 
-// askByID asks the controller about the job that the path names.
-func (h *handler) askByID(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind requestKind, ask func(ref string, reply chan controller.Response)) {
+// forwardByRef forwards a request for the job named in the path to the controller, by calling call, and
+// sends the response to the client.
+func (h *handler) forwardByRef(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind requestKind, call func(ref string, reply chan controller.Response)) {
 	ref := params.ByName("id")
 	if !jobs.ValidRef(ref) {
 		admin.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
 	reply := make(chan controller.Response, 1)
-	ask(ref, reply)
+	call(ref, reply)
 	h.awaitResponse(w, r, kind, reply)
 }
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -16,7 +16,7 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// JobValidator checks the jobs of a pipeline against the cluster.
+// JobValidator decides whether the cluster admits the jobs of a pipeline.
 type JobValidator interface {
 	// Check decides whether a job is admitted.
 	Check(spec *jobs.Spec) admission.Decision
@@ -30,8 +30,8 @@
 	validator JobValidator
 }
 
-// RegisterPipelines adds the routes for pipeline files to a router. They are an addition of
-// cherrywall's own and not part of the platform's protocol.
+// RegisterPipelines adds the routes for pipeline files, runs and schedules to a router. These routes
+// are an extension of cherrywall and not part of the platform's protocol.
 func RegisterPipelines(router *httprouter.Router, leader *pipelinerun.Leader, validator JobValidator) {
 	h := &pipelineHandler{leader: leader, validator: validator}
 	router.POST("/pipelines", h.create)
@@ -46,37 +46,37 @@
 	router.GET("/check/schema", h.schema)
 }
 
-// checkResult is the answer to a check, and to a file that is refused.
+// checkResult is the response to a request to check a file, and to any request with an invalid file.
 type checkResult struct {
 	Errors  pipeline.Problems `json:"errors"`
 	Notices pipeline.Problems `json:"notices"`
 	Jobs    int               `json:"jobs"`
 }
 
-// pipelineFile is the valid pipeline file of a request.
+// pipelineFile is a valid pipeline file that was received with a request.
 type pipelineFile struct {
 	content []byte
 	plan    *pipeline.Plan
 	notices pipeline.Problems
 }
 
-// readFile reads the pipeline file in a request and checks it against the cluster. After a
-// failure it has answered the request.
+// readFile reads the pipeline file in a request and checks it against the cluster. If it fails, it
+// sends the error response and returns false.
 func (h *pipelineHandler) readFile(w http.ResponseWriter, r *http.Request) (file pipelineFile, ok bool) {
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxPipelineFileBytes))
 	if err != nil {
 		admin.WriteError(w, http.StatusBadRequest, "file: too long or not received")
 		return pipelineFile{}, false
 	}
-	settings, _, known := h.validator.Settings()
+	settings, _, isClusterKnown := h.validator.Settings()
 	limitsOf := func(class string) (jobs.ClassLimits, bool) {
-		limits, limited := settings.ClassLimits[class]
-		return limits, limited
+		limits, hasLimits := settings.ClassLimits[class]
+		return limits, hasLimits
 	}
 	check := func(spec *jobs.Spec) error {
 		decision := h.validator.Check(spec)
 		if decision.Verdict == admission.Undecided {
-			known = false
+			isClusterKnown = false
 		}
 		return decision.Err
 	}
@@ -87,8 +87,8 @@
 		admin.WriteJSON(w, http.StatusBadRequest, checkResult{Errors: problems, Notices: notices})
 	case err != nil:
 		admin.WriteError(w, http.StatusBadRequest, err.Error())
-	case !known:
-		admin.WriteError(w, http.StatusServiceUnavailable, "too little is known of the cluster yet")
+	case !isClusterKnown:
+		admin.WriteError(w, http.StatusServiceUnavailable, "not enough is known about the cluster yet to check the file")
 	default:
 		return pipelineFile{content: content, plan: plan, notices: notices}, true
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/schema+json")
-	_, _ = w.Write(schema) // a client that went away asks again
+	_, _ = w.Write(schema) // a client that has disconnected repeats its request
 }
 
 func (h *pipelineHandler) create(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -122,11 +122,11 @@
 		return
 	}
 	if file, ok := h.readFile(w, r); ok {
-		respondWithRun(w, h.leader.Create(id, name, file.content, file.plan))
+		writeRun(w, h.leader.Create(id, name, file.content, file.plan))
 	}
 }
 
-func respondWithRun(w http.ResponseWriter, response pipelinerun.Response) {
+func writeRun(w http.ResponseWriter, response pipelinerun.Response) {
 	if response.Error != "" {
 		admin.WriteError(w, response.Code, response.Error)
 		return
@@ -134,9 +134,9 @@
 	admin.WriteJSON(w, response.Code, response.Run)
 }
 
-// parseRunID returns the run that the path names. It has answered the request if no run can have
-// that id.
-func parseRunID(w http.ResponseWriter, params httprouter.Params) (id string, ok bool) {
+// runIDFromPath returns the id of the run that the path names. If the id is not valid, it sends the
+// error response and returns false.
+func runIDFromPath(w http.ResponseWriter, params httprouter.Params) (id string, ok bool) {
 	id = params.ByName("id")
 	if !pipelinerun.ValidID(id) {
 		admin.WriteError(w, http.StatusNotFound, "no such run")
@@ -146,18 +146,19 @@
 }
 
 func (h *pipelineHandler) get(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	if id, ok := parseRunID(w, params); ok {
-		respondWithRun(w, h.leader.Get(id))
+	if id, ok := runIDFromPath(w, params); ok {
+		writeRun(w, h.leader.Get(id))
 	}
 }
 
 func (h *pipelineHandler) list(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	runs, synced := h.leader.List()
-	respondWithList(w, "runs", runs, synced)
+	writeList(w, "runs", runs, synced)
 }
 
-// respondWithList sends a list under its key, or an error if the records have not been read yet.
-func respondWithList(w http.ResponseWriter, key string, list any, synced bool) {
+// writeList sends a JSON object with the list under the given key, or an error if the records have not
+// been read yet.
+func writeList(w http.ResponseWriter, key string, list any, synced bool) {
 	if !synced {
 		admin.WriteError(w, http.StatusServiceUnavailable, "state not read yet")
 		return
@@ -166,7 +167,7 @@
 }
 
 func (h *pipelineHandler) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	id, ok := parseRunID(w, params)
+	id, ok := runIDFromPath(w, params)
 	if !ok {
 		return
 	}
@@ -174,11 +175,11 @@
 	if r.URL.Query().Get("drain") == "1" {
 		mode = pipelineexec.CancelDrain
 	}
-	respondWithRun(w, h.leader.Cancel(id, mode))
+	writeRun(w, h.leader.Cancel(id, mode))
 }
 
 func (h *pipelineHandler) play(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	if id, ok := parseRunID(w, params); ok {
-		respondWithRun(w, h.leader.StartManualJob(id, r.URL.Query().Get("job")))
+	if id, ok := runIDFromPath(w, params); ok {
+		writeRun(w, h.leader.StartManualJob(id, r.URL.Query().Get("job")))
 	}
 }
--- a/internal/httpapi/schedules.go
+++ b/internal/httpapi/schedules.go
@@ -10,7 +10,7 @@
 
 func (h *pipelineHandler) schedules(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	schedules, synced := h.leader.Schedules()
-	respondWithList(w, "schedules", schedules, synced)
+	writeList(w, "schedules", schedules, synced)
 }
 
 func (h *pipelineHandler) setSchedule(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
--- a/internal/httpapi/workers.go
+++ b/internal/httpapi/workers.go
@@ -12,8 +12,8 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// heartbeat serves the heartbeats of workers.
-func (h *handler) heartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// handleHeartbeat serves the heartbeats of workers.
+func (h *handler) handleHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
@@ -28,19 +28,20 @@
 	select {
 	case reply := <-replies:
 		h.metrics.WorkerHeartbeats.WithLabelValues(strconv.Itoa(reply.StatusCode)).Inc()
-		respondToWorker(w, reply)
+		writeHeartbeatReply(w, reply)
 	case <-r.Context().Done():
 	}
 }
 
-// respondToWorker sends the response to a heartbeat, or the node that owns the worker's shard.
-func respondToWorker(w http.ResponseWriter, reply workersession.HeartbeatReply) {
+// writeHeartbeatReply sends the reply to a heartbeat: the response with commands, the node that owns the
+// worker's shard if it is another one, or an error.
+func writeHeartbeatReply(w http.ResponseWriter, reply workersession.HeartbeatReply) {
 	switch {
 	case reply.StatusCode == http.StatusOK:
 		admin.WriteJSON(w, reply.StatusCode, reply.Response)
 	case reply.OwnerNode != "":
 		admin.WriteJSON(w, reply.StatusCode, map[string]string{"herald": reply.OwnerNode})
 	default:
-		admin.WriteError(w, reply.StatusCode, "not entitled")
+		admin.WriteError(w, reply.StatusCode, "this controller cannot renew the worker's lease now")
 	}
 }
