--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,6 +1,7 @@
-// Package decisionlog keeps the latest decisions of a controller in memory: what it sent, released,
-// acquired or confirmed, on which knowledge, and why that was allowed. Operators read it through the
-// administration API, and it is logged when an invariant is violated.
+// Package decisionlog keeps the latest decisions of a controller in memory: what the controller sent,
+// released, acquired or confirmed, on which knowledge the decision was based, and why it was allowed.
+// Operators read the decisions through the administration API. They are also logged when an invariant
+// is violated.
 package decisionlog
 
 import (
@@ -11,7 +12,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Action is what was decided. Actions are output of the administration API and keep their form.
+// Action is the kind of a decision. The values are output of the administration API and must not change.
 type Action string
 
 // The actions that are recorded.
@@ -28,7 +29,7 @@
 	CancellationConfirmed Action = "cancellation confirmed"
 )
 
-// Decision is one decision and the knowledge that it rests on.
+// Decision is one decision and the knowledge that it was based on.
 type Decision struct {
 	At      time.Time `json:"at"`
 	Action  Action    `json:"action"`
@@ -36,42 +37,44 @@
 	Attempt uint64    `json:"attempt,omitempty"`
 	Worker  string    `json:"worker,omitempty"`
 	Shard   string    `json:"shard,omitempty"`
-	Epoch   uint64    `json:"epoch,omitempty"` // of the shard
-	// FencingToken is the one that was sent to the worker, 0 for none.
+	Epoch   uint64    `json:"epoch,omitempty"` // the epoch of the shard
+	// FencingToken is the fencing token that was sent to the worker; 0 if none was sent.
 	FencingToken uint64 `json:"token,omitempty"`
-	// StoreRevision is the revision that the cache of the store had reached, and KnownAt the time as of
-	// which the cache was consistent with the store.
+	// StoreRevision is the revision of the key-value store that the state cache had reached. KnownAt
+	// is the time as of which the state cache was consistent with the store.
 	StoreRevision uint64    `json:"revision,omitempty"`
 	KnownAt       time.Time `json:"known_at,omitzero"`
 	Reason        string    `json:"reason,omitempty"`
 }
 
-// Log keeps the latest decisions. It is not safe for concurrent use: one actor owns it.
+// Log keeps the latest tuning.DecisionLogEntries decisions. It is not safe for concurrent use: a single
+// actor owns it.
 type Log struct {
-	log     *slog.Logger
+	logger  *slog.Logger
 	entries [tuning.DecisionLogEntries]Decision
-	count   uint64 // of all decisions that were ever added
+	count   uint64 // number of all decisions added so far
 }
 
-// New returns an empty log. Each decision is also a debug line of log.
-func New(log *slog.Logger) *Log { return &Log{log: log} }
+// New returns an empty log. Each added decision is also logged to logger at debug level.
+func New(logger *slog.Logger) *Log { return &Log{logger: logger} }
 
-// Add adds a decision, in place of the oldest one if the log is full.
+// Add sets the time of a decision to now and adds the decision. If the log is full, the new decision
+// replaces the oldest one.
 func (l *Log) Add(decision Decision) {
 	decision.At = time.Now()
 	l.entries[l.count%uint64(len(l.entries))] = decision
 	l.count++
-	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("decision", "action", decision.Action, "subject", decision.Subject, "attempt", decision.Attempt,
+	if l.logger.Enabled(context.Background(), slog.LevelDebug) {
+		l.logger.Debug("decision", "action", decision.Action, "subject", decision.Subject, "attempt", decision.Attempt,
 			"worker", decision.Worker, "shard", decision.Shard, "epoch", decision.Epoch, "token", decision.FencingToken,
 			"revision", decision.StoreRevision, "known_at", decision.KnownAt, "reason", decision.Reason)
 	}
 }
 
-// Count returns how many decisions were ever added.
+// Count returns the number of all decisions added so far.
 func (l *Log) Count() uint64 { return l.count }
 
-// Latest returns the latest decisions, limit at most, the oldest of them first.
+// Latest returns the latest decisions, at most limit, sorted from the oldest to the newest.
 func (l *Log) Latest(limit int) []Decision {
 	kept := min(l.count, uint64(len(l.entries)), uint64(max(0, limit)))
 	latest := make([]Decision, 0, kept)
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -17,10 +17,10 @@
 	return decisionlog.New(logger), logger, output
 }
 
-func TestLogKeepsTheLatestDecisions(t *testing.T) {
+func TestLogKeepsLatestDecisions(t *testing.T) {
 	decisions, _, output := newLog(slog.LevelInfo)
 	if latest := decisions.Latest(10); len(latest) != 0 {
-		t.Errorf("an empty log has %v", latest)
+		t.Errorf("an empty log contains %v", latest)
 	}
 	const added = tuning.DecisionLogEntries + 3
 	for i := range uint64(added) {
@@ -32,14 +32,14 @@
 	}
 	all := decisions.Latest(added)
 	if len(all) != tuning.DecisionLogEntries || all[0].Attempt != 3 || all[0].At.IsZero() {
-		t.Errorf("%d are kept, the oldest is %+v", len(all), all[0])
+		t.Errorf("%d decisions are kept, the oldest is %+v", len(all), all[0])
 	}
 	if decisions.Count() != added || output.Len() > 0 {
 		t.Errorf("count %d, logged above the debug level: %q", decisions.Count(), output)
 	}
 }
 
-func TestDecisionIsADebugLine(t *testing.T) {
+func TestDecisionIsLoggedAtDebugLevel(t *testing.T) {
 	decisions, _, output := newLog(slog.LevelDebug)
 	decisions.Add(decisionlog.Decision{Action: decisionlog.StartRefused, Subject: "wk-1/0", Epoch: 7, Reason: "the team's limit"})
 	for _, want := range []string{"level=DEBUG", `action="start refused"`, "subject=wk-1/0", "epoch=7", `reason="the team's limit"`} {
@@ -65,14 +65,14 @@
 	}
 }
 
-// The names are output of the administration API and of the metrics.
+// The encoded field names are output of the administration API and must not change.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
 		encodedform.Form{Name: "decision", Value: decisionlog.Decision{}, WriteOnly: true},
 	)
 }
 
-// BenchmarkAdd measures what a decision costs that is not logged.
+// BenchmarkAdd measures the cost of adding a decision while the debug level is disabled.
 func BenchmarkAdd(b *testing.B) {
 	decisions, _, _ := newLog(slog.LevelInfo)
 	for b.Loop() {
--- a/internal/decisionlog/invariants.go
+++ b/internal/decisionlog/invariants.go
@@ -6,41 +6,43 @@
 	"cherrywall/internal/tuning"
 )
 
-// Invariant is a condition that always holds, whatever fails outside of the program. Names are output
-// of the metrics and keep their form.
+// Invariant is the name of a condition that always holds, whatever fails outside of the program. The
+// values are part of metric names and must not change.
 type Invariant string
 
 // The invariants that are checked at run time.
 const (
-	// UsageWithinAllocation: what a team's known tasks take in a shard is within the shard's allocation.
+	// UsageWithinAllocation: the resources that a team's known tasks take in a shard do not exceed the
+	// team's allocation in that shard.
 	UsageWithinAllocation Invariant = "usage_within_allocation"
 	// AllocationsWithinQuota: no write raises the sum of a team's allocations above its quota.
 	AllocationsWithinQuota Invariant = "allocations_within_quota"
-	// StartsPassGate: a start command that was sent is one that the gate had admitted.
+	// StartsPassGate: every start command that is sent was admitted by the start gate before.
 	StartsPassGate Invariant = "starts_pass_gate"
 )
 
-// ViolationMessage is the message of the log line of a violation. Test harnesses look for it.
+// ViolationMessage is the log message of a violation. Test harnesses search the log for it.
 const ViolationMessage = "invariant violated"
 
-// Violations counts violations of invariants and logs each with the latest decisions. It is not safe
-// for concurrent use: one actor owns it.
+// Violations counts violations of invariants and logs each violation with the latest decisions. It is
+// not safe for concurrent use: a single actor owns it.
 type Violations struct {
-	log       *slog.Logger
+	logger    *slog.Logger
 	decisions *Log
 	counts    map[Invariant]uint64
 }
 
-// NewViolations returns counts of zero. decisions are logged with each violation.
-func NewViolations(decisions *Log, log *slog.Logger) *Violations {
-	return &Violations{log: log, decisions: decisions, counts: map[Invariant]uint64{}}
+// NewViolations returns counters that are all zero. Each violation is logged to logger together with
+// the latest entries of decisions.
+func NewViolations(decisions *Log, logger *slog.Logger) *Violations {
+	return &Violations{logger: logger, decisions: decisions, counts: map[Invariant]uint64{}}
 }
 
-// Report counts a violation and logs it.
+// Report counts a violation and logs it with the given attributes, which are log keys and values.
 func (v *Violations) Report(invariant Invariant, attributes ...any) {
 	v.counts[invariant]++
 	attributes = append([]any{"invariant", string(invariant)}, attributes...)
-	v.log.Error(ViolationMessage, append(attributes, "decisions", v.decisions.Latest(tuning.DecisionsLoggedOnViolation))...)
+	v.logger.Error(ViolationMessage, append(attributes, "decisions", v.decisions.Latest(tuning.DecisionsLoggedOnViolation))...)
 }
 
 // Counts returns the number of violations by invariant, zeros included.
