--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -1,5 +1,5 @@
-// Package apiclient calls the HTTP interface of controllers for the command line: it tries them
-// in turn, retries when they ask for it, and gives up after a while.
+// Package apiclient calls the HTTP API of controllers for the command line. It tries the controllers
+// in turn, retries requests that may succeed later, and gives up after tuning.CLIRetryTimeout.
 package apiclient
 
 import (
@@ -17,14 +17,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// ErrNoControllers means that a client has no address to call.
-var ErrNoControllers = errors.New("no controller to ask: give --addr or set CHERRYWALL_ADDR")
+// ErrNoControllers means that a client has no controller addresses.
+var ErrNoControllers = errors.New("no controller address: use --addr or set CHERRYWALL_ADDR")
 
-// Client calls a deployment's controllers. It must not be used by several goroutines at a time.
+// Client calls a deployment's controllers. It is not safe for concurrent use.
 type Client struct {
 	addresses  []string
 	httpClient *http.Client
-	current    int // index of the address to call first, modulo their number: the last that answered
+	current    int // modulo len(addresses), the index of the address to call first: the last one that responded
 }
 
 // New returns a client for the given listen addresses (host:port) of controllers.
@@ -46,27 +46,27 @@
 	if json.Unmarshal(e.Body, &body) == nil && body.Error != "" {
 		return body.Error
 	}
-	return fmt.Sprintf("answered %d: %s", e.Code, bytes.TrimSpace(e.Body))
+	return fmt.Sprintf("status %d: %s", e.Code, bytes.TrimSpace(e.Body))
 }
 
-// Call sends a request to the controllers in turn until one gives a final response or
-// tuning.CLIRetryTimeout is over. The request must be idempotent, since it may be repeated. The
-// body of a 2xx response is decoded into out unless that is nil; any other final response is
-// returned as a *StatusError. code is the status of the final response, 0 if there was none.
+// Call sends a request to the controllers in turn until one of them gives a final response or
+// tuning.CLIRetryTimeout has passed. The request must be idempotent, since it may be repeated. Call
+// decodes the body of a 2xx response into out, unless out is nil, and returns any other final response
+// as a *StatusError. code is the status of the final response, or 0 if there was none.
 func (c *Client) Call(ctx context.Context, method, path string, body []byte, out any) (code int, err error) {
 	if len(c.addresses) == 0 {
 		return 0, ErrNoControllers
 	}
 	deadline := time.Now().Add(tuning.CLIRetryTimeout)
 	var lastErr error
-	for attempt := 0; ; attempt++ { // each asks all controllers once
+	for attempt := 0; ; attempt++ { // each attempt calls all controllers once
 		retryAfter := tuning.MinRetryDelay
 		for range c.addresses {
 			address := c.addresses[c.current%len(c.addresses)]
-			response, err := c.callOnce(ctx, address, method, path, body)
+			response, err := c.callController(ctx, address, method, path, body)
 			switch {
 			case err != nil:
-				lastErr = fmt.Errorf("ask %s: %w", address, err)
+				lastErr = fmt.Errorf("call %s: %w", address, err)
 			case response.isRetryable():
 				lastErr = fmt.Errorf("%s: %w", address, response.statusError())
 				retryAfter = max(retryAfter, response.retryAfter)
@@ -80,7 +80,7 @@
 		}
 		delay := min(max(retryAfter, time.Duration(attempt)*tuning.MinRetryDelay), tuning.MaxCLIRetryDelay)
 		if time.Now().Add(delay).After(deadline) {
-			return 0, fmt.Errorf("given up after %v: %w", tuning.CLIRetryTimeout, lastErr)
+			return 0, fmt.Errorf("gave up after %v: %w", tuning.CLIRetryTimeout, lastErr)
 		}
 		if err := kvstore.Pause(ctx, delay); err != nil {
 			return 0, err
@@ -88,15 +88,15 @@
 	}
 }
 
-// response is a complete response of a controller.
-type response struct {
+// controllerResponse is a controller's response, read completely.
+type controllerResponse struct {
 	code       int
 	body       []byte
-	retryAfter time.Duration // 0 if the controller did not say
+	retryAfter time.Duration // 0 if the response has no valid Retry-After header
 }
 
-// isRetryable reports whether another controller or a later request may succeed.
-func (r *response) isRetryable() bool {
+// isRetryable reports whether the request may succeed at another controller or at a later time.
+func (r *controllerResponse) isRetryable() bool {
 	switch r.code {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusGatewayTimeout:
 		return true
@@ -104,10 +104,13 @@
 	return false
 }
 
-func (r *response) statusError() *StatusError { return &StatusError{Code: r.code, Body: r.body} }
+func (r *controllerResponse) statusError() *StatusError {
+	return &StatusError{Code: r.code, Body: r.body}
+}
 
-// decode decodes the body of a 2xx response into out, unless that is nil.
-func (r *response) decode(address string, out any) error {
+// decode decodes the body of a 2xx response into out, unless out is nil. For any other status it
+// returns a *StatusError.
+func (r *controllerResponse) decode(address string, out any) error {
 	if r.code/100 != 2 {
 		return r.statusError()
 	}
@@ -115,28 +118,28 @@
 		return nil
 	}
 	if err := json.Unmarshal(r.body, out); err != nil {
-		return fmt.Errorf("answer of %s: %w", address, err)
+		return fmt.Errorf("decode response of %s: %w", address, err)
 	}
 	return nil
 }
 
-// callOnce sends a request to one controller and reads the whole response.
-func (c *Client) callOnce(ctx context.Context, address, method, path string, body []byte) (*response, error) {
+// callController sends a request to one controller and reads the whole response.
+func (c *Client) callController(ctx context.Context, address, method, path string, body []byte) (*controllerResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	reply, err := c.httpClient.Do(request)
+	httpResponse, err := c.httpClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = reply.Body.Close() }()
-	content, err := io.ReadAll(reply.Body)
+	defer func() { _ = httpResponse.Body.Close() }()
+	content, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
 		return nil, err
 	}
-	result := &response{code: reply.StatusCode, body: content}
-	if seconds, err := strconv.ParseFloat(reply.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+	result := &controllerResponse{code: httpResponse.StatusCode, body: content}
+	if seconds, err := strconv.ParseFloat(httpResponse.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
 		result.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	return result, nil
--- a/internal/apiclient/client_test.go
+++ b/internal/apiclient/client_test.go
@@ -11,8 +11,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// fakeTransport responds for controllers in memory: to each address with its next status, the
-// last one again and again. Other addresses refuse connections.
+// fakeTransport simulates controllers in memory. It responds to requests to an address with the
+// statuses listed for that address in turn, and repeats the last one. Other addresses refuse
+// connections.
 type fakeTransport struct {
 	statuses           map[string][]int // by address
 	requestedAddresses []string
@@ -47,7 +48,7 @@
 			t.Errorf("status %d, error %v after %v, requests to %v", code, err, time.Since(start), transport.requestedAddresses)
 		}
 		if _, err := client.Call(t.Context(), "GET", "/x", nil, nil); err != nil || transport.requestedAddresses[5] != "b" {
-			t.Errorf("the controller that answered last is not called first: %v, error %v", transport.requestedAddresses, err)
+			t.Errorf("the controller that responded last is not called first: %v, error %v", transport.requestedAddresses, err)
 		}
 		transport.statuses["b"] = []int{422}
 		var statusError *StatusError
