--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
 // Package examples embeds example pipeline files.
 package examples
 
-import _ "embed" // for the files
+import _ "embed" // enables the go:embed directives
 
-// Dusk is the pipeline file that "cherrywall demo" runs.
+// Dusk is the content of dusk.yml, the pipeline file that "cherrywall demo" runs.
 //
 //go:embed dusk.yml
 var Dusk []byte
