--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A gang that fits on no machines, and one that waits for its team's quota, reserve no capacity: all
-// others would wait with them.
+// A gang that fits on no machines and a gang that waits for its team's quota must not reserve capacity:
+// all other jobs would wait with them.
 func TestNoReservationForUnplaceableGangs(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -29,8 +29,8 @@
 }
 
 // In an overload of small gangs, a large gang and an array of a class without objectives both start
-// within four minutes: the small gangs neither take the capacity that becomes free for the large one
-// each time, nor always precede the array.
+// within four minutes. The small gangs must not always take the capacity that becomes free for the large
+// gang, and must not always precede the array.
 func TestLargeGangStartsWithinFourMinutesOfOverload(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.Objectives = []config.Objective{{Kind: config.ObjectiveFinished, Class: "c", WithinSeconds: 60}}
@@ -63,9 +63,9 @@
 	})
 }
 
-// There is more work than capacity, of high and normal priority, over slow links: high priority
-// goes first, the rest starts in bounded time, nothing is preempted again and again, and all
-// completes.
+// Jobs of high and normal priority need more than the capacity, and the links are slow. High priority
+// goes first, the other tasks start in bounded time, no task is preempted again and again, and all jobs
+// complete.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	const gangCount = 40
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
@@ -91,7 +91,7 @@
 			requireDone(t, cluster, "n2", jobRef(i+1), 60*time.Second)
 		}
 		requireDone(t, cluster, "n0", "wk-900", 120*time.Second)
-		// Each gang starts once and preempts four tasks at most: nothing else is started again.
+		// Each gang starts once and preempts four tasks at most; no other tasks are started again.
 		gangStarts, arrayStarts := 0, 0
 		for task, count := range cluster.StartCounts() {
 			if ref, _, _ := jobs.ParseTask(task); ref == "wk-900" {
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A machine's heartbeats arrive, but nothing that is sent to it. It must not be taken for healthy: the
-// tasks that are placed there would never start.
+// A machine's heartbeats arrive at the controllers, but nothing that is sent to the machine arrives. It
+// must not count as healthy, because tasks that are placed there would never start.
 func TestMachineWithNoInboundDoesNotBlockJobs(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -20,14 +20,14 @@
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 16, 1), 25*time.Second)
 		time.Sleep(4 * time.Second)
 		cluster.BlockInbound(hosts[0], true)
-		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 3, 3), 10*time.Second) // one on each of the others
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 3, 3), 10*time.Second) // one task on each of the other machines
 		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 12, 1), 5*time.Second)
 		time.Sleep(30 * time.Second)
 		cluster.BlockInbound(hosts[0], false)
 		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
 			requireDone(t, cluster, "n1", ref, 90*time.Second)
 		}
-		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-4", jobs.Gang, 4, 3), 5*time.Second) // all four are in use again
+		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-4", jobs.Gang, 4, 3), 5*time.Second) // all four machines are in use again
 		requireDone(t, cluster, "n0", "wk-4", 40*time.Second)
 		cluster.BlockInbound(hosts[1], true)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-5", jobs.Array, 20, 1), 5*time.Second)
@@ -56,9 +56,10 @@
 	})
 }
 
-// Some machines reach no controller, while commands reach them: no more tasks are started there,
-// completions are known soon, cancelled tasks are stopped, and what ran is started elsewhere only
-// when their leases have expired. A minute of it is no reason to release them.
+// Some machines reach no controller, while commands reach them. No more tasks are started on these
+// machines, completions are known soon, cancelled tasks are stopped, and running tasks are started
+// elsewhere only when the leases of the workers have expired. The machines are not released after a
+// minute, but they are released after a few minutes.
 func TestMachinesWithNoOutbound(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -72,7 +73,7 @@
 		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 8, 1), 2*time.Second)
 		requireDone(t, cluster, "n2", "wk-3", 6*time.Second) // before any lease expires
 		if response := cluster.Poll("n1", "wk-1"); response.Status != jobs.Done {
-			t.Errorf("done on machines whose heartbeats are lost, and called %+v", response)
+			t.Errorf("a job that is done on machines whose heartbeats are lost was answered %+v", response)
 		}
 		requireCancelled(t, cluster, "n0", "wk-2")
 		time.Sleep(2500 * time.Millisecond)
@@ -102,8 +103,8 @@
 }
 
 // A task on a machine that reaches no controller starts elsewhere when the worker's lease has
-// expired, and not before. In a later agent epoch nothing of it is left on the machine, and the
-// new owner asks for that.
+// expired, and not before. A worker whose lease has expired has stopped its tasks and begun a new agent
+// epoch, which a new owner learns by asking the worker.
 func TestTasksOnMachinesWithNoOutbound(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
@@ -119,8 +120,8 @@
 	})
 }
 
-// A controller loses the store and its peers, but not its workers. It may go on renewing their
-// leases only as long as no other controller relies on their expiry.
+// A controller loses its connections to the store and to its peers, but not to its workers. It may go on
+// renewing their leases only as long as no other controller relies on their expiry.
 func TestControllerIsolatedWithItsWorkers(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 9)
@@ -134,7 +135,7 @@
 			t.Error("its shard was not acquired")
 		}
 		if cluster.Nodes["n0"].Controller.Healthy() || !cluster.Nodes["n1"].Controller.Healthy() {
-			t.Error("users are kept at it, or sent away from the others")
+			t.Error("users are kept at the isolated controller, or sent away from the others")
 		}
 		requireCancelled(t, cluster, "n1", "wk-2")
 		requireAccepted(t, cluster, "n2", dependentJob("wk-3", 6), 5*time.Second)
@@ -153,8 +154,8 @@
 }
 
 // A zone with workers and a controller is partitioned for longer than a worker lease, with packets
-// held or connections refused; users are outside and cancel and submit jobs there. Workers inside
-// may be kept running as long as the rules allow, and no task runs in both places.
+// held or connections refused. The users are outside the zone, and cancel and submit jobs there. Workers
+// inside may be kept running as long as the rules allow, and no task runs both inside and outside.
 func TestZonePartitionWithController(t *testing.T) {
 	for _, holdsPackets := range []bool{false, true} {
 		t.Run(fmt.Sprint("packets held ", holdsPackets), func(t *testing.T) {
@@ -171,7 +172,7 @@
 	time.Sleep(4 * time.Second)
 	hosts := cluster.HostsInZone("a")
 	setZonePartition(cluster, hosts, holdsPackets, true)
-	for range 8 { // room for what runs in the zone, should it be taken for lost
+	for range 8 { // capacity for the tasks of the zone, in case they are considered lost
 		cluster.AddMachine("b", false)
 	}
 	time.Sleep(2 * time.Second)
@@ -192,7 +193,8 @@
 	}
 }
 
-// setZonePartition separates n0 and the hosts of its zone from all else, or ends the partition.
+// setZonePartition separates n0 and the hosts of its zone from the store and the other controllers, or ends
+// the partition.
 func setZonePartition(cluster *fake.Cluster, hosts []string, holdsPackets, isPartitioned bool) {
 	for _, host := range hosts {
 		cutLinks(cluster, host, isPartitioned, "n1", "n2")
@@ -208,8 +210,8 @@
 	cluster.SetPeerLink(link)
 }
 
-// Copies of heartbeats arrive late, by seconds to well over a lease, at any controller, while
-// controllers crash and a machine goes.
+// Copies of heartbeats arrive at random controllers, seconds to well over a lease late, while controllers
+// crash and a machine is released.
 func TestDelayedDuplicateHeartbeatsAreIgnored(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -245,8 +247,8 @@
 	}
 }
 
-// Commands and their answers are delayed by seconds, machines freeze and resume just before their
-// leases expire, while shards change owners.
+// While shards change owners, commands and their answers are delayed by seconds, and machines freeze and
+// resume just before their leases expire.
 func TestDelayedCommandsAndFrozenMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -14,8 +14,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// reportedReason returns the reason that a controller gives for a problem, empty if it does not
-// report it.
+// reportedReason returns the reason that a controller gives for a problem, or an empty string if the
+// controller does not report the problem.
 func reportedReason(t *testing.T, cluster *fake.Cluster, node string, kind diagnostics.ProblemKind, name string) string {
 	t.Helper()
 	view, ok := cluster.Nodes[node].Controller.View(admin.ViewProblems)
@@ -31,7 +31,7 @@
 }
 
 // Operators can see by name which machine receives nothing, which controller is cut off and from what,
-// and which jobs wait longest and why. A problem that is over is not reported any more.
+// and which jobs wait longest and why. A problem that has ended is no longer reported.
 func TestProblemsAreReported(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -48,12 +48,12 @@
 		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
 		time.Sleep(8 * time.Second)
 		if reason := reportedReason(t, cluster, "n0", diagnostics.ControllerProblem, "n0"); reason != "neither the state service nor another controller answers it" {
-			t.Errorf("n0 reports of itself: %q", reason)
+			t.Errorf("n0 reports about itself: %q", reason)
 		}
 		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(2 * time.Second)
 		if reason := reportedReason(t, cluster, "n1", diagnostics.ControllerProblem, "n0"); reason != "the state service does not answer it" {
-			t.Errorf("n1 reports of n0: %q", reason)
+			t.Errorf("n1 reports about n0: %q", reason)
 		}
 		if reason := reportedReason(t, cluster, "n1", diagnostics.JobProblem, "wk-1"); reason == "" {
 			t.Error("a gang that fits on no machines is not reported")
@@ -64,16 +64,16 @@
 		}
 		time.Sleep(time.Minute)
 		for _, node := range controllerNames {
-			ofController := reportedReason(t, cluster, node, diagnostics.ControllerProblem, "n0")
-			ofMachine := reportedReason(t, cluster, node, diagnostics.MachineProblem, host)
-			if ofController != "" || ofMachine != "" {
-				t.Errorf("%s: what is over is still reported: %q %q", node, ofController, ofMachine)
+			controllerReason := reportedReason(t, cluster, node, diagnostics.ControllerProblem, "n0")
+			machineReason := reportedReason(t, cluster, node, diagnostics.MachineProblem, host)
+			if controllerReason != "" || machineReason != "" {
+				t.Errorf("%s: problems that have ended are still reported: controller %q, machine %q", node, controllerReason, machineReason)
 			}
 		}
 	})
 }
 
-// checkMachineIsReported checks that a machine is reported within a minute, and lets it pass.
+// checkMachineIsReported waits for a minute and checks that a machine was reported in that time.
 func checkMachineIsReported(t *testing.T, cluster *fake.Cluster, host string) {
 	t.Helper()
 	isReported := false
@@ -110,7 +110,8 @@
 	})
 }
 
-// checkWaitReasons checks that some controller gives a reason with these words for each job.
+// checkWaitReasons checks that at least one of the controllers gives, for each job in want, a wait reason
+// with the wanted words.
 func checkWaitReasons(t *testing.T, cluster *fake.Cluster, want map[string]string, nodes []string) {
 	t.Helper()
 	reasons := map[string]string{}
@@ -127,9 +128,9 @@
 	}
 }
 
-// Records that are damaged, impossible or of a later version are quarantined: a controller starts
-// with them, other jobs go on, users are answered nothing about these jobs, and the findings name
-// the records.
+// Records that are damaged, have impossible values or are of a later version are quarantined. A controller
+// starts in spite of them, other jobs go on, requests about the affected jobs are answered with 503, and
+// the findings name the records.
 func TestQuarantinedRecordsDoNotAffectOtherJobs(t *testing.T) {
 	records := map[string]string{
 		jobs.JobKey("wk-1"):                 `{"ref":"wk-1","shape":"sweep","urgency":"normal","shifts":-5,"free":[{"f":0,"n":9}]}`,
@@ -164,14 +165,14 @@
 			}
 		}
 		view, _ := cluster.Nodes["n0"].Controller.View(admin.ViewFindings)
-		named := 0
+		namedRecords := 0
 		for _, finding := range view.([]diagnostics.Finding) {
 			if finding.Action == "look at the record; if it is beyond help, delete the key" {
-				named++
+				namedRecords++
 			}
 		}
-		if named != len(records) {
-			t.Errorf("%d of %d records are named: %+v", named, len(records), view)
+		if namedRecords != len(records) {
+			t.Errorf("%d of %d records are named: %+v", namedRecords, len(records), view)
 		}
 	})
 }
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -44,8 +44,9 @@
 	})
 }
 
-// A job of a team with a quota gets idle machines of all shards. Limited to one shard it would wait if
-// that is full, while the idle machines of the others keep the autoscaler from adding any.
+// A job of a team with a quota gets idle machines of all shards. If it were limited to one shard, it would
+// wait while that shard is full, and the idle machines of the other shards would keep the autoscaler from
+// adding any.
 func TestQuotaLimitedJobGetsIdleMachinesOfOtherShards(t *testing.T) {
 	for _, kind := range []jobs.Kind{jobs.Gang, jobs.Array} {
 		runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
@@ -58,23 +59,24 @@
 			cluster.AddMachine("b", false)
 			time.Sleep(2 * time.Second)
 			requireAccepted(t, cluster, "n0", quotaJob("wk-20", kind, 4), 4*time.Second)
-			requireDone(t, cluster, "n1", "wk-20", 14*time.Second) // would take longer with one task at a time
+			requireDone(t, cluster, "n1", "wk-20", 14*time.Second) // one task at a time would take longer
 		})
 	}
 }
 
-// A quota is shared by all shards: a team with a quota of four CPUs uses all of them wherever there
-// is room, its gangs get what other shards have no use for, and it never uses more (the simulated
-// workers count), whatever happens to the controllers and to their transactions.
+// A quota is shared by all shards. A team with a quota of four CPUs uses all four wherever there is
+// capacity, and its gangs get the part of the quota that other shards do not use. The team never uses
+// more than its quota, whatever happens to the controllers and to their transactions: the simulated
+// workers check this.
 func TestQuotaUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) { useQuotaUnderFaults(t, cluster, seed) })
+			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) { runQuotaJobsUnderFaults(t, cluster, seed) })
 		})
 	}
 }
 
-func useQuotaUnderFaults(t *testing.T, cluster *fake.Cluster, seed uint64) {
+func runQuotaJobsUnderFaults(t *testing.T, cluster *fake.Cluster, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 16))
 	addMachinesPerController(cluster, 3)
 	time.Sleep(5 * time.Second)
@@ -100,7 +102,7 @@
 	for _, node := range controllerNames {
 		cluster.Store.DelayWatch(node, 0)
 	}
-	for _, ref := range unanswered { // it may have been accepted nevertheless
+	for _, ref := range unanswered { // the job may have been accepted although no answer arrived
 		if cluster.Poll("n1", ref).Code == http.StatusOK {
 			accepted = append(accepted, ref)
 		}
@@ -116,7 +118,7 @@
 	}
 }
 
-// randomQuotaJob returns an array or, for each fourth index, a gang of the team with a quota.
+// randomQuotaJob returns a job of the team with a quota: a gang for every fourth index, else an array.
 func randomQuotaJob(rnd *rand.Rand, i int) jobs.Spec {
 	spec := fake.JobSpec(jobRef(i), jobs.Array, 1+rnd.IntN(8), 1)
 	if i%4 == 3 {
@@ -127,8 +129,8 @@
 	return spec
 }
 
-// injectRandomFault crashes a controller for a while, has the store refuse it, loses answers of the
-// store, delays a watch, or does nothing.
+// injectRandomFault selects a random controller and crashes it for a while, has the store refuse it, loses
+// answers of the store, delays its watch, or does nothing.
 func injectRandomFault(cluster *fake.Cluster, rnd *rand.Rand) {
 	node := controllerNames[rnd.IntN(3)]
 	isRunning := cluster.Nodes[node] != nil
@@ -153,14 +155,15 @@
 }
 
 // A team has used up its quota when the owner of its tasks crashes, some of the machines can't be
-// reached, and the jobs are cancelled during the failover: what may still run counts until it
-// provably does not, and the quota is available again soon after. The simulated workers check it.
+// reached, and the jobs are cancelled during the failover. Tasks that may still run count against the
+// quota until they have certainly stopped, and the quota is available again soon after. The simulated
+// workers check that the quota is not exceeded.
 func TestExhaustedQuotaAcrossOwnerCrash(t *testing.T) {
 	configure := func(cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.Workers.LeaseSeconds, cluster.Cfg.Cluster.Workers.CancelSeconds = 25, 45
 	}
 	for seed := range uint64(6) {
-		runWithPeersAnd(t, configure, func(t *testing.T, cluster *fake.Cluster) { crashQuotaOwner(t, cluster, seed) })
+		runWithPeersConfigured(t, configure, func(t *testing.T, cluster *fake.Cluster) { crashOwnerWithExhaustedQuota(t, cluster, seed) })
 	}
 }
 
@@ -171,13 +174,13 @@
 	return spec
 }
 
-func crashQuotaOwner(t *testing.T, cluster *fake.Cluster, seed uint64) {
+func crashOwnerWithExhaustedQuota(t *testing.T, cluster *fake.Cluster, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	addMachines(cluster, 12)
 	requireAccepted(t, cluster, "n0", quotaJob("wk-1", arrayOrGang(int(seed)), 3), 10*time.Minute)
 	requireAccepted(t, cluster, "n1", quotaJob("wk-2", jobs.Array, 6), 10*time.Minute)
 	time.Sleep(5 * time.Second)
-	owner := "" // of the shard that runs most of the team's tasks
+	owner := "" // the owner of the shard that runs most of the team's tasks
 	for i := range 3 {
 		for _, host := range cluster.RunningOn(jobs.TaskName("wk-1", i)) {
 			owner = cluster.OwnerOf(cluster.ShardOf(host))
@@ -190,12 +193,12 @@
 	for _, ref := range []string{"wk-1", "wk-2"} {
 		cancelWithRetries(t, cluster, successor, ref)
 	}
-	requireAccepted(t, cluster, successor, quotaJob("wk-4", jobs.Array, 4), 2*time.Second) // one by one
-	requireAccepted(t, cluster, successor, quotaJob("wk-3", jobs.Gang, 4), 20*time.Second) // the whole quota
+	requireAccepted(t, cluster, successor, quotaJob("wk-4", jobs.Array, 4), 2*time.Second) // its tasks may start one by one
+	requireAccepted(t, cluster, successor, quotaJob("wk-3", jobs.Gang, 4), 20*time.Second) // needs the whole quota
 	time.Sleep(time.Duration(rnd.IntN(5000)) * time.Millisecond)
 	cluster.StartController(owner)
 	addMachines(cluster, 3)
-	// When the time limit for cancellations, 45 s, is over, nothing of the cancelled jobs can run.
+	// After the time limit for cancellations, 45 s, no task of the cancelled jobs can run.
 	cluster.WaitForStatus(successor, "wk-3", jobs.Running, 55*time.Second)
 	if response := cluster.Poll(successor, "wk-3"); response.ActiveTasks == 0 && response.Status != jobs.Done {
 		t.Errorf("seed %d: the quota is not available again: %+v", seed, response)
--- a/internal/controller/quota_unknown_test.go
+++ b/internal/controller/quota_unknown_test.go
@@ -8,14 +8,14 @@
 	"cherrywall/internal/jobs"
 )
 
-// These scenarios fill a team's quota with tasks, cancel their job while the machines do not hear the
-// stop commands, and change the owner of the shard. The cancelled job's record is deleted by then, so
-// the new owner does not know what the tasks take. They use the quota until they have stopped. The
-// simulated workers check the quota.
+// These scenarios fill a team's quota with the tasks of a job, cancel the job while the machines do not
+// receive the stop commands, and change the owner of the shard. The cancelled job's record is deleted by
+// then, so the new owner does not know how many resources the tasks use. The tasks must use up the quota
+// until they have stopped. The simulated workers check the quota.
 
-// fillQuotaAndCancel runs a job that takes the whole quota, makes its machines deaf and cancels it.
-// A second job of the team waits for the quota. It returns the owner of the shard that runs the
-// cancelled tasks, and the tasks' machines.
+// fillQuotaAndCancel runs a job that uses the whole quota, blocks inbound messages to the job's machines
+// and cancels the job. It submits a second job of the team, which waits for the quota. It returns the
+// owner of the shard that runs the cancelled tasks, and the tasks' machines.
 func fillQuotaAndCancel(t *testing.T, cluster *fake.Cluster, kind jobs.Kind) (owner string, hosts []string) {
 	t.Helper()
 	addMachines(cluster, 12)
@@ -24,8 +24,8 @@
 		t.Fatal("the job that fills the quota does not run")
 	}
 	setSpareMachines(t, cluster, "n0", 12)
-	// The other machines are partly used, so that the second job's tasks are placed there and not where the
-	// cancelled ones stop.
+	// The other machines are partly used, so that the second job's tasks are placed on them and not on the
+	// machines where the cancelled tasks stop.
 	requireAccepted(t, cluster, "n0", fake.JobSpec("wk-3", jobs.Array, 11, 3), 10*time.Minute)
 	time.Sleep(8 * time.Second)
 	for i := range 4 {
@@ -37,33 +37,35 @@
 		cluster.BlockInbound(runningOn[0], true)
 		hosts = append(hosts, runningOn[0])
 	}
-	time.Sleep(2 * time.Second) // an answer that was under way has arrived
-	other := successorOf(owner)
+	time.Sleep(2 * time.Second) // answers in transit arrive meanwhile
+	other := nextController(owner)
 	cancelWithRetries(t, cluster, other, "wk-1")
 	requireAccepted(t, cluster, other, quotaJob("wk-2", jobs.Array, 4), 10*time.Second)
 	time.Sleep(time.Second)
 	return owner, hosts
 }
 
-func successorOf(owner string) string { return []string{"n1", "n2", "n0"}[owner[1]-'0'] }
+// nextController returns the controller that follows owner in the order of their names, or the first one
+// after the last.
+func nextController(owner string) string { return []string{"n1", "n2", "n0"}[owner[1]-'0'] }
 
-// forEachKind runs a scenario with a job of each kind that ends by itself.
+// forEachKind runs a scenario for each kind of job that ends by itself: arrays and gangs.
 func forEachKind(t *testing.T, scenario func(t *testing.T, cluster *fake.Cluster, kind jobs.Kind)) {
 	t.Helper()
 	for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 		t.Run(string(kind), func(t *testing.T) {
-			runWithPeersAnd(t, longLease, func(t *testing.T, cluster *fake.Cluster) { scenario(t, cluster, kind) })
+			runWithPeersConfigured(t, configureLongLease, func(t *testing.T, cluster *fake.Cluster) { scenario(t, cluster, kind) })
 		})
 	}
 }
 
-func longLease(cluster *fake.Cluster) {
+func configureLongLease(cluster *fake.Cluster) {
 	cluster.Cfg.Cluster.Workers.LeaseSeconds, cluster.Cfg.Cluster.Workers.CancelSeconds = 25, 45
 }
 
-// requireHoldEnds requires that the quota is available again as soon as the cancelled tasks have
-// certainly stopped: that is when the leases of their workers have expired.
-func requireHoldEnds(t *testing.T, cluster *fake.Cluster, node string) {
+// requireQuotaReleased requires that the quota is available again as soon as the cancelled tasks have
+// certainly stopped, which is when the leases of their workers have expired.
+func requireQuotaReleased(t *testing.T, cluster *fake.Cluster, node string) {
 	t.Helper()
 	const margin = 10 * time.Second // for the next owner, reports of the workers and the start
 	limit := cluster.Cfg.PreviousOwnerExpiryDelay() + margin
@@ -74,17 +76,17 @@
 }
 
 // The owner of the cancelled tasks shuts down and transfers its shard: the recipient continues from a
-// snapshot, without a report of the workers.
+// snapshot, without reports from the workers.
 func TestCancelledTasksUseQuotaAfterTransfer(t *testing.T) {
 	forEachKind(t, func(t *testing.T, cluster *fake.Cluster, kind jobs.Kind) {
 		owner, _ := fillQuotaAndCancel(t, cluster, kind)
 		cluster.StopController(owner)
-		requireHoldEnds(t, cluster, successorOf(owner))
+		requireQuotaReleased(t, cluster, nextController(owner))
 	})
 }
 
-// The owner of the cancelled tasks crashes. The workers hear its successor, but three seconds late: the
-// successor knows their tasks before the stop commands reach them.
+// The owner of the cancelled tasks crashes. The workers receive the new owner's messages, but three seconds
+// late: the new owner knows their tasks before the stop commands reach them.
 func TestCancelledTasksUseQuotaAfterFailover(t *testing.T) {
 	forEachKind(t, func(t *testing.T, cluster *fake.Cluster, kind jobs.Kind) {
 		owner, hosts := fillQuotaAndCancel(t, cluster, kind)
@@ -93,6 +95,6 @@
 			cluster.BlockInbound(host, false)
 			cluster.DelayInbound(host, 3*time.Second)
 		}
-		requireHoldEnds(t, cluster, successorOf(owner))
+		requireQuotaReleased(t, cluster, nextController(owner))
 	})
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// Shards are handed over and back, then all controllers crash; one returns within a second, the
-// others later. Messages between them are delayed.
+// Shards are handed over and back, then all controllers crash. One of them restarts within a second, the
+// others later. Messages between the controllers are delayed.
 func TestHandoverThenAllControllersCrash(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -81,7 +81,7 @@
 			cluster.CrashController(node)
 		}
 		sleepUpTo(4 * time.Second)
-		cluster.StartController(node) // they are handed back
+		cluster.StartController(node) // its shards are handed back
 		sleepUpTo(3 * time.Second)
 		permutation := rnd.Perm(3)
 		for _, i := range permutation {
@@ -99,17 +99,17 @@
 	}
 }
 
-// All controllers are down for longer than a worker lease, with or without an outage of the store;
-// some jobs were cancelled a moment before, gangs are half done.
+// All controllers are down for longer than a worker lease, with or without an outage of the store. Some
+// jobs were cancelled a moment before, and some tasks of the gangs are done, others not.
 func TestAllControllersDownLongerThanWorkerLease(t *testing.T) {
 	for seed := range uint64(6) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
-			stopAllPastWorkerLease(t, cluster, seed)
+			restartAfterWorkerLease(t, cluster, seed)
 		})
 	}
 }
 
-func stopAllPastWorkerLease(t *testing.T, cluster *fake.Cluster, seed uint64) {
+func restartAfterWorkerLease(t *testing.T, cluster *fake.Cluster, seed uint64) {
 	const jobCount = 9
 	rnd := rand.New(rand.NewPCG(seed, 12))
 	addMachines(cluster, 9)
@@ -143,15 +143,15 @@
 	addMachines(cluster, 2)
 	for i := range jobCount {
 		if isCancelled[jobRef(i+1)] {
-			checkCancelledForAll(t, cluster, seed, jobRef(i+1))
+			checkCancelledAtAllControllers(t, cluster, seed, jobRef(i+1))
 		} else {
-			checkEnds(t, cluster, seed, jobRef(i+1))
+			checkDoneOrCancelled(t, cluster, seed, jobRef(i+1))
 		}
 	}
 }
 
-// checkEnds checks that a job is done in time, or was cancelled after all.
-func checkEnds(t *testing.T, cluster *fake.Cluster, seed uint64, ref string) {
+// checkDoneOrCancelled checks that a job is done in time, or was cancelled although no answer confirmed it.
+func checkDoneOrCancelled(t *testing.T, cluster *fake.Cluster, seed uint64, ref string) {
 	t.Helper()
 	isDone := cluster.WaitForStatus("n0", ref, jobs.Done, 150*time.Second)
 	if !isDone && cluster.Poll("n0", ref).Status != jobs.Cancelled {
@@ -159,13 +159,13 @@
 	}
 }
 
-// checkCancelledForAll checks that all controllers call a job cancelled and none of its three
-// tasks runs.
-func checkCancelledForAll(t *testing.T, cluster *fake.Cluster, seed uint64, ref string) {
+// checkCancelledAtAllControllers checks that all controllers report a job as cancelled, and that none of
+// its three tasks runs.
+func checkCancelledAtAllControllers(t *testing.T, cluster *fake.Cluster, seed uint64, ref string) {
 	t.Helper()
 	for _, node := range controllerNames {
 		if response := cluster.Poll(node, ref); response.Status != jobs.Cancelled {
-			t.Errorf("seed %d: %s is called %+v by %s", seed, ref, response, node)
+			t.Errorf("seed %d: %s is reported as %+v by %s", seed, ref, response, node)
 		}
 	}
 	for i := range 3 {
@@ -175,8 +175,8 @@
 	}
 }
 
-// Controllers and machines are back within a fraction of a second, also while shards are being
-// acquired.
+// Controllers and machines are down for a moment only, most controllers for a fraction of a second. Some
+// controllers return while others are acquiring their shards.
 func TestSubsecondRestarts(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -20,8 +20,9 @@
 // fleetSize is the number of machines in the scenarios below.
 const fleetSize = 1000
 
-// TestProcessorTimePerMinute logs the processor time that three controllers together need for a
-// minute of a deployment under load: heartbeats, claims, scheduling cycles, ticks; not the sockets.
+// TestProcessorTimePerMinute logs the processor time, in seconds, that three controllers together use
+// for a minute of a deployment under load. It covers heartbeats, claims, scheduling cycles and ticks, but
+// not the network sockets.
 func TestProcessorTimePerMinute(t *testing.T) {
 	size, err := strconv.Atoi(os.Getenv("CHERRYWALL_MACHINES"))
 	if err != nil {
@@ -31,10 +32,12 @@
 	if err != nil {
 		load = 1
 	}
-	runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) { measureMinute(t, cluster, size, load) })
+	runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) { measureProcessorTime(t, cluster, size, load) })
 }
 
-func measureMinute(t *testing.T, cluster *fake.Cluster, size int, load float64) {
+// measureProcessorTime submits random jobs for two minutes and logs the processor time used per minute.
+// load scales the submission rate, which at 1 is 1.54 jobs a second for 1200 machines.
+func measureProcessorTime(t *testing.T, cluster *fake.Cluster, size int, load float64) {
 	t.Helper()
 	defer startAutoscalers(t, cluster)()
 	rnd := rand.New(rand.NewPCG(1, uint64(size)))
@@ -43,15 +46,15 @@
 	end := time.Now().Add(120 * time.Second)
 	for i := 0; time.Now().Before(end); i++ {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / (1.54 * scale) * float64(time.Second)))
-		spec, run := randomLoad(rnd, jobRef(i+1))
-		cluster.Submit(controllerName(rnd.IntN(3)), spec, run)
+		spec, runTime := randomJob(rnd, jobRef(i+1))
+		cluster.Submit(controllerName(rnd.IntN(3)), spec, runTime)
 	}
 	t.Logf("%.2f s of processor time a minute", float64(processorTimeNS(t)-usedBefore)/2e9)
 }
 
-// randomLoad returns a gang of high priority or, more rarely, a large array, and the run time of
+// randomJob returns a gang of high priority or, more rarely, a large array, and the run time of
 // its tasks.
-func randomLoad(rnd *rand.Rand, ref string) (spec jobs.Spec, run time.Duration) {
+func randomJob(rnd *rand.Rand, ref string) (spec jobs.Spec, runTime time.Duration) {
 	spec = fake.JobSpec(ref, jobs.Gang, []int{1, 4, 8, 16, 24}[rnd.IntN(5)], 7)
 	spec.Class, spec.Urgency, spec.OneZone, spec.MemGB, spec.EstimatedRunSeconds = "sync", "high", true, 26, 60
 	spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 60, 6
@@ -75,8 +78,8 @@
 	return cancel
 }
 
-// runLargeScenario runs a scenario on a cluster of three zones with so many machines, half of them
-// spot, which begins when all belong to a shard.
+// runLargeScenario runs a scenario on a cluster with size machines in three zones, half of them spot.
+// The scenario begins when all machines belong to a shard.
 func runLargeScenario(t *testing.T, size int, scenario func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
 	zones := map[string]string{"n0": "a", "n1": "b", "n2": "c"}
@@ -96,21 +99,21 @@
 	})
 }
 
-// fillMachines submits arrays and gangs whose tasks fill most of the machines.
-func fillMachines(t *testing.T, cluster *fake.Cluster, run time.Duration) {
+// fillMachines submits arrays and gangs whose tasks fill most of the machines and run for runTime.
+func fillMachines(t *testing.T, cluster *fake.Cluster, runTime time.Duration) {
 	t.Helper()
 	for i := range fleetSize / 100 {
 		array := fake.JobSpec(jobRef(i+1), jobs.Array, 700, 1)
 		array.Spot, array.MemGB = true, 1
-		requireAccepted(t, cluster, "n0", array, run)
+		requireAccepted(t, cluster, "n0", array, runTime)
 		gang := fake.JobSpec(jobRef(9000+i), jobs.Gang, 8, 7)
 		gang.OneZone, gang.Urgency = true, "high"
-		requireAccepted(t, cluster, "n1", gang, run)
+		requireAccepted(t, cluster, "n1", gang, runTime)
 	}
 	time.Sleep(15 * time.Second)
 }
 
-// requireArraysDone requires that the arrays of fillMachines are done in time.
+// requireArraysDone waits until the arrays of fillMachines are done, for each of them up to limit.
 func requireArraysDone(t *testing.T, cluster *fake.Cluster, limit time.Duration) {
 	t.Helper()
 	for i := range fleetSize / 100 {
@@ -118,15 +121,15 @@
 	}
 }
 
-// urgentGang returns a gang of the highest priority that has to be in one zone.
+// urgentGang returns a gang of the highest priority that has to run in one zone.
 func urgentGang() jobs.Spec {
 	spec := fake.JobSpec("wk-7000", jobs.Gang, 16, 7)
 	spec.Urgency, spec.OneZone = "prod", true
 	return spec
 }
 
-// confirmedWorkers returns how many workers of a shard its owner has reached since it acquired it.
-func confirmedWorkers(cluster *fake.Cluster, shard string) int {
+// confirmedWorkerCount returns how many workers of a shard its owner has reached since it acquired the shard.
+func confirmedWorkerCount(cluster *fake.Cluster, shard string) int {
 	view, _ := cluster.Nodes[cluster.OwnerOf(shard)].Controller.View(admin.ViewReconciliation)
 	for _, reconciled := range view.([]reconciliation.View) {
 		if reconciled.Shard == shard {
@@ -136,8 +139,8 @@
 	return 0
 }
 
-// isolateOneIn isolates each n-th machine, or connects it again.
-func isolateOneIn(cluster *fake.Cluster, n int, isIsolated bool) {
+// isolateEveryNth isolates every n-th machine, or reconnects it.
+func isolateEveryNth(cluster *fake.Cluster, n int, isIsolated bool) {
 	for i, host := range cluster.Hosts() {
 		if i%n == 0 {
 			cluster.IsolateWorker(host, isIsolated)
@@ -145,8 +148,8 @@
 	}
 }
 
-// All controllers restart while a thousand workers run tasks, and all of them send heartbeats at
-// once: every task goes on where it is, and new tasks start within seconds.
+// All controllers restart while a thousand workers run tasks, and all workers send heartbeats at the
+// same time. Every task continues on its machine, and new tasks start within seconds.
 func TestRestartWithThousandWorkers(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 40*time.Second)
@@ -165,21 +168,21 @@
 				restarted++
 			}
 		}
-		// The urgent gang preempts a few.
+		// The urgent gang preempts a few tasks, which start again.
 		if startedBefore < 7*fleetSize || restarted > 150 {
 			t.Errorf("%d tasks ran at the restart, %d were started again", startedBefore, restarted)
 		}
 	})
 }
 
-// All controllers restart while a quarter of the machines can't be reached: unclaimed jobs start
-// within seconds, and nothing is stopped or released by incomplete knowledge; no more tasks are
-// started than ended, lost their lease or are new.
+// All controllers restart while a quarter of the machines can't be reached. Unclaimed jobs start within
+// seconds, and no task is stopped and no machine released because of incomplete information. Tasks are
+// started only if they are new, or if their previous run ended or lost its lease.
 func TestRestartWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 60*time.Second)
 		startsBefore := cluster.StartCounts()
-		isolateOneIn(cluster, 4, true)
+		isolateEveryNth(cluster, 4, true)
 		restartControllers(cluster, 6*time.Second)
 		for !cluster.Nodes["n0"].Controller.Healthy() {
 			time.Sleep(50 * time.Millisecond)
@@ -204,41 +207,41 @@
 		if count := cluster.WorkerCount(); count != fleetSize {
 			t.Errorf("%d machines were released", fleetSize-count)
 		}
-		isolateOneIn(cluster, 4, false)
+		isolateEveryNth(cluster, 4, false)
 		requireArraysDone(t, cluster, 150*time.Second)
 	})
 }
 
-// A controller crashes while a quarter of all machines can't be reached: the others of its shard
-// are reached within seconds, since the timeouts of the unreachable ones do not add up.
+// A controller crashes while a quarter of all machines can't be reached. The new owner reaches the other
+// machines of the shard within seconds, since the timeouts of the unreachable machines do not add up.
 func TestFailoverWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 50*time.Second)
-		isolateOneIn(cluster, 4, true)
+		isolateEveryNth(cluster, 4, true)
 		time.Sleep(time.Second)
 		cluster.CrashController("n0")
 		for cluster.OwnerOf("n0") == "n0" {
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if confirmed, reachable := confirmedWorkers(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmed < reachable*95/100 {
+		if confirmed, reachable := confirmedWorkerCount(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmed < reachable*95/100 {
 			t.Errorf("%d of %d reachable workers were reached in 1.5 s", confirmed, reachable)
 		}
 		requireAccepted(t, cluster, "n2", urgentGang(), 5*time.Second)
 		requireDone(t, cluster, "n1", "wk-7000", 12*time.Second)
-		isolateOneIn(cluster, 4, false)
+		isolateEveryNth(cluster, 4, false)
 		requireArraysDone(t, cluster, 150*time.Second)
 	})
 }
 
-// All workers are isolated for longer than their leases and come back in one moment: their tasks
-// are lost, and start again at once.
+// All workers are isolated for longer than their leases and reconnect at the same moment. Their tasks
+// are lost and start again immediately.
 func TestThousandMachinesReconnectTogether(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 30*time.Second)
-		isolateOneIn(cluster, 1, true)
+		isolateEveryNth(cluster, 1, true)
 		time.Sleep(40 * time.Second)
-		isolateOneIn(cluster, 1, false)
+		isolateEveryNth(cluster, 1, false)
 		for i := range fleetSize / 100 {
 			requireDone(t, cluster, "n1", jobRef(i+1), 75*time.Second)
 			requireDone(t, cluster, "n2", jobRef(9000+i), 75*time.Second)
@@ -246,9 +249,10 @@
 	})
 }
 
-// The writes of a job do not depend on the number of machines: a gang needs six (accepted, claimed,
-// done), an array two for each shard's claim and those that record the tasks done in its ranges.
-// Without peer heartbeats, as here, all three controllers may claim at the same moment.
+// The number of writes for a job does not depend on the number of machines. A gang needs six writes
+// (accepted, claimed, done). An array needs two for each shard's claim, and those that record the done
+// tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may claim at the
+// same moment.
 func TestWritesPerJobIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{120, 900} {
 		runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) {
@@ -267,7 +271,7 @@
 			time.Sleep(3 * time.Second)
 			arrayWrites := writes() - writesBefore
 			t.Logf("%d machines: a gang %d writes, an array of 300 tasks %d", size, gangWrites, arrayWrites)
-			if gangWrites > 10 || arrayWrites > 10 { // two controllers may claim in vain, once
+			if gangWrites > 10 || arrayWrites > 10 { // two controllers may each make one failed claim
 				t.Errorf("%d machines: a gang took %d writes, an array of 300 tasks %d", size, gangWrites, arrayWrites)
 			}
 		})
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -13,13 +13,13 @@
 	"cherrywall/internal/jobs"
 )
 
-// controllerNames are the controllers of the simulated clusters, and so the shards.
+// controllerNames lists the controllers of the simulated clusters. Each shard is named after a controller.
 var controllerNames = []string{"n0", "n1", "n2"}
 
 // controllerZones places one controller in zone a and two in zone b.
 var controllerZones = map[string]string{"n0": "a", "n1": "b", "n2": "b"}
 
-// controllerName returns the name of the controller of that index, modulo their number.
+// controllerName returns the name of controller i modulo the number of controllers.
 func controllerName(i int) string { return fmt.Sprintf("n%d", i%3) }
 
 func jobRef(i int) string { return fmt.Sprintf("wk-%d", i) }
@@ -59,11 +59,11 @@
 // runWithPeers runs a scenario in which the controllers receive each other's heartbeats.
 func runWithPeers(t *testing.T, scenario func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
-	runWithPeersAnd(t, func(*fake.Cluster) {}, scenario)
+	runWithPeersConfigured(t, func(*fake.Cluster) {}, scenario)
 }
 
-// runWithPeersAnd is runWithPeers with a configuration of its own.
-func runWithPeersAnd(t *testing.T, configure func(cluster *fake.Cluster), scenario func(t *testing.T, cluster *fake.Cluster)) {
+// runWithPeersConfigured is runWithPeers on a cluster that configure has changed.
+func runWithPeersConfigured(t *testing.T, configure func(cluster *fake.Cluster), scenario func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
 	withPeers := func(cluster *fake.Cluster) {
 		cluster.ConnectPeers = true
@@ -72,7 +72,7 @@
 	runScenario(t, controllerZones, withPeers, scenario)
 }
 
-// restartControllers crashes all controllers and starts them again after a while.
+// restartControllers crashes all controllers and starts them again after downtime.
 func restartControllers(cluster *fake.Cluster, downtime time.Duration) {
 	for _, node := range controllerNames {
 		cluster.CrashController(node)
@@ -83,7 +83,7 @@
 	}
 }
 
-// crashAndRestart crashes the controllers and starts them again one after another.
+// crashAndRestart crashes the controllers one after another and starts each of them again at once.
 func crashAndRestart(cluster *fake.Cluster) {
 	for _, node := range controllerNames {
 		cluster.CrashController(node)
@@ -91,7 +91,7 @@
 	}
 }
 
-// addMachines adds machines in zones a and b by turns, and waits until they have booted.
+// addMachines adds machines alternately in zones a and b, and waits until they have booted.
 func addMachines(cluster *fake.Cluster, count int) {
 	for i := range count {
 		cluster.AddMachine([]string{"a", "b"}[i%2], false)
@@ -99,7 +99,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// addMachinesPerController adds machines for each controller in its zone.
+// addMachinesPerController adds count machines for each controller, in the controller's zone.
 func addMachinesPerController(cluster *fake.Cluster, count int) {
 	for range count {
 		cluster.AddMachine("a", false)
@@ -115,7 +115,7 @@
 	}
 }
 
-// setSpareMachines keeps so many idle machines, so that none is released for being idle.
+// setSpareMachines sets the number of idle machines that are kept, so that none of them is released.
 func setSpareMachines(t *testing.T, cluster *fake.Cluster, node string, count int) {
 	t.Helper()
 	if err := cluster.ChangeSettings(node, func(s *admin.Settings) { s.SpareMachines = count }); err != nil {
@@ -123,9 +123,9 @@
 	}
 }
 
-func requireAccepted(t *testing.T, cluster *fake.Cluster, node string, spec jobs.Spec, run time.Duration) {
+func requireAccepted(t *testing.T, cluster *fake.Cluster, node string, spec jobs.Spec, runTime time.Duration) {
 	t.Helper()
-	if response := cluster.Submit(node, spec, run); response.Code != http.StatusCreated {
+	if response := cluster.Submit(node, spec, runTime); response.Code != http.StatusCreated {
 		t.Fatalf("%s: submission answered %+v", spec.Ref, response)
 	}
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkStartedOnce checks that every task that was started was started exactly once.
+// checkStartedOnce checks that none of the started tasks was started more than once.
 func checkStartedOnce(t *testing.T, cluster *fake.Cluster) {
 	t.Helper()
 	for task, count := range cluster.StartCounts() {
@@ -154,7 +154,7 @@
 	}
 }
 
-// checkNotRunning checks that no machine runs one of the first tasks of a job.
+// checkNotRunning checks that no machine runs any of a job's first tasks, whose number is given.
 func checkNotRunning(t *testing.T, cluster *fake.Cluster, ref string, tasks int) {
 	t.Helper()
 	for i := range tasks {
@@ -172,9 +172,9 @@
 		keys = append(keys, cluster.Store.Keys(prefix)...)
 	}
 	if len(keys) > 0 {
-		t.Errorf("%d records are left: %v", len(keys), keys[0])
+		t.Errorf("%d records are left, the first is %v", len(keys), keys[0])
 	}
 }
 
-// arrayOrGang returns the kinds array and gang by turns.
+// arrayOrGang returns the kind array for even numbers and gang for odd ones.
 func arrayOrGang(i int) jobs.Kind { return []jobs.Kind{jobs.Array, jobs.Gang}[i%2] }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -18,7 +18,7 @@
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-1", jobs.Array, 12, 1), 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-1", 15*time.Second)
 		if response := cluster.Poll("n2", "wk-1"); response.DoneTasks != 12 {
-			t.Errorf("%d of 12 tasks of a done job are reported", response.DoneTasks)
+			t.Errorf("%d of 12 tasks of a done job are reported as done", response.DoneTasks)
 		}
 		for i := range 12 {
 			if count := cluster.StartCounts()[jobs.TaskName("wk-1", i)]; count != 1 {
@@ -29,8 +29,8 @@
 	})
 }
 
-// A long array is claimed many tasks at a time. Claimed one by one as others end, with five writes for
-// each task, it would use up the store's write rate, and submissions would wait.
+// A long array is claimed many tasks at a time. If its tasks were claimed one by one as others end, with
+// five writes for each task, they would use up the store's write rate, and submissions would wait.
 func TestLongArrayNeedsFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for _, zone := range []string{"a", "a", "b", "b", "b", "b"} {
@@ -108,7 +108,7 @@
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-90", jobs.Service, 2, 1), 0)
 		time.Sleep(4 * time.Second)
-		// Six CPUs are free; two are reserved for the replicas on one machine.
+		// Six CPUs are free. Two of them are reserved for the replicas of one machine, in case it fails.
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-91", jobs.Array, 6, 1), 30*time.Second)
 		time.Sleep(10 * time.Second)
 		if count := cluster.Poll("n0", "wk-91").ActiveTasks; count != 4 {
@@ -117,7 +117,7 @@
 		lower := fake.JobSpec("wk-92", jobs.Array, 2, 1)
 		lower.Urgency = "idle"
 		requireAccepted(t, cluster, "n0", lower, 3*time.Second)
-		requireDone(t, cluster, "n0", "wk-92", 20*time.Second) // reserved capacity is lent to lower priorities
+		requireDone(t, cluster, "n0", "wk-92", 20*time.Second) // lower priorities may use reserved capacity
 	})
 }
 
@@ -133,7 +133,7 @@
 			t.Errorf("%d tasks run on a machine with two GPUs", count)
 		}
 		requireDone(t, cluster, "n0", "wk-85", 40*time.Second)
-		checkStartedOnce(t, cluster) // a worker without a free GPU refuses a task, which is started again
+		checkStartedOnce(t, cluster) // a task that a worker refuses for lack of a free GPU is started again
 		spec = fake.JobSpec("wk-86", jobs.Array, 1, 1)
 		spec.GPU = 3
 		if response := cluster.Submit("n0", spec, time.Second); response.Code != http.StatusUnprocessableEntity {
@@ -155,7 +155,7 @@
 }
 
 // A job that is claimed one task at a time has more task ranges than fit into one transaction. It
-// must be called done all the same.
+// must be reported as done nevertheless.
 func TestJobWithManyTaskRangesCompletes(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.State.TxnOps = 4
@@ -164,19 +164,20 @@
 		cluster.AddMachine("a", false)
 		cluster.AddMachine("b", false)
 		time.Sleep(5 * time.Second)
-		// These jobs complete one after another, and each leaves room for one task.
+		// These jobs complete one after another, and each frees capacity for one task.
 		for i := range 8 {
 			requireAccepted(t, cluster, "n0", fake.JobSpec(jobRef(30+i), jobs.Array, 1, 1), time.Duration(5+3*i)*time.Second)
 		}
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-30000", jobs.Array, 40, 1), 4*time.Second)
 		requireDone(t, cluster, "n2", "wk-30000", 3*time.Minute)
 		if response := cluster.Poll("n1", "wk-30000"); response.Code != http.StatusOK || response.Status != jobs.Done {
-			t.Errorf("the done job: %+v", response)
+			t.Errorf("the done job was answered %+v", response)
 		}
 	})
 }
 
-// Records stay within the size limit of values, and writes do not grow with the number of tasks.
+// The records of a huge array stay within the size limit of the store's values, and the number of writes
+// does not grow with the number of tasks.
 func TestHugeArrayWithinValueLimit(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.State.ValueKB = 1
@@ -198,27 +199,27 @@
 			t.Errorf("%d writes in 30 s for %d tasks", writes, response.DoneTasks)
 		}
 		if response := cluster.Cancel("n2", "wk-1"); response.Status != jobs.Cancelled {
-			t.Errorf("its cancellation was answered %+v", response)
+			t.Errorf("the cancellation was answered %+v", response)
 		}
 		time.Sleep(10 * time.Second)
 		if response := cluster.Poll("n0", "wk-1"); response.ActiveTasks > 0 || response.Status != jobs.Cancelled {
-			t.Errorf("10 s after its cancellation: %+v", response)
+			t.Errorf("10 s after the cancellation: %+v", response)
 		}
 	})
 }
 
 // zoneCase is a case of TestZoneConstrainedJobsLoseMachines.
 type zoneCase struct {
-	name    string
-	kind    jobs.Kind
-	oneZone bool
-	spread  bool
-	isFull  bool // the zone is full of other tasks instead of empty
+	name       string
+	kind       jobs.Kind
+	oneZone    bool
+	spread     bool
+	isZoneFull bool // other tasks fill the zone; if false, its machines are released and it is empty
 }
 
-// A job in one zone, or spread over zones, loses machines: what is left stays in the zone that runs
-// any of it, and moves if nothing is left there and the zone has no capacity. The simulated workers
-// check the placement.
+// A job that runs in one zone, or is spread over zones, loses machines. Its remaining tasks stay in the
+// zone that still runs some of them. They move if that zone runs none of them any more and has no
+// capacity. The simulated workers check the placement.
 func TestZoneConstrainedJobsLoseMachines(t *testing.T) {
 	for _, c := range []zoneCase{
 		{"array in one zone", jobs.Array, true, false, false},
@@ -228,19 +229,20 @@
 		{"array anywhere", jobs.Array, false, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { loseMachinesOfZone(t, cluster, c) })
+			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { checkCompletionAfterMachineLoss(t, cluster, c) })
 		})
 	}
 }
 
-func loseMachinesOfZone(t *testing.T, cluster *fake.Cluster, c zoneCase) {
+func checkCompletionAfterMachineLoss(t *testing.T, cluster *fake.Cluster, c zoneCase) {
 	for range 3 {
 		cluster.AddMachine("a", false)
 	}
 	time.Sleep(5 * time.Second)
 	spec := fake.JobSpec("wk-1", c.kind, 9, 1)
 	spec.OneZone, spec.Spread = c.oneZone, c.spread
-	// The first tasks complete at once, others never on these machines, and the last goes on.
+	// Half of the first eight tasks complete soon, the other half not before these machines are lost. The
+	// last task runs longer than all others.
 	for i := range 8 {
 		cluster.SetTaskRunTime(jobs.TaskName("wk-1", i), []time.Duration{2 * time.Second, 25 * time.Second}[i%2])
 	}
@@ -255,7 +257,7 @@
 	if c.spread {
 		lost = lost[:3]
 	}
-	if c.isFull { // others take the place of what is lost, for long
+	if c.isZoneFull { // another job takes the capacity of the lost tasks for a long time
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Array, 12, 1), 10*time.Minute)
 		lost = lost[:2]
 	}
@@ -265,20 +267,21 @@
 	for _, host := range lost {
 		_ = cluster.Release(t.Context(), []string{host})
 	}
-	if c.spread { // half of the tasks may be in one zone, whatever is done by then
+	if c.spread { // at most half of the tasks may be in one zone, however many are done by then
 		time.Sleep(40 * time.Second)
 		cluster.AddMachine("a", false)
 	}
-	if c.isFull {
+	if c.isZoneFull {
 		time.Sleep(5 * time.Second)
 		cluster.AddMachine("b", false)
 		cluster.AddMachine("b", false)
 	}
-	// One after another on one machine, if the task that goes on leaves no more room there.
+	// The limit lets the tasks run one after another on one machine, in case the last task leaves no capacity
+	// for more of them there.
 	requireDone(t, cluster, "n1", "wk-1", 220*time.Second)
 }
 
-// An array that has to be in one zone takes one that has capacity, not the first by name.
+// An array that has to run in one zone is placed in a zone that has capacity, not in the first by name.
 func TestOneZoneArrayPicksZoneWithCapacity(t *testing.T) {
 	zones := map[string]string{"n0": "a", "n1": "a", "n2": "a"} // so that each shard has machines of both zones
 	runScenario(t, zones, func(*fake.Cluster) {}, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -9,17 +9,18 @@
 	"cherrywall/internal/jobs"
 )
 
-// stallController blocks a controller as if its process were not scheduled: it does nothing, and
-// neither the store nor its workers receive anything from it.
+// stallController blocks a controller for the duration d, as if the operating system did not schedule its
+// process. The controller does nothing, and neither the store nor its workers receive anything from it.
 func stallController(cluster *fake.Cluster, node string, d time.Duration) {
 	cluster.Store.RefuseNode(node, true)
 	cluster.Nodes[node].Controller.Stall(d)
 	time.AfterFunc(d, func() { cluster.Store.RefuseNode(node, false) })
 }
 
-// A controller that was stalled for a minute resumes with outdated state: another one owns its shard
-// now, and a job was cancelled meanwhile. It must not answer or start tasks from that state.
-func TestStalledControllerDiscardsOldKnowledge(t *testing.T) {
+// A controller that was stalled for a minute resumes with outdated state: another controller owns its
+// shard now, and a job was cancelled meanwhile. It must not use that state to answer requests or start
+// tasks.
+func TestStalledControllerDiscardsStaleState(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
 		cluster.AddMachine("a", false)
@@ -36,11 +37,11 @@
 		requireCancelled(t, cluster, "n1", "wk-1")
 		time.Sleep(45*time.Second + time.Millisecond)
 		if cluster.Nodes["n0"].Controller.Healthy() {
-			t.Error("healthy by a status from before the stall")
+			t.Error("the controller is healthy according to a status from before the stall")
 		}
-		for range 40 { // from its first moment on
+		for range 40 { // from the moment it resumes
 			if response := cluster.Poll("n0", "wk-1"); response.Code == http.StatusOK && response.Status != jobs.Cancelled {
-				t.Fatalf("an older status was answered: %+v", response)
+				t.Fatalf("an outdated status was answered: %+v", response)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -67,8 +68,8 @@
 	})
 }
 
-// The store refuses one controller alone: it is unhealthy within four seconds, so that its users are
-// sent to others. In an outage for all controllers it stays healthy.
+// A controller that is the only one refused by the store is unhealthy within four seconds, so that its
+// users are sent to others. In an outage for all controllers, each controller stays healthy.
 func TestControllerCutOffFromStoreIsUnhealthy(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		defer exchangeHeartbeats(cluster)()
@@ -87,10 +88,10 @@
 			t.Error("its shard was not acquired")
 		}
 		cluster.Store.RefuseNode("n0", false)
-		cluster.Store.SetOutage(true) // for all controllers, which no single one can know
+		cluster.Store.SetOutage(true) // for all controllers; a single controller cannot know this
 		time.Sleep(8 * time.Second)
 		if !cluster.Nodes["n1"].Controller.Healthy() {
-			t.Error("unhealthy in an outage for all, with nobody to send users to")
+			t.Error("a controller is unhealthy in an outage for all, when users can be sent to no other")
 		}
 		cluster.Store.SetOutage(false)
 		requireDone(t, cluster, "n0", "wk-1", 60*time.Second)
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// The limits of a class hold for submissions as for pipeline files, at every controller, but not
-// for a job that is accepted already.
+// Every controller applies the limits of a class to submissions, as they are applied to pipeline files,
+// but not to a job that is already accepted.
 func TestClassLimitsApplyToSubmissions(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -95,11 +95,11 @@
 			t.Fatal(err)
 		}
 		if _, err := cluster.Nodes["n2"].Controller.ChangeSettings(settings, version+99); !errors.Is(err, admin.ErrVersionConflict) {
-			t.Errorf("a change of another version was answered %v", err)
+			t.Errorf("a change based on another version was answered %v", err)
 		}
 		time.Sleep(8 * time.Second)
 		if cluster.WorkerCount() != 0 {
-			t.Error("the drained machine is still there")
+			t.Error("the drained machine was not released")
 		}
 		cluster.CrashController("n0")
 		cluster.StartController("n0")
@@ -120,7 +120,8 @@
 	return strings.NewReplacer(append([]string{"REF", ref}, replacements...)...).Replace(submissionTemplate)
 }
 
-// checkPost checks that a request over HTTP is answered with a code and a body with this text.
+// checkPost sends a POST request to a controller's HTTP handler. It checks that the answer has the given
+// code, that its body contains text, and that a 503 has a Retry-After header.
 func checkPost(t *testing.T, cluster *fake.Cluster, node, path, body string, code int, text string) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -134,8 +135,8 @@
 	}
 }
 
-// Users repeat submissions, also with other contents, cancel jobs that have ended, and send what is
-// invalid.
+// Users repeat submissions, also with other contents, cancel jobs that have ended, and send invalid
+// requests.
 func TestInvalidAndRepeatedRequests(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
@@ -164,8 +165,8 @@
 	})
 }
 
-// checkRepeatedSubmissions checks that a repeated submission is answered with the job's status at each
-// controller, whatever its other fields are.
+// checkRepeatedSubmissions checks that each controller answers a repeated submission with the job's
+// status, whatever the other fields of the submission are.
 func checkRepeatedSubmissions(t *testing.T, cluster *fake.Cluster, ref string, status jobs.Status) {
 	t.Helper()
 	for _, body := range []string{
@@ -216,8 +217,8 @@
 	}
 }
 
-// As long as no machine types are known a controller can't say which jobs can never run. A job that
-// is known already is answered nevertheless.
+// As long as no machine types are known, a controller can't tell which jobs can never run, and refuses
+// new jobs. It still answers the repeated submission of a known job.
 func TestRequestsBeforeMachineTypesAreKnown(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 2, 1), 20*time.Second)
@@ -230,7 +231,7 @@
 			t.Errorf("a new job was answered %+v", response)
 		}
 		if response := cluster.SubmitUntracked("n1", fake.JobSpec("wk-1", jobs.Array, 1, 99), nil); response.Code != http.StatusOK {
-			t.Errorf("a repeat was answered %+v", response)
+			t.Errorf("a repeated submission was answered %+v", response)
 		}
 	})
 }
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -15,10 +15,10 @@
 // tinyJob returns a job of one task.
 func tinyJob(i int) jobs.Spec { return fake.JobSpec(jobRef(1000+i), jobs.Array, 1, 0.25) }
 
-// A job of one task needs less than two writes, by its claim on acceptance and by completion batches.
-// With six writes for each job the load here, twelve jobs a second, would exceed what the store accepts
-// from all controllers, 50 writes a second.
-func TestTinyJobFloodNeedsFewWrites(t *testing.T) {
+// A job of one task needs fewer than two writes, because it is claimed on acceptance and its completion
+// is written in a batch with others. With six writes for each job, the load of this test, twelve jobs a
+// second, would exceed the 50 writes a second that the store accepts from all controllers.
+func TestManyTinyJobsNeedFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 8)
 		time.Sleep(5 * time.Second)
@@ -58,7 +58,7 @@
 }
 
 // The completion of a tiny job is written to a completion batch and does not change the job's record. A
-// cancellation at another controller at the same moment must not replace it.
+// cancellation at another controller at the same moment must not replace the completion.
 func TestTinyJobCancellationIsFinal(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for range 4 {
@@ -71,7 +71,7 @@
 			requireAccepted(t, cluster, "n0", tinyJob(i), 5*time.Second)
 			time.Sleep(50 * time.Millisecond)
 		}
-		cluster.Store.DelayWatch("n2", 300*time.Millisecond) // where the jobs are cancelled
+		cluster.Store.DelayWatch("n2", 300*time.Millisecond) // the jobs are cancelled at n2
 		answered := map[string]jobs.Status{}
 		counts := map[jobs.Status]int{}
 		time.Sleep(2500 * time.Millisecond)
@@ -87,7 +87,7 @@
 		time.Sleep(20 * time.Second)
 		for ref, status := range answered {
 			if response := cluster.Poll("n1", ref); response.Status != status {
-				t.Errorf("%s was called %s and then %+v", ref, status, response)
+				t.Errorf("%s: answered %s, then %+v", ref, status, response)
 			}
 		}
 		if counts[jobs.Done] == 0 || counts[jobs.Cancelled] == 0 {
@@ -115,31 +115,31 @@
 	})
 }
 
-// Tiny jobs are submitted, submitted again, polled and cancelled at any controller, while
-// controllers crash, are refused by the store, lag and lose answers. No answer may be taken back,
-// and every job reaches a final state.
+// Tiny jobs are submitted, submitted again, polled and cancelled at random controllers, while controllers
+// crash, are refused by the store, receive the store's changes late and lose its answers. No answer may
+// contradict an earlier one, and every accepted job reaches a final state.
 func TestTinyJobsUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
-				run := &tinyJobRun{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 7)), answered: map[string]jobs.Status{}}
+				run := &tinyJobRun{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 7)), knownStatus: map[string]jobs.Status{}}
 				run.run(t)
 			})
 		})
 	}
 }
 
-// acceptedStatus is the status of an accepted job without a final state in tinyJobRun.answered.
+// acceptedStatus stands in tinyJobRun.knownStatus for an accepted job without a final state.
 const acceptedStatus jobs.Status = "accepted"
 
-// tinyJobRun is a random run of requests and faults.
+// tinyJobRun sends random requests for tiny jobs and injects random faults.
 type tinyJobRun struct {
-	cluster  *fake.Cluster
-	rnd      *rand.Rand
-	refs     []string
-	answered map[string]jobs.Status // the last answer that can't change any more, or acceptedStatus
-	crashed  string                 // the controller that is down, empty if none is
-	refused  string                 // the controller that the store refuses, empty if none is
+	cluster     *fake.Cluster
+	rnd         *rand.Rand
+	refs        []string
+	knownStatus map[string]jobs.Status // by job: its final status, or acceptedStatus if none was answered yet
+	crashedNode string                 // the controller that is down, empty if none is
+	refusedNode string                 // the controller that the store refuses, empty if none is
 }
 
 func (r *tinyJobRun) run(t *testing.T) {
@@ -162,10 +162,10 @@
 	case draw < 40 || len(r.refs) == 0:
 		r.submit(t, i)
 	case draw < 50:
-		if ref := r.randomRef(); r.answered[ref] != "" {
+		if ref := r.randomRef(); r.knownStatus[ref] != "" {
 			spec := tinyJob(0)
 			spec.Ref = ref
-			r.check(t, "repeated submission", ref, r.cluster.Resubmit(r.runningController(), spec))
+			r.checkAndRecord(t, "repeated submission", ref, r.cluster.Resubmit(r.runningController(), spec))
 		}
 	case draw < 80:
 		ref := r.randomRef()
@@ -185,23 +185,23 @@
 		r.cluster.Nodes[r.runningController()].Conn.DropAnswers(1)
 	}
 	response := r.cluster.Submit(r.runningController(), spec, time.Duration(1+r.rnd.IntN(9))*time.Second)
-	r.check(t, "submission", spec.Ref, response)
+	r.checkAndRecord(t, "submission", spec.Ref, response)
 	r.refs = append(r.refs, spec.Ref)
 }
 
 func (r *tinyJobRun) changeFaults(draw int) {
 	switch {
-	case draw < 94 && r.crashed == "":
-		r.crashed = r.runningController()
-		r.cluster.CrashController(r.crashed)
-	case draw < 96 && r.crashed != "":
-		r.cluster.StartController(r.crashed)
-		r.crashed = ""
+	case draw < 94 && r.crashedNode == "":
+		r.crashedNode = r.runningController()
+		r.cluster.CrashController(r.crashedNode)
+	case draw < 96 && r.crashedNode != "":
+		r.cluster.StartController(r.crashedNode)
+		r.crashedNode = ""
 	case draw < 98:
-		r.cluster.Store.RefuseNode(r.refused, false)
-		if r.refused = ""; r.rnd.IntN(2) == 0 {
-			r.refused = r.runningController()
-			r.cluster.Store.RefuseNode(r.refused, true)
+		r.cluster.Store.RefuseNode(r.refusedNode, false)
+		if r.refusedNode = ""; r.rnd.IntN(2) == 0 {
+			r.refusedNode = r.runningController()
+			r.cluster.Store.RefuseNode(r.refusedNode, true)
 		}
 	default:
 		r.cluster.Store.DelayWatch(r.runningController(), time.Duration(r.rnd.IntN(400))*time.Millisecond)
@@ -209,9 +209,9 @@
 }
 
 func (r *tinyJobRun) endFaults() {
-	r.cluster.Store.RefuseNode(r.refused, false)
-	if r.crashed != "" {
-		r.cluster.StartController(r.crashed)
+	r.cluster.Store.RefuseNode(r.refusedNode, false)
+	if r.crashedNode != "" {
+		r.cluster.StartController(r.crashedNode)
 	}
 	for _, node := range controllerNames {
 		r.cluster.Store.DelayWatch(node, 0)
@@ -229,50 +229,51 @@
 	}
 }
 
-// checkIfKnown checks the answer about a job that was accepted; others may be unknown.
+// checkIfKnown checks and records an answer if the job was accepted or the answer has its status. A job
+// whose submission was not accepted may be unknown.
 func (r *tinyJobRun) checkIfKnown(t *testing.T, request, ref string, response controller.Response) {
 	t.Helper()
-	if r.answered[ref] != "" || response.Code == http.StatusOK {
-		r.check(t, request, ref, response)
+	if r.knownStatus[ref] != "" || response.Code == http.StatusOK {
+		r.checkAndRecord(t, request, ref, response)
 	}
 }
 
-// check checks that an answer does not take back an earlier one, and notes it.
-func (r *tinyJobRun) check(t *testing.T, request, ref string, response controller.Response) {
+// checkAndRecord checks that an answer does not contradict an earlier one, and records it.
+func (r *tinyJobRun) checkAndRecord(t *testing.T, request, ref string, response controller.Response) {
 	t.Helper()
-	earlier := r.answered[ref]
+	earlier := r.knownStatus[ref]
 	isRefused := response.Code == http.StatusBadRequest || response.Code == http.StatusUnprocessableEntity
 	switch {
 	case response.Code == http.StatusNotFound && earlier != "" || isRefused:
-		t.Errorf("%s: %s of a job called %q answered %d", ref, request, earlier, response.Code)
+		t.Errorf("%s: %s of a job with the earlier status %q answered %d", ref, request, earlier, response.Code)
 	case response.Code != http.StatusOK && response.Code != http.StatusCreated:
 	case isFinal(earlier) && response.Status != earlier:
-		t.Errorf("%s: called %s, then %s by %s", ref, earlier, response.Status, request)
+		t.Errorf("%s: reported as %s, then as %s by %s", ref, earlier, response.Status, request)
 	case isFinal(response.Status):
-		r.answered[ref] = response.Status
+		r.knownStatus[ref] = response.Status
 	case earlier == "":
-		r.answered[ref] = acceptedStatus
+		r.knownStatus[ref] = acceptedStatus
 	}
 }
 
-// checkFinalStates checks that all controllers answer a final state for each accepted job.
+// checkFinalStates checks that all controllers report a final state for each accepted job.
 func (r *tinyJobRun) checkFinalStates(t *testing.T) {
 	t.Helper()
 	counts := map[jobs.Status]int{}
 	for _, ref := range r.refs {
-		if r.answered[ref] == "" {
+		if r.knownStatus[ref] == "" {
 			continue
 		}
 		for _, node := range controllerNames {
 			response := r.cluster.Poll(node, ref)
-			r.check(t, "last poll", ref, response)
+			r.checkAndRecord(t, "last poll", ref, response)
 			if !isFinal(response.Status) {
 				t.Errorf("%s at %s has no final state: %+v", ref, node, response)
 			}
 		}
-		counts[r.answered[ref]]++
+		counts[r.knownStatus[ref]]++
 	}
 	if counts[jobs.Done] < 30 || counts[jobs.Cancelled] < 5 {
-		t.Errorf("the scenario covers too little: %v", counts)
+		t.Errorf("the scenario has too few done or cancelled jobs: %v", counts)
 	}
 }
