--- a/internal/jobs/bitmap.go
+++ b/internal/jobs/bitmap.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Bitmap is a set of tasks by their offsets in a range.
+// Bitmap is a set of tasks, each given by its offset from the first task of a range.
 type Bitmap []byte
 
 // Has reports whether offset i is set.
 func (b Bitmap) Has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
-// With returns a copy with the given offsets set as well.
+// With returns a copy of the set to which the given offsets are added.
 func (b Bitmap) With(offsets ...int) Bitmap {
 	out := slices.Clone(b)
 	for _, i := range offsets {
@@ -23,12 +23,12 @@
 	return out
 }
 
-// Count returns the number of offsets below n that are set.
+// Count returns how many offsets below n are set.
 func (b Bitmap) Count(n int) int {
 	count := 0
 	for i, octet := range b {
-		if beyond := 8*(i+1) - n; beyond > 0 { // bits at n and above do not count
-			octet &= byte(0xff) >> min(beyond, 8)
+		if excessBits := 8*(i+1) - n; excessBits > 0 { // offsets of n and above are not counted
+			octet &= byte(0xff) >> min(excessBits, 8)
 		}
 		count += bits.OnesCount8(octet)
 	}
--- a/internal/jobs/final.go
+++ b/internal/jobs/final.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// Status is the state of a job, as users see it.
+// Status is the state of a job that the protocol shows to users.
 type Status string
 
-// The states of a job, by their names in the protocol.
+// The states of a job. The values are the protocol's names.
 const (
-	// Queued is the state of a job without started tasks.
+	// Queued means that none of the job's tasks has started.
 	Queued Status = "queued"
-	// Running is the state of a job with started tasks.
+	// Running means that tasks of the job have started.
 	Running Status = "running"
-	// Done is the final state of a job of which all tasks are done.
+	// Done is the final state of a job whose tasks are all done.
 	Done Status = "done"
 	// Cancelled is the final state of a cancelled job.
 	Cancelled Status = "aborted"
 )
 
-// FinalState is how a job ended.
+// FinalState is the durable record of how a job ended.
 type FinalState struct {
 	Status Status // Done or Cancelled
-	Tasks  int    // the number of tasks done; 0 in records of early versions, which lack it
+	Tasks  int    // number of tasks that are done; 0 if an early version wrote the record without it
 }
 
 type finalStateJSON struct {
@@ -31,12 +31,13 @@
 	Tasks  int    `json:"n"`
 }
 
-// MarshalJSON encodes the record.
+// MarshalJSON encodes the final state as it is stored.
 func (f FinalState) MarshalJSON() ([]byte, error) {
 	return json.Marshal(finalStateJSON{string(f.Status), f.Tasks})
 }
 
-// UnmarshalJSON decodes the record, also in the form of early versions: the status alone.
+// UnmarshalJSON decodes a stored final state. Early versions stored only the status, as a string; the
+// number of tasks is 0 then.
 func (f *FinalState) UnmarshalJSON(raw []byte) error {
 	if json.Unmarshal(raw, &f.Status) == nil {
 		return nil
@@ -49,11 +50,11 @@
 	return nil
 }
 
-// BatchEntry returns the entry of a job that is done in a completion batch.
+// BatchEntry returns the entry by which a completion batch lists a job as done.
 func BatchEntry(ref string, tasks int) string { return TaskName(ref, tasks) }
 
-// ParseBatchEntry decodes an entry of a completion batch, also in the form of early versions: the
-// reference alone, for which tasks is 0.
+// ParseBatchEntry decodes an entry of a completion batch. Early versions wrote only the job's
+// reference; tasks is 0 then.
 func ParseBatchEntry(entry string) (ref string, tasks int) {
 	if ref, tasks, ok := ParseTask(entry); ok {
 		return ref, tasks
--- a/internal/jobs/final_test.go
+++ b/internal/jobs/final_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Records of early versions hold only the status, and completion batches only the references.
-func TestFinalStateOfEarlyVersions(t *testing.T) {
+// In early versions, the record of a final state held only the status, and a completion batch held
+// only the references of its jobs.
+func TestDecodeFinalStatesOfEarlyVersions(t *testing.T) {
 	for raw, want := range map[string]FinalState{`"done"`: {Done, 0}, `{"s":"aborted","n":7}`: {Cancelled, 7}} {
 		var decoded FinalState
 		if err := json.Unmarshal([]byte(raw), &decoded); err != nil || decoded != want {
@@ -15,7 +16,7 @@
 		encoded, err := json.Marshal(decoded)
 		var again FinalState
 		if err != nil || json.Unmarshal(encoded, &again) != nil || again != decoded {
-			t.Errorf("%s encoded again: %s, %v", raw, encoded, err)
+			t.Errorf("%s decoded and encoded: %s, %v", raw, encoded, err)
 		}
 	}
 	if err := new(FinalState).UnmarshalJSON([]byte(`[]`)); err == nil {
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -7,56 +7,63 @@
 
 // Keys in the key-value store.
 const (
-	// Prefix is the common prefix of all keys, which a controller watches.
+	// Prefix is the common prefix of all keys. Controllers watch it.
 	Prefix = "cw/"
-	// JobPrefix: cw/job/<job> is a JobRecord.
+	// JobPrefix is the prefix of the keys cw/job/<job>, each of which holds a JobRecord.
 	JobPrefix = "cw/job/"
-	// RangePrefix: cw/work/<job>/<first task> is a RangeRecord.
+	// RangePrefix is the prefix of the keys cw/work/<job>/<first task>, each of which holds a
+	// RangeRecord.
 	RangePrefix = "cw/work/"
-	// FinalPrefix: cw/final/<job> is a FinalState.
+	// FinalPrefix is the prefix of the keys cw/final/<job>, each of which holds a FinalState.
 	FinalPrefix = "cw/final/"
-	// WorkerPrefix: cw/worker/<machine> is the record of a machine.
+	// WorkerPrefix is the prefix of the keys cw/worker/<machine>, each of which holds the record
+	// of a machine.
 	WorkerPrefix = "cw/worker/"
-	// ShardPrefix: cw/share/<shard> names the shard's owner. Its revision is the shard's epoch.
+	// ShardPrefix is the prefix of the keys cw/share/<shard>, each of which holds the name of the
+	// shard's owner. The revision of the record is the shard's epoch.
 	ShardPrefix = "cw/share/"
-	// LivenessPrefix: cw/live/<controller> is the liveness record of a controller.
+	// LivenessPrefix is the prefix of the keys cw/live/<controller>, each of which holds the
+	// liveness record of a controller.
 	LivenessPrefix = "cw/live/"
-	// SettingsKey is the key of the settings that the administration API changes.
+	// SettingsKey is the key of the settings that operators change through the administration API.
 	SettingsKey = "cw/settings"
-	// MachineTypesKey is the key of the machine types and their prices.
+	// MachineTypesKey is the key of the record of the machine types and their prices.
 	MachineTypesKey = "cw/types"
-	// BootTimesKey is the key of the learned boot times by machine type.
+	// BootTimesKey is the key of the record of the learned boot times of the machine types.
 	BootTimesKey = "cw/boots"
-	// CompletionBatchPrefix: cw/pack/<shard>/<n> lists small jobs that are done, whose own
-	// records may not say so yet.
+	// CompletionBatchPrefix is the prefix of the keys cw/pack/<shard>/<n>, each of which lists
+	// small jobs that are done although their own records may not yet say so.
 	CompletionBatchPrefix = "cw/pack/"
-	// QuotaPrefix: cw/portion/<team in hex> is how a team's quota is allocated to shards.
+	// QuotaPrefix is the prefix of the keys cw/portion/<team in hex>, each of which holds the
+	// allocation of a team's quota to the shards.
 	QuotaPrefix = "cw/portion/"
-	// VersionPrefix: cw/version/<controller> is the program version that a controller runs
-	// (package featuregate).
+	// VersionPrefix is the prefix of the keys cw/version/<controller>, each of which holds the
+	// program version that a controller runs (package featuregate).
 	VersionPrefix = "cw/version/"
-	// ChunkPrefix is for the chunks of records that are too large for one value (package
-	// chunkedstore).
+	// ChunkPrefix is the prefix of the keys of the chunks into which records are split that are too
+	// large for one value (package chunkedstore).
 	ChunkPrefix = "cw/part/"
-	// OpaquePrefix is for records that the controller stores without reading them. They are
-	// under Prefix because a watch is not notified of revisions under other prefixes: a read that
-	// waits until the cache has reached such a revision would wait for the watch request to end.
+	// OpaquePrefix is the prefix of the keys of records that controllers store but don't interpret.
+	// It lies under Prefix because a watch is not notified of revisions under other prefixes: a
+	// read that waits until the cache has reached such a revision would be blocked until the watch
+	// request ends.
 	OpaquePrefix = "cw/x/"
 )
 
 // JobKey returns the key of a job's record.
 func JobKey(ref string) string { return JobPrefix + ref }
 
-// RangeKey returns the key of the record of a task range.
+// RangeKey returns the key of the record of the task range that begins with task first.
 func RangeKey(ref string, first int) string { return RangePrefix + ref + "/" + strconv.Itoa(first) }
 
 // FinalKey returns the key of a job's final state.
 func FinalKey(ref string) string { return FinalPrefix + ref }
 
-// TaskName returns a task's name in commands and heartbeats.
+// TaskName returns the name by which commands and heartbeats refer to a job's task i.
 func TaskName(ref string, i int) string { return ref + "/" + strconv.Itoa(i) }
 
-// ParseTask splits a task's name into the job's reference and the task's number.
+// ParseTask splits a task's name into the job's reference and the task's number. ok is false if the
+// name has no slash or its number is not a whole number of at least 0.
 func ParseTask(name string) (ref string, i int, ok bool) {
 	ref, number, found := strings.Cut(name, "/")
 	if !found {
--- a/internal/jobs/parse.go
+++ b/internal/jobs/parse.go
@@ -10,38 +10,38 @@
 	"slices"
 )
 
-// ValidationError is the fault of a submission or a record. Field is the name of the faulty
-// field in its JSON form, or "body" for the whole.
+// ValidationError reports that a submission or a record is invalid.
 type ValidationError struct {
+	// Field is the JSON name of the invalid field, or "body" if the whole is invalid.
 	Field  string
 	Reason string
-	// Err is the cause, if there is one. Reason includes its text.
+	// Err is the error that caused this one, nil if there is none. Reason includes its text.
 	Err error
 }
 
 // Error returns the field and the reason.
 func (e *ValidationError) Error() string { return e.Field + ": " + e.Reason }
 
-// Unwrap returns the cause, if there is one.
+// Unwrap returns the cause, nil if there is none.
 func (e *ValidationError) Unwrap() error { return e.Err }
 
-func invalid(field, format string, args ...any) error {
+func newValidationError(field, format string, args ...any) error {
 	return &ValidationError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-func invalidBody(cause error) error {
+func newBodyError(cause error) error {
 	return &ValidationError{Field: "body", Reason: cause.Error(), Err: cause}
 }
 
 // requiredFields and optionalFields are the names of a submission's fields. Any other field is
-// ignored, also one that differs only in case.
+// ignored, including one whose name differs only in case.
 var requiredFields = []string{"ref", "lot", "crew", "shape", "urgency", "shifts", "vcpus", "cards", "ramGb",
 	"kit", "imageGb", "oneZone", "spread", "loaners", "guessS", "waypointS", "stashS"}
 
 var optionalFields = []string{"builds", "valley", "dueS", "awaits"}
 
-// ParseSpec decodes and validates a submission. Every error is a *ValidationError. If only the
-// values are invalid, the Spec is returned with the error.
+// ParseSpec decodes and validates a submission. Every error is a *ValidationError. If the submission
+// can be decoded but a value is invalid, ParseSpec returns the Spec together with the error.
 func ParseSpec(body []byte) (*Spec, error) {
 	known, err := knownFields(body)
 	if err != nil {
@@ -49,25 +49,26 @@
 	}
 	raw, err := json.Marshal(known)
 	if err != nil {
-		return nil, invalidBody(err)
+		return nil, newBodyError(err)
 	}
 	var spec Spec
 	if err := json.Unmarshal(raw, &spec); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) && typeError.Field != "" {
-			return nil, invalid(typeError.Field, "wrong type %s", typeError.Value)
+			return nil, newValidationError(typeError.Field, "wrong type %s", typeError.Value)
 		}
-		return nil, invalidBody(err)
+		return nil, newBodyError(err)
 	}
 	if err := spec.validate(); err != nil {
 		return &spec, err
 	}
-	spec.DependsOn = withoutDuplicates(spec.DependsOn)
+	spec.DependsOn = removeDuplicates(spec.DependsOn)
 	return &spec, nil
 }
 
-// DescribeDecodeError returns an error of the decoding of a Spec or a JobRecord in which the type of
-// a job's kind is called what it is in JSON: a string. Operators read these errors.
+// DescribeDecodeError rewrites an error from decoding a Spec or a JobRecord for operators: if the
+// error names the Go type Kind, the result names the JSON type string instead. Any other error is
+// returned unchanged.
 func DescribeDecodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) || typeError.Type != reflect.TypeFor[Kind]() {
@@ -78,18 +79,19 @@
 	return &described
 }
 
-// knownFields returns the fields of a submission whose names match exactly. encoding/json alone
-// would also take names that differ in case.
+// knownFields returns the required and optional fields of a submission, by their exact names;
+// encoding/json alone would also accept names that differ in case. The error is a *ValidationError
+// if the body is not a JSON object or a required field is missing or null.
 func knownFields(body []byte) (map[string]json.RawMessage, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
-		return nil, invalid("body", "not a JSON object")
+		return nil, newValidationError("body", "not a JSON object")
 	}
 	known := map[string]json.RawMessage{}
 	for _, name := range requiredFields {
 		raw, ok := fields[name]
 		if !ok || string(raw) == "null" {
-			return nil, invalid(name, "missing")
+			return nil, newValidationError(name, "missing")
 		}
 		known[name] = raw
 	}
@@ -101,8 +103,9 @@
 	return known, nil
 }
 
-// ParseRef returns the job reference in a body that may be invalid otherwise: a repeated
-// submission of an accepted job is answered 200 whatever its body says now.
+// ParseRef returns the job reference in the body of a submission that may be invalid otherwise: a
+// repeated submission of an accepted job is answered with status 200, whatever else its body
+// contains. ok is false if the body contains no valid reference.
 func ParseRef(body []byte) (ref string, ok bool) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["ref"], &ref) != nil {
@@ -113,17 +116,17 @@
 
 var refPattern = regexp.MustCompile(`^[a-z]{1,16}-[0-9]{1,18}$`)
 
-// ValidRef reports whether a job reference has the protocol's form.
+// ValidRef reports whether a job reference has the form that the protocol requires.
 func ValidRef(ref string) bool { return refPattern.MatchString(ref) }
 
-// NumberedRef returns a reference in the protocol's form, of a prefix and the last 18 decimal
-// digits of a number.
+// NumberedRef returns a job reference in the form that the protocol requires, made of a prefix and the
+// last 18 decimal digits of a number.
 func NumberedRef(prefix string, n uint64) string {
 	return fmt.Sprintf("%s-%018d", prefix, n%1_000_000_000_000_000_000)
 }
 
-// withoutDuplicates removes names that were given before. It reuses the slice.
-func withoutDuplicates(names []string) []string {
+// removeDuplicates keeps only the first occurrence of each name. It reuses the slice.
+func removeDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(names, func(name string) bool {
 		isDuplicate := seen[name]
@@ -132,7 +135,7 @@
 	})
 }
 
-// validate returns the first fault of a submission.
+// validate returns a *ValidationError for the first invalid field of a submission.
 func (s *Spec) validate() error {
 	if err := s.validateFields(); err != nil {
 		return err
@@ -144,7 +147,7 @@
 		return err
 	}
 	if s.CPU == 0 && s.GPU == 0 && s.MemGB == 0 {
-		return invalid("vcpus", "a task must take something")
+		return newValidationError("vcpus", "a task must request CPU, GPU or memory")
 	}
 	return nil
 }
@@ -152,25 +155,25 @@
 func (s *Spec) validateFields() error {
 	switch {
 	case !ValidRef(s.Ref):
-		return invalid("ref", "bad form")
+		return newValidationError("ref", "must be 1 to 16 lower-case letters, a hyphen and 1 to 18 digits")
 	case s.Class == "":
-		return invalid("lot", "empty")
+		return newValidationError("lot", "must not be empty")
 	case s.Team == "":
-		return invalid("crew", "empty")
+		return newValidationError("crew", "must not be empty")
 	case !isKind(s.Kind):
-		return invalid("shape", "unknown %q", s.Kind)
+		return newValidationError("shape", "unknown %q", s.Kind)
 	case s.Priority() < 0:
-		return invalid("urgency", "unknown %q", s.Urgency)
+		return newValidationError("urgency", "unknown %q", s.Urgency)
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
-		return invalid("shifts", "must be 1 to %d", MaxTasks)
+		return newValidationError("shifts", "must be 1 to %d", MaxTasks)
 	case s.Image == "":
-		return invalid("kit", "empty")
+		return newValidationError("kit", "must not be empty")
 	case s.MachineTypes != nil && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, "")):
-		return invalid("builds", "empty, or an empty name")
+		return newValidationError("builds", "must not be an empty list or contain an empty name")
 	case s.Zone != nil && *s.Zone == "":
-		return invalid("valley", "empty")
+		return newValidationError("valley", "must not be empty")
 	case s.DeadlineSeconds != nil && !(*s.DeadlineSeconds > 0 && !math.IsInf(*s.DeadlineSeconds, 0)):
-		return invalid("dueS", "must be above 0")
+		return newValidationError("dueS", "must be above 0")
 	}
 	return nil
 }
@@ -185,7 +188,7 @@
 		{"stashS", s.CheckpointSaveSeconds},
 	} {
 		if !(amount.value >= 0) || math.IsInf(amount.value, 0) {
-			return invalid(amount.field, "must be a number not below 0")
+			return newValidationError(amount.field, "must be a finite number, 0 or above")
 		}
 	}
 	return nil
@@ -196,9 +199,9 @@
 		field := fmt.Sprintf("awaits[%d]", i)
 		switch {
 		case !ValidRef(ref):
-			return invalid(field, "not a job id")
+			return newValidationError(field, "not a valid job id")
 		case ref == s.Ref:
-			return invalid(field, "a job can't wait for itself")
+			return newValidationError(field, "a job can't depend on itself")
 		}
 	}
 	return nil
--- a/internal/jobs/parse_test.go
+++ b/internal/jobs/parse_test.go
@@ -15,7 +15,7 @@
 "vcpus":8.0,"cards":1.0,"ramGb":64.0,"kit":"img-07","imageGb":6.2,"builds":["g8"],"valley":null,"oneZone":true,
 "spread":false,"loaners":true,"guessS":240.0,"waypointS":30.0,"stashS":4.0,"dueS":900.0}`
 
-// submissionFields returns the fields of a valid submission.
+// submissionFields returns the fields of validSubmission by name.
 func submissionFields(t testing.TB) map[string]json.RawMessage {
 	t.Helper()
 	var fields map[string]json.RawMessage
@@ -34,8 +34,8 @@
 	return raw
 }
 
-// withFirstField returns a submission with one more field at its beginning.
-func withFirstField(submission, field string) string {
+// prependField returns a submission with one more field before its first field.
+func prependField(submission, field string) string {
 	return strings.Replace(submission, "{", "{"+field+",", 1)
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// invalidValues returns for each field values that must be refused. An empty string stands for a
+// invalidValues returns, by field, the values that must be rejected. An empty string stands for a
 // missing field.
 func invalidValues() map[string][]string {
 	number := []string{`-1`, `-0.001`, `"8"`, `"NaN"`, `true`, `[]`, `{}`, `1e999`, `-1e999`}
@@ -98,8 +98,8 @@
 	return values
 }
 
-// Each field by itself missing, null, of a wrong type or out of range: the error names it, and
-// the reference is still found, in case the job was accepted before.
+// If one field is missing, null, of a wrong type or out of range, the error names that field. ParseRef
+// still returns the reference, since the job may have been accepted before.
 func TestEachSubmissionFieldIsValidated(t *testing.T) {
 	values := invalidValues()
 	for _, name := range slices.Concat(requiredFields, optionalFields) {
@@ -111,13 +111,13 @@
 			t.Errorf("%s: no invalid values to test", name)
 		}
 		for _, value := range values[name] {
-			expectInvalid(t, name, value)
+			expectValidationError(t, name, value)
 		}
 	}
 }
 
-// expectInvalid tests a submission of which one field has an invalid value.
-func expectInvalid(t *testing.T, name, value string) {
+// expectValidationError checks the error for a submission in which one field has an invalid value.
+func expectValidationError(t *testing.T, name, value string) {
 	t.Helper()
 	fields := submissionFields(t)
 	if fields[name] = json.RawMessage(value); value == "" {
@@ -154,7 +154,7 @@
 	}
 	for _, field := range []string{`"Shifts":"many"`, `"REF":"wk-9"`, `"x":null`, `"free":[{"f":0,"n":1}]`, `"VCPUS":-1`, `"own":{"share":"n0"}`} {
 		atEnd := strings.TrimSuffix(validSubmission, "}") + "," + field + "}"
-		for _, body := range []string{withFirstField(validSubmission, field), atEnd} {
+		for _, body := range []string{prependField(validSubmission, field), atEnd} {
 			if got, err := ParseSpec([]byte(body)); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%s: %+v, %v", field, got, err)
 			}
@@ -165,14 +165,14 @@
 	}
 }
 
-// A submission depends on nothing, or on jobs by references in the protocol's form, each counted
-// once. Anything else is refused with the field's name.
+// The dependencies of a submission are missing, empty or a list of valid job references, of which
+// duplicates are removed. For anything else the error names the field.
 func TestParseDependencies(t *testing.T) {
 	for awaits, want := range map[string]string{`null`: "[]", `[]`: "[]", `["wk-1"]`: "[wk-1]", `["wk-1","wk-2","wk-1"]`: "[wk-1 wk-2]",
 		`[null]`: "", `["wk-1/2"]`: "", `{"a":1}`: "", `"wk-1"`: "", `[1]`: "", `["OWN"]`: ""} {
 		ownRef, _ := ParseRef([]byte(validSubmission))
 		awaits = strings.Replace(awaits, "OWN", ownRef, 1)
-		spec, err := ParseSpec([]byte(withFirstField(validSubmission, `"awaits":`+awaits)))
+		spec, err := ParseSpec([]byte(prependField(validSubmission, `"awaits":`+awaits)))
 		switch {
 		case want == "" && (err == nil || !strings.Contains(err.Error(), "awaits")):
 			t.Errorf("%s: %v", awaits, err)
@@ -186,7 +186,7 @@
 	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"ref":1}`))
 	for _, awaits := range []string{`["wk-1","wk-2","wk-1"]`, `[]`, `null`, `[null]`, `["wk-1/2"]`, `{"a":1}`, `"wk-1"`, `[["wk-1"]]`, `[1]`} {
-		f.Add([]byte(withFirstField(validSubmission, `"awaits":`+awaits)))
+		f.Add([]byte(prependField(validSubmission, `"awaits":`+awaits)))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		spec, err := ParseSpec(body)
@@ -205,8 +205,8 @@
 	})
 }
 
-// Whatever the body is, an error names a field or the body, and an accepted submission is
-// decoded the same from its own encoded form.
+// For any body, an error names a field or the body as a whole, and an accepted submission is
+// unchanged after it is encoded and decoded.
 func FuzzParseRoundTrip(f *testing.F) {
 	f.Add([]byte(validSubmission))
 	for name := range maps.Keys(submissionFields(f)) {
@@ -222,7 +222,7 @@
 			field, _, _ := strings.Cut(err.Error(), ":")
 			field, _, _ = strings.Cut(field, "[")
 			if !slices.Contains(names, field) {
-				t.Fatalf("%q names no field", err)
+				t.Fatalf("error %q does not begin with the name of a field", err)
 			}
 			return
 		}
@@ -231,8 +231,8 @@
 			t.Fatal(err)
 		}
 		again, err := ParseSpec(raw)
-		if err != nil || fmt.Sprintf("%+v", withoutPointers(again)) != fmt.Sprintf("%+v", withoutPointers(spec)) {
-			t.Fatalf("%s: %+v, then %+v, %v", body, spec, again, err)
+		if err != nil || fmt.Sprintf("%+v", dereferencedSpec(again)) != fmt.Sprintf("%+v", dereferencedSpec(spec)) {
+			t.Fatalf("%s: decoded %+v, after encoding and decoding %+v, error %v", body, spec, again, err)
 		}
 		if ref, ok := ParseRef(body); !ok || ref != spec.Ref {
 			t.Fatalf("reference %q", ref)
@@ -240,8 +240,9 @@
 	})
 }
 
-// withoutPointers returns a submission in a form that can be compared by its text.
-func withoutPointers(spec *Spec) any {
+// dereferencedSpec returns a submission with its pointers replaced by the values, so that fmt prints
+// equal submissions alike.
+func dereferencedSpec(spec *Spec) any {
 	if spec == nil {
 		return nil
 	}
@@ -258,8 +259,9 @@
 	return []any{plain, zone, deadline}
 }
 
-// Operators read the errors of damaged records and of files that they submit.
-func TestDecodeErrorCallsKindAString(t *testing.T) {
+// Operators read these errors for damaged records and for files that they submit, so the errors must
+// name the JSON type, not the Go type Kind.
+func TestDecodeErrorDescribesKindAsString(t *testing.T) {
 	var record JobRecord
 	err := DescribeDecodeError(json.Unmarshal([]byte(`{"shape":7}`), &record))
 	if want := "json: cannot unmarshal number into Go struct field JobRecord.Spec.shape of type string"; err == nil || err.Error() != want {
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Property: taking and returning unclaimed tasks in any order loses and duplicates none.
-func TestUnclaimedIntervalsKeepEveryTask(t *testing.T) {
+// Checks that no task is lost or duplicated when tasks are taken from and returned to the unclaimed
+// intervals in random order.
+func TestUnclaimedIntervalsConserveTasks(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	unclaimed := []TaskInterval{{0, 500}}
 	var claimed []TaskInterval
@@ -25,11 +26,11 @@
 			}
 			unclaimed = ReturnUnclaimed(unclaimed, returned)
 		}
-		expectEachTaskOnce(t, append(append([]TaskInterval{}, unclaimed...), claimed...), 500)
+		requireEachTaskOnce(t, append(append([]TaskInterval{}, unclaimed...), claimed...), 500)
 	}
 }
 
-func expectEachTaskOnce(t *testing.T, intervals []TaskInterval, tasks int) {
+func requireEachTaskOnce(t *testing.T, intervals []TaskInterval, tasks int) {
 	t.Helper()
 	seen := make([]int, tasks)
 	for _, interval := range intervals {
