--- a/internal/jobdag/deadlines.go
+++ b/internal/jobdag/deadlines.go
@@ -6,25 +6,26 @@
 	"cherrywall/internal/jobs"
 )
 
-// NoDeadline is the time (Unix ms) of a deadline that is not set.
+// NoDeadline is the value (Unix ms) of a deadline that is not set.
 const NoDeadline = math.MaxInt64
 
-// Deadlines are the times (Unix ms) by which a job should be done; each is NoDeadline if it is
-// not set.
+// Deadlines are the times (Unix ms) by which a job should be done. A time that is not set is
+// NoDeadline.
 type Deadlines struct {
-	// DueMS is the deadline itself.
+	// DueMS is the job's deadline.
 	DueMS int64
-	// LastUsefulMS is the largest multiple of the deadline that the objectives of the job's
-	// class still count.
+	// LastUsefulMS is the latest time at which the end of the job still counts towards the
+	// objectives of its class, which are defined in multiples of the deadline.
 	LastUsefulMS int64
 }
 
-// noDeadlines returns the deadlines of a job that has none.
+// noDeadlines returns the deadlines of a job without a deadline.
 func noDeadlines() Deadlines { return Deadlines{DueMS: NoDeadline, LastUsefulMS: NoDeadline} }
 
-// OwnDeadlines returns a job's own deadlines, without those inherited from its dependents.
-// They count from the submission, however long the job waits. multiple returns the largest
-// multiple of the deadline that is of use to a class.
+// OwnDeadlines returns a job's own deadlines, without those inherited from its dependents. They are
+// relative to the job's acceptance, however long the job waits for its dependencies. multiple returns
+// the largest multiple of the deadline that still counts towards the objectives of a class; a value
+// below 1 is taken as 1.
 func OwnDeadlines(record *jobs.JobRecord, multiple func(class string) float64) Deadlines {
 	if record.DeadlineSeconds == nil {
 		return noDeadlines()
@@ -36,20 +37,20 @@
 	}
 }
 
-// earliest returns the earlier of each of two jobs' deadlines.
-func (d Deadlines) earliest(other Deadlines) Deadlines {
+// earliestOf returns, for each field, the earlier of the deadlines d and other.
+func (d Deadlines) earliestOf(other Deadlines) Deadlines {
 	return Deadlines{
 		DueMS:        min(d.DueMS, other.DueMS),
 		LastUsefulMS: min(d.LastUsefulMS, other.LastUsefulMS),
 	}
 }
 
-// before returns the deadlines of a job that has to end a time before another one's.
-func (d Deadlines) before(seconds float64) Deadlines {
-	return Deadlines{DueMS: secondsBefore(d.DueMS, seconds), LastUsefulMS: secondsBefore(d.LastUsefulMS, seconds)}
+// shiftedEarlier returns the deadlines moved earlier by a time in seconds; unset ones stay unset.
+func (d Deadlines) shiftedEarlier(seconds float64) Deadlines {
+	return Deadlines{DueMS: subtractSeconds(d.DueMS, seconds), LastUsefulMS: subtractSeconds(d.LastUsefulMS, seconds)}
 }
 
-func secondsBefore(deadlineMS int64, seconds float64) int64 {
+func subtractSeconds(deadlineMS int64, seconds float64) int64 {
 	if deadlineMS == NoDeadline {
 		return NoDeadline
 	}
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -10,22 +10,23 @@
 	"cherrywall/internal/jobs"
 )
 
-// refreshThreshold is the relative change of an expected run time from which on it is passed
-// on to the dependencies.
-const refreshThreshold = 0.1
+// runTimeChangeThreshold is the relative change of a job's expected run time above which the
+// deadlines of its dependencies are recomputed.
+const runTimeChangeThreshold = 0.1
 
-// Config is what an index asks about jobs. All functions are called by the index's owner.
+// Config provides the information about jobs that an index needs. The index calls the functions on the
+// goroutine of its owner.
 type Config struct {
 	// UnfinishedRecord returns an unfinished job's record, nil if none is known.
 	UnfinishedRecord func(ref string) *jobs.JobRecord
-	// ExpectedRunSeconds returns a job's expected time from when it may run to its end, in seconds.
+	// ExpectedRunSeconds returns the expected time in seconds from when a job may run to its end.
 	ExpectedRunSeconds func(record *jobs.JobRecord) float64
-	// DeadlineMultiple returns up to which multiple of its deadline a job of a class should be
-	// done; 1 if no objective says more.
+	// DeadlineMultiple returns the multiple of its deadline up to which a job of a class should be
+	// done. It returns 1 if no objective allows a larger multiple.
 	DeadlineMultiple func(class string) float64
-	// OnChange is called for a job that was linked to dependencies or dependents, is no longer
-	// blocked, can never run, or inherits another priority or other deadlines than before. It may
-	// also be called without such a change.
+	// OnChange is called for a job when it is linked to dependencies or dependents, when it is no
+	// longer blocked, when it can never run any more, and when its inherited priority or deadlines
+	// change. It may also be called without such a change.
 	OnChange func(ref string)
 }
 
@@ -34,38 +35,39 @@
 type Index struct {
 	cfg   Config
 	nodes map[string]*Node
-	// cancelledByDependency are unfinished jobs that can never run.
+	// cancelledByDependency are the unfinished jobs that can never run because a dependency, direct
+	// or indirect, is cancelled.
 	cancelledByDependency map[string]bool
-	// unknown are dependencies of which neither a record nor a final state is known.
+	// unknown are the dependencies for which neither a record nor a final state is known.
 	unknown map[string]*Node
-	// askedAt is when the final states of unknown jobs were last asked for.
-	askedAt map[string]time.Time
-	// rememberedState returns final states that are remembered outside the index.
-	rememberedState func(ref string) FinalState
+	// requestedAt is when UnknownJobs last returned each unknown job.
+	requestedAt map[string]time.Time
+	// cachedFinalState returns the final state of a job from a cache outside the index.
+	cachedFinalState func(ref string) FinalState
 }
 
 // New returns an empty index.
 func New(cfg Config) *Index {
-	x := &Index{cfg: cfg, rememberedState: func(string) FinalState { return Unfinished }}
+	x := &Index{cfg: cfg, cachedFinalState: func(string) FinalState { return Unfinished }}
 	x.Reset()
 	return x
 }
 
-// SetRememberedState sets where the index looks for final states of jobs that had no
-// dependents when they ended.
+// SetRememberedState sets the function by which the index looks up the final state of a job that has no
+// node yet, such as a job that had no dependents when it ended.
 func (x *Index) SetRememberedState(finalState func(ref string) FinalState) {
-	x.rememberedState = finalState
+	x.cachedFinalState = finalState
 }
 
-// Reset removes all jobs, before the records are read anew.
+// Reset removes all jobs. It is called before all records are read anew.
 func (x *Index) Reset() {
 	x.nodes = map[string]*Node{}
 	x.cancelledByDependency = map[string]bool{}
 	x.unknown = map[string]*Node{}
-	x.askedAt = map[string]time.Time{}
+	x.requestedAt = map[string]time.Time{}
 }
 
-// Node returns a job's node; nil if it has neither dependencies nor dependents.
+// Node returns a job's node, nil if the job has neither dependencies nor dependents.
 func (x *Index) Node(ref string) *Node { return x.nodes[ref] }
 
 func (x *Index) ensureNode(ref string) *Node {
@@ -75,7 +77,7 @@
 	n := &Node{
 		ref:        ref,
 		record:     x.cfg.UnfinishedRecord(ref),
-		finalState: x.rememberedState(ref),
+		finalState: x.cachedFinalState(ref),
 		dependents: map[*Node]bool{},
 		deadlines:  noDeadlines(),
 	}
@@ -84,14 +86,14 @@
 	return n
 }
 
-// updateSets updates the membership of a job in the sets of jobs that need attention.
+// updateSets adds a job to the sets unknown and cancelledByDependency or removes it from them.
 func (x *Index) updateSets(n *Node) {
 	isIndexed := x.nodes[n.ref] == n
 	if isIndexed && n.isUnknown() {
 		x.unknown[n.ref] = n
 	} else {
 		delete(x.unknown, n.ref)
-		delete(x.askedAt, n.ref)
+		delete(x.requestedAt, n.ref)
 	}
 	if isIndexed && n.cancelledByDependency && n.record != nil {
 		x.cancelledByDependency[n.ref] = true
@@ -100,8 +102,8 @@
 	}
 }
 
-// ApplyRecord updates the graph from an unfinished job's record. A job without dependencies and
-// dependents is not indexed.
+// ApplyRecord updates the graph from an unfinished job's record. A job that never had dependencies and
+// has no dependents gets no node.
 func (x *Index) ApplyRecord(record *jobs.JobRecord, now time.Time) {
 	n := x.nodes[record.Ref]
 	if n == nil && len(record.DependsOn) == 0 && record.DependenciesDoneAtMS == 0 {
@@ -112,8 +114,8 @@
 	linked := false
 	switch {
 	case len(record.DependsOn) == 0:
-		// The writer of a record without dependencies had seen all of them done.
-		x.detach(n)
+		// The writer has removed the dependencies after it had seen all of them done.
+		x.unlink(n)
 		n.cancelledByDependency = false
 	case len(n.dependencies) == 0:
 		linked = true
@@ -131,7 +133,7 @@
 		x.cancelDependents(n)
 	}
 	if linked {
-		x.announceLinks(n)
+		x.reportLinks(n)
 	}
 }
 
@@ -150,8 +152,9 @@
 	}
 }
 
-// announceLinks reports a job that was linked to its dependencies, and those dependencies.
-func (x *Index) announceLinks(n *Node) {
+// reportLinks propagates the priority and deadlines of a job to the dependencies to which it was linked,
+// and calls OnChange for them and for the job.
+func (x *Index) reportLinks(n *Node) {
 	for _, dependency := range n.dependencies {
 		x.propagate(dependency)
 		x.cfg.OnChange(dependency.ref)
@@ -159,8 +162,8 @@
 	x.cfg.OnChange(n.ref)
 }
 
-// ApplyFinalState updates the graph after a job has reached a durable final state, which never
-// changes again.
+// ApplyFinalState updates the graph after a job has reached a durable final state. A durable final
+// state never changes.
 func (x *Index) ApplyFinalState(ref string, finalState FinalState, now time.Time) {
 	n := x.nodes[ref]
 	if n == nil || finalState == Unfinished || n.finalState == finalState {
@@ -178,7 +181,8 @@
 	x.removeIfUnused(n)
 }
 
-// completeDependency notes that one of a job's dependencies is done.
+// completeDependency counts one of a job's dependencies as done. The job is ready at now if it was the
+// last one.
 func (x *Index) completeDependency(n *Node, now time.Time) {
 	if n.record == nil || n.openDependencies == 0 {
 		return
@@ -190,22 +194,22 @@
 	}
 }
 
-// ApplyRecordDeletion updates the graph after the deletion of a job's record: the job has ended. How
-// it has ended is given to ApplyFinalState, before or after.
+// ApplyRecordDeletion updates the graph after the deletion of a job's record, which means that the job
+// has ended. Its final state is passed to ApplyFinalState, before or after this call.
 func (x *Index) ApplyRecordDeletion(ref string) {
 	n := x.nodes[ref]
 	if n == nil {
 		return
 	}
 	n.record = nil
-	x.detach(n)
+	x.unlink(n)
 	n.deadlines, n.priority = noDeadlines(), 0
 	x.updateSets(n)
 	x.removeIfUnused(n)
 }
 
-// detach removes the edges from a job to its dependencies, so that they inherit nothing from it.
-func (x *Index) detach(n *Node) {
+// unlink removes the edges from a job to its dependencies, which then inherit nothing from it.
+func (x *Index) unlink(n *Node) {
 	dependencies := n.dependencies
 	n.dependencies, n.openDependencies = nil, 0
 	for _, dependency := range dependencies {
@@ -223,7 +227,8 @@
 	}
 }
 
-// cancelByDependency notes that a job can never run, and with it all that depend on it.
+// cancelByDependency marks a job and all jobs that depend on it, directly or indirectly, as unable to
+// ever run.
 func (x *Index) cancelByDependency(n *Node) {
 	if n.cancelledByDependency || n.record == nil {
 		return
@@ -232,7 +237,7 @@
 	x.updateSets(n)
 	x.cfg.OnChange(n.ref)
 	x.cancelDependents(n)
-	for _, dependency := range n.dependencies { // they inherit nothing from it any more
+	for _, dependency := range n.dependencies { // the dependencies no longer inherit from the job
 		x.propagate(dependency)
 	}
 }
@@ -243,8 +248,8 @@
 	}
 }
 
-// propagate computes anew what a job inherits from its dependents, and passes a change on to
-// its dependencies.
+// propagate recomputes the priority and the deadlines that a job inherits from its dependents. If they
+// or the job's expected run time have changed, it does the same for the job's dependencies.
 func (x *Index) propagate(n *Node) {
 	if n.record == nil {
 		return
@@ -264,8 +269,8 @@
 	}
 }
 
-// inherited returns a job's priority and deadlines with those of its dependents. A dependent
-// needs its own expected run time after the job is done.
+// inherited returns the highest priority and the earliest deadlines among a job and its dependents. The
+// deadlines of a dependent are reduced by its expected run time, since it starts after the job is done.
 func (x *Index) inherited(n *Node) (jobs.Priority, Deadlines) {
 	priority, deadlines := n.record.Priority(), OwnDeadlines(n.record, x.cfg.DeadlineMultiple)
 	for dependent := range n.dependents {
@@ -273,43 +278,45 @@
 			continue
 		}
 		priority = max(priority, dependent.priority)
-		deadlines = deadlines.earliest(dependent.deadlines.before(dependent.expectedRunSeconds))
+		deadlines = deadlines.earliestOf(dependent.deadlines.shiftedEarlier(dependent.expectedRunSeconds))
 	}
 	return priority, deadlines
 }
 
-// RefreshExpectedRuns passes on the expected run times that have changed considerably.
+// RefreshExpectedRuns recomputes the inherited deadlines for jobs whose expected run time has changed by
+// more than runTimeChangeThreshold.
 func (x *Index) RefreshExpectedRuns() {
 	for _, n := range x.nodes {
 		if n.record == nil || len(n.dependencies) == 0 {
 			continue
 		}
-		change := math.Abs(x.cfg.ExpectedRunSeconds(n.record) - n.expectedRunSeconds)
-		if change > refreshThreshold*n.expectedRunSeconds {
+		difference := math.Abs(x.cfg.ExpectedRunSeconds(n.record) - n.expectedRunSeconds)
+		if difference > runTimeChangeThreshold*n.expectedRunSeconds {
 			x.propagate(n)
 		}
 	}
 }
 
-// UnknownJobs returns up to limit dependencies of which neither a record nor a final state is
-// known and which were not returned after since, so that the caller asks for them. It notes
-// that they were asked for at now.
+// UnknownJobs returns up to limit dependencies whose final states the caller has to look up: neither a
+// record nor a final state is known, and UnknownJobs has not returned them after since. It records now
+// as the time at which they were returned.
 func (x *Index) UnknownJobs(since, now time.Time, limit int) []string {
 	var refs []string
 	for ref := range x.unknown {
 		if len(refs) == limit {
 			break
 		}
-		if !x.askedAt[ref].After(since) {
-			x.askedAt[ref] = now
+		if !x.requestedAt[ref].After(since) {
+			x.requestedAt[ref] = now
 			refs = append(refs, ref)
 		}
 	}
 	return refs
 }
 
-// UnknownAncestors returns the dependencies of a job, direct and indirect, whose final state
-// has to be known before it can be said whether the job will run.
+// UnknownAncestors returns the unknown dependencies of a job, direct and indirect. Their final states
+// must be known before it is certain whether the job can run. The result is nil if the job is not
+// blocked or can never run.
 func (x *Index) UnknownAncestors(ref string) []string {
 	n := x.nodes[ref]
 	if n == nil || n.cancelledByDependency || n.openDependencies == 0 {
@@ -332,10 +339,11 @@
 	return refs
 }
 
-// CancelledByDependency yields the unfinished jobs that can never run.
+// CancelledByDependency yields the unfinished jobs that can never run because a dependency, direct or
+// indirect, is cancelled.
 func (x *Index) CancelledByDependency() iter.Seq[string] { return maps.Keys(x.cancelledByDependency) }
 
-// BlockedCount returns how many jobs are blocked by dependencies.
+// BlockedCount returns how many jobs are blocked by their dependencies.
 func (x *Index) BlockedCount() int {
 	count := 0
 	for _, n := range x.nodes {
--- a/internal/jobdag/jobdag.go
+++ b/internal/jobdag/jobdag.go
@@ -1,21 +1,21 @@
-// Package jobdag keeps the dependency graph of jobs: which jobs a job waits for, which jobs
-// wait for it, and which priority and deadlines it inherits from them.
+// Package jobdag maintains the dependency graph of jobs: the dependencies that a job waits for, the
+// dependents that wait for it, and the priority and deadlines that it inherits from its dependents.
 //
 // The Index is derived from the job records in the store cache. It relies only on facts that
-// stay true: that a job is durably done or durably cancelled. A job whose final state is not
-// known yet counts as unfinished, so that nothing starts too early.
+// never change: that a job is durably done or durably cancelled. A job whose final state is not
+// known yet counts as unfinished, so that no dependent starts too early.
 package jobdag
 
 import "cherrywall/internal/jobs"
 
-// FinalState is how a job ended according to a durable record.
+// FinalState is how a job ended according to its durable record.
 type FinalState uint8
 
 // The final states of a job.
 const (
 	// Unfinished is the state of a job that has not ended, or whose end is not known here.
 	Unfinished FinalState = iota
-	// Done is the state of a job all of whose tasks are done.
+	// Done is the state of a job whose tasks are all done.
 	Done
 	// Cancelled is the state of a job that was cancelled.
 	Cancelled
@@ -33,7 +33,8 @@
 	}
 }
 
-// FinalStateOf returns the final state for a job's recorded status.
+// FinalStateOf returns the final state for a job's recorded status, Unfinished if the status is not a
+// final one.
 func FinalStateOf(status jobs.Status) FinalState {
 	switch status {
 	case jobs.Done:
--- a/internal/jobdag/jobdag_test.go
+++ b/internal/jobdag/jobdag_test.go
@@ -11,7 +11,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// testIndex is an index with the records and final states that it follows.
+// testIndex is an index together with the records and final states that are applied to it.
 type testIndex struct {
 	*Index
 	records     map[string]*jobs.JobRecord // of unfinished jobs
@@ -30,7 +30,7 @@
 	return x
 }
 
-// add records an unfinished job; a dueS of 0 is no deadline.
+// add adds the record of an unfinished job. A dueS of 0 means no deadline.
 func (x *testIndex) add(ref, urgency string, runS, dueS float64, dependsOn ...string) {
 	record := &jobs.JobRecord{Spec: jobs.Spec{Ref: ref, Urgency: urgency, EstimatedRunSeconds: runS, DependsOn: dependsOn}}
 	if dueS > 0 {
@@ -40,7 +40,7 @@
 	x.ApplyRecord(record, time.UnixMilli(0))
 }
 
-// end gives a job a durable final state and deletes its record.
+// end applies a job's final state and the deletion of its record.
 func (x *testIndex) end(ref string, finalState FinalState) {
 	x.finalStates[ref] = finalState
 	x.ApplyFinalState(ref, finalState, time.UnixMilli(7000))
@@ -48,9 +48,10 @@
 	x.ApplyRecordDeletion(ref)
 }
 
-// A pipeline's last job has a deadline and a priority. Its dependencies inherit them, less the
-// run times along the longest path, as soon as it is known and only as long as it can run.
-func TestInheritanceAlongLongestPath(t *testing.T) {
+// The dependencies of a pipeline's last job inherit its priority and its deadline, which is reduced by
+// the run times along the longest path. They inherit them from when the last job is added until it can
+// never run any more.
+func TestInheritedDeadlinesFollowLongestPath(t *testing.T) {
 	x := newTestIndex()
 	x.add("trim", "idle", 15, 0)
 	x.add("fold-1", "idle", 25, 0, "trim")
@@ -65,13 +66,13 @@
 			t.Errorf("%s: deadlines %v, priority %d", ref, n.Deadlines(), n.Priority(0))
 		}
 	}
-	if ms := x.Node("trim").Deadlines().LastUsefulMS; ms != 82_000 { // one and a half times the deadline
+	if ms := x.Node("trim").Deadlines().LastUsefulMS; ms != 82_000 { // 1.5 times the deadline, less the run times
 		t.Errorf("trim: last useful deadline %d", ms)
 	}
 	x.end("trim", Done)
-	x.end("fold-2", Cancelled) // and with it the last job, from which the others had inherited
+	x.end("fold-2", Cancelled) // cancels the last job as well, so the other jobs inherit nothing from it
 	if n := x.Node("last"); !n.IsCancelledByDependency() || !n.IsBlocked() {
-		t.Error("the last job may still run")
+		t.Error("the last job is not cancelled by its dependency")
 	}
 	if n := x.Node("match"); n.Priority(1) != 1 || n.Deadlines().DueMS != NoDeadline || n.IsBlocked() || n.ReadyAt() != time.UnixMilli(7000) {
 		t.Errorf("match: priority %d, deadlines %v, blocked %v, ready at %v", n.Priority(1), n.Deadlines(), n.IsBlocked(), n.ReadyAt())
@@ -81,8 +82,8 @@
 	}
 }
 
-// The index agrees with a naive computation over all records in whatever order records, ends
-// and resets come, and is empty once all jobs have ended.
+// The index agrees with a naive computation over all records, in whatever order records, final states
+// and resets are applied, and is empty once all jobs have ended.
 func TestIndexMatchesNaiveComputation(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -98,7 +99,7 @@
 			if rnd.IntN(2) == 0 {
 				x.endRandomJob(rnd, refs)
 			}
-			if rnd.IntN(15) == 0 { // all records are read anew, in another order
+			if rnd.IntN(15) == 0 { // read all records anew, in another order
 				x.Reset()
 				for _, record := range x.records {
 					x.ApplyRecord(record, time.UnixMilli(0))
@@ -111,13 +112,13 @@
 				x.end(ref, Done)
 			}
 		}
-		if len(x.nodes)+len(x.cancelledByDependency)+len(x.unknown)+len(x.askedAt) > 0 {
+		if len(x.nodes)+len(x.cancelledByDependency)+len(x.unknown)+len(x.requestedAt) > 0 {
 			t.Fatalf("%d nodes are left, %d cancelled, %d unknown", len(x.nodes), len(x.cancelledByDependency), len(x.unknown))
 		}
 	}
 }
 
-// randomDependencies returns up to three of the jobs.
+// randomDependencies returns up to three of the given jobs, without duplicates.
 func randomDependencies(rnd *rand.Rand, refs []string) []string {
 	var dependsOn []string
 	for range rnd.IntN(4) {
@@ -131,7 +132,8 @@
 	return dependsOn
 }
 
-// endRandomJob ends one of the jobs if it may: done if it was not blocked, else perhaps cancelled.
+// endRandomJob picks one of the given jobs. If it is unfinished, the job ends as done if it is not
+// blocked, else as cancelled with a probability of 1/3.
 func (x *testIndex) endRandomJob(rnd *rand.Rand, refs []string) {
 	ref := refs[rnd.IntN(len(refs))]
 	if x.records[ref] != nil && !x.Node(ref).IsBlocked() {
@@ -141,10 +143,10 @@
 	}
 }
 
-// naiveGraph computes from all records what the index keeps up incrementally.
+// naiveGraph computes from all records what the index maintains incrementally.
 type naiveGraph struct {
 	x       *testIndex
-	records map[string]*jobs.JobRecord // of all jobs, ended ones too
+	records map[string]*jobs.JobRecord // of all jobs, including those that have ended
 }
 
 func (g naiveGraph) isCancelled(ref string) bool {
@@ -178,7 +180,7 @@
 		cancelled := naive.isCancelled(ref)
 		blocked := slices.ContainsFunc(record.DependsOn, func(ref string) bool { return x.finalStates[ref] != Done })
 		if n.IsCancelledByDependency() != cancelled || n.IsBlocked() != blocked {
-			t.Fatalf("%s after %v: cancelled %v, blocked %v", ref, record.DependsOn, n.IsCancelledByDependency(), n.IsBlocked())
+			t.Fatalf("%s with dependencies %v: cancelled %v, blocked %v", ref, record.DependsOn, n.IsCancelledByDependency(), n.IsBlocked())
 		}
 		if cancelled || n == nil {
 			continue
@@ -189,7 +191,7 @@
 	}
 }
 
-// One job depends on a thousand, and a thousand depend on it.
+// One job has a thousand dependencies and a thousand dependents.
 func TestThousandDependenciesAndDependents(t *testing.T) {
 	x := newTestIndex()
 	var refs []string
@@ -216,59 +218,60 @@
 	}
 	x.end("middle", Cancelled)
 	if n := len(slices.Collect(x.CancelledByDependency())); n != 1000 {
-		t.Errorf("%d can never run", n)
+		t.Errorf("%d jobs can never run", n)
 	}
 }
 
-// A final state that is not known is asked for once in a while, and until it is known nothing
-// that depends on it starts.
+// A dependency whose final state is unknown is returned for a lookup, but not again at once, and blocks
+// its dependents until the final state is known.
 func TestUnknownFinalStateBlocks(t *testing.T) {
 	x := newTestIndex()
 	now := time.UnixMilli(100_000)
 	x.add("wk-2", "idle", 1, 0, "wk-1")
 	x.add("wk-3", "idle", 1, 0, "wk-2")
 	if !x.Node("wk-2").IsBlocked() || !slices.Equal(x.UnknownAncestors("wk-3"), []string{"wk-1"}) {
-		t.Error("it may start", x.UnknownAncestors("wk-3"))
+		t.Error("not blocked by the unknown job; unknown ancestors:", x.UnknownAncestors("wk-3"))
 	}
 	if got := x.UnknownJobs(now.Add(-time.Second), now, 5); !slices.Equal(got, []string{"wk-1"}) {
 		t.Error(got)
 	}
 	if got := x.UnknownJobs(now.Add(-time.Second), now.Add(time.Millisecond), 5); got != nil {
-		t.Error("asked again at once:", got)
+		t.Error("returned again too early:", got)
 	}
 	x.ApplyFinalState("wk-1", Cancelled, now)
 	if !x.Node("wk-3").IsCancelledByDependency() || x.UnknownAncestors("wk-3") != nil || x.UnknownJobs(now, now.Add(time.Hour), 5) != nil {
-		t.Error("the end of the first is not passed on")
+		t.Error("the final state of the first job is not propagated")
 	}
 }
 
-// 10,000 blocked jobs: a thousand pipelines of ten stages, and one job that names a thousand.
-// Measured are the memory for each, and the time of a record and of an end.
+// BenchmarkTenThousandBlockedJobs measures the memory per job and the times to apply a record and the end
+// of a job, for 10,000 jobs in a thousand pipelines of ten stages and one job with a thousand
+// dependencies.
 func BenchmarkTenThousandBlockedJobs(b *testing.B) {
 	for range b.N {
 		x := newTestIndex()
 		records := pipelineRecords()
 		before := heapBytes()
-		from := time.Now()
+		startedAt := time.Now()
 		for _, record := range records {
 			x.records[record.Ref] = record
-			x.ApplyRecord(record, from)
+			x.ApplyRecord(record, startedAt)
 		}
-		b.ReportMetric(float64(time.Since(from).Nanoseconds())/10_001, "ns/record")
+		b.ReportMetric(float64(time.Since(startedAt).Nanoseconds())/10_001, "ns/record")
 		b.ReportMetric(float64(heapBytes()-before)/10_001, "B/job")
-		from = time.Now()
+		startedAt = time.Now()
 		for _, record := range records[:10_000] {
 			x.end(record.Ref, Done)
 		}
-		b.ReportMetric(float64(time.Since(from).Nanoseconds())/10_000, "ns/end")
+		b.ReportMetric(float64(time.Since(startedAt).Nanoseconds())/10_000, "ns/end")
 		if x.Node("wide").IsBlocked() {
-			b.Fatal("it waits for nobody")
+			b.Fatal("the job that depends on all pipelines is not blocked")
 		}
 	}
 }
 
-// pipelineRecords returns a thousand pipelines of ten stages, and last a job that waits for
-// the ends of all of them.
+// pipelineRecords returns the records of a thousand pipelines of ten stages, followed by that of a job
+// that depends on the last job of each of them.
 func pipelineRecords() []*jobs.JobRecord {
 	records := make([]*jobs.JobRecord, 0, 11_000)
 	for i := range 10_000 {
@@ -285,7 +288,7 @@
 	return append(records, wide)
 }
 
-// heapBytes returns the bytes in use on the heap after a collection.
+// heapBytes returns the bytes in use on the heap after a garbage collection.
 func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/jobdag/node.go
+++ b/internal/jobdag/node.go
@@ -10,22 +10,22 @@
 // dependencies and dependents.
 type Node struct {
 	ref          string
-	record       *jobs.JobRecord // nil: the job has ended, or no record of it is known
+	record       *jobs.JobRecord // nil if the job has ended or its record is not known
 	finalState   FinalState
 	dependencies []*Node
-	dependents   map[*Node]bool // unfinished jobs that name this one
-	// openDependencies is how many of the dependencies are not known to be done.
+	dependents   map[*Node]bool // unfinished jobs that depend on this one
+	// openDependencies is the number of dependencies that are not known to be done.
 	openDependencies int
 	// cancelledByDependency is set if a dependency, direct or indirect, is cancelled.
 	cancelledByDependency bool
 	priority              jobs.Priority
 	deadlines             Deadlines
-	// expectedRunSeconds is the expected time from when the job may run to its end, in seconds.
+	// expectedRunSeconds is the expected time in seconds from when the job may run to its end.
 	expectedRunSeconds float64
 	readyAt            time.Time
 }
 
-// isUnknown reports whether neither a record nor a final state of the job is known.
+// isUnknown reports whether neither the record nor the final state of the job is known.
 func (n *Node) isUnknown() bool { return n.record == nil && n.finalState == Unfinished }
 
 // IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run.
@@ -37,7 +37,7 @@
 // indirect, is cancelled.
 func (n *Node) IsCancelledByDependency() bool { return n != nil && n.cancelledByDependency }
 
-// OpenDependencies returns the jobs that the job waits for.
+// OpenDependencies returns the dependencies that are not known to be done.
 func (n *Node) OpenDependencies() []string {
 	if n == nil {
 		return nil
@@ -51,7 +51,7 @@
 	return refs
 }
 
-// DependentCount returns how many unfinished jobs name the job as a dependency.
+// DependentCount returns how many unfinished jobs depend directly on the job.
 func (n *Node) DependentCount() int {
 	if n == nil {
 		return 0
@@ -59,8 +59,8 @@
 	return len(n.dependents)
 }
 
-// ExpectedRunSeconds returns how long the job is expected to take from when it may run, in seconds;
-// 0 if that was not computed.
+// ExpectedRunSeconds returns the expected time in seconds from when the job may run to its end, 0 if it
+// was not computed.
 func (n *Node) ExpectedRunSeconds() float64 {
 	if n == nil {
 		return 0
@@ -68,7 +68,8 @@
 	return n.expectedRunSeconds
 }
 
-// Priority returns the highest priority among the job, whose own is given, and its dependents.
+// Priority returns the highest priority among the job and its dependents, direct and indirect. own is
+// the job's own priority.
 func (n *Node) Priority(own jobs.Priority) jobs.Priority {
 	if n == nil || n.record == nil {
 		return own
@@ -76,7 +77,7 @@
 	return max(own, n.priority)
 }
 
-// Deadlines returns the times by which the job should be done for its own sake and for that of
+// Deadlines returns the times by which the job should be done to meet its own deadlines and those of
 // its dependents.
 func (n *Node) Deadlines() Deadlines {
 	if n == nil || n.record == nil {
@@ -85,7 +86,8 @@
 	return n.deadlines
 }
 
-// ReadyAt returns when the last dependency was done; zero if the job had none.
+// ReadyAt returns when the last dependency was done. It is zero if the job had no dependencies or some
+// are not done yet.
 func (n *Node) ReadyAt() time.Time {
 	if n == nil {
 		return time.Time{}
