--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -1,6 +1,6 @@
-// Package completionbatch indexes the completion batches: records that each list many small
-// jobs that are done, whose own records may not say so yet. One batch replaces a write for each
-// of its jobs; the jobs get final states of their own later, when there is budget for it.
+// Package completionbatch indexes the completion batches. A completion batch is a record that lists many
+// small jobs as done, although their own records may not yet say so. Writing one batch replaces a write
+// for each of its jobs; the final state of each job is written later, when the write budget allows it.
 package completionbatch
 
 import (
@@ -15,8 +15,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Index is what a controller knows of all completion batches. It follows the records and writes
-// none itself. It is not safe for concurrent use: one actor owns it.
+// Index holds the completion batches that a controller knows. It is updated from their records and
+// writes none itself. It is not safe for concurrent use: one actor owns it.
 type Index struct {
 	batches map[string]*batch // by key
 	done    map[string]Job    // by job reference
@@ -26,30 +26,30 @@
 type Job struct {
 	Ref   string
 	Tasks int
-	// RecordRevision is the revision of the job's own record, 0 if that is deleted or not
+	// RecordRevision is the revision of the job's own record, 0 if the record is deleted or not
 	// known.
 	RecordRevision uint64
 }
 
-// Batch is a completion batch that takes more jobs.
+// Batch is a completion batch to which jobs can be added.
 type Batch struct {
 	Key      string
-	Entries  []string // see jobs.BatchEntry; the caller may append to it
-	Revision uint64   // 0 if the batch is to be created
+	Entries  []string // in the form of jobs.BatchEntry; the caller may append to it
+	Revision uint64   // 0 if the batch does not exist yet
 }
 
-// Cleanup is the next step of the cleanup of a batch.
+// Cleanup is the next step in cleaning up a batch.
 type Cleanup struct {
 	Key      string
 	Shard    string
 	Revision uint64
-	// Pending are jobs that need final states of their own. Without any the batch itself can be
-	// deleted.
+	// Pending are the jobs for which a final state has to be written. If it is empty, the batch
+	// itself can be deleted.
 	Pending []Job
 }
 
 type batch struct {
-	entries  []string // see jobs.BatchEntry
+	entries  []string // in the form of jobs.BatchEntry
 	revision uint64
 	isFull   bool
 }
@@ -61,11 +61,12 @@
 	return x
 }
 
-// Reset drops all records, to be read anew.
+// Reset removes all batches and jobs. It is called before all records are read anew.
 func (x *Index) Reset() { x.batches, x.done = map[string]*batch{}, map[string]Job{} }
 
-// ApplyBatch applies a batch's record as of a revision and returns those of its jobs that were not
-// known to be done. A record no newer than the known one is ignored.
+// ApplyBatch applies the record of a batch at a revision. It returns the jobs in the batch that no batch
+// listed before. A record that is not newer than the known one is ignored. The error is that of decoding
+// the record.
 func (x *Index) ApplyBatch(key string, value json.RawMessage, revision uint64) ([]Job, error) {
 	if known := x.batches[key]; known != nil && known.revision >= revision {
 		return nil, nil
@@ -86,8 +87,8 @@
 	return added, nil
 }
 
-// RemoveBatch applies the deletion of a batch at a revision: each of its jobs has a final state of
-// its own by then. A deletion older than the known record is ignored.
+// RemoveBatch applies the deletion of a batch at a revision. A batch is deleted after a final state has
+// been written for each of its jobs. A deletion older than the known record is ignored.
 func (x *Index) RemoveBatch(key string, revision uint64) {
 	removed := x.batches[key]
 	if removed == nil || removed.revision > revision {
@@ -100,14 +101,14 @@
 	}
 }
 
-// FinalState returns the final state of a job that a batch lists.
+// FinalState returns the final state of a job. ok is false if no batch lists the job.
 func (x *Index) FinalState(ref string) (final jobs.FinalState, ok bool) {
 	job, ok := x.done[ref]
 	return jobs.FinalState{Status: jobs.Done, Tasks: job.Tasks}, ok
 }
 
-// JobRecordSeen records the revision of a job's own record, and reports whether a batch lists the
-// job. If so the job is done, whatever its own record says, and that record has to be cleaned up.
+// JobRecordSeen notes the revision of a job's own record and reports whether a batch lists the job. A
+// listed job is done, whatever its own record says, and that record has to be cleaned up.
 func (x *Index) JobRecordSeen(ref string, revision uint64) bool {
 	job, ok := x.done[ref]
 	if ok {
@@ -117,7 +118,8 @@
 	return ok
 }
 
-// JobRecordDeleted records that a job's own record was deleted at a revision.
+// JobRecordDeleted notes that a job's own record was deleted at a revision. A deletion older than the
+// known record is ignored.
 func (x *Index) JobRecordDeleted(ref string, revision uint64) {
 	if job, ok := x.done[ref]; ok && job.RecordRevision <= revision {
 		job.RecordRevision = 0
@@ -125,11 +127,11 @@
 	}
 }
 
-// JobCount returns how many jobs the batches list.
+// JobCount returns the number of jobs that the batches list.
 func (x *Index) JobCount() int { return len(x.done) }
 
-// OpenBatch returns the newest batch of a shard if it takes more jobs, else a new one, which is to be
-// created under the next number.
+// OpenBatch returns the newest batch of a shard if jobs can be added to it. Otherwise it returns an empty
+// batch with the next number, which does not exist in the store yet.
 func (x *Index) OpenBatch(shard string) Batch {
 	prefix := jobs.CompletionBatchPrefix + shard + "/"
 	newest, newestKey := 0, ""
@@ -139,21 +141,22 @@
 			newest, newestKey = number, key
 		}
 	}
-	if open := x.batches[newestKey]; open != nil && !open.isFull && len(open.entries) < tuning.MaxCompletionBatchJobs {
-		return Batch{Key: newestKey, Entries: slices.Clone(open.entries), Revision: open.revision}
+	if newestBatch := x.batches[newestKey]; newestBatch != nil && !newestBatch.isFull && len(newestBatch.entries) < tuning.MaxCompletionBatchJobs {
+		return Batch{Key: newestKey, Entries: slices.Clone(newestBatch.entries), Revision: newestBatch.revision}
 	}
 	return Batch{Key: prefix + strconv.Itoa(newest+1)}
 }
 
-// MarkFull notes that a batch takes no more jobs, since its value would become too large.
+// MarkFull marks a batch to which no job can be added because its value would become too large.
 func (x *Index) MarkFull(key string) {
 	if full := x.batches[key]; full != nil {
 		full.isFull = true
 	}
 }
 
-// NextCleanup returns the next step of the cleanup, with at most maxJobs jobs, for the first
-// batch of a shard that isEligible accepts. ok is false if there is no such batch.
+// NextCleanup returns the next step, with at most maxJobs jobs, in cleaning up the first batch, in the
+// order of keys, that belongs to a shard for which isEligible returns true. ok is false if there is no
+// such batch.
 func (x *Index) NextCleanup(maxJobs int, isEligible func(shard string) bool) (cleanup Cleanup, ok bool) {
 	for _, key := range slices.Sorted(maps.Keys(x.batches)) {
 		shard, _, _ := strings.Cut(strings.TrimPrefix(key, jobs.CompletionBatchPrefix), "/")
@@ -166,10 +169,10 @@
 	return Cleanup{}, false
 }
 
-// pendingJobs returns the first jobs of a batch that have records of their own.
-func (x *Index) pendingJobs(of *batch, maxJobs int) []Job {
+// pendingJobs returns the first jobs of a batch whose own records still exist, at most maxJobs.
+func (x *Index) pendingJobs(source *batch, maxJobs int) []Job {
 	var pending []Job
-	for _, entry := range of.entries {
+	for _, entry := range source.entries {
 		ref, _ := jobs.ParseBatchEntry(entry)
 		if job := x.done[ref]; job.RecordRevision != 0 && len(pending) < maxJobs {
 			pending = append(pending, job)
--- a/internal/completionbatch/index_test.go
+++ b/internal/completionbatch/index_test.go
@@ -7,7 +7,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// encodeEntries returns a batch's recorded form.
+// encodeEntries returns the stored form of a batch.
 func encodeEntries(t *testing.T, entries ...string) json.RawMessage {
 	t.Helper()
 	raw, err := json.Marshal(entries)
@@ -19,7 +19,7 @@
 
 func anyShard(string) bool { return true }
 
-// A batch is cleaned up job by job, and deleted after the last.
+// The jobs of a batch are cleaned up one by one; the batch can be deleted after the last one.
 func TestBatchCleanupByJob(t *testing.T) {
 	index := New()
 	first := index.OpenBatch("n0")
@@ -38,7 +38,7 @@
 		t.Errorf("final state %+v, %v", final, ok)
 	}
 	if !index.JobRecordSeen("wk-1", 4) || index.JobRecordSeen("wk-9", 4) {
-		t.Error("wrong jobs are taken for batched ones")
+		t.Error("JobRecordSeen does not report exactly the jobs in batches")
 	}
 	cleanup, ok := index.NextCleanup(5, anyShard)
 	if !ok || cleanup.Shard != "n0" || cleanup.Revision != 11 || len(cleanup.Pending) != 1 || cleanup.Pending[0].RecordRevision != 4 {
