--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,7 +1,7 @@
-// Package featuregate decides whether all controllers run a program that can read what this one
-// writes. Until each of them has recorded its version durably, nothing may be written that the
-// previous version could not read. Which controllers are live does not matter: one that is down
-// may come back with its old program.
+// Package featuregate decides whether all controllers run a program that can read what this program
+// writes. Until each controller has durably recorded that it runs this version or a later one, nothing
+// may be written that the previous version can't read. Controllers that are down count as well, because
+// they may restart with their old program.
 package featuregate
 
 import (
@@ -13,23 +13,23 @@
 )
 
 const (
-	// Version is the version of what this program reads and writes: 2 knows jobs with
-	// dependencies and records in chunks.
+	// Version is the version of the records and messages that this program reads and writes.
+	// Version 2 adds jobs with dependencies and records in chunks.
 	Version = 2
 
-	// unrecordedVersion is the version of earlier programs, which write no version record.
+	// unrecordedVersion is the version of the programs that write no version record.
 	unrecordedVersion = 1
 )
 
-// Gate holds the versions of all controllers. It has no locks: all methods are called by the actor
-// that owns it.
+// Gate holds the recorded versions of all controllers. It is not safe for concurrent use: one actor
+// owns it.
 type Gate struct {
 	self        string
 	controllers []string // sorted
 	records     map[string]versionRecord
 }
 
-// versionRecord is a controller's version as it is stored, and the record's revision.
+// versionRecord is the stored form of a controller's version, with the revision of the record.
 type versionRecord struct {
 	Version  int `json:"v"`
 	revision uint64
@@ -38,18 +38,19 @@
 // EncodeVersionRecord returns the version record that this program writes.
 func EncodeVersionRecord() json.RawMessage { return kvstore.Encode(versionRecord{Version: Version}) }
 
-// New makes the gate of the controller self, one of the given controllers.
+// New returns the gate of the controller self. controllers are all controllers of the cluster, including
+// self.
 func New(self string, controllers []string) *Gate {
 	g := &Gate{self: self, controllers: slices.Sorted(slices.Values(controllers))}
 	g.Reset()
 	return g
 }
 
-// Reset removes all records before they are loaded anew.
+// Reset removes all records. It is called before all records are read anew.
 func (g *Gate) Reset() { g.records = map[string]versionRecord{} }
 
-// ApplyRecord applies a controller's version record as of a revision. A record no newer than the
-// known one is ignored.
+// ApplyRecord applies the version record of a controller at a revision. A record that is not newer than
+// the known one is ignored. The error is that of decoding the record.
 func (g *Gate) ApplyRecord(controller string, value json.RawMessage, revision uint64) error {
 	if g.records[controller].revision >= revision {
 		return nil
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// RecordDue reports whether this controller's version is still to be recorded, and the revision
-// of its record (0: it has none).
+// RecordDue reports whether this controller must still record its version. revision is the revision of
+// its existing record, 0 if there is none.
 func (g *Gate) RecordDue() (revision uint64, due bool) {
 	record := g.records[g.self]
 	return record.revision, record.Version < Version
@@ -72,7 +73,7 @@
 // IsOpen reports whether all controllers have recorded this program's version or a later one.
 func (g *Gate) IsOpen() bool { return len(g.PendingControllers()) == 0 }
 
-// PendingControllers returns the controllers that have recorded no version or an older one than this
+// PendingControllers returns the controllers that have recorded no version or a version older than this
 // program's, in ascending order of their names.
 func (g *Gate) PendingControllers() []string {
 	var pending []string
@@ -84,8 +85,8 @@
 	return pending
 }
 
-// VersionOf returns the version that a controller has recorded. One without a record runs the
-// version before records existed.
+// VersionOf returns the version that a controller has recorded. A controller without a record is taken
+// to run the last version that wrote none.
 func (g *Gate) VersionOf(controller string) int {
 	return max(unrecordedVersion, g.records[controller].Version)
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The gate opens by durable records of all controllers: it does not depend on which are live, and
-// does not open without one of them.
+// The gate opens only after all controllers, whether live or not, have durably recorded this version or
+// a later one.
 func TestGateOpensWithLastVersionRecord(t *testing.T) {
 	g := New("n1", []string{"n2", "n0", "n1"})
 	for i, step := range []struct {
@@ -27,12 +27,12 @@
 		}
 	}
 	if _, due := g.RecordDue(); due || g.VersionOf("n0") != Version || g.VersionOf("x1") != 1 {
-		t.Error("the record is due again, or versions are wrong")
+		t.Error("the version record is still due, or a version is wrong")
 	}
 	if g.ApplyRecord("n0", []byte(`{"v":1}`), 3) != nil || !g.IsOpen() {
 		t.Error("an old record closed the gate")
 	}
 	if g.ApplyRecord("n0", []byte(`[]`), 99) == nil {
-		t.Error("a broken record was accepted")
+		t.Error("an invalid record was accepted")
 	}
 }
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -18,10 +18,11 @@
 	"cherrywall/internal/peer"
 )
 
-// The records and frames under testdata/production were written by the program of the
-// commit that deploy/service.toml names.
+// The records and frames under testdata/production were written by the production version: the program
+// of the commit that deploy/service.toml names.
 
-// runScenario runs a cluster of three controllers; configure changes it before the start.
+// runScenario runs a scenario on a cluster of three controllers and checks the invariants afterwards.
+// configure changes the cluster before it starts.
 func runScenario(t *testing.T, configure, scenario func(cluster *fake.Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -47,19 +48,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rows map[string]json.RawMessage
-	if err := json.Unmarshal(raw, &rows); err != nil {
+	var records map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &records); err != nil {
 		t.Fatal(err)
 	}
-	return rows
+	return records
 }
 
-// Controllers that start with production's records load all of them, answer requests for all of
-// their jobs, and complete those that can complete.
+// Controllers that start with the records of the production version load all of them, answer requests
+// for all of their jobs, and complete the jobs that can complete.
 func TestProductionRecordsAreLoaded(t *testing.T) {
-	rows := productionRecords(t)
+	records := productionRecords(t)
 	runScenario(t, func(cluster *fake.Cluster) {
-		for key, value := range rows {
+		for key, value := range records {
 			if !strings.HasPrefix(key, jobs.LivenessPrefix) { // their leases have expired
 				cluster.Store.Put(key, value)
 			}
@@ -68,12 +69,12 @@
 		for i := range 5 {
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
-		// The old machines never come back; the last one counts as running for as long as any
+		// The recorded machines never come back. The last of them counts as running for as long as any
 		// controller may have renewed its lease.
 		time.Sleep(90 * time.Second)
 		jobCount := 0
-		for key := range rows {
-			ref, ok := refOfKey(key)
+		for key := range records {
+			ref, ok := jobRefFromKey(key)
 			if !ok {
 				continue
 			}
@@ -89,27 +90,29 @@
 	})
 }
 
-// refOfKey returns the job of a job's record or final state.
-func refOfKey(key string) (ref string, ok bool) {
+// jobRefFromKey returns the job reference in the key of a job's record or final state. ok is false for
+// other keys.
+func jobRefFromKey(key string) (ref string, ok bool) {
 	if ref, ok = strings.CutPrefix(key, jobs.JobPrefix); ok {
 		return ref, true
 	}
 	return strings.CutPrefix(key, jobs.FinalPrefix)
 }
 
-// expectedStatus is how one of production's jobs is to end; empty: it does not.
+// expectedStatus returns the final status that a recorded job must reach, empty if it must reach none.
 func expectedStatus(ref string) jobs.Status {
 	switch ref {
 	case "wk-604":
 		return jobs.Cancelled
-	case "wk-601", "wk-602", "wk-603": // too large for these machines, or without an end
+	case "wk-601", "wk-602", "wk-603": // too large for these machines, or a service that runs until it is cancelled
 		return ""
 	default:
 		return jobs.Done
 	}
 }
 
-// Frames between controllers keep their form: production's are read, and written in the same bytes.
+// The frames between controllers keep their encoded form: frames of the production version can be read,
+// and encoding them again gives the same bytes.
 func TestProductionFramesAreReadAndWrittenUnchanged(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production/frames.json")
 	if err != nil {
@@ -130,106 +133,107 @@
 		}
 		capacities += len(heartbeat.Capacities)
 		if !bytes.Equal(peer.Encode(heartbeat), frame) {
-			t.Errorf("the frame of %s is written otherwise", heartbeat.Node)
+			t.Errorf("the frame of %s is encoded differently", heartbeat.Node)
 		}
 	}
 	if machines < 2 || capacities < 3 {
-		t.Errorf("the fixture has little: %d machines, %d capacities", machines, capacities)
+		t.Errorf("the fixture has too few entries: %d machines, %d capacities", machines, capacities)
 	}
 }
 
-// Production's records as its program had them, frozen: that program loses the fields it does not
-// know when it writes a record again.
+// The record types of the production version, which must not follow changes of the current types. The
+// production version drops unknown fields when it rewrites a record, so a test with these types finds
+// the fields that it would lose.
 type (
-	oldInterval struct {
+	productionInterval struct {
 		First int `json:"f"`
-		N     int `json:"n"`
+		Count int `json:"n"`
 	}
-	oldJob struct {
-		Ref         string         `json:"ref"`
-		Class       string         `json:"lot"`
-		Team        string         `json:"crew"`
-		Kind        string         `json:"shape"`
-		Urgency     string         `json:"urgency"`
-		Tasks       int            `json:"shifts"`
-		CPU         float64        `json:"vcpus"`
-		GPU         float64        `json:"cards"`
-		MemGB       float64        `json:"ramGb"`
-		Builds      []string       `json:"builds"`
-		Zone        *string        `json:"valley"`
-		OneZone     bool           `json:"oneZone"`
-		Spread      bool           `json:"spread"`
-		Spot        bool           `json:"loaners"`
-		Image       string         `json:"kit"`
-		ImageGB     float64        `json:"imageGb"`
-		EstimateS   float64        `json:"guessS"`
-		CheckpointS float64        `json:"waypointS"`
-		SaveS       float64        `json:"stashS"`
-		DueS        *float64       `json:"dueS"`
-		AcceptedMS  int64          `json:"at"`
-		By          string         `json:"by"`
-		Free        []oldInterval  `json:"free"`
-		Completed   int            `json:"d,omitempty"`
-		Own         *oldOwner      `json:"own,omitempty"`
-		Sole        bool           `json:"sole,omitempty"`
-		PerZone     map[string]int `json:"pz,omitempty"`
+	productionJob struct {
+		Ref                       string                   `json:"ref"`
+		Class                     string                   `json:"lot"`
+		Team                      string                   `json:"crew"`
+		Kind                      string                   `json:"shape"`
+		Urgency                   string                   `json:"urgency"`
+		Tasks                     int                      `json:"shifts"`
+		CPU                       float64                  `json:"vcpus"`
+		GPU                       float64                  `json:"cards"`
+		MemGB                     float64                  `json:"ramGb"`
+		MachineTypes              []string                 `json:"builds"`
+		Zone                      *string                  `json:"valley"`
+		OneZone                   bool                     `json:"oneZone"`
+		Spread                    bool                     `json:"spread"`
+		Spot                      bool                     `json:"loaners"`
+		Image                     string                   `json:"kit"`
+		ImageGB                   float64                  `json:"imageGb"`
+		EstimatedRunSeconds       float64                  `json:"guessS"`
+		CheckpointIntervalSeconds float64                  `json:"waypointS"`
+		CheckpointSaveSeconds     float64                  `json:"stashS"`
+		DeadlineSeconds           *float64                 `json:"dueS"`
+		AcceptedAtMS              int64                    `json:"at"`
+		AcceptedBy                string                   `json:"by"`
+		Unclaimed                 []productionInterval     `json:"free"`
+		Completed                 int                      `json:"d,omitempty"`
+		WholeClaim                *productionWholeJobClaim `json:"own,omitempty"`
+		ExcludedFromBatches       bool                     `json:"sole,omitempty"`
+		ClaimedPerZone            map[string]int           `json:"pz,omitempty"`
 	}
-	oldOwner struct {
+	productionWholeJobClaim struct {
 		Shard string `json:"share"`
 		Epoch uint64 `json:"tenure"`
-		N     int    `json:"n"`
+		Count int    `json:"n"`
 	}
-	oldRange struct {
-		Shard string   `json:"share"`
-		N     int      `json:"n"`
-		Done  []byte   `json:"done,omitempty"`
-		Zone  string   `json:"zone,omitempty"`
-		On    []string `json:"on,omitempty"`
+	productionRange struct {
+		Shard       string   `json:"share"`
+		Count       int      `json:"n"`
+		Done        []byte   `json:"done,omitempty"`
+		Zone        string   `json:"zone,omitempty"`
+		GangWorkers []string `json:"on,omitempty"`
 	}
-	oldFinal struct {
+	productionFinalState struct {
 		Status string `json:"s"`
 		Tasks  int    `json:"n"`
 	}
-	oldShard struct {
-		Owner   string  `json:"holder"`
-		Boot    uint64  `json:"boot"`
-		Takings []int64 `json:"takings,omitempty"`
-		Marks   *uint64 `json:"marks,omitempty"`
+	productionShard struct {
+		Owner             string  `json:"holder"`
+		Incarnation       uint64  `json:"boot"`
+		Acquisitions      []int64 `json:"takings,omitempty"`
+		MarksTrustedAfter *uint64 `json:"marks,omitempty"`
 	}
-	oldWorker struct {
-		Shard   string `json:"share"`
-		Addr    string `json:"addr"`
-		Build   string `json:"build"`
-		Zone    string `json:"zone"`
-		Spot    bool   `json:"spot"`
-		SinceMS int64  `json:"at"`
+	productionWorker struct {
+		Shard          string `json:"share"`
+		Addr           string `json:"addr"`
+		MachineType    string `json:"build"`
+		Zone           string `json:"zone"`
+		Spot           bool   `json:"spot"`
+		RegisteredAtMS int64  `json:"at"`
 	}
 )
 
-var oldRecordTypes = []struct {
-	prefix string
-	newOf  func() any
+var productionRecordTypes = []struct {
+	prefix    string
+	newRecord func() any
 }{
-	{jobs.JobPrefix, func() any { return new(oldJob) }},
-	{jobs.RangePrefix, func() any { return new(oldRange) }},
-	{jobs.FinalPrefix, func() any { return new(oldFinal) }},
-	{jobs.ShardPrefix, func() any { return new(oldShard) }},
-	{jobs.WorkerPrefix, func() any { return new(oldWorker) }},
+	{jobs.JobPrefix, func() any { return new(productionJob) }},
+	{jobs.RangePrefix, func() any { return new(productionRange) }},
+	{jobs.FinalPrefix, func() any { return new(productionFinalState) }},
+	{jobs.ShardPrefix, func() any { return new(productionShard) }},
+	{jobs.WorkerPrefix, func() any { return new(productionWorker) }},
 	{jobs.CompletionBatchPrefix, func() any { return new([]string) }},
 }
 
-// checkOldProgramCarries checks that production's program would write a record again as it is;
-// known is false if it has no such records.
-func checkOldProgramCarries(key string, value json.RawMessage) (known bool, err error) {
-	for _, recordType := range oldRecordTypes {
+// checkProductionRoundTrip checks that the production version would rewrite a record without changing
+// it. known is false if the production version has no record type for the key.
+func checkProductionRoundTrip(key string, value json.RawMessage) (known bool, err error) {
+	for _, recordType := range productionRecordTypes {
 		if !strings.HasPrefix(key, recordType.prefix) {
 			continue
 		}
-		record := recordType.newOf()
+		record := recordType.newRecord()
 		decoder := json.NewDecoder(bytes.NewReader(value))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(record); err != nil {
-			return true, fmt.Errorf("%s: production can't carry %s: %w", key, value, err)
+			return true, fmt.Errorf("%s: the production version can't decode %s: %w", key, value, err)
 		}
 		rewritten, err := json.Marshal(record)
 		if err != nil {
@@ -237,7 +241,7 @@
 		}
 		var before, after any
 		if json.Unmarshal(rewritten, &after) != nil || json.Unmarshal(value, &before) != nil || !reflect.DeepEqual(before, after) {
-			return true, fmt.Errorf("%s: %s becomes %s", key, value, rewritten)
+			return true, fmt.Errorf("%s: the production version rewrites %s as %s", key, value, rewritten)
 		}
 		return true, nil
 	}
@@ -247,7 +251,7 @@
 func TestFrozenRecordTypesAreThoseOfProduction(t *testing.T) {
 	knownCount := 0
 	for key, value := range productionRecords(t) {
-		known, err := checkOldProgramCarries(key, value)
+		known, err := checkProductionRoundTrip(key, value)
 		if err != nil {
 			t.Error(err)
 		}
@@ -256,19 +260,19 @@
 		}
 	}
 	if knownCount < 40 {
-		t.Errorf("%d records are of known types", knownCount)
+		t.Errorf("only %d records are of known types", knownCount)
 	}
 	record := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 1, 1)}
 	record.DependsOn = []string{"wk-2"}
 	if raw, _ := json.Marshal(record); raw != nil {
-		if _, err := checkOldProgramCarries(jobs.JobKey("wk-1"), raw); err == nil {
-			t.Error("production would carry dependencies: the types prove nothing")
+		if _, err := checkProductionRoundTrip(jobs.JobKey("wk-1"), raw); err == nil {
+			t.Error("the production types accept dependencies, so the checks prove nothing")
 		}
 	}
 }
 
-// checkStoredRecords checks that production's program would carry all records in the store, and
-// returns how many of them it knows.
+// checkStoredRecords checks that the production version would rewrite all records in the store without
+// changing them. It returns how many of them it has a type for.
 func checkStoredRecords(t *testing.T, cluster *fake.Cluster) int {
 	t.Helper()
 	knownCount := 0
@@ -277,7 +281,7 @@
 		if !found {
 			continue // deleted by a controller since the keys were listed
 		}
-		known, err := checkOldProgramCarries(key, json.RawMessage(value))
+		known, err := checkProductionRoundTrip(key, json.RawMessage(value))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -288,12 +292,12 @@
 	return knownCount
 }
 
-// Until every controller, live or not, has recorded the new version, the previous version can read
-// and rewrite whatever is stored, nothing is stored in chunks, and jobs with dependencies are refused
-// with a time to retry. After that they are accepted.
+// Until every controller, live or not, has recorded the new version, the previous version can read and
+// rewrite all stored records, no record is stored in chunks, and jobs with dependencies are rejected
+// with status 503 and a time to retry. After that they are accepted.
 func TestNothingNewIsWrittenBeforeAllControllersAreUpgraded(t *testing.T) {
 	runScenario(t, func(cluster *fake.Cluster) {
-		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down for long
+		cluster.Cfg.Peers = append(cluster.Cfg.Peers, config.Peer{Node: "n3", Zone: "a"}) // down, has recorded no version
 	}, func(cluster *fake.Cluster) {
 		for i := range 8 {
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
@@ -303,12 +307,12 @@
 		dependent := fake.JobSpec("wk-900", jobs.Array, 2, 1)
 		dependent.DependsOn = []string{"wk-101"}
 		if response := cluster.Submit("n1", dependent, time.Second); response.Code != 503 || !strings.Contains(response.Error, "n3") {
-			t.Errorf("with one old controller: %+v", response)
+			t.Errorf("while one controller has not recorded the new version: %+v", response)
 		}
 		large := fake.JobSpec("wk-901", jobs.Array, 2, 1)
 		large.Class = strings.Repeat("c", 20<<10)
 		if response := cluster.Submit("n1", large, time.Second); response.Code != 503 {
-			t.Errorf("larger than a value: %+v", response)
+			t.Errorf("record larger than one value: %+v", response)
 		}
 		checked += checkStoredRecords(t, cluster)
 		if checked < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
@@ -316,10 +320,10 @@
 		}
 		cluster.StartController("n3")
 		time.Sleep(3 * time.Second)
-		cluster.CrashController("n3") // it has recorded its version, that is enough
+		cluster.CrashController("n3") // its version record is enough to open the gate
 		for _, spec := range []jobs.Spec{dependent, large} {
 			if response := cluster.Submit("n2", spec, time.Second); response.Code != 201 {
-				t.Errorf("%s with all upgraded: %+v", spec.Ref, response)
+				t.Errorf("%s after all controllers have recorded the new version: %+v", spec.Ref, response)
 			}
 			if !cluster.WaitForStatus("n0", spec.Ref, jobs.Done, 60*time.Second) {
 				t.Errorf("%s: %+v", spec.Ref, cluster.Poll("n0", spec.Ref))
@@ -328,8 +332,8 @@
 	})
 }
 
-// runJobsBeforeUpgrade submits jobs, cancels some, restarts a controller, and checks the stored
-// records after each step. It returns how many were checked.
+// runJobsBeforeUpgrade submits jobs, cancels some of them, restarts a controller, and checks the stored
+// records after each step. It returns how many records were checked.
 func runJobsBeforeUpgrade(t *testing.T, cluster *fake.Cluster) (checked int) {
 	t.Helper()
 	for i := range 40 {
