--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -1,6 +1,6 @@
-// Package machinetype keeps a controller's catalog of machine types: their capacity and price,
-// as last read from the cloud or as recorded in the key-value store, and their boot times. It
-// decides when a record is out of date; the owner of the catalog writes it.
+// Package machinetype maintains a controller's catalog of machine types: their capacity and price, as
+// last read from the cloud or as recorded in the key-value store, and their boot times. The catalog
+// determines when a record is out of date; the owner of the catalog writes the record.
 package machinetype
 
 import (
@@ -17,14 +17,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// learnedCycles is the number of demand checks of the autoscaler for which learned boot times
-// are worth recording.
-const learnedCycles = 3
+// learnedBootTimesLifetimeCycles is how long learned boot times may be recorded, in demand check intervals
+// of the autoscaler.
+const learnedBootTimesLifetimeCycles = 3
 
-// Catalog is the catalog of machine types. It has no locks: one actor owns it.
+// Catalog is the catalog of machine types. It is not safe for concurrent use: one actor owns it.
 type Catalog struct {
 	byName    map[string]cloud.MachineType
-	fromCloud []cloud.MachineType // as last read from the cloud, nil before; takes precedence over the record
+	fromCloud []cloud.MachineType // as last read from the cloud, nil before the first read; takes precedence over the record
 
 	typesRecord   RecordState
 	recordedTypes []cloud.MachineType
@@ -37,16 +37,16 @@
 
 // RecordState is the state of a durable record.
 type RecordState struct {
-	// Revision is the revision of the last write that was applied, 0 if there is none.
+	// Revision is the revision of the last write that was applied, 0 if none was.
 	Revision uint64
-	// WriteInFlight is set by the writer of the record while a write is under way.
+	// WriteInFlight is set by the writer of the record while a write is in flight.
 	WriteInFlight bool
 }
 
 // New returns an empty catalog.
 func New() *Catalog { return &Catalog{byName: map[string]cloud.MachineType{}} }
 
-// SetFromCloud sets the types as read from the cloud.
+// SetFromCloud sets the machine types that were read from the cloud.
 func (c *Catalog) SetFromCloud(types []cloud.MachineType) {
 	c.fromCloud = types
 	c.merge(types)
@@ -58,23 +58,23 @@
 	}
 }
 
-// All returns the types by name. The map belongs to the catalog and must not be changed.
+// All returns the machine types by name. The map belongs to the catalog and must not be changed.
 func (c *Catalog) All() map[string]cloud.MachineType { return c.byName }
 
-// Get returns a type by its name, and whether it is known.
+// Get returns a machine type by its name, and whether the type is known.
 func (c *Catalog) Get(typeName string) (cloud.MachineType, bool) {
 	machineType, ok := c.byName[typeName]
 	return machineType, ok
 }
 
-// Capacity returns the resources of a machine of the type, and whether the type is known.
+// Capacity returns the resources of a machine of a type, and whether the type is known.
 func (c *Catalog) Capacity(typeName string) (capacity.Resources, bool) {
 	machineType, ok := c.byName[typeName]
 	return machineType.Total(), ok
 }
 
-// BootSeconds returns the expected boot time of a type in seconds: the recorded one, otherwise
-// the one that the cloud states. It is 0 for an unknown type.
+// BootSeconds returns the expected boot time of a machine type in seconds: the recorded boot time or, if
+// there is none, the one that the cloud states. It is 0 for an unknown type.
 func (c *Catalog) BootSeconds(typeName string) float64 {
 	if seconds, ok := c.recordedBootTimes[typeName]; ok {
 		return seconds
@@ -82,7 +82,7 @@
 	return c.byName[typeName].StartupS
 }
 
-// LongestBootSeconds returns the expected boot time of the slowest type in seconds.
+// LongestBootSeconds returns the expected boot time of the slowest machine type in seconds.
 func (c *Catalog) LongestBootSeconds() float64 {
 	longest := 0.0
 	for typeName := range c.byName {
@@ -91,12 +91,12 @@
 	return longest
 }
 
-// RecordedBootTimes returns the recorded boot times in seconds by type, nil if there are none.
+// RecordedBootTimes returns the recorded boot times in seconds by machine type, nil if there are none.
 func (c *Catalog) RecordedBootTimes() map[string]float64 { return c.recordedBootTimes }
 
-// TypesToRecord returns the value to record for the types and the state of the record, which
-// the writer updates. value is nil if the record is up to date or being written. A change of
-// prices alone is not recorded, since prices change all the time.
+// TypesToRecord returns the value to write as the record of the machine types, and the state of the
+// record, which the writer must update. value is nil if the record is up to date or a write is in
+// flight. A change of prices alone is not recorded, since prices change all the time.
 //
 // Without the record, a controller that starts while the cloud is unavailable could neither
 // validate submissions nor place a task.
@@ -113,7 +113,7 @@
 	return value, &c.typesRecord, nil
 }
 
-// equalExceptPrices reports whether two types differ at most in their prices.
+// equalExceptPrices reports whether two machine types differ at most in their prices.
 func equalExceptPrices(x, y cloud.MachineType) bool {
 	x.HourlyPrice, x.SpotHourlyPrice, y.HourlyPrice, y.SpotHourlyPrice = 0, 0, 0, 0
 	encodedX, errX := json.Marshal(x)
@@ -121,9 +121,9 @@
 	return errX == nil && errY == nil && bytes.Equal(encodedX, encodedY)
 }
 
-// ApplyTypesRecord applies the types record of a revision; one that is not newer than the last
-// is ignored. changed reports whether the catalog uses the recorded types, which it does until
-// it has types from the cloud.
+// ApplyTypesRecord applies the record of the machine types at a revision. A record that is not newer than
+// the last one is ignored. changed reports whether the catalog now uses the recorded types, which it
+// does only until it has types from the cloud. The error is that of decoding the record.
 func (c *Catalog) ApplyTypesRecord(value json.RawMessage, revision uint64) (changed bool, err error) {
 	if revision <= c.typesRecord.Revision {
 		return false, nil
@@ -140,19 +140,20 @@
 	return true, nil
 }
 
-// LearnBootTimes sets the boot times, in seconds by type, that the autoscaler of this controller
-// has learned.
+// LearnBootTimes sets the boot times, in seconds by machine type, that the autoscaler of this controller
+// has learned up to now.
 func (c *Catalog) LearnBootTimes(bootSeconds map[string]float64, now time.Time) {
 	c.learnedBootTimes, c.learnedAt = bootSeconds, now
 }
 
-// BootTimesToRecord returns the value to record for the boot times and the state of the record,
-// which the writer updates. value is nil unless the boot times changed considerably. All
-// controllers size their buffers by the record, and the next autoscaler starts with it.
+// BootTimesToRecord returns the value to write as the record of the boot times, and the state of the
+// record, which the writer must update. value is nil if no boot time has changed by more than
+// tuning.BootTimeChangeFraction, a write is in flight, or the learned boot times are outdated. All
+// controllers size their buffers by the recorded boot times, and the next autoscaler starts with them.
 func (c *Catalog) BootTimesToRecord(now time.Time) (value json.RawMessage, record *RecordState, err error) {
-	// A controller that lost the autoscaler lease learns no more, and must not overwrite the
-	// record of the one that holds it.
-	isOutdated := now.Sub(c.learnedAt) > learnedCycles*tuning.DemandCheckInterval
+	// A controller that has lost the autoscaler lease learns no new boot times. It must not overwrite
+	// the record of the controller that holds the lease.
+	isOutdated := now.Sub(c.learnedAt) > learnedBootTimesLifetimeCycles*tuning.DemandCheckInterval
 	if !c.bootTimesChanged() || c.bootTimesRecord.WriteInFlight || isOutdated {
 		return nil, nil, nil
 	}
@@ -162,7 +163,8 @@
 	return value, &c.bootTimesRecord, nil
 }
 
-// bootTimesChanged reports whether a learned boot time differs enough from the recorded one.
+// bootTimesChanged reports whether a learned boot time differs from the expected one by more than
+// tuning.BootTimeChangeFraction.
 func (c *Catalog) bootTimesChanged() bool {
 	for typeName, seconds := range c.learnedBootTimes {
 		known := c.BootSeconds(typeName)
@@ -173,8 +175,8 @@
 	return false
 }
 
-// ApplyBootTimesRecord applies the boot times record of a revision; one that is not newer than
-// the last is ignored.
+// ApplyBootTimesRecord applies the record of the boot times at a revision. A record that is not newer
+// than the last one is ignored. The error is that of decoding the record.
 func (c *Catalog) ApplyBootTimesRecord(value json.RawMessage, revision uint64) error {
 	if revision <= c.bootTimesRecord.Revision {
 		return nil
--- a/internal/machinetype/catalog_test.go
+++ b/internal/machinetype/catalog_test.go
@@ -27,7 +27,7 @@
 	offered[0].HourlyPrice = 2 // prices change all the time
 	c.SetFromCloud(offered)
 	if value, _, _ := c.TypesToRecord(); value != nil {
-		t.Errorf("a change of prices alone is recorded: %s", value)
+		t.Errorf("a change of prices alone was recorded: %s", value)
 	}
 	other := New()
 	if used, err := other.ApplyTypesRecord(value, 5); err != nil || !used {
@@ -47,11 +47,11 @@
 	c.SetFromCloud([]cloud.MachineType{{Name: "m16", StartupS: 35}})
 	c.LearnBootTimes(map[string]float64{"m16": 38}, now)
 	if value, _, _ := c.BootTimesToRecord(now); value != nil {
-		t.Errorf("a change by a tenth is recorded: %s", value)
+		t.Errorf("a change by less than a tenth was recorded: %s", value)
 	}
 	c.LearnBootTimes(map[string]float64{"m16": 80}, now)
 	if value, _, _ := c.BootTimesToRecord(now.Add(time.Minute)); value != nil {
-		t.Error("outdated boot times are recorded")
+		t.Error("outdated boot times were recorded")
 	}
 	value, _, err := c.BootTimesToRecord(now)
 	if err != nil || c.ApplyBootTimesRecord(value, 9) != nil || c.BootSeconds("m16") != 80 || c.LongestBootSeconds() != 80 {
