--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -11,35 +11,36 @@
 	"cherrywall/internal/tuning"
 )
 
-// GrowthBuffer is the growth buffer of one class (section 3.1 of the Kerveros paper): the number
-// of tasks by which the class is likely to grow while a machine boots.
+// GrowthBuffer is the growth buffer of a class (section 3.1 of the Kerveros paper): the number of tasks
+// by which the class is likely to grow while a machine boots.
 type GrowthBuffer struct {
 	Record *jobs.JobRecord    // the latest job of the class
 	Need   capacity.Resources // of one task
-	Tasks  float64            // an expected value, not a whole number
+	Tasks  float64            // a statistical estimate, not a whole number
 }
 
-// RunningJob is a gang or service that runs.
+// RunningJob is a running gang or service.
 type RunningJob struct {
 	Class           string
 	Tasks           int
 	ExpectedSeconds float64 // expected run time
 }
 
-// GrowthBuffers returns the growth buffers of the classes of urgent gangs; all others wait for
-// machines to boot. Arrivals during a boot of bootSeconds find the room of the jobs that end
-// meanwhile: only the difference is kept free, plus one standard deviation of both, to which
-// large gangs contribute the most. The result is scaled by factor.
+// GrowthBuffers returns the growth buffers of the classes of urgent gangs. The other classes have none:
+// their jobs wait until machines have booted. The jobs that arrive during a boot of bootSeconds can use
+// the capacity of the jobs that end during that time. The buffer is therefore the expected arrivals less
+// the expected completions, plus one standard deviation of both together, to which large gangs
+// contribute the most. factor scales the result.
 func (s *Stats) GrowthBuffers(now time.Time, bootSeconds, factor float64, running []RunningJob) []GrowthBuffer {
 	var buffers []GrowthBuffer
 	for class, stats := range s.byClass {
-		if !stats.isUrgentGang() || stats.isPaused(now) {
+		if !stats.isUrgentGangClass() || stats.isInactive(now) {
 			continue
 		}
 		growth, variance := stats.expectedArrivals(now, bootSeconds)
 		for _, job := range running {
 			if job.Class == class {
-				ending, endingVariance := job.expectedEnd(bootSeconds)
+				ending, endingVariance := job.expectedCompletions(bootSeconds)
 				growth -= ending
 				variance += endingVariance
 			}
@@ -50,8 +51,8 @@
 	return buffers
 }
 
-// expectedArrivals returns the expected number of tasks that arrive during a boot, and its
-// variance. The class must have arrivals, see isPaused.
+// expectedArrivals returns the expected number of tasks that arrive during a boot, and the variance of
+// that number. The class must have arrivals: a class for which isInactive is false has some.
 func (c *classStats) expectedArrivals(now time.Time, bootSeconds float64) (tasks, variance float64) {
 	sum, sumOfSquares := 0.0, 0.0
 	for _, arrival := range c.arrivals {
@@ -65,26 +66,26 @@
 	return sum * bootFraction, sumOfSquares * bootFraction
 }
 
-// expectedEnd returns the expected number of tasks that end during a boot, and its variance. The
-// tasks of a job end together.
-func (j RunningJob) expectedEnd(bootSeconds float64) (tasks, variance float64) {
+// expectedCompletions returns the expected number of tasks of the job that end during a boot, and the
+// variance of that number. It assumes that all tasks of a job end together.
+func (j RunningJob) expectedCompletions(bootSeconds float64) (tasks, variance float64) {
 	size, probability := float64(j.Tasks), min(1, bootSeconds/max(j.ExpectedSeconds, 1))
 	return size * probability, size * size * probability * (1 - probability)
 }
 
-// ExpectedLoad is the load that a class of arrays is expected to bring.
+// ExpectedLoad is the expected load of the arriving jobs of a class of arrays.
 type ExpectedLoad struct {
 	Record  *jobs.JobRecord // the latest job of the class
-	PeakCPU float64         // CPUs used at once
+	PeakCPU float64         // CPUs in use at the same time
 }
 
-// ExpectedLoads returns, by class, the loads of the arrays that have a service-level objective.
-// hasNoObjective reports that a job has none.
+// ExpectedLoads returns the expected loads by class, for the classes of arrays that have a service-level
+// objective. hasNoObjective reports that a job has no such objective.
 func (s *Stats) ExpectedLoads(now time.Time, objectives []config.Objective, hasNoObjective func(job *jobs.JobRecord) bool) map[string]ExpectedLoad {
 	loads := map[string]ExpectedLoad{}
 	for class, stats := range s.byClass {
 		job := stats.lastJob
-		if job == nil || job.Kind != jobs.Array || hasNoObjective(job) || stats.isPaused(now) {
+		if job == nil || job.Kind != jobs.Array || hasNoObjective(job) || stats.isInactive(now) {
 			continue
 		}
 		arrivals := make([]forecast.Arrival, len(stats.arrivals))
--- a/internal/classstats/stats.go
+++ b/internal/classstats/stats.go
@@ -1,6 +1,6 @@
-// Package classstats keeps statistics of each class of jobs: arrivals, their size, and the ratio
-// of actual run times to the users' estimates. They size the buffers that are kept free for jobs
-// to come.
+// Package classstats maintains statistics for each class of jobs: the arrivals, their sizes, and the
+// ratio of actual run times to the users' estimates. The statistics determine the size of the buffers
+// that are kept free for future jobs.
 package classstats
 
 import (
@@ -11,22 +11,22 @@
 	"cherrywall/internal/tuning"
 )
 
-// Stats holds the statistics of all classes. It has no locks: one actor owns it.
+// Stats holds the statistics of all classes. It is not safe for concurrent use: one actor owns it.
 type Stats struct{ byClass map[string]*classStats }
 
 // classStats are the statistics of one class.
 type classStats struct {
-	runTimeRatio float64 // actual over estimated run time, moving mean
-	sampleCount  int     // tasks in runTimeRatio
-	arrivals     []arrival
+	runTimeRatio float64   // moving mean of actual over estimated run time
+	sampleCount  int       // number of tasks that contributed to runTimeRatio
+	arrivals     []arrival // in the order of arrivedAt
 	lastJob      *jobs.JobRecord
 }
 
 // arrival is the submission of one job.
 type arrival struct {
-	arrivedAt  time.Time // the arrivals of a class are in this order
+	arrivedAt  time.Time
 	tasks      int
-	cpuSeconds float64 // by the user's estimate
+	cpuSeconds float64 // CPU seconds according to the user's estimate
 }
 
 // New returns empty statistics.
@@ -41,13 +41,13 @@
 	return stats
 }
 
-// RecordArrival records a job that this controller did not know before and that could run since
-// a time of day (Unix milliseconds, 0 if unknown).
+// RecordArrival records the arrival of a job that this controller did not know before.
+// runnableSinceMS is the time of day (Unix milliseconds) from which on the job could run, 0 if unknown.
 func (s *Stats) RecordArrival(job *jobs.JobRecord, runnableSinceMS int64, now time.Time) {
 	stats := s.statsOf(job.Class)
 	stats.lastJob = job
-	// Jobs that a starting controller reads together arrived at different times. Counted as a
-	// burst at its start, they made the buffers several times too large.
+	// A starting controller reads many jobs at once that arrived at different times. If they were
+	// counted as one burst of arrivals, the buffers would be several times too large.
 	arrivedAt := now
 	if runnableSince := time.UnixMilli(runnableSinceMS); runnableSinceMS > 0 && runnableSince.Before(now) {
 		arrivedAt = runnableSince
@@ -59,7 +59,8 @@
 	})
 }
 
-// addArrival inserts an arrival after all earlier and simultaneous ones.
+// addArrival inserts an arrival after all arrivals of the same or an earlier time, and drops the earliest
+// arrival if there are more than tuning.MaxRecordedArrivals.
 func (c *classStats) addArrival(added arrival) {
 	index, _ := slices.BinarySearchFunc(c.arrivals, added.arrivedAt.Add(1), func(a arrival, at time.Time) int { return a.arrivedAt.Compare(at) })
 	c.arrivals = slices.Insert(c.arrivals, index, added)
@@ -68,8 +69,8 @@
 	}
 }
 
-// RecordRunTime corrects the estimates of a class, which are often biased for a day, by the run
-// time of a finished task in seconds.
+// RecordRunTime adjusts the correction of a class's estimates by the run time of a finished task in
+// seconds. The users' estimates of a class are often biased for a whole day.
 func (s *Stats) RecordRunTime(job *jobs.JobRecord, runSeconds float64) {
 	if job.EstimatedRunSeconds <= 0 || runSeconds <= 0 {
 		return
@@ -80,27 +81,28 @@
 	stats.sampleCount++
 }
 
-// ExpectedTaskSeconds returns the corrected estimate of a task's run time in seconds.
+// ExpectedTaskSeconds returns the run time of a task in seconds by the corrected estimate.
 func (s *Stats) ExpectedTaskSeconds(job *jobs.JobRecord) float64 {
 	return job.EstimatedRunSeconds * s.estimateCorrection(job.Class)
 }
 
-// ExpectedJobSeconds returns the expected time in seconds from the moment a job may run, with
-// free machines, to its end: the fetching of its image, its slowest task, and the heartbeats and
-// records before a dependent job can start.
+// ExpectedJobSeconds returns the expected time in seconds from when a job may run to when a dependent job
+// can start, if machines are free. It covers fetching the image, the job's slowest task, and the
+// heartbeats and record writes at the end of the job.
 func (s *Stats) ExpectedJobSeconds(job *jobs.JobRecord) float64 {
 	slowest := 1 + tuning.RunTimeSpread*(1-1/float64(max(job.Tasks, 1)))
 	return s.ExpectedTaskSeconds(job)*slowest + tuning.JobOverheadSeconds
 }
 
-// estimateCorrection is the factor that corrects the estimates of a class.
+// estimateCorrection returns the factor by which the users' estimates of a class are multiplied, within
+// the bounds tuning.MinEstimateRatio and tuning.MaxEstimateRatio.
 func (s *Stats) estimateCorrection(class string) float64 {
 	return min(max(s.statsOf(class).runTimeRatio, tuning.MinEstimateRatio), tuning.MaxEstimateRatio)
 }
 
-// isPaused reports whether no more jobs of a class are expected, after a pause much longer than
-// usual: an idle cluster is scaled in.
-func (c *classStats) isPaused(now time.Time) bool {
+// isInactive reports whether no more jobs of a class are expected because the time since the last arrival
+// is much longer than usual. Inactive classes have no buffers, so that an idle cluster is scaled in.
+func (c *classStats) isInactive(now time.Time) bool {
 	if len(c.arrivals) == 0 {
 		return true
 	}
@@ -109,17 +111,17 @@
 	return now.Sub(last.arrivedAt) > min(max(2*meanGap, tuning.MinClassPause), tuning.MaxClassPause)
 }
 
-// minUrgentPriority is the lowest priority whose gangs have a growth buffer.
+// minUrgentPriority is the lowest priority at which a class of gangs has a growth buffer.
 var minUrgentPriority = jobs.HighestPriority() - 1
 
-func (c *classStats) isUrgentGang() bool {
+func (c *classStats) isUrgentGangClass() bool {
 	return c.lastJob != nil && c.lastJob.Kind == jobs.Gang && c.lastJob.Priority() >= minUrgentPriority
 }
 
-// AnyUrgentGang reports whether the latest job of any class of urgent gangs matches.
+// AnyUrgentGang reports whether matches returns true for the latest job of any class of urgent gangs.
 func (s *Stats) AnyUrgentGang(matches func(job *jobs.JobRecord) bool) bool {
 	for _, stats := range s.byClass {
-		if stats.isUrgentGang() && matches(stats.lastJob) {
+		if stats.isUrgentGangClass() && matches(stats.lastJob) {
 			return true
 		}
 	}
