--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The paths of the cloud's interface.
+// The paths of the cloud's API.
 const (
 	machineTypesPath = "/flavors"
 	machinesPath     = "/rentals"
@@ -25,25 +25,26 @@
 
 const (
 	maxIdleConnections = 4
-	// listPageSize is the most that the cloud returns of its list at once (machines).
+	// listPageSize is the largest number of machines that the cloud returns in one page of its list.
 	listPageSize = 500
 )
 
-// noCapacityReason is the error in a response that means ErrNoCapacity.
+// noCapacityReason is the text in the field error of a response that stands for ErrNoCapacity.
 const noCapacityReason = "no capacity"
 
 // DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Client sends requests to the cloud. It may be used by several goroutines.
+// Client sends requests to the cloud's API. It is safe for concurrent use.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 	limiter    *rate.Limiter
 }
 
-// New returns a client of the cloud at an address. It keeps to its fraction, tuning.CloudBudgetFraction, of
-// the limit that the cloud sets for all controllers, in requests per second. Connections are opened by dial.
+// New returns a client of the cloud at an address. requestsPerSecond is the rate limit that the cloud sets
+// for all controllers together; the client uses the fraction tuning.CloudBudgetFraction of it. Connections
+// are opened by dial.
 func New(addr string, requestsPerSecond float64, dial DialFunc) *Client {
 	transport := &http.Transport{
 		DialContext:         dial,
@@ -59,7 +60,7 @@
 	}
 }
 
-// MachineTypes reads the machine types on offer, with their current prices.
+// MachineTypes reads the machine types that the cloud offers, with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]MachineType, error) {
 	var response struct {
 		MachineTypes []MachineType `json:"builds"`
@@ -69,7 +70,8 @@
 }
 
 // ScaleOut requests machines and returns the hosts that will boot, which may be fewer than requested. The
-// error is ErrNoCapacity if there are none; after ErrUnavailable they may boot all the same.
+// error is ErrNoCapacity if the cloud has no such machine now. After an error that wraps ErrUnavailable,
+// machines may boot nevertheless.
 func (c *Client) ScaleOut(ctx context.Context, request ScaleOutRequest) ([]string, error) {
 	var response struct {
 		Hosts []string `json:"hosts"`
@@ -78,13 +80,14 @@
 	return response.Hosts, err
 }
 
-// Release gives machines back. If there is no error, the cloud has terminated them and all that ran on them.
+// Release returns machines to the cloud. If there is no error, the cloud has terminated the machines and
+// everything that ran on them.
 func (c *Client) Release(ctx context.Context, hosts []string) error {
 	request := map[string][]string{"hosts": hosts}
 	return c.call(ctx, http.MethodPost, releasePath, request, nil)
 }
 
-// List reads the whole list of machines, page by page. The list may be many seconds old.
+// List reads the whole list of machines, page by page. The list may be many seconds out of date.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	var machines []Machine
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
@@ -104,8 +107,8 @@
 	}
 }
 
-// call makes one request when the rate limit allows it, and decodes the response into result, unless that is
-// nil.
+// call waits until the rate limit allows a request, sends it, and decodes the response into result, unless
+// result is nil. Waiting and the request together take at most tuning.CloudRequestTimeout.
 func (c *Client) call(ctx context.Context, method, path string, request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudRequestTimeout)
 	defer cancel()
@@ -132,8 +135,8 @@
 	return decodeResponse(response, result)
 }
 
-// decodeResponse reads a response into result, unless that is nil. The error of a response that reports a
-// failure is ErrNoCapacity or wraps ErrUnavailable.
+// decodeResponse decodes a response into result, unless result is nil. The error is ErrNoCapacity or wraps
+// ErrUnavailable.
 func decodeResponse(response *http.Response, result any) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -154,7 +157,8 @@
 	return nil
 }
 
-// isNoCapacity distinguishes a lack of machines from an outage, which has the same status.
+// isNoCapacity reports whether a response means that the cloud has no machines. An outage has the same
+// status; the two differ in the error in the body.
 func isNoCapacity(status int, body []byte) bool {
 	if status != http.StatusServiceUnavailable {
 		return false
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// newTestClient returns a client of a cloud that a handler plays.
+// newTestClient returns a client of an HTTP server that answers with the handler in place of the cloud.
 func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -51,7 +51,7 @@
 	}
 }
 
-// The list is read page by page, each beginning after the last machine of the one before.
+// List reads all pages of the list. Each page begins after the last machine of the previous page.
 func TestListReadsAllPages(t *testing.T) {
 	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/rentals" || r.URL.Query().Get("limit") != "500" {
