--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -9,12 +9,12 @@
 	"cherrywall/internal/tuning"
 )
 
-// run calls the functions that are sent to a mailbox until its context ends.
-func run(m *Mailbox) {
+// runActor calls the functions that are sent to a mailbox until the mailbox's context ends.
+func runActor(m *Mailbox) {
 	for {
 		select {
-		case do := <-m.Messages():
-			do()
+		case message := <-m.Messages():
+			message()
 		case <-m.Context().Done():
 			return
 		}
@@ -24,16 +24,16 @@
 func TestAskReturnsAnswerAfterEarlierMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(t.Context())
-		go run(m)
+		go runActor(m)
 		state := 0
 		m.Send(func() { state = 1 })
 		m.SendAfter(time.Second, func() { state = 2 })
 		if answer, ok := Ask(m, func() int { return state }); !ok || answer != 1 {
-			t.Errorf("%d, %v", answer, ok)
+			t.Errorf("answer %d, ok %v", answer, ok)
 		}
 		time.Sleep(time.Second + time.Millisecond)
 		if answer, ok := Ask(m, func() int { return state }); !ok || answer != 2 {
-			t.Errorf("%d, %v after the delay", answer, ok)
+			t.Errorf("answer %d, ok %v after the delay", answer, ok)
 		}
 	})
 }
@@ -44,12 +44,12 @@
 		m.SendAfter(time.Second, func() {}).Stop()
 		time.Sleep(2 * time.Second)
 		if queued := len(m.Messages()); queued > 0 {
-			t.Errorf("%d messages", queued)
+			t.Errorf("%d messages were sent", queued)
 		}
 	})
 }
 
-// Nobody blocks on an actor that has ended, even if its mailbox is full.
+// Send and Ask don't block after the actor has ended, even if its mailbox is full.
 func TestEndedActorDropsMessages(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	m := New(ctx)
@@ -57,8 +57,8 @@
 		m.Send(func() {})
 	}
 	stop()
-	m.Send(func() { t.Error("called") })
+	m.Send(func() { t.Error("an ended actor called a function") })
 	if _, ok := Ask(m, func() int { return 1 }); ok {
-		t.Error("an ended actor has answered")
+		t.Error("an ended actor answered")
 	}
 }
