--- a/internal/jobs/parse.go
+++ b/internal/jobs/parse.go
@@ -157,9 +157,9 @@
 	case !ValidRef(s.Ref):
 		return newValidationError("ref", "must be 1 to 16 lower-case letters, a hyphen and 1 to 18 digits")
 	case s.Class == "":
-		return newValidationError("lot", "must not be empty")
+		return newValidationError("lot", "empty")
 	case s.Team == "":
-		return newValidationError("crew", "must not be empty")
+		return newValidationError("crew", "empty")
 	case !isKind(s.Kind):
 		return newValidationError("shape", "unknown %q", s.Kind)
 	case s.Priority() < 0:
@@ -167,11 +167,11 @@
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
 		return newValidationError("shifts", "must be 1 to %d", MaxTasks)
 	case s.Image == "":
-		return newValidationError("kit", "must not be empty")
+		return newValidationError("kit", "empty")
 	case s.MachineTypes != nil && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, "")):
 		return newValidationError("builds", "must not be an empty list or contain an empty name")
 	case s.Zone != nil && *s.Zone == "":
-		return newValidationError("valley", "must not be empty")
+		return newValidationError("valley", "empty")
 	case s.DeadlineSeconds != nil && !(*s.DeadlineSeconds > 0 && !math.IsInf(*s.DeadlineSeconds, 0)):
 		return newValidationError("dueS", "must be above 0")
 	}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -59,7 +59,7 @@
 // version that this one does not understand. No decision may be based on such a record.
 func (r *JobRecord) Validate() error {
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
-		return newValidationError("shifts", "task count %d is out of range", r.Tasks)
+		return newValidationError("shifts", "%d", r.Tasks)
 	}
 	if !isKind(r.Kind) {
 		return newValidationError("shape", "unknown %q", r.Kind)
