--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -13,13 +13,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// jobCopy is one of the copies that parallel makes of a job.
+// jobCopy is one of the copies of a job that its key parallel asks for.
 type jobCopy struct {
 	name      string
-	variables map[string]string // besides those of the job
+	variables map[string]string // in addition to the variables of the job
 }
 
-// compileJob adds all copies of a job of the file to the plan, or reports what is wrong with it.
+// compileJob adds all copies of a job of the file to the plan, or reports the problems of the job.
 func (c *compiler) compileJob(name string) {
 	node := mergeMappings(c.extendedNode(name, nil), c.defaultNode)
 	var p parallel
@@ -32,37 +32,37 @@
 	variables := c.jobVariables(name, node)
 	copies := jobCopies(name, p)
 	if len(copies) > maxParallel {
-		c.addProblem(valueOf(node, "parallel"), "%s.parallel: %d copies, more than %d", name, len(copies), maxParallel)
+		c.addProblem(valueOf(node, "parallel"), "%s.parallel: %d copies, more than the limit of %d", name, len(copies), maxParallel)
 		return
 	}
-	for _, one := range copies {
-		all := maps.Clone(variables)
-		maps.Copy(all, one.variables)
-		before := len(c.problems)
-		c.compileCopy(name, one.name, node, all)
-		if len(c.problems) > before {
+	for _, current := range copies {
+		copyVariables := maps.Clone(variables)
+		maps.Copy(copyVariables, current.variables)
+		problemsBefore := len(c.problems)
+		c.compileCopy(name, current.name, node, copyVariables)
+		if len(c.problems) > problemsBefore {
 			return // the other copies have the same problems
 		}
 	}
 }
 
-// jobVariables returns the variables of a job: its own override those of the file.
+// jobVariables returns the variables of a job. Variables of the job override variables of the file.
 func (c *compiler) jobVariables(name string, node *yaml.Node) map[string]string {
 	variables := map[string]string{"CI_JOB_NAME": name}
 	maps.Copy(variables, c.variables)
 	if value := valueOf(node, "variables"); value != nil {
-		var own map[string]scalar
-		if err := value.Decode(&own); err != nil {
+		var overrides map[string]scalar
+		if err := value.Decode(&overrides); err != nil {
 			c.addError(value, name+".variables", err)
 		}
-		for variable, text := range own {
+		for variable, text := range overrides {
 			variables[variable] = string(text)
 		}
 	}
 	return variables
 }
 
-// jobCopies returns the copies of a job: the job itself without parallel.
+// jobCopies returns the copies of a job. A job without the key parallel has one copy, with the job's name.
 func jobCopies(name string, p parallel) []jobCopy {
 	if p.N > 0 {
 		return numberedCopies(name, p.N)
@@ -92,14 +92,15 @@
 	return copies
 }
 
-// combinations returns one copy for each combination of the values of a matrix row's variables,
-// named after the values. If there are more than maxParallel it returns only a few more than that,
-// which the caller rejects: their number grows exponentially with that of the variables.
+// combinations returns one copy for each combination of the values of a matrix row's variables. The copies
+// are named after the values. The number of combinations grows exponentially with the number of variables:
+// if there are more than maxParallel combinations, combinations returns only a few copies more than
+// maxParallel, which the caller rejects.
 func combinations(row map[string]oneOrMore, variables []string) []jobCopy {
-	all := []jobCopy{{variables: map[string]string{}}}
+	partial := []jobCopy{{variables: map[string]string{}}}
 	for _, variable := range variables {
 		var extended []jobCopy
-		for _, combination := range all {
+		for _, combination := range partial {
 			for _, value := range row[variable] {
 				if len(extended) > maxParallel {
 					break
@@ -107,9 +108,9 @@
 				extended = append(extended, combination.with(variable, value))
 			}
 		}
-		all = extended
+		partial = extended
 	}
-	return all
+	return partial
 }
 
 func (j jobCopy) with(variable, value string) jobCopy {
@@ -121,48 +122,48 @@
 // jobCompiler compiles one copy of a job.
 type jobCompiler struct {
 	*compiler
-	base string     // the job's name in the file, which problems name
-	tree *yaml.Node // the copy's keys, with variables expanded
-	keys jobKeys
-	job  Job
+	jobName string     // the job's name in the file, used in the texts of problems
+	tree    *yaml.Node // the keys of the copy, with variables expanded
+	keys    jobKeys
+	job     Job
 }
 
 // compileCopy adds one copy of a job to the plan.
-func (c *compiler) compileCopy(base, name string, node *yaml.Node, variables map[string]string) {
+func (c *compiler) compileCopy(jobName, copyName string, node *yaml.Node, variables map[string]string) {
 	tree, err := c.copyTree(node, 0)
 	if err != nil {
-		c.addError(node, base, err)
+		c.addError(node, jobName, err)
 		return
 	}
-	c.expandKeys(base, tree, variables)
-	j := &jobCompiler{compiler: c, base: base, tree: tree, keys: jobKeys{When: string(OnSuccess), Stage: "test"}}
-	c.decodeMapping(tree, base+".", &j.keys, func(key, _ *yaml.Node) { c.reportUnknownKey(key, base+".") })
-	j.compile(name)
-	if slices.ContainsFunc(c.plan.Jobs, func(other Job) bool { return other.Name == name }) {
-		c.addProblem(c.nameNodes[base], "%s: two copies are called %q", base, name)
+	c.expandKeys(jobName, tree, variables)
+	j := &jobCompiler{compiler: c, jobName: jobName, tree: tree, keys: jobKeys{When: string(OnSuccess), Stage: "test"}}
+	c.decodeMapping(tree, jobName+".", &j.keys, func(key, _ *yaml.Node) { c.reportUnknownKey(key, jobName+".") })
+	j.compile(copyName)
+	if slices.ContainsFunc(c.plan.Jobs, func(other Job) bool { return other.Name == copyName }) {
+		c.addProblem(c.nameNodes[jobName], "%s: two copies have the name %q", jobName, copyName)
 	}
 	index := len(c.plan.Jobs)
-	c.copies[base] = append(c.copies[base], index)
+	c.copies[jobName] = append(c.copies[jobName], index)
 	if j.keys.Needs != nil {
-		c.pendingNeeds = append(c.pendingNeeds, pendingNeed{job: index, needs: j.keys.Needs})
+		c.unresolvedNeeds = append(c.unresolvedNeeds, unresolvedNeeds{job: index, needs: j.keys.Needs})
 	}
 	c.plan.Jobs = append(c.plan.Jobs, j.job)
 }
 
-// expandKeys expands the variables in the keys that are read. Keys without effect here are left out:
-// they may use variables that are not set in the file.
-func (c *compiler) expandKeys(base string, tree *yaml.Node, variables map[string]string) {
+// expandKeys expands the variables in the values of a job's keys. It leaves out the key variables, and ignored
+// and unsupported keys: the latter may use variables that are not set in the file.
+func (c *compiler) expandKeys(jobName string, tree *yaml.Node, variables map[string]string) {
 	for i := 0; i+1 < len(tree.Content); i += 2 {
 		key := tree.Content[i].Value
 		if key != "variables" && unsupportedKeys[key] == "" && !slices.Contains(ignoredKeys, key) {
-			c.expandVariables(tree.Content[i+1], base+"."+key, variables)
+			c.expandVariables(tree.Content[i+1], jobName+"."+key, variables)
 		}
 	}
 }
 
-// at returns the node where a problem with a key is reported: the deepest one on the path of keys that
-// exists, or the job's name if there is none.
-func (j *jobCompiler) at(path ...string) *yaml.Node {
+// problemNode returns the node at which a problem with a key is reported: the deepest node that exists on
+// the path of keys, or the node of the job's name if no key of the path exists.
+func (j *jobCompiler) problemNode(path ...string) *yaml.Node {
 	node := j.tree
 	for _, key := range path {
 		if value := valueOf(node, key); value != nil {
@@ -170,17 +171,17 @@
 		}
 	}
 	if node == j.tree {
-		return j.nameNodes[j.base]
+		return j.nameNodes[j.jobName]
 	}
 	return node
 }
 
-// compile makes the job of the plan from the keys, and reports their problems.
-func (j *jobCompiler) compile(name string) {
+// compile makes the job of the plan from the keys, and reports the problems of the keys.
+func (j *jobCompiler) compile(copyName string) {
 	keys := &j.keys
 	j.job = Job{
-		Name:          name,
-		Line:          j.nameNodes[j.base].Line,
+		Name:          copyName,
+		Line:          j.nameNodes[j.jobName].Line,
 		Stage:         slices.Index(j.plan.Stages, keys.Stage),
 		Staged:        keys.Needs == nil,
 		TimeoutS:      time.Duration(keys.Timeout).Seconds(),
@@ -192,8 +193,8 @@
 		Retries:       keys.Retry.Max,
 	}
 	if j.job.Stage < 0 {
-		own := j.plan.Stages[1 : len(j.plan.Stages)-1]
-		j.addProblem(j.at("stage"), "%s.stage: there is no stage %q; there are %s", j.base, keys.Stage, strings.Join(own, ", "))
+		userStages := j.plan.Stages[1 : len(j.plan.Stages)-1]
+		j.addProblem(j.problemNode("stage"), "%s.stage: there is no stage %q; there are %s", j.jobName, keys.Stage, strings.Join(userStages, ", "))
 	}
 	j.compileWhen()
 	j.compileAllowFailure()
@@ -206,22 +207,22 @@
 	switch when {
 	case OnSuccess, OnFailure, Always, Manual, Delayed:
 	default:
-		j.addProblem(j.at("when"), "%s.when: unknown %q; on_success, on_failure, always, manual and delayed are known", j.base, j.keys.When)
+		j.addProblem(j.problemNode("when"), "%s.when: unknown %q; on_success, on_failure, always, manual and delayed are known", j.jobName, j.keys.When)
 	}
 	switch {
 	case when == Delayed && startInSeconds == 0:
-		j.addProblem(j.at("when"), "%s.start_in: missing; when: delayed needs it", j.base)
+		j.addProblem(j.problemNode("when"), "%s.start_in: missing; required with when: delayed", j.jobName)
 	case when != Delayed && startInSeconds > 0:
-		j.addProblem(j.at("start_in"), "%s.start_in: only with when: delayed", j.base)
+		j.addProblem(j.problemNode("start_in"), "%s.start_in: allowed only with when: delayed", j.jobName)
 	}
 }
 
 func (j *jobCompiler) compileAllowFailure() {
 	if j.job.When == Manual && !j.keys.AllowFailure.isSet {
-		j.job.AllowFailure = true // the default of the published format: no other job waits for it
+		j.job.AllowFailure = true // the default of the GitLab format: no other job waits for a manual job
 	}
 	if value := valueOf(j.tree, "allow_failure"); value != nil && value.Kind == yaml.MappingNode {
-		j.addNotice(value, "%s.allow_failure: tasks have no exit codes here, so no failure is allowed", j.base)
+		j.addNotice(value, "%s.allow_failure: tasks have no exit codes in cherrywall, so no failure is allowed", j.jobName)
 	}
 }
 
@@ -236,9 +237,9 @@
 	for _, name := range when {
 		causes, known := retryCauses[name]
 		if !known {
-			j.addProblem(node, "%s.retry.when: unknown %q", j.base, name)
+			j.addProblem(node, "%s.retry.when: unknown %q", j.jobName, name)
 		} else if causes == nil {
-			j.addNotice(node, "%s.retry.when: %s does not happen here", j.base, name)
+			j.addNotice(node, "%s.retry.when: %s never occurs in cherrywall", j.jobName, name)
 		}
 		for _, cause := range causes {
 			if !slices.Contains(j.job.RetryOn, cause) {
@@ -247,9 +248,9 @@
 		}
 	}
 	if valueOf(node, "exit_codes") != nil {
-		j.addNotice(node, "%s.retry.exit_codes: tasks have no exit codes here", j.base)
+		j.addNotice(node, "%s.retry.exit_codes: tasks have no exit codes in cherrywall", j.jobName)
 	}
 	if j.job.Retries > tuning.MaxPipelineRetries {
-		j.addProblem(node, "%s.retry: must be 0 to %d", j.base, tuning.MaxPipelineRetries)
+		j.addProblem(node, "%s.retry: must be 0 to %d", j.jobName, tuning.MaxPipelineRetries)
 	}
 }
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -6,38 +6,38 @@
 	"cherrywall/internal/jobs"
 )
 
-// jobKinds are the kinds of jobs by their names in files. Services are not among them: they never
+// jobKinds are the kinds of jobs by their names in files. Services are excluded because they never
 // end.
 var jobKinds = map[string]jobs.Kind{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang}
 
-// compileSpec makes the spec that is submitted, and checks it against the limits of its class and
-// the cluster.
+// compileSpec makes the spec that is submitted to the cluster. It reports fields that are missing or out of
+// range, limits of the job's class that are exceeded, and the reason why the cluster cannot run the job.
 func (j *jobCompiler) compileSpec() {
 	keys, spec := &j.keys.Cluster, &j.job.Spec
 	*spec = newSpec(&j.keys)
 	kind, known := jobKinds[keys.Kind]
 	if !known {
-		j.addProblem(j.at("cluster", "kind"), "%s.cluster.kind: must be array or gang; a service never ends", j.base)
+		j.addProblem(j.problemNode("cluster", "kind"), "%s.cluster.kind: must be array or gang; a service never ends", j.jobName)
 		return
 	}
 	spec.Kind = kind
-	before := len(j.problems)
+	problemsBefore := len(j.problems)
 	j.checkFields(spec, keys.DeadlineS)
-	if len(j.problems) > before {
+	if len(j.problems) > problemsBefore {
 		return
 	}
 	if j.limits != nil {
 		j.checkClassLimits()
 	}
-	if j.validate == nil || len(j.problems) > before {
+	if j.validate == nil || len(j.problems) > problemsBefore {
 		return
 	}
 	if err := j.validate(spec); err != nil {
-		j.addProblem(j.at("cluster"), "%s.cluster: %v", j.base, err)
+		j.addProblem(j.problemNode("cluster"), "%s.cluster: %v", j.jobName, err)
 	}
 }
 
-// newSpec makes a spec from a job's keys, with defaults for what is left out. The kind is not set.
+// newSpec makes a spec from a job's keys, with defaults for omitted keys. It does not set the kind.
 func newSpec(keys *jobKeys) jobs.Spec {
 	cluster := &keys.Cluster
 	spec := jobs.Spec{
@@ -78,37 +78,37 @@
 
 // checkFields reports the fields of a spec that are missing or out of range.
 func (j *jobCompiler) checkFields(spec *jobs.Spec, deadlineSeconds float64) {
-	const negative = "must not be below 0"
+	const mustNotBeNegative = "must not be below 0"
 	for _, field := range []struct {
-		key   string
-		wrong bool
-		text  string
+		key     string
+		invalid bool
+		text    string
 	}{
-		{"class", spec.Class == "", "missing; the class of jobs it belongs to"},
-		{"team", spec.Team == "", "missing; the team it runs for"},
-		{"image", spec.Image == "", "missing; the image its tasks run"},
+		{"class", spec.Class == "", "missing; must name the class of the job"},
+		{"team", spec.Team == "", "missing; must name the team that the job runs for"},
+		{"image", spec.Image == "", "missing; must name the image that the tasks run"},
 		{"priority", spec.Priority() < 0, "must be idle, normal, high or prod"},
 		{"tasks", spec.Tasks < 1 || spec.Tasks > jobs.MaxTasks, fmt.Sprintf("must be 1 to %d", jobs.MaxTasks)},
-		{"types", spec.MachineTypes != nil && len(spec.MachineTypes) == 0, "must name a type, or be left out for any"},
-		{"cpus", !isAmount(spec.CPU), negative},
-		{"gpus", !isAmount(spec.GPU), negative},
-		{"memory_gb", !isAmount(spec.MemGB), negative},
-		{"image_gb", !isAmount(spec.ImageGB), negative},
-		{"estimate_s", !isAmount(spec.EstimatedRunSeconds), negative},
-		{"checkpoint_s", !isAmount(spec.CheckpointIntervalSeconds), negative},
-		{"save_s", !isAmount(spec.CheckpointSaveSeconds), negative},
-		{"deadline_s", !isAmount(deadlineSeconds), "must be above 0"},
-		{"cpus", spec.CPU == 0 && spec.GPU == 0 && spec.MemGB == 0, "missing; a task must take some cpus, gpus or memory_gb"},
+		{"types", spec.MachineTypes != nil && len(spec.MachineTypes) == 0, "must list at least one machine type; omit the key to allow all types"},
+		{"cpus", !isNonNegative(spec.CPU), mustNotBeNegative},
+		{"gpus", !isNonNegative(spec.GPU), mustNotBeNegative},
+		{"memory_gb", !isNonNegative(spec.MemGB), mustNotBeNegative},
+		{"image_gb", !isNonNegative(spec.ImageGB), mustNotBeNegative},
+		{"estimate_s", !isNonNegative(spec.EstimatedRunSeconds), mustNotBeNegative},
+		{"checkpoint_s", !isNonNegative(spec.CheckpointIntervalSeconds), mustNotBeNegative},
+		{"save_s", !isNonNegative(spec.CheckpointSaveSeconds), mustNotBeNegative},
+		{"deadline_s", !isNonNegative(deadlineSeconds), "must be above 0"},
+		{"cpus", spec.CPU == 0 && spec.GPU == 0 && spec.MemGB == 0, "missing; a task must request cpus, gpus or memory_gb"},
 	} {
-		if field.wrong {
-			j.addProblem(j.at("cluster", field.key), "%s.cluster.%s: %s", j.base, field.key, field.text)
+		if field.invalid {
+			j.addProblem(j.problemNode("cluster", field.key), "%s.cluster.%s: %s", j.jobName, field.key, field.text)
 		}
 	}
 }
 
-// isAmount reports whether a number is 0 or above. It is false for NaN, which a comparison with < 0
+// isNonNegative reports whether a number is 0 or above. It is false for NaN, which a comparison with < 0
 // would accept.
-func isAmount(number float64) bool { return number >= 0 }
+func isNonNegative(number float64) bool { return number >= 0 }
 
 // checkClassLimits checks a job against the operators' limits of its class.
 func (j *jobCompiler) checkClassLimits() {
@@ -118,12 +118,12 @@
 		return
 	}
 	if j.job.Retries > limits.MaxRetries {
-		j.addProblem(j.at("retry"), "%s.retry: %d, but class %s allows %d", j.base, j.job.Retries, spec.Class, limits.MaxRetries)
+		j.addProblem(j.problemNode("retry"), "%s.retry: %d, but class %s allows %d", j.jobName, j.job.Retries, spec.Class, limits.MaxRetries)
 	}
 	if limits.ExceededByTasks(spec) {
-		j.addProblem(j.at("cluster", "tasks"), "%s.cluster.tasks: %d, but class %s allows %d", j.base, spec.Tasks, spec.Class, limits.MaxTasks)
+		j.addProblem(j.problemNode("cluster", "tasks"), "%s.cluster.tasks: %d, but class %s allows %d", j.jobName, spec.Tasks, spec.Class, limits.MaxTasks)
 	}
 	if limits.ExceededByRunTime(spec) {
-		j.addProblem(j.at("cluster", "estimate_s"), "%s.cluster.estimate_s: %g, but class %s allows %g", j.base, spec.EstimatedRunSeconds, spec.Class, limits.MaxRunSeconds)
+		j.addProblem(j.problemNode("cluster", "estimate_s"), "%s.cluster.estimate_s: %g, but class %s allows %g", j.jobName, spec.EstimatedRunSeconds, spec.Class, limits.MaxRunSeconds)
 	}
 }
--- a/internal/pipeline/decode.go
+++ b/internal/pipeline/decode.go
@@ -8,7 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// fieldsByKey returns the indexes of a struct's fields by their keys.
+// fieldsByKey returns the indexes of a struct's fields by their keys in the file, which are the names in
+// the fields' json tags.
 func fieldsByKey(structType reflect.Type) map[string]int {
 	fields := map[string]int{}
 	for i := range structType.NumField() {
@@ -19,11 +20,11 @@
 	return fields
 }
 
-// decodeMapping decodes a mapping into a struct, key by key, so that the problems of all keys are
-// reported and not only the first. prefix precedes the keys in the texts of problems. unknown is called
-// for keys without a field.
-func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, into any, unknown func(key, value *yaml.Node)) {
-	target := reflect.ValueOf(into).Elem()
+// decodeMapping decodes a mapping into the struct to which destination points. It decodes key by key, so
+// that the problems of all keys are reported and not only the first one. prefix precedes the keys in the
+// texts of problems. unknown is called for each key that the struct has no field for.
+func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, destination any, unknown func(key, value *yaml.Node)) {
+	target := reflect.ValueOf(destination).Elem()
 	fields := fieldsByKey(target.Type())
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], resolveAlias(node.Content[i+1])
@@ -33,13 +34,13 @@
 			continue
 		}
 		if value.Kind == yaml.ScalarNode && value.Tag == "!!null" {
-			continue // a key without a value counts as left out
+			continue // a key without a value is treated as omitted
 		}
 		c.decodeField(value, prefix+key.Value, target.Field(index))
 	}
 }
 
-// decodeField decodes the value of a key into a field.
+// decodeField decodes the value of a key into a field. name is the key in the texts of problems.
 func (c *problemCollector) decodeField(value *yaml.Node, name string, field reflect.Value) {
 	if field.Type() != reflect.TypeFor[cluster]() {
 		if err := value.Decode(field.Addr().Interface()); err != nil {
@@ -58,8 +59,8 @@
 
 var variablePattern = regexp.MustCompile(`\$\$|\$\{[A-Za-z_][A-Za-z0-9_]*\}|\$[A-Za-z_][A-Za-z0-9_]*`)
 
-// expandVariables replaces variables by their values in all texts of a tree, in place; $$ becomes $.
-// name is the tree's key in the texts of problems.
+// expandVariables replaces variables by their values in all scalars of a tree, in place, and replaces $$ by
+// $. It reports variables that are not set. name is the tree's key in the texts of problems.
 func (c *problemCollector) expandVariables(node *yaml.Node, name string, variables map[string]string) {
 	for _, child := range node.Content {
 		c.expandVariables(child, name, variables)
@@ -78,5 +79,5 @@
 		}
 		return value
 	})
-	node.Tag, node.Style = "", 0 // so that a number from a variable is a number
+	node.Tag, node.Style = "", 0 // so that the value of a variable can be decoded as a number
 }
--- a/internal/pipeline/duration.go
+++ b/internal/pipeline/duration.go
@@ -11,13 +11,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// duration is a time such as 90s, 1h 30m or "2 days".
+// duration is a length of time, written as 90s, 1h 30m or "2 days".
 type duration time.Duration
 
-// durationPattern matches one number with its unit at the beginning of the rest.
+// durationPattern matches one number and its unit at the beginning of the text that is not yet parsed.
 var durationPattern = regexp.MustCompile(`^\s*([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)\s*(?:and|,)?`)
 
-// A day always has 24 hours here.
+// A day always has 24 hours, also when clocks change.
 const (
 	day  = 24 * time.Hour
 	week = 7 * day
@@ -34,7 +34,7 @@
 // UnmarshalYAML implements yaml.Unmarshaler. A number without a unit is in seconds. The duration must be
 // above 0 and at most tuning.MaxPipelineDuration.
 func (d *duration) UnmarshalYAML(node *yaml.Node) error {
-	const wrongForm = "must be a time such as 90s or 1h 30m"
+	const wrongForm = "must be a duration such as 90s or 1h 30m"
 	rest, sum := node.Value, 0.0
 	if node.Kind != yaml.ScalarNode || strings.TrimSpace(rest) == "" {
 		return newPositionError(node, wrongForm)
--- a/internal/pipeline/keys.go
+++ b/internal/pipeline/keys.go
@@ -4,17 +4,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// The types below are the keys of a file. The JSON schema of files is made from them, so that their
-// tags and descriptions are published texts. Keys that have several forms implement yaml.Unmarshaler.
+// The types below define the keys of a file. The published JSON schema of files is generated from these
+// types, so their tags and descriptions are visible to users. Types of keys that have several forms
+// implement yaml.Unmarshaler.
 
-// file is the top of a file. Every other key there is a job.
+// file holds the top-level keys of a file that are not jobs. Every other top-level key is a job.
 type file struct {
 	Stages    []string          `json:"stages,omitempty" jsonschema:"description=Stages in order; without it: build and test and deploy."`
 	Default   *defaults         `json:"default,omitempty" jsonschema:"description=What holds for each job that does not say otherwise."`
 	Variables map[string]scalar `json:"variables,omitempty" jsonschema:"description=Values for $NAME in the jobs."`
 }
 
-// defaults are the keys that default may set for all jobs.
+// defaults holds the keys that the key default may set for all jobs.
 type defaults struct {
 	Image         image    `json:"image,omitempty"`
 	Interruptible bool     `json:"interruptible,omitempty"`
@@ -23,7 +24,7 @@
 	Cluster       cluster  `json:"cluster,omitempty"`
 }
 
-// jobKeys are the keys of a job.
+// jobKeys holds the keys of a job.
 type jobKeys struct {
 	Stage         string            `json:"stage,omitempty" jsonschema:"description=One of the stages; test if left out."`
 	Needs         needs             `json:"needs,omitempty" jsonschema:"description=Jobs that have to end first whatever their stages; without it all of the earlier stages."`
@@ -41,7 +42,7 @@
 	Cluster       cluster           `json:"cluster,omitempty" jsonschema:"description=What the job is for the cluster."`
 }
 
-// cluster has the keys of a job for the cluster, an extension of the published format.
+// cluster holds the keys below the key cluster of a job, which is an extension of the GitLab format.
 type cluster struct {
 	Class       string   `json:"class,omitempty" jsonschema:"description=Class of jobs; limits and aims belong to it."`
 	Team        string   `json:"team,omitempty" jsonschema:"description=Team whose guarantee and limit apply."`
@@ -64,7 +65,7 @@
 	DeadlineS   float64  `json:"deadline_s,omitempty" jsonschema:"minimum=0,description=Seconds from its submission in which it should be done."`
 }
 
-// scalar is a text, or a number or boolean as text.
+// scalar is the text of a string, number or boolean. It may also be written as a mapping with the key value.
 type scalar string
 
 func (s *scalar) UnmarshalYAML(node *yaml.Node) error {
@@ -72,15 +73,15 @@
 	case yaml.ScalarNode:
 		*s = scalar(node.Value)
 		return nil
-	case yaml.MappingNode: // with a value, and a description for people
+	case yaml.MappingNode: // with the key value, and a description for human readers
 		if value := valueOf(node, "value"); value != nil {
 			return s.UnmarshalYAML(value)
 		}
 	}
-	return newPositionError(node, "must be a text, a number, or true or false")
+	return newPositionError(node, "must be a string, a number, true or false")
 }
 
-// oneOrMore is a text or a list of texts.
+// oneOrMore is a list of strings. A single string may be written without a list.
 type oneOrMore []string
 
 func (o *oneOrMore) UnmarshalYAML(node *yaml.Node) error {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// image is a name, or a mapping with one.
+// image is the name of an image, written as a string or as a mapping with the key name.
 type image string
 
 func (i *image) UnmarshalYAML(node *yaml.Node) error {
@@ -115,7 +116,8 @@
 	return newPositionError(node, "must be a name, or a mapping with name")
 }
 
-// retry is how often a job is retried, and after which causes.
+// retry defines how often a job is retried, and after which causes of failure. It may be written as a number,
+// which is Max.
 type retry struct {
 	node *yaml.Node // where problems are reported
 	Max  int        `json:"max"`
@@ -146,16 +148,16 @@
 	case "when":
 		return value.Decode(&r.When)
 	case "exit_codes":
-		return nil // a notice says that tasks have no exit codes here
+		return nil // ignored with a notice, see compileRetry: tasks have no exit codes in cherrywall
 	}
 	return newPositionError(value, "unknown; max and when are known")
 }
 
-// parallel is a number of copies, or a matrix of variables.
+// parallel defines the copies of a job, as a number or as a matrix of variables.
 type parallel struct {
 	N      int                    `json:"n,omitempty"`
 	Matrix []map[string]oneOrMore `json:"matrix,omitempty"`
-	keys   [][]string             // of the rows of the matrix, in the order of the file
+	keys   [][]string             // the variables of each row of the matrix, in the order of the file
 }
 
 func (p *parallel) UnmarshalYAML(node *yaml.Node) error {
@@ -174,7 +176,7 @@
 
 func (p *parallel) decodeKey(key string, value *yaml.Node) error {
 	if key != "matrix" || value.Kind != yaml.SequenceNode {
-		return newPositionError(value, "only matrix is known, a list of mappings")
+		return newPositionError(value, "only the key matrix is supported, with a list of mappings")
 	}
 	for _, row := range value.Content {
 		if err := p.decodeRow(row); err != nil {
@@ -205,14 +207,15 @@
 	return nil
 }
 
-// need is a job that another one needs.
+// need is one entry of the key needs: the name of a job that has to end first.
 type need struct {
 	node     *yaml.Node // where problems are reported
 	Job      string     `json:"job"`
 	Optional bool       `json:"optional,omitempty"`
 }
 
-// needs is a list of needed jobs. Nil means the jobs of all earlier stages, an empty list none.
+// needs is the list of jobs that have to end first. Nil means all jobs of the earlier stages; an empty list
+// means that the job waits for no other job.
 type needs []need
 
 func (l *needs) UnmarshalYAML(node *yaml.Node) error {
@@ -222,19 +225,19 @@
 	*l = needs{}
 	for _, item := range node.Content {
 		item = resolveAlias(item)
-		one := need{node: item}
+		entry := need{node: item}
 		switch item.Kind {
 		case yaml.ScalarNode:
-			one.Job = item.Value
+			entry.Job = item.Value
 		case yaml.MappingNode:
-			if err := forEachKey(item, one.decodeKey); err != nil {
+			if err := forEachKey(item, entry.decodeKey); err != nil {
 				return err
 			}
 		}
-		if one.Job == "" {
+		if entry.Job == "" {
 			return newPositionError(item, "must be the name of a job, or a mapping with job")
 		}
-		*l = append(*l, one)
+		*l = append(*l, entry)
 	}
 	return nil
 }
@@ -246,17 +249,17 @@
 	case "optional":
 		return value.Decode(&n.Optional)
 	case "artifacts":
-		return nil // a notice says that it has no effect here
+		return nil // ignored with a notice, see resolveNeeds
 	}
-	return newPositionError(value, key+": has no meaning here; job and optional are known")
+	return newPositionError(value, key+": unknown key; job and optional are known")
 }
 
-// allowFailure is true, false, or a mapping with exit codes.
+// allowFailure is true, false, or a mapping with exit codes. A mapping counts as false.
 type allowFailure struct{ isSet, isAllowed bool }
 
 func (a *allowFailure) UnmarshalYAML(node *yaml.Node) error {
 	a.isSet = true
-	if node.Kind == yaml.MappingNode { // exit codes: a notice says that tasks have none here
+	if node.Kind == yaml.MappingNode { // exit codes, ignored with a notice, see compileAllowFailure
 		return nil
 	}
 	if node.Decode(&a.isAllowed) != nil {
--- a/internal/pipeline/needs.go
+++ b/internal/pipeline/needs.go
@@ -6,23 +6,24 @@
 	"strings"
 )
 
-// resolveNeeds resolves the names of needed jobs to indexes in the plan, once all jobs are known.
+// resolveNeeds resolves the names of needed jobs to indexes in the plan. It is called when the plan contains
+// all jobs.
 func (c *compiler) resolveNeeds() {
-	for _, pending := range c.pendingNeeds {
-		job := &c.plan.Jobs[pending.job]
-		for _, entry := range pending.needs {
+	for _, unresolved := range c.unresolvedNeeds {
+		job := &c.plan.Jobs[unresolved.job]
+		for _, entry := range unresolved.needs {
 			if artifacts := valueOf(entry.node, "artifacts"); artifacts != nil {
 				c.addNotice(artifacts, "%s.needs.artifacts: has no meaning here", job.Name)
 			}
-			c.addNeeds(job, entry, c.findNeeded(job, entry))
+			c.addNeeds(job, entry, c.findNeededJobs(job, entry))
 		}
 		slices.Sort(job.Needs)
 	}
 }
 
-// findNeeded returns the indexes of a needed job's copies, or of the one copy that is needed by its
-// own name.
-func (c *compiler) findNeeded(job *Job, entry need) []int {
+// findNeededJobs returns the indexes of the jobs that an entry of needs names: all copies of a job, or the one
+// copy with that name. If there is none, it reports a problem, unless the entry is optional.
+func (c *compiler) findNeededJobs(job *Job, entry need) []int {
 	if copies := c.copies[entry.Job]; copies != nil {
 		return copies
 	}
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// addNeeds adds needed jobs to a job, and reports those that are in later stages.
+// addNeeds adds needed jobs to a job, and reports needed jobs that are in later stages.
 func (c *compiler) addNeeds(job *Job, entry need, needed []int) {
 	for _, i := range needed {
 		if stage := c.plan.Jobs[i].Stage; stage > job.Stage {
@@ -56,18 +57,18 @@
 
 const (
 	unvisited visitState = iota
-	onPath               // the search has not left it: needing it closes a cycle
+	onPath               // on the current path of the search: a job that needs it closes a cycle
 	visited
 )
 
-// cycleSearch is a depth-first search for jobs that need each other.
+// cycleSearch is a depth-first search for cycles of jobs that need each other.
 type cycleSearch struct {
 	*compiler
 	states []visitState // by job
-	path   []int        // from the job where the search began to the current one
+	path   []int        // the jobs from the start of the search to the current job
 }
 
-// reportCycles reports jobs that need each other.
+// reportCycles reports cycles of jobs that need each other.
 func (c *compiler) reportCycles() {
 	search := &cycleSearch{compiler: c, states: make([]visitState, len(c.plan.Jobs))}
 	for i := range c.plan.Jobs {
@@ -92,7 +93,7 @@
 	s.states[job] = visited
 }
 
-// report reports the cycle that a job on the path closes.
+// report reports the cycle that consists of the path from a job to the current one.
 func (s *cycleSearch) report(job int) {
 	var names []string
 	for _, i := range s.path[slices.Index(s.path, job):] {
--- a/internal/pipeline/node.go
+++ b/internal/pipeline/node.go
@@ -8,7 +8,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// resolveAlias returns the node that an alias stands for.
+// resolveAlias returns the node that an alias refers to. Any other node is returned unchanged.
 func resolveAlias(node *yaml.Node) *yaml.Node {
 	for node.Kind == yaml.AliasNode {
 		node = node.Alias
@@ -16,8 +16,8 @@
 	return node
 }
 
-// forEachKey calls visit for each key of a mapping, in the order of the file, until it returns an
-// error.
+// forEachKey calls visit for each key of a mapping, in the order of the file. It stops at the first error of
+// visit and returns it.
 func forEachKey(node *yaml.Node, visit func(key string, value *yaml.Node) error) error {
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		if err := visit(node.Content[i].Value, resolveAlias(node.Content[i+1])); err != nil {
@@ -27,17 +27,17 @@
 	return nil
 }
 
-// valueOf returns the value of a mapping's key, nil if there is none.
+// valueOf returns the value of a mapping's key, or nil if the mapping does not have the key.
 func valueOf(node *yaml.Node, key string) *yaml.Node {
-	if i := indexOfKey(node, key); i >= 0 {
+	if i := keyIndex(node, key); i >= 0 {
 		return node.Content[i+1]
 	}
 	return nil
 }
 
-// indexOfKey returns the index of a key in a mapping's content, -1 if there is none. The value
-// follows it.
-func indexOfKey(node *yaml.Node, key string) int {
+// keyIndex returns the index of a key in a mapping's content, or -1 if the mapping does not have the key. The
+// value of the key is at the next index.
+func keyIndex(node *yaml.Node, key string) int {
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		if node.Content[i].Value == key {
 			return i
@@ -46,42 +46,42 @@
 	return -1
 }
 
-// mergeMappings returns a mapping with the keys of both, those of the first taking precedence.
-// Mappings under a key of both are merged as well.
-func mergeMappings(over, under *yaml.Node) *yaml.Node {
-	if over == nil {
-		return under
+// mergeMappings returns a mapping with the keys of both mappings. The values of overrides take precedence;
+// if a key has a mapping as value in both, these values are merged in the same way.
+func mergeMappings(overrides, base *yaml.Node) *yaml.Node {
+	if overrides == nil {
+		return base
 	}
-	if under == nil || over.Kind != yaml.MappingNode || under.Kind != yaml.MappingNode {
-		return over
+	if base == nil || overrides.Kind != yaml.MappingNode || base.Kind != yaml.MappingNode {
+		return overrides
 	}
-	merged := *over
-	merged.Content = slices.Clone(over.Content)
-	for i := 0; i+1 < len(under.Content); i += 2 {
-		if k := indexOfKey(&merged, under.Content[i].Value); k >= 0 {
-			merged.Content[k+1] = mergeMappings(merged.Content[k+1], under.Content[i+1])
+	merged := *overrides
+	merged.Content = slices.Clone(overrides.Content)
+	for i := 0; i+1 < len(base.Content); i += 2 {
+		if k := keyIndex(&merged, base.Content[i].Value); k >= 0 {
+			merged.Content[k+1] = mergeMappings(merged.Content[k+1], base.Content[i+1])
 		} else {
-			merged.Content = append(merged.Content, under.Content[i], under.Content[i+1])
+			merged.Content = append(merged.Content, base.Content[i], base.Content[i+1])
 		}
 	}
 	return &merged
 }
 
-// treeCopier copies trees of nodes. It limits the number of copied nodes, since a small file whose
-// aliases are nested grows exponentially when they are resolved.
+// treeCopier copies trees of nodes. It limits the number of copied nodes, because a small file with nested
+// aliases grows exponentially when they are resolved.
 type treeCopier struct {
-	copiedNodes int // by all calls of copyTree
+	copiedNodes int // total of all calls of copyTree
 }
 
-// copyTree copies a node with aliases resolved and merge keys applied, so that the copy may be changed.
-// It returns an error if the copies exceed the limits of nodes or depth.
+// copyTree copies a node and the tree below it, with aliases resolved and merge keys applied. The caller may
+// change the copy. copyTree returns an error if the copies exceed the limits on nodes or depth.
 func (c *treeCopier) copyTree(node *yaml.Node, depth int) (*yaml.Node, error) {
 	node = resolveAlias(node)
 	if c.copiedNodes++; c.copiedNodes > tuning.MaxPipelineNodes || depth > tuning.MaxPipelineDepth {
-		return nil, newPositionError(node, "the file unfolds to too much; fewer or smaller aliases and extends are needed")
+		return nil, newPositionError(node, "the file unfolds to too much data; use fewer or smaller aliases and extends")
 	}
 	if node.Tag == "!reference" {
-		return nil, newPositionError(node, "!reference is not supported; extends or an anchor does the same")
+		return nil, newPositionError(node, "!reference is not supported; use extends or an anchor instead")
 	}
 	copied := *node
 	copied.Content, copied.Anchor, copied.Alias = nil, "", nil
@@ -101,8 +101,8 @@
 	return &copied, nil
 }
 
-// copyMapping copies the keys and values of a mapping, and then those keys of merged mappings that it
-// does not have itself.
+// copyMapping copies the keys and values of a mapping. It then adds the keys of merged mappings that the
+// mapping itself does not have.
 func (c *treeCopier) copyMapping(node, copied *yaml.Node, depth int) error {
 	var merged []*yaml.Node
 	for i := 0; i+1 < len(node.Content); i += 2 {
@@ -122,7 +122,7 @@
 	}
 	for _, mapping := range merged {
 		if mapping.Kind != yaml.MappingNode {
-			return newPositionError(mapping, "<<: must be a mapping or a list of them")
+			return newPositionError(mapping, "<<: must be a mapping or a list of mappings")
 		}
 		for i := 0; i+1 < len(mapping.Content); i += 2 {
 			if valueOf(copied, mapping.Content[i].Value) == nil {
--- a/internal/pipeline/parse.go
+++ b/internal/pipeline/parse.go
@@ -13,34 +13,36 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Limits of the published format.
+// Limits of the GitLab format.
 const (
 	maxParallel = 200 // copies of a job
 	maxExtends  = 11  // levels of extends
 )
 
-// The stages that every file has before and after its own, and those of a file without any.
+// The stages that every file has before and after the stages that it lists.
 const (
 	firstStage = ".pre"
 	lastStage  = ".post"
 )
 
+// defaultStages are the stages of a file that lists none.
 var defaultStages = []string{"build", "test", "deploy"}
 
-// ignoredKeys are keys of the published format that do not affect which jobs run here and when.
+// ignoredKeys are keys of the GitLab format that do not affect which jobs cherrywall runs and when it runs
+// them. They are accepted with a notice.
 var ignoredKeys = []string{"script", "before_script", "after_script", "artifacts", "cache", "services", "environment", "coverage", "release",
 	"pages", "secrets", "id_tokens", "tags", "hooks", "identity", "inherit", "dependencies", "dast_configuration", "spec", "workflow",
 	"$schema"}
 
-// unsupportedKeys are keys of the published format that would affect that. They are errors, whose texts
-// say what to use instead.
+// unsupportedKeys are keys of the GitLab format that would affect which jobs run and when, but are not
+// supported. Each is reported as an error, whose text says what to use instead.
 var unsupportedKeys = map[string]string{
 	"rules":   "when says whether a job runs",
 	"only":    "when says whether a job runs",
 	"except":  "when says whether a job runs",
-	"include": "a file stands alone; anchors and extends join its parts",
-	"trigger": "a run of another file is started by itself",
-	"run":     "a cluster job has an image, no steps",
+	"include": "a pipeline must be a single file; use anchors and extends to reuse parts of it",
+	"trigger": "submit the other file as a separate run",
+	"run":     "a cluster job runs an image and has no steps",
 }
 
 // ClassLimits returns the operators' limits of a class of jobs; ok is false if the class has none.
@@ -49,12 +51,12 @@
 // ValidateSpec checks whether the cluster can run a job. The text of the error is shown to the user.
 type ValidateSpec func(spec *jobs.Spec) error
 
-// Parse makes a plan of a file. The error is of type Problems and has all errors of the file. Notices
-// are about keys that have no effect here; they are returned with an error as well. limits and validate
-// may be nil: then what they check is not checked.
+// Parse parses a file and returns its plan. The error is of type Problems and contains all errors of the
+// file. The notices are about keys that have no effect; they may be returned together with an error. limits
+// and validate may be nil: then the limits of classes are not checked, or the specs are not validated.
 func Parse(raw []byte, limits ClassLimits, validate ValidateSpec) (plan *Plan, notices Problems, err error) {
 	if len(raw) > tuning.MaxPipelineFileBytes {
-		return nil, nil, Problems{{1, 1, fmt.Sprintf("the file has %d bytes, more than %d", len(raw), tuning.MaxPipelineFileBytes)}}
+		return nil, nil, Problems{{1, 1, fmt.Sprintf("the file has %d bytes, more than the limit of %d", len(raw), tuning.MaxPipelineFileBytes)}}
 	}
 	var document yaml.Node
 	if err := yaml.Unmarshal(raw, &document); err != nil {
@@ -64,19 +66,19 @@
 		return nil, nil, Problems{{1, 1, "the file must be a mapping of jobs"}}
 	}
 	c := newCompiler(limits, validate)
-	top, err := c.copyTree(document.Content[0], 0)
+	root, err := c.copyTree(document.Content[0], 0)
 	if err != nil {
 		c.addError(&document, "file", err)
 		return nil, nil, c.problems
 	}
-	c.compileFile(top)
+	c.compileFile(root)
 	if len(c.problems) > 0 {
 		return nil, c.notices.sorted(), c.problems.sorted()
 	}
 	return &c.plan, c.notices.sorted(), nil
 }
 
-// compiler makes a plan of one file.
+// compiler makes the plan of one file.
 type compiler struct {
 	problemCollector
 	treeCopier
@@ -86,17 +88,17 @@
 	file          file
 	variables     map[string]string
 	defaultNode   *yaml.Node            // nil if there is none
-	jobNodes      map[string]*yaml.Node // the keys of the jobs as written, by name, hidden jobs included
+	jobNodes      map[string]*yaml.Node // the keys of the jobs as written, by job name, including hidden jobs
 	nameNodes     map[string]*yaml.Node // the nodes of the jobs' names, where problems are reported
-	extendedNodes map[string]*yaml.Node // the jobs with the keys of those that they extend, see extendedNode
+	extendedNodes map[string]*yaml.Node // the results of extendedNode, by job name
 
-	plan         Plan
-	copies       map[string][]int // indexes in the plan, by the job's name in the file
-	pendingNeeds []pendingNeed
+	plan            Plan
+	copies          map[string][]int // indexes in the plan of each job's copies, by the job's name in the file
+	unresolvedNeeds []unresolvedNeeds
 }
 
-// pendingNeed has the needs of a job of the plan as written; resolveNeeds resolves them.
-type pendingNeed struct {
+// unresolvedNeeds holds the needs of a job of the plan as written in the file, for resolveNeeds.
+type unresolvedNeeds struct {
 	job   int // index in the plan
 	needs needs
 }
@@ -113,14 +115,14 @@
 	}
 }
 
-// compileFile makes the plan of a file's top mapping.
-func (c *compiler) compileFile(top *yaml.Node) {
-	names := c.readTop(top)
-	c.readDefault(top)
+// compileFile makes the plan from the root mapping of a file.
+func (c *compiler) compileFile(root *yaml.Node) {
+	names := c.decodeRoot(root)
+	c.decodeDefault(root)
 	for name, value := range c.file.Variables {
 		c.variables[name] = string(value)
 	}
-	c.compileStages(top)
+	c.compileStages(root)
 	for _, name := range names {
 		if !strings.HasPrefix(name, ".") {
 			c.compileJob(name)
@@ -128,26 +130,26 @@
 	}
 	switch count := len(c.plan.Jobs); {
 	case count == 0 && len(c.problems) == 0:
-		c.addProblem(top, "the file has no job")
+		c.addProblem(root, "the file has no jobs")
 	case count > tuning.MaxPipelineJobs:
-		c.addProblem(top, "the file has %d jobs, more than %d", count, tuning.MaxPipelineJobs)
+		c.addProblem(root, "the file has %d jobs, more than the limit of %d", count, tuning.MaxPipelineJobs)
 	}
 	c.resolveNeeds()
 	c.reportCycles()
 }
 
-// readTop decodes the keys of the file's top, and collects the jobs. It returns the jobs' names in the
-// order of the file.
-func (c *compiler) readTop(top *yaml.Node) []string {
+// decodeRoot decodes the top-level keys of the file and collects the jobs. It returns the names of the jobs in
+// the order of the file.
+func (c *compiler) decodeRoot(root *yaml.Node) []string {
 	var names []string
-	c.decodeMapping(top, "", &c.file, func(key, value *yaml.Node) {
+	c.decodeMapping(root, "", &c.file, func(key, value *yaml.Node) {
 		name := key.Value
 		switch {
-		case c.reportForeignKey(key, ""):
+		case c.reportIgnoredOrUnsupportedKey(key, ""):
 		case value.Kind != yaml.MappingNode:
 			c.addProblem(value, "%s: a job must be a mapping", name)
 		case c.jobNodes[name] != nil:
-			c.addProblem(key, "%s: there are two jobs of this name", name)
+			c.addProblem(key, "%s: there are two jobs with this name", name)
 		default:
 			c.jobNodes[name], c.nameNodes[name] = value, key
 			names = append(names, name)
@@ -156,41 +158,41 @@
 	return names
 }
 
-// readDefault reports the problems of the keys of default. Jobs inherit these keys as written, and each
-// expands the variables in them anew.
-func (c *compiler) readDefault(top *yaml.Node) {
-	c.defaultNode = valueOf(top, "default")
+// decodeDefault reports the problems of the keys below default. The decoded values are discarded: each job
+// inherits the keys as written and expands the variables in them with its own values.
+func (c *compiler) decodeDefault(root *yaml.Node) {
+	c.defaultNode = valueOf(root, "default")
 	if c.defaultNode != nil {
 		var checked defaults
 		c.decodeMapping(c.defaultNode, "default.", &checked, func(key, _ *yaml.Node) { c.reportUnknownKey(key, "default.") })
 	}
 }
 
-func (c *compiler) compileStages(top *yaml.Node) {
+func (c *compiler) compileStages(root *yaml.Node) {
 	stages := defaultStages
 	if c.file.Stages != nil {
 		stages = c.file.Stages
 	}
-	own := slices.DeleteFunc(slices.Clone(stages), func(stage string) bool { return stage == firstStage || stage == lastStage })
-	c.plan.Stages = slices.Concat([]string{firstStage}, own, []string{lastStage})
+	userStages := slices.DeleteFunc(slices.Clone(stages), func(stage string) bool { return stage == firstStage || stage == lastStage })
+	c.plan.Stages = slices.Concat([]string{firstStage}, userStages, []string{lastStage})
 	distinct := slices.Compact(slices.Sorted(slices.Values(c.plan.Stages)))
 	if len(c.plan.Stages) != len(distinct) {
-		c.addProblem(valueOf(top, "stages"), "stages: a stage is named twice")
+		c.addProblem(valueOf(root, "stages"), "stages: a stage is listed twice")
 	}
 }
 
-// reportUnknownKey reports a key that a job does not have.
+// reportUnknownKey reports a key that is not a key of jobs. prefix precedes the key in the text.
 func (c *compiler) reportUnknownKey(key *yaml.Node, prefix string) {
-	if !c.reportForeignKey(key, prefix) {
+	if !c.reportIgnoredOrUnsupportedKey(key, prefix) {
 		c.addProblem(key, "%s%s: unknown key%s", prefix, key.Value, suggestKey(key.Value, reflect.TypeFor[jobKeys]()))
 	}
 }
 
-// reportForeignKey reports a key of the published format that has no effect here or is not supported,
-// and returns whether the key is such a one.
-func (c *compiler) reportForeignKey(key *yaml.Node, prefix string) bool {
-	if instead, unsupported := unsupportedKeys[key.Value]; unsupported {
-		c.addProblem(key, "%s%s: not supported; %s", prefix, key.Value, instead)
+// reportIgnoredOrUnsupportedKey adds a notice for a key of the GitLab format that has no effect, and a problem
+// for one that is not supported. It returns false, and reports nothing, for any other key.
+func (c *compiler) reportIgnoredOrUnsupportedKey(key *yaml.Node, prefix string) bool {
+	if alternative, unsupported := unsupportedKeys[key.Value]; unsupported {
+		c.addProblem(key, "%s%s: not supported; %s", prefix, key.Value, alternative)
 		return true
 	}
 	if slices.Contains(ignoredKeys, key.Value) {
@@ -200,8 +202,8 @@
 	return false
 }
 
-// extendedNode returns the keys of a job merged with those of the jobs that it extends. path are the
-// jobs through which the search came here, to find cycles.
+// extendedNode returns the keys of a job merged with the keys of the jobs that it extends. path contains the
+// jobs that extend this one, from the job where the recursion began, so that cycles are detected.
 func (c *compiler) extendedNode(name string, path []string) *yaml.Node {
 	if node := c.extendedNodes[name]; node != nil {
 		return node
--- a/internal/pipeline/parse_test.go
+++ b/internal/pipeline/parse_test.go
@@ -14,7 +14,7 @@
 	"cherrywall/internal/jobs"
 )
 
-const dusk = `
+const examplePipeline = `
 stages: [plan, push, report]
 
 variables:
@@ -78,8 +78,8 @@
 	return names
 }
 
-func TestParseMakesPlan(t *testing.T) {
-	p, notices := parse(t, dusk)
+func TestParseReturnsPlan(t *testing.T) {
+	p, notices := parse(t, examplePipeline)
 	want := []string{"plan", "push: [north, 1]", "push: [north, 2]", "push: [south, 1]", "push: [south, 2]", "undo", "report"}
 	if names := jobNames(p); !slices.Equal(names, want) {
 		t.Fatalf("jobs %q", names)
@@ -158,7 +158,7 @@
 	`33:19: unset.resource_group: variable NOBODY is not set`,
 }
 
-// All problems of a file are reported at once, with their positions and with what would be right.
+// All problems of a file are reported at once, each with its position and with what is allowed instead.
 func TestParseReportsAllProblems(t *testing.T) {
 	_, _, err := Parse([]byte(fileWithProblems), nil, nil)
 	var problems Problems
@@ -185,7 +185,7 @@
 		}
 		return nil
 	}
-	_, _, err := Parse([]byte(dusk), limits, validate)
+	_, _, err := Parse([]byte(examplePipeline), limits, validate)
 	var problems Problems
 	if !errors.As(err, &problems) || len(problems) != 3 {
 		t.Fatalf("%v", err)
@@ -201,19 +201,20 @@
 	}
 }
 
-// Aliases that unfold without bound, and extends in a cycle, are problems.
-func TestUnboundedFilesAreRejected(t *testing.T) {
-	var bomb strings.Builder
-	bomb.WriteString("v0: &v0 {script: [x, x, x, x, x, x, x, x, x]}\n")
+// A file with nested aliases that grow exponentially when they are resolved, and jobs that extend each other,
+// are rejected within a few seconds.
+func TestExponentialAliasesAndExtendsCyclesAreRejected(t *testing.T) {
+	var nestedAliases strings.Builder
+	nestedAliases.WriteString("v0: &v0 {script: [x, x, x, x, x, x, x, x, x]}\n")
 	for i := range 12 {
-		fmt.Fprintf(&bomb, "v%d: &v%d {script: [*v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d]}\n", i+1, i+1, i, i, i, i, i, i, i, i)
+		fmt.Fprintf(&nestedAliases, "v%d: &v%d {script: [*v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d, *v%d]}\n", i+1, i+1, i, i, i, i, i, i, i, i)
 	}
 	start := time.Now()
-	if _, _, err := Parse([]byte(bomb.String()), nil, nil); err == nil || !strings.Contains(err.Error(), "unfolds to too much") {
+	if _, _, err := Parse([]byte(nestedAliases.String()), nil, nil); err == nil || !strings.Contains(err.Error(), "unfolds to too much") {
 		t.Errorf("%v", err)
 	}
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
-		t.Errorf("it took %v", elapsed)
+		t.Errorf("Parse took %v", elapsed)
 	}
 	_, _, err := Parse([]byte("a: {extends: b}\nb: {extends: a}\n"), nil, nil)
 	if err == nil || !strings.Contains(err.Error(), "goes in a circle") {
@@ -221,7 +222,7 @@
 	}
 }
 
-func TestFiveHundredJobsInOneFile(t *testing.T) {
+func TestParseFileWithFiveHundredJobs(t *testing.T) {
 	var file strings.Builder
 	file.WriteString("default: {cluster: {class: c, team: t, image: i, cpus: 1}}\n")
 	for i := range 500 {
@@ -241,8 +242,8 @@
 	}
 }
 
-// The schema has every key that is decoded, and no other.
-func TestSchemaHasTheDecodedKeys(t *testing.T) {
+// The schema has all keys of a job that are decoded or ignored, and no others.
+func TestSchemaHasDecodedAndIgnoredKeys(t *testing.T) {
 	raw, err := Schema()
 	if err != nil {
 		t.Fatal(err)
@@ -262,15 +263,15 @@
 	}
 	for key := range job {
 		if !slices.Contains(ignoredKeys, key) {
-			t.Errorf("%s is in the schema and is not decoded", key)
+			t.Errorf("%s is in the schema but is neither decoded nor ignored", key)
 		}
 	}
 }
 
-// FuzzParse checks that no file makes the parser panic, that errors are Problems and that plans are
+// FuzzParse checks that no input makes Parse panic, that its errors are Problems, and that its plans are
 // consistent.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(dusk))
+	f.Add([]byte(examplePipeline))
 	f.Add([]byte("a: {extends: [b, c]}\n.b: &x {needs: []}\nc: {<<: *x, parallel: 3}"))
 	f.Add([]byte("? [a]\n: {}\n<<: {a: 1}\n!!binary a: b"))
 	if raw, err := os.ReadFile("../../examples/dusk.yml"); err == nil {
@@ -289,7 +290,7 @@
 	})
 }
 
-// checkPlan checks that the jobs of a plan need jobs of the same or an earlier stage, and that
+// checkPlan checks that the jobs of a plan need only other jobs of the same or an earlier stage, and that
 // their stages and numbers of tasks are valid.
 func checkPlan(t *testing.T, plan *Plan) {
 	t.Helper()
@@ -305,10 +306,10 @@
 	}
 }
 
-// FuzzDecompressPlan checks that no bytes make the reader of stored plans panic, and that a plan is read
-// as it was written.
+// FuzzDecompressPlan checks that no input makes DecompressPlan panic, and that a compressed plan is
+// decompressed to an equal plan.
 func FuzzDecompressPlan(f *testing.F) {
-	plan, _, err := Parse([]byte(dusk), nil, nil)
+	plan, _, err := Parse([]byte(examplePipeline), nil, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/pipeline/plan.go
+++ b/internal/pipeline/plan.go
@@ -1,11 +1,11 @@
-// Package pipeline parses pipeline files: jobs in stages, in the format of GitLab's CI files as far
-// as it applies to a cluster. It reports all problems of a file at once, each with its position,
-// and makes a plan of a file without problems. It does not run anything.
+// Package pipeline parses pipeline files, which define jobs in stages. They use the published format of GitLab's
+// CI files ("the GitLab format") as far as it applies to a cluster. The package reports all problems of a file
+// at once, each with its position, and makes a plan of a file without problems. It does not run the plan.
 package pipeline
 
 import "cherrywall/internal/jobs"
 
-// Plan is a parsed file: its jobs, with all that they inherit.
+// Plan is a parsed file. Its jobs contain the values that they inherit from default and from other jobs.
 type Plan struct {
 	Stages []string `json:"stages"`
 	Jobs   []Job    `json:"jobs"`
@@ -15,12 +15,12 @@
 type Job struct {
 	Name  string `json:"name"`
 	Stage int    `json:"stage"` // index in the plan's stages
-	// Needs are the indexes of the jobs that have to end before this one starts. If Staged is true
-	// all jobs of the earlier stages have to end instead.
+	// Needs are the indexes of the jobs that have to end before this one starts. If Staged is true,
+	// Needs is empty and all jobs of the earlier stages have to end instead.
 	Needs  []int     `json:"needs,omitempty"`
 	Staged bool      `json:"staged,omitempty"`
-	Spec   jobs.Spec `json:"spec"` // without reference: each attempt is submitted under its own
-	// Retries is how often the job is retried, after the causes in RetryOn.
+	Spec   jobs.Spec `json:"spec"` // without its Ref: each attempt is submitted under a Ref of its own
+	// Retries is how often the job is retried at most. It is retried only after the causes in RetryOn.
 	Retries       int            `json:"retries,omitempty"`
 	RetryOn       []FailureCause `json:"retry_on,omitempty"`
 	TimeoutS      float64        `json:"timeout_s,omitempty"` // seconds, 0: none
@@ -29,13 +29,13 @@
 	AllowFailure  bool           `json:"allow_failure,omitempty"`
 	Group         string         `json:"group,omitempty"` // resource group
 	Interruptible bool           `json:"interruptible,omitempty"`
-	Line          int            `json:"line"` // in the file
+	Line          int            `json:"line"` // line of the job's name in the file
 }
 
-// When is the condition, beside its dependencies, on which a job starts.
+// When is the condition under which a job starts after its dependencies have ended.
 type When string
 
-// The conditions of the published format.
+// The conditions, by their names in the GitLab format.
 const (
 	OnSuccess When = "on_success"
 	OnFailure When = "on_failure"
@@ -44,17 +44,17 @@
 	Delayed   When = "delayed"
 )
 
-// FailureCause is why an attempt of a job failed.
+// FailureCause is the reason why an attempt of a job failed.
 type FailureCause string
 
-// The causes that can occur here, by their names of the published format.
+// The causes that can occur in cherrywall, by their names in the GitLab format.
 const (
 	CauseTimeout       FailureCause = "job_execution_timeout"
-	CauseScriptFailure FailureCause = "script_failure" // it failed on several machines where other jobs succeed
+	CauseScriptFailure FailureCause = "script_failure" // the job failed on several machines on which other jobs succeed
 )
 
-// retryCauses has the names of causes to retry after in the published format, each with the causes that
-// it stands for here; an empty list is for one that can't occur here.
+// retryCauses maps the values of retry.when in the GitLab format to the causes that they include in
+// cherrywall. Values that include only causes that cannot occur in cherrywall map to nil.
 var retryCauses = map[string][]FailureCause{
 	"always":                     {CauseTimeout, CauseScriptFailure},
 	"script_failure":             {CauseScriptFailure},
--- a/internal/pipeline/problem.go
+++ b/internal/pipeline/problem.go
@@ -11,7 +11,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Problem is an error in a file, or a notice, with its position.
+// Problem is an error in a file, or a notice about a file, with its position. Lines and columns start at 1.
 type Problem struct {
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
@@ -21,10 +21,10 @@
 // String returns the problem as "line:column: text".
 func (p Problem) String() string { return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text) }
 
-// Problems are all errors of a file, or all notices.
+// Problems are all errors of a file, or all notices about it.
 type Problems []Problem
 
-// Error returns the problems, one a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, problem := range ps {
@@ -33,7 +33,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted returns the problems in the order of the file, without repetitions.
+// sorted returns the problems in the order of the file, without duplicates. It changes the order of ps.
 func (ps Problems) sorted() Problems {
 	slices.SortStableFunc(ps, func(x, y Problem) int {
 		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Column, y.Column))
@@ -41,8 +41,8 @@
 	return slices.Compact(ps)
 }
 
-// positionError is a problem that a decoder of a value returns. The decoder does not know the value's
-// key; addError puts it before the text.
+// positionError is a problem that a decoder of a value returns. The decoder does not know the key of the
+// value; addError puts the key before the text.
 type positionError struct{ Problem }
 
 // Error returns the problem with its position.
@@ -52,8 +52,8 @@
 	return positionError{Problem{node.Line, node.Column, text}}
 }
 
-// syntaxProblem makes a problem of a syntax error. The YAML library gives the line only in the error's
-// text.
+// syntaxProblem converts a syntax error of the YAML library to a problem. It parses the text of the error,
+// because the library gives the line only there.
 func syntaxProblem(err error) Problem {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	rest, found := strings.CutPrefix(text, "line ")
@@ -81,8 +81,8 @@
 	c.notices = append(c.notices, Problem{node.Line, node.Column, fmt.Sprintf(format, args...)})
 }
 
-// addError adds an error of decoding a key's value, at the position of the error if it has one, else at
-// the node.
+// addError adds a problem for an error that occurred when the value of a key was decoded. The problem has the
+// position of the error if the error has one, otherwise the position of the node.
 func (c *problemCollector) addError(node *yaml.Node, key string, err error) {
 	var positioned positionError
 	if errors.As(err, &positioned) {
@@ -93,17 +93,17 @@
 	c.addProblem(node, "%s: %s", key, describeDecodeError(err))
 }
 
-// expectedTypes are parts of the YAML library's texts of type errors, with the texts for users.
+// expectedTypes maps parts of the YAML library's texts of type errors to texts for users.
 var expectedTypes = []struct{ libraryText, text string }{
 	{"into int", "must be a whole number"},
 	{"into float64", "must be a number"},
 	{"into bool", "must be true or false"},
-	{"into []string", "must be a list of texts"},
-	{"into string", "must be a text"},
+	{"into []string", "must be a list of strings"},
+	{"into string", "must be a string"},
 }
 
-// describeDecodeError returns a text for users that says what a value must be, or the error's own text
-// if it is no type error.
+// describeDecodeError returns a text for users that says what a value must be. For an error that is not a type
+// error it returns the error's own text.
 func describeDecodeError(err error) string {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) {
--- a/internal/pipeline/schema.go
+++ b/internal/pipeline/schema.go
@@ -6,7 +6,8 @@
 	"github.com/invopop/jsonschema"
 )
 
-// The keys that have several forms implement the schema library's interface.
+// The types of keys that have several forms define their schema by the method JSONSchema, which the schema
+// library calls.
 
 func (scalar) JSONSchema() *jsonschema.Schema {
 	return anyOf(&jsonschema.Schema{Type: "string"}, &jsonschema.Schema{Type: "number"}, &jsonschema.Schema{Type: "boolean"})
@@ -17,7 +18,7 @@
 }
 
 func (image) JSONSchema() *jsonschema.Schema {
-	return anyOf(&jsonschema.Schema{Type: "string"}, object(map[string]*jsonschema.Schema{"name": {Type: "string"}}))
+	return anyOf(&jsonschema.Schema{Type: "string"}, closedObject(map[string]*jsonschema.Schema{"name": {Type: "string"}}))
 }
 
 func (duration) JSONSchema() *jsonschema.Schema {
@@ -30,7 +31,7 @@
 
 func (retry) JSONSchema() *jsonschema.Schema {
 	count := &jsonschema.Schema{Type: "integer", Minimum: "0"}
-	return anyOf(count, object(map[string]*jsonschema.Schema{
+	return anyOf(count, closedObject(map[string]*jsonschema.Schema{
 		"max":        count,
 		"when":       oneOrMore{}.JSONSchema(),
 		"exit_codes": {},
@@ -40,11 +41,11 @@
 func (parallel) JSONSchema() *jsonschema.Schema {
 	count := &jsonschema.Schema{Type: "integer", Minimum: "1", Maximum: "200"}
 	row := &jsonschema.Schema{Type: "object", AdditionalProperties: oneOrMore{}.JSONSchema()}
-	return anyOf(count, object(map[string]*jsonschema.Schema{"matrix": {Type: "array", Items: row}}))
+	return anyOf(count, closedObject(map[string]*jsonschema.Schema{"matrix": {Type: "array", Items: row}}))
 }
 
 func (needs) JSONSchema() *jsonschema.Schema {
-	need := object(map[string]*jsonschema.Schema{
+	need := closedObject(map[string]*jsonschema.Schema{
 		"job":       {Type: "string"},
 		"optional":  {Type: "boolean"},
 		"artifacts": {Type: "boolean"},
@@ -54,11 +55,13 @@
 
 func anyOf(forms ...*jsonschema.Schema) *jsonschema.Schema { return &jsonschema.Schema{AnyOf: forms} }
 
-// propertyOrder is the order in which object lists properties, so that the schema is the same each time.
+// propertyOrder is the order in which closedObject lists properties, so that the generated schema is always the
+// same.
 var propertyOrder = []string{"name", "max", "when", "exit_codes", "matrix", "job", "optional", "artifacts"}
 
-// object returns the schema of a mapping with these properties and no others.
-func object(properties map[string]*jsonschema.Schema) *jsonschema.Schema {
+// closedObject returns the schema of a mapping that allows these properties and no others. Each property must be
+// in propertyOrder.
+func closedObject(properties map[string]*jsonschema.Schema) *jsonschema.Schema {
 	schema := &jsonschema.Schema{Type: "object", Properties: jsonschema.NewProperties(), AdditionalProperties: jsonschema.FalseSchema}
 	for _, key := range propertyOrder {
 		if property := properties[key]; property != nil {
@@ -68,8 +71,8 @@
 	return schema
 }
 
-// Schema returns the JSON schema of pipeline files, made from the types that decode them. Keys of the
-// published format without effect are in it, unsupported ones are not.
+// Schema returns the JSON schema of pipeline files, generated from the types that decode them. It contains the
+// keys of the GitLab format that are ignored, but not the keys that are unsupported.
 func Schema() ([]byte, error) {
 	reflector := &jsonschema.Reflector{DoNotReference: true, Anonymous: true}
 	schema := reflector.Reflect(&file{})
--- a/internal/pipeline/schema_form_test.go
+++ b/internal/pipeline/schema_form_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSchemaIsUnchanged holds the published schema of pipeline files against a golden file: editors
-// use it, and it is made from the types that read the files.
+// TestSchemaIsUnchanged compares the schema of pipeline files with a golden file. The schema is published for
+// use by editors, and a change of the types that decode the files would change it.
 func TestSchemaIsUnchanged(t *testing.T) {
 	golden, err := os.ReadFile("testdata/schema.json")
 	if err != nil {
--- a/internal/pipeline/suggest.go
+++ b/internal/pipeline/suggest.go
@@ -7,16 +7,17 @@
 	"reflect"
 )
 
-// maxSuggestedDistance is the edit distance up to which a known name is suggested for an unknown one.
+// maxSuggestedDistance is the maximum edit distance, in bytes, between an unknown name and a known name that is
+// suggested for it.
 const maxSuggestedDistance = 2
 
-// suggestKey suggests a key of a struct type for an unknown key, see suggest.
+// suggestKey returns the suggestion of a key of a struct type for an unknown key, see suggest.
 func suggestKey(key string, structType reflect.Type) string {
 	return suggest(key, maps.Keys(fieldsByKey(structType)), "%s")
 }
 
-// suggest returns an addition to a problem's text that suggests the known name closest to an unknown
-// one, formatted by format. It returns "" if none is close.
+// suggest returns text to append to a problem's text, which suggests the known name closest to an unknown name.
+// format formats the known name. suggest returns "" if no known name is within maxSuggestedDistance.
 func suggest(name string, known iter.Seq[string], format string) string {
 	closest, closestDistance := "", maxSuggestedDistance+1
 	for candidate := range known {
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("; "+format+" is meant?", closest)
 }
 
-// editDistance returns the Levenshtein distance: how many bytes have to be changed, inserted or removed.
+// editDistance returns the Levenshtein distance: the number of bytes that have to be changed, inserted or removed.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
