--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -1,6 +1,6 @@
-// Package pipelineexec decides how a run of a pipeline file proceeds: a deterministic function of
-// its plan, of the states of its jobs, and of what is observed of them. It performs no actions
-// itself.
+// Package pipelineexec decides how a run of a pipeline file proceeds. Its decisions are a deterministic
+// function of the run's plan, the states of its jobs, and the observations of these jobs. The package
+// performs no actions itself.
 package pipelineexec
 
 import (
@@ -9,41 +9,41 @@
 	"cherrywall/internal/pipeline"
 )
 
-// Execution is a run in memory. It is not safe for concurrent use.
+// Execution is the state of a run in memory. It is not safe for concurrent use.
 type Execution struct {
 	Plan       *pipeline.Plan
 	JobStates  []JobState // in the order of the plan's jobs
 	CancelMode CancelMode
 }
 
-// Observation is what the controller knows of a job's attempt. The zero value says nothing: an
-// answer is still awaited.
+// Observation is what the controller knows about the current attempt of a job. The zero value means that
+// nothing is known yet: a response is still pending.
 type Observation struct {
-	IsUnknown    bool // the controller has no such job, as far as is known
-	IsUnfinished bool // it is known and has not ended
+	IsUnknown    bool // according to the latest information, the controller does not have the job
+	IsUnfinished bool // the controller has the job, and it has not ended
 	IsDone       bool
 	IsCancelled  bool
-	IsFaulty     bool  // it fails on several machines where other jobs succeed
+	IsFaulty     bool  // the job fails on several machines on which other jobs succeed
 	AcceptedAtMS int64 // Unix ms
 	DoneTasks    int
 	RunningTasks int
 }
 
-// ObserveFunc returns what is known of the current attempt of a job.
+// ObserveFunc returns the observation of the current attempt of a job, which is given by its index in the plan.
 type ObserveFunc func(job int) Observation
 
-// Action is a submission or cancellation of a job's current attempt. It must be performed only after
-// the job states that Step has left were recorded as far as another controller could not find them
-// out, else that one might take another decision.
+// Action is a submission or cancellation of a job's current attempt. Before an action is performed, those parts
+// of the job states after Step that another controller could not determine by itself must be recorded.
+// Otherwise a controller that continues the run might decide differently.
 type Action struct {
 	Job           int  // index in the plan
-	Submit        bool // else the attempt is cancelled
+	Submit        bool // true for a submission, false for a cancellation
 	RequiresGroup bool // submit only while the job owns its resource group
 }
 
-// Step advances the run as far as the observations allow, and returns the actions that are due. An
-// action is returned by each step until its effect is observed. Step is deterministic: a controller
-// that continues the run from the same record with the same observations comes to the same states.
+// Step advances the run as far as the observations allow, and returns the actions that are due. Each call
+// returns an action again until its effect is observed. Step is deterministic: a controller that continues
+// the run from the same record with the same observations reaches the same states.
 func (e *Execution) Step(nowMS int64, observe ObserveFunc) []Action {
 	for {
 		var actions []Action
@@ -59,7 +59,7 @@
 	}
 }
 
-// stepJob advances one job; due says whether there is an action.
+// stepJob advances one job. due reports whether an action is due.
 func (e *Execution) stepJob(job int, nowMS int64, observe ObserveFunc) (action Action, due bool) {
 	switch e.JobStates[job].Status {
 	case Active:
@@ -69,14 +69,14 @@
 	case Waiting:
 		e.stepWaiting(job, nowMS)
 	case Manual:
-		e.stepHeld(job, e.JobStates[job].ManuallyStarted)
+		e.stepManualOrDelayed(job, e.JobStates[job].ManuallyStarted)
 	case Delayed:
-		e.stepHeld(job, nowMS >= e.JobStates[job].DelayedUntilMS)
+		e.stepManualOrDelayed(job, nowMS >= e.JobStates[job].DelayedUntilMS)
 	}
 	return Action{}, false
 }
 
-// stepActive advances a job that was submitted or is to be submitted.
+// stepActive advances a job that was submitted or has to be submitted.
 func (e *Execution) stepActive(index int, nowMS int64, observed Observation) (action Action, due bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
@@ -110,9 +110,9 @@
 func (e *Execution) stepStopping(index int, observed Observation) (action Action, due bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
-	case observed.IsDone: // it completed before the cancellation took effect
+	case observed.IsDone: // the job completed before the cancellation took effect
 		state.Status, state.Cause = Succeeded, ""
-	case !observed.IsCancelled: // a job that was never submitted is observed as cancelled, too
+	case !observed.IsCancelled: // once cancelled, a job that was never submitted is observed as cancelled, too
 		return Action{Job: index}, true
 	case state.Cause == CauseRunCancelled || e.CancelMode != NotCancelled:
 		state.Status, state.Cause = Cancelled, CauseRunCancelled
@@ -124,20 +124,21 @@
 	return Action{}, false
 }
 
-// stepHeld starts a job that waits for a user or for its time, if mayStart is set.
-func (e *Execution) stepHeld(job int, mayStart bool) {
+// stepManualOrDelayed starts a job with the status Manual or Delayed if mayStart is true and the run is not
+// cancelled.
+func (e *Execution) stepManualOrDelayed(job int, mayStart bool) {
 	if !e.cancelUnstarted(job) && mayStart {
 		e.JobStates[job].Status = Active
 	}
 }
 
-// stepWaiting starts, holds back or skips a job whose dependencies have ended.
+// stepWaiting starts, delays or skips a job whose dependencies have ended, or lets it wait for a user.
 func (e *Execution) stepWaiting(index int, nowMS int64) {
 	if e.cancelUnstarted(index) {
 		return
 	}
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
-	dependencies := e.dependencies(job)
+	dependencies := e.summarizeDependencies(job)
 	switch {
 	case dependencies.unfinished:
 	case job.When == pipeline.Always:
@@ -158,8 +159,8 @@
 	}
 }
 
-// cancelUnstarted cancels a job that was not submitted, if the run is cancelled, and reports whether
-// it is.
+// cancelUnstarted cancels a job that was not submitted if the run is cancelled. It reports whether the run is
+// cancelled.
 func (e *Execution) cancelUnstarted(job int) bool {
 	if e.CancelMode == NotCancelled {
 		return false
@@ -169,15 +170,15 @@
 	return true
 }
 
-// dependencyState summarizes the jobs that a job depends on.
-type dependencyState struct {
-	unfinished bool // one has not ended
-	failed     bool // one whose failure is not allowed has failed or was cancelled
-	missing    bool // one that the job needs by name was skipped, or waits for a user and may do so for ever
+// dependencySummary summarizes the jobs that a job depends on.
+type dependencySummary struct {
+	unfinished bool // a dependency has not ended
+	failed     bool // a dependency whose failure is not allowed has failed or was cancelled
+	missing    bool // a dependency named in the job's needs was skipped, or is optional and may wait for a user for ever
 }
 
-func (e *Execution) dependencies(job *pipeline.Job) dependencyState {
-	var summary dependencyState
+func (e *Execution) summarizeDependencies(job *pipeline.Job) dependencySummary {
+	var summary dependencySummary
 	if !job.Staged {
 		for _, needed := range job.Needs {
 			e.addDependency(&summary, job, needed)
@@ -192,10 +193,10 @@
 	return summary
 }
 
-func (e *Execution) addDependency(summary *dependencyState, job *pipeline.Job, dependency int) {
+func (e *Execution) addDependency(summary *dependencySummary, job *pipeline.Job, dependency int) {
 	status, failureAllowed := e.JobStates[dependency].Status, e.Plan.Jobs[dependency].AllowFailure
 	switch {
-	case status == Manual && failureAllowed: // an optional job that a user may never start
+	case status == Manual && failureAllowed: // an optional job, which a user may never start
 		summary.missing = summary.missing || !job.Staged
 	case !status.IsFinal():
 		summary.unfinished = true
@@ -206,8 +207,8 @@
 	}
 }
 
-// Status returns the run's status, and whether it is final. Jobs that wait for a user and whose
-// failure is allowed do not count: they are optional, and no other job waits for them.
+// Status returns the run's status and whether it is final. It ignores jobs that wait for a user and whose
+// failure is allowed: they are optional, and no other job waits for them.
 func (e *Execution) Status() (status RunStatus, final bool) {
 	count := map[Status]int{}
 	failed := false
@@ -236,8 +237,8 @@
 	return RunSucceeded, true
 }
 
-// SkipOptional skips the jobs that wait for a user. It is called when the status is final, so that
-// only optional jobs are left to wait.
+// SkipOptional skips the jobs that wait for a user. It must be called only when the run's status is final: then
+// only optional jobs still wait for a user.
 func (e *Execution) SkipOptional() {
 	for i := range e.JobStates {
 		if e.JobStates[i].Status == Manual {
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -8,20 +8,20 @@
 	"cherrywall/internal/pipeline"
 )
 
-const head = "default: {cluster: {class: c, team: t, image: i, cpus: 1}}\nstages: [one, two, three]\n"
+const fileHeader = "default: {cluster: {class: c, team: t, image: i, cpus: 1}}\nstages: [one, two, three]\n"
 
-// harness executes a run with a simulated controller.
+// harness executes a run against a simulated controller.
 type harness struct {
 	t         *testing.T
 	execution Execution
 	nowMS     int64
-	submitted map[string]*Observation // by job id
-	log       []string                // "+" and "-" with the names of submitted and cancelled jobs
+	attempts  map[string]*Observation // by the id of the attempt
+	actionLog []string                // names of submitted jobs after "+", names of cancelled jobs after "-"
 }
 
 func newHarness(t *testing.T, file string) *harness {
 	t.Helper()
-	plan, _, err := pipeline.Parse([]byte(head+file), nil, nil)
+	plan, _, err := pipeline.Parse([]byte(fileHeader+file), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,20 +29,20 @@
 		t:         t,
 		execution: Execution{Plan: plan, JobStates: NewJobStates(len(plan.Jobs))},
 		nowMS:     1000,
-		submitted: map[string]*Observation{},
+		attempts:  map[string]*Observation{},
 	}
 }
 
 func (h *harness) ref(job int) string { return JobRef("run-1", job, h.execution.JobStates[job]) }
 
 func (h *harness) observe(job int) Observation {
-	if observation := h.submitted[h.ref(job)]; observation != nil {
+	if observation := h.attempts[h.ref(job)]; observation != nil {
 		return *observation
 	}
 	return Observation{IsUnknown: true}
 }
 
-// step steps the execution and performs its actions until there are none.
+// step calls Step and performs the returned actions until Step returns none.
 func (h *harness) step() {
 	h.t.Helper()
 	for range 10 {
@@ -54,63 +54,64 @@
 			return
 		}
 	}
-	h.t.Fatal("the execution does not run out of actions")
+	h.t.Fatal("Step still returns actions after 10 calls")
 }
 
 func (h *harness) perform(action Action) {
 	name, ref := h.execution.Plan.Jobs[action.Job].Name, h.ref(action.Job)
-	switch observation := h.submitted[ref]; {
+	switch observation := h.attempts[ref]; {
 	case action.Submit:
-		h.submitted[ref] = &Observation{IsUnfinished: true, AcceptedAtMS: h.nowMS}
-		h.log = append(h.log, "+"+name)
+		h.attempts[ref] = &Observation{IsUnfinished: true, AcceptedAtMS: h.nowMS}
+		h.actionLog = append(h.actionLog, "+"+name)
 	case observation == nil:
-		h.submitted[ref] = &Observation{IsCancelled: true} // never submitted
+		h.attempts[ref] = &Observation{IsCancelled: true} // never submitted
 	case observation.IsUnfinished:
 		observation.IsUnfinished, observation.IsCancelled = false, true
-		h.log = append(h.log, "-"+name)
+		h.actionLog = append(h.actionLog, "-"+name)
 	}
 }
 
-// stepAfter steps the execution after a time.
+// stepAfter advances the time by ms milliseconds and calls step.
 func (h *harness) stepAfter(ms int64) {
 	h.t.Helper()
 	h.nowMS += ms
 	h.step()
 }
 
-// observation returns the observation of a job's current attempt, which must be in progress.
-func (h *harness) observation(name string) *Observation {
+// unfinishedObservation returns the observation of a job's current attempt. It fails the test if the attempt is
+// not in progress.
+func (h *harness) unfinishedObservation(name string) *Observation {
 	h.t.Helper()
 	job := slices.IndexFunc(h.execution.Plan.Jobs, func(job pipeline.Job) bool { return job.Name == name })
-	observation := h.submitted[h.ref(job)]
+	observation := h.attempts[h.ref(job)]
 	if observation == nil || !observation.IsUnfinished {
 		h.t.Fatalf("%s is not in progress", name)
 	}
 	return observation
 }
 
-// complete completes a job.
+// complete marks the current attempt of a job as done and calls step.
 func (h *harness) complete(name string) {
 	h.t.Helper()
-	observation := h.observation(name)
+	observation := h.unfinishedObservation(name)
 	observation.IsUnfinished, observation.IsDone = false, true
 	h.step()
 }
 
-// fail makes a job faulty.
+// fail marks the current attempt of a job as faulty and calls step.
 func (h *harness) fail(name string) {
 	h.t.Helper()
-	h.observation(name).IsFaulty = true
+	h.unfinishedObservation(name).IsFaulty = true
 	h.step()
 }
 
-// expectLog checks what was submitted and cancelled since the last call.
+// expectLog checks which jobs were submitted and cancelled since the log was last cleared, and clears it.
 func (h *harness) expectLog(want string) {
 	h.t.Helper()
-	if got := strings.Join(h.log, " "); got != want {
+	if got := strings.Join(h.actionLog, " "); got != want {
 		h.t.Errorf("actions: %s\nwant: %s", got, want)
 	}
-	h.log = nil
+	h.actionLog = nil
 }
 
 // expectStatuses checks the recorded statuses of all jobs.
@@ -121,8 +122,8 @@
 	}
 }
 
-// expectRun checks the status of the run.
-func (h *harness) expectRun(wantStatus RunStatus, wantFinal bool) {
+// expectRunStatus checks the status of the run and whether it is final.
+func (h *harness) expectRunStatus(wantStatus RunStatus, wantFinal bool) {
 	h.t.Helper()
 	if status, final := h.execution.Status(); status != wantStatus || final != wantFinal {
 		h.t.Errorf("run %s, final %v; want %s, %v", status, final, wantStatus, wantFinal)
@@ -144,7 +145,7 @@
 	h.step()
 	h.expectLog("+a +b +top")
 	h.complete("a")
-	h.expectLog("+d") // ahead of the stages
+	h.expectLog("+d") // its needs replace the order of the stages
 	h.complete("b")
 	h.expectLog("")
 	h.complete("top")
@@ -158,7 +159,7 @@
 	for _, name := range []string{"d", "e", "end"} {
 		h.complete(name)
 	}
-	h.expectRun(RunSucceeded, true)
+	h.expectRunStatus(RunSucceeded, true)
 }
 
 const retryFile = `
@@ -169,7 +170,7 @@
 tell: {stage: three, when: always}
 `
 
-func TestRetriesThatSucceedAreNoFailure(t *testing.T) {
+func TestRunSucceedsAfterSuccessfulRetry(t *testing.T) {
 	h := newHarness(t, retryFile)
 	h.step()
 	h.expectLog("+work +soft")
@@ -179,20 +180,20 @@
 	h.expectLog("-work +work")
 	h.stepAfter(10_001)
 	h.expectLog("-work +work") // the second and last retry
-	h.complete("work")         // which succeeds
+	h.complete("work")         // the second retry succeeds
 	h.expectLog("+next")
 	h.complete("next")
 	h.expectLog("+tell")
 	h.complete("tell")
 	h.expectStatuses("sfsks")
-	h.expectRun(RunSucceeded, true)
+	h.expectRunStatus(RunSucceeded, true)
 }
 
-func TestFailureAfterLastRetryRunsOnFailureJobs(t *testing.T) {
+func TestOnFailureJobsRunAfterLastRetryFails(t *testing.T) {
 	h := newHarness(t, retryFile)
 	h.step()
 	h.complete("soft")
-	h.log = nil
+	h.actionLog = nil
 	for range 3 {
 		h.stepAfter(10_001)
 	}
@@ -201,14 +202,14 @@
 	h.expectLog("+tell")
 	h.complete("tell")
 	h.expectStatuses("fskss")
-	h.expectRun(RunFailed, true)
+	h.expectRunStatus(RunFailed, true)
 }
 
-func TestOtherCauseIsNotRetried(t *testing.T) {
+func TestCauseOutsideRetryWhenIsNotRetried(t *testing.T) {
 	h := newHarness(t, retryFile)
 	h.step()
 	h.complete("soft")
-	h.log = nil
+	h.actionLog = nil
 	h.fail("work")
 	h.expectLog("-work +undo")
 }
@@ -226,7 +227,7 @@
 	h.stepAfter(5000)
 	h.expectLog("+a")
 	h.complete("a")
-	h.expectRun(RunManual, false)
+	h.expectRunStatus(RunManual, false)
 	h.execution.JobStates[1].ManuallyStarted = true
 	h.step()
 	h.expectLog("+gate")
@@ -234,46 +235,46 @@
 	h.expectLog("+after")
 	h.complete("after")
 	h.expectStatuses("ssmsk")
-	h.expectRun(RunSucceeded, true)
+	h.expectRunStatus(RunSucceeded, true)
 }
 
-const cancelFile = `
+const cancellationFile = `
 quick: {stage: one, interruptible: true}
 slow: {stage: one}
 next: {stage: two}
 tell: {stage: three, when: always}
 `
 
-func TestDrainingRunStartsNothing(t *testing.T) {
-	h := newHarness(t, cancelFile)
+func TestDrainingRunStartsNoFurtherJobs(t *testing.T) {
+	h := newHarness(t, cancellationFile)
 	h.step()
 	h.execution.CancelMode = CancelDrain
-	h.log = nil
+	h.actionLog = nil
 	h.step()
 	h.expectLog("-quick")
 	h.expectStatuses("cacc")
-	h.expectRun(RunStopping, false)
+	h.expectRunStatus(RunStopping, false)
 	h.complete("slow")
 	h.expectLog("")
 	h.expectStatuses("cscc")
-	h.expectRun(RunCancelled, true)
+	h.expectRunStatus(RunCancelled, true)
 }
 
-func TestCompletionAtTheMomentOfCancellationCounts(t *testing.T) {
-	h := newHarness(t, cancelFile)
+func TestJobThatCompletesDuringCancellationSucceeds(t *testing.T) {
+	h := newHarness(t, cancellationFile)
 	h.step()
 	h.execution.CancelMode = CancelNow
-	slow := h.observation("slow")
+	slow := h.unfinishedObservation("slow")
 	slow.IsUnfinished, slow.IsDone = false, true
-	h.log = nil
+	h.actionLog = nil
 	h.step()
 	h.expectLog("-quick")
 	h.expectStatuses("cscc")
 }
 
-// runWithFailover executes a run and calls takeOver after each event, as if another controller
-// continued it. It returns the actions and the final status.
-func runWithFailover(t *testing.T, takeOver func(h *harness)) string {
+// runWithFailovers executes a run and calls takeOver after each event, to simulate that another controller
+// continues the run. It returns the actions and the final status.
+func runWithFailovers(t *testing.T, takeOver func(h *harness)) string {
 	t.Helper()
 	h := newHarness(t, `
 a: {stage: one, timeout: 10s, retry: 1}
@@ -299,12 +300,12 @@
 	}
 	status, final := h.execution.Status()
 	if !final {
-		t.Error("the run is not finished")
+		t.Error("the status of the run is not final")
 	}
-	return strings.Join(h.log, " ") + " " + string(status)
+	return strings.Join(h.actionLog, " ") + " " + string(status)
 }
 
-// loadRecord continues with the job states as they are recorded.
+// loadRecord continues the run with the job states from a record of the current ones.
 func loadRecord(t *testing.T, h *harness) {
 	t.Helper()
 	states, err := EncodeProgress(h.execution.JobStates).JobStates(len(h.execution.JobStates))
@@ -315,8 +316,8 @@
 	h.step()
 }
 
-// loadOldestRecord continues with the oldest record that a crashed leader may have left: the first one,
-// with the changes that have to be recorded before their actions.
+// loadOldestRecord continues the run from the oldest record that a crashed leader may have left: the initial
+// record, with only those changes that have to be recorded before the actions that depend on them.
 func loadOldestRecord(h *harness) {
 	states := NewJobStates(len(h.execution.JobStates))
 	for i, state := range h.execution.JobStates {
@@ -332,16 +333,16 @@
 	h.step()
 }
 
-// A controller that continues a run from its record comes to the same states, after whichever event the
-// former leader crashed.
+// A controller that continues a run from its record reaches the same states, regardless of the event after which
+// the former leader crashed.
 func TestRecordIsSufficientForFailover(t *testing.T) {
-	uninterrupted := runWithFailover(t, func(*harness) {})
-	current := runWithFailover(t, func(h *harness) { loadRecord(t, h) })
+	uninterrupted := runWithFailovers(t, func(*harness) {})
+	current := runWithFailovers(t, func(h *harness) { loadRecord(t, h) })
 	if uninterrupted != "+a +b +d -a +a +c +e success" || current != uninterrupted {
 		t.Errorf("uninterrupted: %s\nwith failovers: %s", uninterrupted, current)
 	}
-	// Jobs that the controller knows are not submitted a second time.
-	oldest := runWithFailover(t, loadOldestRecord)
+	// Jobs that the controller already has are not submitted a second time.
+	oldest := runWithFailovers(t, loadOldestRecord)
 	if submissions := strings.Count(oldest, "+"); submissions != 6 || !strings.HasSuffix(oldest, string(RunSucceeded)) {
 		t.Errorf("with the oldest record: %s", oldest)
 	}
--- a/internal/pipelineexec/progress.go
+++ b/internal/pipelineexec/progress.go
@@ -15,13 +15,13 @@
 type JobState struct {
 	Status          Status
 	Attempt         int                   // from 0
-	Salt            int                   // how many ids of the attempt were taken by other users' jobs, see JobRef
+	Salt            int                   // how many ids of the attempt were already used by jobs of other users, see JobRef
 	DelayedUntilMS  int64                 // Unix ms, for Delayed
 	Cause           pipeline.FailureCause // for Stopping and Failed
 	ManuallyStarted bool
 }
 
-// NewJobStates returns the states of so many jobs of a new run.
+// NewJobStates returns the states of the jobs of a new run; count is the number of jobs.
 func NewJobStates(count int) []JobState {
 	states := make([]JobState, count)
 	for i := range states {
@@ -30,8 +30,8 @@
 	return states
 }
 
-// Progress is the recorded form of job states: a status letter for each job, and by the job's index
-// the fields that do not have their zero value.
+// Progress is the recorded form of job states. Status contains one letter for each job, see Status. The other
+// fields contain the values that differ from zero, by the index of the job in the plan.
 type Progress struct {
 	Status          string                        `json:"st"`
 	Attempts        map[int]int                   `json:"try,omitempty"`
@@ -72,17 +72,17 @@
 	return progress
 }
 
-// JobStates returns the job states that were recorded. It returns an error if their number is not
-// count, or one has a status that this version does not know.
+// JobStates returns the job states that were recorded. It returns an error if their number is not count, or if
+// this version does not know one of the status letters.
 func (p Progress) JobStates(count int) ([]JobState, error) {
 	if len(p.Status) != count {
-		return nil, fmt.Errorf("states of %d jobs, not %d", len(p.Status), count)
+		return nil, fmt.Errorf("record contains the states of %d jobs, but the plan has %d", len(p.Status), count)
 	}
 	states := make([]JobState, count)
 	for job := range states {
 		status := Status(p.Status[job])
 		if statusNames[status] == "" {
-			return nil, fmt.Errorf("unknown state %q of job %d", p.Status[job], job)
+			return nil, fmt.Errorf("unknown status letter %q of job %d", p.Status[job], job)
 		}
 		states[job] = JobState{
 			Status:          status,
@@ -96,9 +96,9 @@
 	return states, nil
 }
 
-// JobRef returns the id under which the current attempt of a job is submitted. It depends only on its
-// arguments: controllers that lead the run one after another submit under the same id, so that a
-// repeated step does not run the job twice. The protocol prescribes the prefix and the form.
+// JobRef returns the id under which the current attempt of a job is submitted. The id depends only on the
+// arguments. Successive leaders of the run therefore submit the attempt under the same id, so that a repeated
+// step does not run the job twice. The protocol prescribes the prefix and the form of the id.
 func JobRef(run string, job int, state JobState) string {
 	attempt := run + "/" + strconv.Itoa(job) + "/" + strconv.Itoa(state.Attempt) + "/" + strconv.Itoa(state.Salt)
 	return jobs.NumberedRef("pl", xxhash.Sum64String(attempt))
--- a/internal/pipelineexec/progress_test.go
+++ b/internal/pipelineexec/progress_test.go
@@ -28,10 +28,10 @@
 	}
 }
 
-func TestUnreadableProgressIsAnError(t *testing.T) {
+func TestJobStatesRejectsInvalidProgress(t *testing.T) {
 	progress := EncodeProgress(NewJobStates(2))
 	if _, err := progress.JobStates(3); err == nil {
-		t.Error("states of another number of jobs are accepted")
+		t.Error("a record with the states of another number of jobs is accepted")
 	}
 	progress.Status = "w?"
 	if _, err := progress.JobStates(2); err == nil {
@@ -39,14 +39,14 @@
 	}
 }
 
-// A retry gets another id, and so does an attempt whose id another job has taken; a controller that
+// A retry gets another id, and so does an attempt whose id is already used by another job. A controller that
 // continues the run computes the same ids.
 func TestJobRefsAreDistinctAndStable(t *testing.T) {
 	refs := map[string]bool{}
 	for _, state := range []JobState{{}, {Attempt: 1}, {Salt: 1}} {
 		ref := JobRef("run-1", 0, state)
 		if ref != JobRef("run-1", 0, state) {
-			t.Errorf("%+v has several ids", state)
+			t.Errorf("JobRef returns different ids for %+v", state)
 		}
 		refs[ref] = true
 	}
--- a/internal/pipelineexec/status.go
+++ b/internal/pipelineexec/status.go
@@ -2,14 +2,14 @@
 
 import "cherrywall/internal/pipeline"
 
-// Status is the status of a job of a run, by the letter with which it is recorded.
+// Status is the status of a job of a run, encoded as the letter that is recorded.
 type Status byte
 
 // The statuses of jobs that have not ended.
 const (
-	Waiting  Status = 'w' // until the jobs that it depends on have ended
-	Manual   Status = 'm' // until a user starts it
-	Delayed  Status = 'd' // until JobState.DelayedUntilMS
+	Waiting  Status = 'w' // waits until the jobs that it depends on have ended
+	Manual   Status = 'm' // waits until a user starts it
+	Delayed  Status = 'd' // waits until JobState.DelayedUntilMS
 	Active   Status = 'a' // submitted to the controller, or to be submitted
 	Stopping Status = 'x' // being cancelled, see JobState.Cause
 )
@@ -22,7 +22,7 @@
 	Skipped   Status = 'k'
 )
 
-// StatusName is a job's status as users see it: its name in the published format.
+// StatusName is a job's status as users see it, by its name in the GitLab format.
 type StatusName string
 
 // The names of the statuses of jobs.
@@ -50,10 +50,10 @@
 	Skipped:   NameSkipped,
 }
 
-// Name returns the status's name in the published format, empty for an unknown status.
+// Name returns the name of the status in the GitLab format, or "" for an unknown status.
 func (s Status) Name() StatusName { return statusNames[s] }
 
-// String returns the status's name in the published format, empty for an unknown status.
+// String returns the name of the status in the GitLab format, or "" for an unknown status.
 func (s Status) String() string { return string(s.Name()) }
 
 // IsFinal reports whether the job has ended: a final status never changes.
@@ -61,31 +61,31 @@
 	return s == Succeeded || s == Failed || s == Cancelled || s == Skipped
 }
 
-// Causes of a cancellation or failure besides those of package pipeline.
+// Causes of a cancellation or failure in addition to those of package pipeline.
 const (
 	CauseRunCancelled pipeline.FailureCause = "canceled"  // the run was cancelled
 	CauseJobCancelled pipeline.FailureCause = "withdrawn" // a user cancelled the job itself
-	CauseRejected     pipeline.FailureCause = "refused"   // the controller does not accept the job
+	CauseRejected     pipeline.FailureCause = "refused"   // the controller rejected the job
 )
 
-// CancelMode is whether and how a run is cancelled. The run's record contains it.
+// CancelMode defines whether and how a run is cancelled. It is part of the run's record.
 type CancelMode string
 
-// The modes. Once a run is cancelled, in either mode, no further job starts.
+// The modes. After a run is cancelled in either mode, no further job starts.
 const (
 	NotCancelled CancelMode = ""
 	CancelNow    CancelMode = "now"   // all jobs in progress are cancelled
 	CancelDrain  CancelMode = "drain" // jobs in progress that are not interruptible may finish
 )
 
-// RunStatus is the status of a run, by its name in the published format. Records of finished runs
-// and the views of users contain it.
+// RunStatus is the status of a run, by its name in the GitLab format. It is part of the records of finished
+// runs and of the views that users request.
 type RunStatus string
 
 // The statuses of a run. The last three are final.
 const (
 	RunRunning   RunStatus = "running"
-	RunManual    RunStatus = "manual" // it waits for a user to start a job
+	RunManual    RunStatus = "manual" // the run waits for a user to start a job
 	RunStopping  RunStatus = "canceling"
 	RunSucceeded RunStatus = "success"
 	RunFailed    RunStatus = "failed"
