--- a/internal/cronschedule/schedule_test.go
+++ b/internal/cronschedule/schedule_test.go
@@ -13,15 +13,15 @@
 	}
 	for _, c := range []struct {
 		expression string
-		after      string // in Zurich, with the offset to distinguish the hour that occurs twice
+		after      string // in Zurich; the offset distinguishes the two occurrences of the hour that occurs twice
 		want       []string
 	}{
 		{"30 17 * * *", "2026-12-01T18:00:00+01:00", []string{"2026-12-02T17:30:00+01:00", "2026-12-03T17:30:00+01:00"}},
-		// 29 March 2026: from 02:00 to 03:00.
+		// On 29 March 2026 the clocks are put forward from 02:00 to 03:00.
 		{"30 2 * * *", "2026-03-28T12:00:00+01:00", []string{"2026-03-29T03:00:00+02:00", "2026-03-30T02:30:00+02:00"}},
 		{"0 3 * * *", "2026-03-28T12:00:00+01:00", []string{"2026-03-29T03:00:00+02:00", "2026-03-30T03:00:00+02:00"}},
 		{"*/30 * * * *", "2026-03-29T01:15:00+01:00", []string{"2026-03-29T01:30:00+01:00", "2026-03-29T03:00:00+02:00", "2026-03-29T03:30:00+02:00"}},
-		// 25 October 2026: from 03:00 back to 02:00.
+		// On 25 October 2026 the clocks are put back from 03:00 to 02:00.
 		{"30 2 * * *", "2026-10-24T12:00:00+02:00", []string{"2026-10-25T02:30:00+02:00", "2026-10-26T02:30:00+01:00"}},
 		{"30 2 * * *", "2026-10-25T02:45:00+02:00", []string{"2026-10-26T02:30:00+01:00"}},
 		{"30 2 * * *", "2026-10-25T02:15:00+01:00", []string{"2026-10-26T02:30:00+01:00"}},
@@ -34,13 +34,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			at, err := time.Parse(time.RFC3339, c.after)
+			instant, err := time.Parse(time.RFC3339, c.after)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, want := range c.want {
-				at = schedule.Next(at)
-				if got := at.In(zurich).Format(time.RFC3339); got != want {
+				instant = schedule.Next(instant)
+				if got := instant.In(zurich).Format(time.RFC3339); got != want {
 					t.Fatalf("%s, want %s", got, want)
 				}
 			}
