--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -150,8 +150,8 @@
 	c.plan.Jobs = append(c.plan.Jobs, j.job)
 }
 
-// expandKeys expands the variables in the values of a job's keys. It leaves out the key variables, and ignored
-// and unsupported keys: the latter may use variables that are not set in the file.
+// expandKeys expands the variables in the values of a job's keys. It leaves out the key variables itself,
+// and the keys that are ignored or unsupported: these may use variables that are not set in the file.
 func (c *compiler) expandKeys(jobName string, tree *yaml.Node, variables map[string]string) {
 	for i := 0; i+1 < len(tree.Content); i += 2 {
 		key := tree.Content[i].Value
