--- a/internal/pipelinerun/commit.go
+++ b/internal/pipelinerun/commit.go
@@ -8,23 +8,25 @@
 	"cherrywall/internal/tuning"
 )
 
-// unchanged returns the precondition that the run's record is the one that is known here.
-func (r *runState) unchanged() kvstore.Condition {
+// recordUnchangedCondition returns the precondition that the run's record still has the revision
+// that is known to this controller.
+func (r *runState) recordUnchangedCondition() kvstore.Condition {
 	return kvstore.Condition{Key: runKey(r.id), Revision: r.revision}
 }
 
-// ownedUnder returns the precondition that the run's home shard is still in an epoch: no other
-// controller has acquired it.
-func (r *runState) ownedUnder(epoch uint64) kvstore.Condition {
+// shardEpochCondition returns the precondition that the run's home shard still has the given epoch,
+// so that no other controller has acquired the shard.
+func (r *runState) shardEpochCondition(epoch uint64) kvstore.Condition {
 	return kvstore.Condition{Key: jobs.ShardPrefix + r.record.HomeShard, Revision: epoch}
 }
 
-// writeRunRecord writes a run's record under an epoch of its home shard, provided that both are
-// unchanged; written is called on success.
+// writeRunRecord writes a run's record with an epoch of its home shard. The preconditions are that
+// nobody else has changed the record and that the shard still has this epoch. written is called on
+// success.
 func (l *Leader) writeRunRecord(run *runState, epoch uint64, record runRecord, written func()) {
 	record.Epoch = epoch
 	txn := kvstore.Txn{
-		Conditions: []kvstore.Condition{run.unchanged(), run.ownedUnder(epoch)},
+		Conditions: []kvstore.Condition{run.recordUnchangedCondition(), run.shardEpochCondition(epoch)},
 		Writes:     []kvstore.Write{{Key: runKey(run.id), Value: kvstore.Encode(record)}},
 	}
 	l.commitRunTxn(run, txn, func(revision uint64) {
@@ -36,8 +38,8 @@
 	})
 }
 
-// commitRunTxn executes a transaction of a run; committed is called with its revision if the
-// conditions held.
+// commitRunTxn executes a transaction of a run. committed is called with the revision of the
+// transaction if its conditions held; otherwise the run is paused.
 func (l *Leader) commitRunTxn(run *runState, txn kvstore.Txn, committed func(revision uint64)) {
 	run.writeInFlight = true
 	l.commit(kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
@@ -45,7 +47,7 @@
 		switch {
 		case err != nil:
 			run.pausedUntil = time.Now().Add(tuning.MinRetryDelay)
-		case !result.Succeeded: // the watch is about to deliver what has changed
+		case !result.Succeeded: // the watch is about to deliver the conflicting change
 			run.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay)
 		default:
 			committed(result.Revision)
@@ -53,10 +55,11 @@
 	})
 }
 
-// commitAfter executes a transaction after other writes, which need no conditions: their keys are
-// new, and no record refers to them yet. The writes are divided into as many transactions as the
-// limits of the store require. If one fails, the records written before it stay and are never read.
-func (l *Leader) commitAfter(writes []kvstore.Write, priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
+// commitAfterWrites executes a transaction after other writes. These need no conditions, since
+// their keys are new and no record refers to them yet. They are divided into as many transactions
+// as the limits of the store require. If one of these fails, the transaction is not executed; the
+// records written before the failure stay and are never read.
+func (l *Leader) commitAfterWrites(writes []kvstore.Write, priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
 	batchSize := min(len(writes), l.cfg.EffectiveStateLimits().TxnOps, max(1, tuning.MaxTxnBytes/l.cfg.MaxValueBytes()))
 	if batchSize == 0 {
 		l.commit(priority, txn, done)
@@ -67,11 +70,12 @@
 			done(result, err)
 			return
 		}
-		l.commitAfter(writes[batchSize:], priority, txn, done)
+		l.commitAfterWrites(writes[batchSize:], priority, txn, done)
 	})
 }
 
-// commit executes a transaction off the actor and passes its result to done on the actor.
+// commit executes a transaction in a goroutine of its own, and passes the result to done on the
+// actor's goroutine.
 func (l *Leader) commit(priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
 	l.metrics.writes.Add(float64(len(txn.Writes)))
 	go func() {
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -12,8 +12,8 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-// The leading controller crashes after each write to the store in turn: every job is done in the
-// end, and no task runs twice.
+// The controller that leads the run crashes after each write to the store in turn. Every job must
+// still be done, and no task may run twice.
 func TestLeaderCrashAfterEachWrite(t *testing.T) {
 	for step := range 16 {
 		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
@@ -29,75 +29,75 @@
 	}
 	before := countWrites()
 	c.create("n1", "run-9", diamond)
-	leading := c.leadingController("run-9")
+	leaderNode := c.leadingController("run-9")
 	for deadline := time.Now().Add(40 * time.Second); countWrites()-before <= step && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	c.CrashController(leading)
+	c.CrashController(leaderNode)
 	time.Sleep(3 * time.Second)
-	c.StartController(leading)
+	c.StartController(leaderNode)
 	run := c.awaitSuccess("n2", "run-9", 90*time.Second)
 	time.Sleep(5 * time.Second)
 	for _, node := range controllers {
 		if response := c.leader(node).Get("run-9"); response.Run == nil || response.Run.Status != run.Status || response.Run.EndedAtMS != run.EndedAtMS {
-			t.Errorf("%s reports another end: %+v", node, response.Run)
+			t.Errorf("%s reports another final state: %+v", node, response.Run)
 		}
 	}
 	for i, job := range parsePlan(t, diamond).Jobs {
-		if response := c.Poll("n0", firstRef("run-9", i)); response.Status != jobs.Done {
+		if response := c.Poll("n0", firstAttemptRef("run-9", i)); response.Status != jobs.Done {
 			t.Errorf("%s is %+v", job.Name, response)
 		}
 	}
 	c.checkStartedOnce()
 }
 
-// cancellationOrder has the times at which a run is cancelled, its leader crashes and its last job
-// ends, in ms from a common moment.
-type cancellationOrder struct{ cancel, crash, end time.Duration }
+// cancellationTiming contains the times at which a run is cancelled, its leader crashes and its
+// last job ends, in ms after a common start.
+type cancellationTiming struct{ cancel, crash, end time.Duration }
 
 // A run is cancelled while a stage drains, its leader crashes, and the last job ends, all within a
-// second of each other and in every order: all controllers report the same end, and nothing starts
-// after the cancellation was answered.
+// second and in every order. All controllers must report the same final state, and nothing may
+// start after the cancellation was answered.
 func TestCancellationLeaderCrashAndLastCompletionTogether(t *testing.T) {
-	for i, order := range []cancellationOrder{{0, 0, 0}, {0, 500, 900}, {900, 500, 0}, {500, 0, 900}, {500, 900, 0}, {0, 100, 0}} {
+	for i, timing := range []cancellationTiming{{0, 0, 0}, {0, 500, 900}, {900, 500, 0}, {500, 0, 900}, {500, 900, 0}, {0, 100, 0}} {
 		mode := []pipelineexec.CancelMode{pipelineexec.CancelDrain, pipelineexec.CancelNow}[i%2]
-		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			runScenario(t, func(t *testing.T, c *testCluster) { cancelDuringFailover(t, c, order, mode) })
+		t.Run(fmt.Sprint(timing), func(t *testing.T) {
+			runScenario(t, func(t *testing.T, c *testCluster) { cancelDuringFailover(t, c, timing, mode) })
 		})
 	}
 }
 
-func cancelDuringFailover(t *testing.T, c *testCluster, order cancellationOrder, mode pipelineexec.CancelMode) {
+func cancelDuringFailover(t *testing.T, c *testCluster, timing cancellationTiming, mode pipelineexec.CancelMode) {
 	t.Helper()
-	const file = head + `
+	const file = fileHeader + `
 quick: {stage: one, interruptible: true, cluster: {estimate_s: 30, checkpoint_s: 5, save_s: 2}}
 slow: {stage: one}
 next: {stage: two, when: always}
 `
 	c.create("n0", "run-3", file)
-	leading := c.leadingController("run-3")
+	leaderNode := c.leadingController("run-3")
 	other := "n1"
-	if leading == other {
+	if leaderNode == other {
 		other = "n2"
 	}
-	time.Sleep(3*time.Second + order.end*time.Millisecond - 900*time.Millisecond) // slow ends at about 3 s
+	time.Sleep(3*time.Second + timing.end*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
 	leader, answered := c.leader(other), make(chan bool)
 	go func() {
-		time.Sleep(order.cancel * time.Millisecond)
+		time.Sleep(timing.cancel * time.Millisecond)
 		for leader.Cancel("run-3", mode).Code != 200 {
 			time.Sleep(time.Second)
 		}
 		close(answered)
 	}()
-	time.Sleep(order.crash * time.Millisecond)
-	c.CrashController(leading)
+	time.Sleep(timing.crash * time.Millisecond)
+	c.CrashController(leaderNode)
 	<-answered
 	before := len(c.StartCounts())
 	run := c.awaitFinished(other, "run-3", 60*time.Second)
 	if started := len(c.StartCounts()); started != before {
 		t.Errorf("%d tasks started after the cancellation was answered", started-before)
 	}
-	c.StartController(leading)
+	c.StartController(leaderNode)
 	time.Sleep(10 * time.Second)
 	for node := range c.Nodes {
 		if reported := c.leader(node).Get("run-3").Run; reported == nil || describeJobs(reported) != describeJobs(run) || reported.Status != run.Status {
@@ -108,19 +108,20 @@
 		t.Errorf("%s: %s", run.Status, describeJobs(run))
 	}
 	for job := range 3 {
-		if response := c.Poll("n0", firstRef("run-3", job)); response.Status == jobs.Running || response.Status == jobs.Queued {
-			t.Errorf("job %d goes on: %+v", job, response)
+		if response := c.Poll("n0", firstAttemptRef("run-3", job)); response.Status == jobs.Running || response.Status == jobs.Queued {
+			t.Errorf("job %d has not ended: %+v", job, response)
 		}
 	}
 }
 
-// What a crashed leader has in flight must not take effect after the next leader's steps: its
-// submissions have the precondition of a record that the next leader has written anew.
+// A submission that a crashed leader still has in flight must not take effect after the next
+// leader's steps. Its precondition is the revision of the run's record, which the next leader has
+// written anew.
 func TestLateSubmissionOfFormerLeaderIsRejected(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-2", diamond)
-		leading := c.leadingController("run-2")
-		other := nextController[leading]
+		leaderNode := c.leadingController("run-2")
+		other := otherController[leaderNode]
 		record, err := c.Nodes[other].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
 		if err != nil {
 			t.Fatal(err)
@@ -135,7 +136,7 @@
 		if code := submit("pl-1"); code != 201 {
 			t.Errorf("under the current record: %d", code)
 		}
-		c.CrashController(leading)
+		c.CrashController(leaderNode)
 		time.Sleep(8 * time.Second)
 		if _, found := c.Store.Value(jobs.OpaquePrefix + "run/run-2"); !found {
 			t.Fatal("the run is finished already")
@@ -147,22 +148,22 @@
 	})
 }
 
-// A controller that was partitioned from the store continues to lead a run that another one leads by
-// now: it can't undo the steps of that one.
+// A controller that was partitioned from the store still believes that it leads a run which another
+// controller leads by now. It must not be able to undo the steps of the new leader.
 func TestPartitionedLeaderCannotUndoSuccessor(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-4", diamond)
-		leading := c.leadingController("run-4")
-		other := nextController[leading]
-		c.Store.RefuseNode(leading, true)
-		time.Sleep(8 * time.Second) // its shard has another owner
-		if c.OwnerOf(leading) == leading {
+		leaderNode := c.leadingController("run-4")
+		other := otherController[leaderNode]
+		c.Store.RefuseNode(leaderNode, true)
+		time.Sleep(8 * time.Second) // by now its shard has another owner
+		if c.OwnerOf(leaderNode) == leaderNode {
 			t.Fatal("no controller has acquired its shard")
 		}
 		if response := c.leader(other).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
 			t.Fatalf("the cancellation of the run was answered %+v", response)
 		}
-		c.Store.RefuseNode(leading, false)
+		c.Store.RefuseNode(leaderNode, false)
 		before := len(c.StartCounts())
 		run := c.awaitFinished(other, "run-4", 60*time.Second)
 		if started := len(c.StartCounts()); run.Status != pipelineexec.RunCancelled || started != before {
--- a/internal/pipelinerun/groups.go
+++ b/internal/pipelinerun/groups.go
@@ -2,29 +2,31 @@
 
 import "cherrywall/internal/kvstore"
 
-// resourceGroup is a resource group that a job owns. Of all jobs of a group, in all runs, only the
-// owner may be in progress.
+// resourceGroup is a resource group that is owned by a job. Among the jobs of a group, which can
+// belong to several runs, only the owner may be in progress.
 type resourceGroup struct {
 	groupOwner
-	revision uint64 // of its record
+	revision uint64 // of the group's record
 }
 
-// acquireGroup reports whether a job owns its group, and begins to acquire it if it is free or its
-// owner has finished. A later step finds it acquired.
+// acquireGroup reports whether a job owns its group. If the group is free or its owner has
+// finished, acquireGroup starts to acquire it and returns false; a later call returns true if that
+// succeeded.
 func (l *Leader) acquireGroup(run *runState, job int) bool {
 	key := groupKey(run.execution.Plan.Jobs[job].Group)
 	group, taken := l.resourceGroups[key]
 	if taken && group.Run == run.id && group.Job == job {
 		return true
 	}
-	// A run that is not known here has finished: its record was written before that of the group.
+	// A run whose record is unknown has finished: the record of a run is written before the record
+	// of a group that the run owns.
 	isOwnerInProgress := taken && l.runs[group.Run] != nil && !l.groupOwnerFinished(group)
 	if isOwnerInProgress {
 		return false
 	}
 	owner := groupOwner{Run: run.id, Job: job}
 	txn := kvstore.Txn{
-		Conditions: []kvstore.Condition{{Key: key, Revision: group.revision}, run.unchanged(), run.ownedUnder(run.epoch)},
+		Conditions: []kvstore.Condition{{Key: key, Revision: group.revision}, run.recordUnchangedCondition(), run.shardEpochCondition(run.epoch)},
 		Writes:     []kvstore.Write{{Key: key, Value: kvstore.Encode(owner)}},
 	}
 	l.commitRunTxn(run, txn, func(revision uint64) {
@@ -33,7 +35,8 @@
 	return false
 }
 
-// groupOwnerFinished reports whether a group's owner is led here and has finished.
+// groupOwnerFinished reports whether a group's owner belongs to a run that this controller leads,
+// and has finished.
 func (l *Leader) groupOwnerFinished(group resourceGroup) bool {
 	run := l.runs[group.Run]
 	return run != nil && run.epoch != 0 && run.jobIsFinal(group.Job)
@@ -43,8 +46,8 @@
 	return r.execution != nil && r.execution.JobStates[job].Status.IsFinal()
 }
 
-// releaseGroups begins to release a group that the run owns for a job that has finished; one at a
-// time, since a run has one write in flight at most.
+// releaseGroups starts to release a group that is owned by a finished job of the run. It releases
+// one group at a time, since a run has at most one write in flight.
 func (l *Leader) releaseGroups(run *runState) {
 	for key, group := range l.resourceGroups {
 		isReleasable := group.Run == run.id && run.jobIsFinal(group.Job)
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -15,12 +15,12 @@
 	"cherrywall/internal/pipelinerun"
 )
 
-const head = `
+const fileHeader = `
 default: {cluster: {class: c, team: ops, image: img, cpus: 1, memory_gb: 1, estimate_s: 3}}
 stages: [one, two, three]
 `
 
-const diamond = head + `
+const diamond = fileHeader + `
 top: {stage: one, cluster: {tasks: 3}}
 left: {stage: two, needs: [top]}
 right: {stage: two, needs: [top], cluster: {kind: gang, tasks: 2, one_zone: true}}
@@ -29,8 +29,8 @@
 
 var controllers = []string{"n0", "n1", "n2"}
 
-// nextController has for each controller another one.
-var nextController = map[string]string{"n0": "n1", "n1": "n2", "n2": "n0"}
+// otherController maps each controller to another one.
+var otherController = map[string]string{"n0": "n1", "n1": "n2", "n2": "n0"}
 
 // testCluster is a cluster whose controllers run pipelines.
 type testCluster struct {
@@ -38,7 +38,7 @@
 	t *testing.T
 }
 
-// runScenario runs a scenario with three controllers and six machines, and fails it if an
+// runScenario runs a scenario with three controllers and six machines. The test fails if an
 // invariant is violated.
 func runScenario(t *testing.T, scenario func(t *testing.T, c *testCluster)) {
 	t.Helper()
@@ -50,15 +50,15 @@
 	})
 }
 
-// runSingleController runs a scenario with one controller: which of several controllers claims a
-// job first is random if they receive no peer heartbeats.
+// runSingleController runs a scenario with one controller. With several controllers that receive no
+// peer heartbeats it would be random which of them claims a job first.
 func runSingleController(t *testing.T, scenario func(t *testing.T, c *testCluster)) {
 	t.Helper()
 	runCluster(t, map[string]string{"n0": "a"}, []string{"a"}, scenario)
 }
 
-// runCluster runs a scenario with a controller in each of the zones given by its name, and six machines
-// in machineZones by turns.
+// runCluster runs a scenario with controllers and six machines. zones contains the zone of each
+// controller by its name; the machines are placed in machineZones in turn.
 func runCluster(t *testing.T, zones map[string]string, machineZones []string, scenario func(t *testing.T, c *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	return plan
 }
 
-// firstRef is the id of the first attempt of a run's job.
-func firstRef(run string, job int) string {
+// firstAttemptRef returns the id of the first attempt of a run's job.
+func firstAttemptRef(run string, job int) string {
 	return pipelineexec.JobRef(run, job, pipelineexec.JobState{})
 }
 
@@ -126,7 +126,7 @@
 	return run
 }
 
-// leadingController is the controller that owns the home shard of a run.
+// leadingController returns the controller that owns the home shard of a run.
 func (c *testCluster) leadingController(id string) string {
 	for _, node := range controllers {
 		if c.Nodes[node] == nil {
--- a/internal/pipelinerun/inbox.go
+++ b/internal/pipelinerun/inbox.go
@@ -6,13 +6,14 @@
 	"cherrywall/internal/kvstore"
 )
 
-// inbox queues the controller's events for the leader without a limit, so that the controller's actor
-// never blocks on it: the leader waits for the controller's responses, and both would wait for ever.
+// inbox is an unbounded queue of the controller's events for the leader. A bounded queue could
+// cause a deadlock: the controller's actor would wait for the leader while the leader waits for the
+// controller's response.
 type inbox struct {
 	mu     sync.Mutex
 	events []kvstore.Event
-	reload bool          // events were missed
-	notify chan struct{} // has a message while the inbox is not empty
+	reload bool          // events were missed: list all records again
+	notify chan struct{} // receives a message when events are added
 }
 
 func newInbox() inbox { return inbox{notify: make(chan struct{}, 1)} }
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -10,14 +10,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// observe returns what is known of a job's current attempt: what this controller has cached, else what
-// it has answered to an earlier call, else that it has no such job as long as no call is in flight.
+// observe returns what is known about a job's current attempt. It uses the state that this
+// controller has cached, else the controller's response to an earlier call. If neither exists and
+// no call is in flight, it reports that the controller has no such job.
 func (l *Leader) observe(run *runState, job int, local controller.LocalState) pipelineexec.Observation {
 	ref := run.jobRef(job)
 	_, cached := local.Jobs[ref]
 	observation, answered := run.observations[ref]
 	if cached || !answered && !l.callsInFlight[ref] {
-		if localObservation, known := l.observeLocally(run, job, ref, local); known {
+		if localObservation, known := l.observeFromCache(run, job, ref, local); known {
 			delete(run.observations, ref)
 			return localObservation
 		}
@@ -28,11 +29,11 @@
 	return pipelineexec.Observation{IsUnknown: !l.callsInFlight[ref]}
 }
 
-// observeLocally returns what this controller has cached of a job's attempt; known is false if that
-// is nothing, or another user's job. A job that became active in this very step is not in the local
-// state yet and is looked up now, so that a new leader catches up in one tick instead of one tick
-// for each stage.
-func (l *Leader) observeLocally(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
+// observeFromCache returns what this controller has cached about a job's attempt. known is false if
+// nothing is cached, or if the cached job belongs to another user. A job that became active in the
+// current step is not in the local state yet. It is looked up immediately, so that a new leader
+// catches up in one tick instead of one tick for each stage.
+func (l *Leader) observeFromCache(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
 	localJob, cached := local.Jobs[ref]
 	if !cached {
 		current, _ := l.controller.LocalState([]string{ref})
@@ -54,15 +55,15 @@
 	return observation, known && run.matchesSpec(job, localJob)
 }
 
-// findSubmittedJobs finds out which jobs of a cancelled run an earlier leader has submitted, by
-// polling the controller for each job that may have been. actions are those of a step that took the
-// run for not cancelled: its submissions are the candidates. When all are answered, the jobs that
-// were not submitted wait again and the cancellation applies.
+// findSubmittedJobs finds out which jobs of a cancelled run an earlier leader has submitted.
+// actions are the result of a step that ignored the cancellation: the jobs that it would submit are
+// the candidates, and the controller is polled for each of them. When all polls are answered, the
+// jobs that were not submitted become waiting again, and the cancellation takes effect.
 func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
 	remaining := false
 	for _, action := range actions {
 		if !action.Submit || run.notSubmitted[action.Job] {
-			continue // cancellations are repeated by the steps after this search
+			continue // the steps after this search repeat the cancellations
 		}
 		remaining = true
 		ref := run.jobRef(action.Job)
@@ -88,16 +89,16 @@
 	l.awaitResponse(run, ref, reply, func(response controller.Response) {
 		switch {
 		case response.Code != http.StatusNotFound:
-			run.recordResponse(ref, response)
+			run.applyResponse(ref, response)
 		case run.findingSubmitted && run.jobRef(job) == ref:
 			run.notSubmitted[job] = true
 		}
 	})
 }
 
-// submitJob submits a job's current attempt, on the precondition that the run's record is the one
-// that is known here. Without it a job could start after the run was cancelled, or through a former
-// leader.
+// submitJob submits a job's current attempt, on the precondition that the run's record still has
+// the revision that is known to this controller. Without this precondition a job could start after
+// the run was cancelled, or through a former leader.
 func (l *Leader) submitJob(run *runState, job int) {
 	state := run.execution.JobStates[job]
 	ref := run.jobRef(job)
@@ -107,7 +108,7 @@
 	spec := run.execution.Plan.Jobs[job].Spec
 	spec.Ref = ref
 	reply := make(chan controller.Response, 1)
-	l.controller.SubmitIf(&spec, run.unchanged(), reply)
+	l.controller.SubmitIf(&spec, run.recordUnchangedCondition(), reply)
 	l.metrics.submissions.Inc()
 	l.awaitResponse(run, ref, reply, func(response controller.Response) {
 		if run.execution.JobStates[job] == state {
@@ -121,7 +122,7 @@
 	case http.StatusOK:
 		l.verifySubmission(run, job, ref, response)
 	case http.StatusCreated:
-		run.recordResponse(ref, response)
+		run.applyResponse(ref, response)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		l.log.Info("job of a run rejected", "run", run.id, "pipeline_job", run.jobName(job), "job", ref, "error", response.Error)
 		state := &run.execution.JobStates[job]
@@ -132,9 +133,10 @@
 	}
 }
 
-// verifySubmission handles the answer that a job with the attempt's id exists already. It is the
-// attempt if this leader submitted it in a call that was not answered, or an earlier leader did. If
-// its spec differs it is another user's job, and the attempt gets another id.
+// verifySubmission handles the response that a job with the attempt's id already exists. That job
+// is the attempt itself if this leader submitted it in a call that was not answered, or if an
+// earlier leader submitted it. If its spec differs, it is another user's job, and the attempt gets
+// another id.
 func (l *Leader) verifySubmission(run *runState, job int, ref string, response controller.Response) {
 	local, ok := l.controller.LocalState([]string{ref})
 	if localJob, known := local.Jobs[ref]; ok && known && !run.matchesSpec(job, localJob) {
@@ -142,7 +144,7 @@
 		run.execution.JobStates[job].Salt++
 		return
 	}
-	run.recordResponse(ref, response)
+	run.applyResponse(ref, response)
 }
 
 // cancelJob cancels a job's current attempt.
@@ -159,14 +161,15 @@
 			run.observations[ref] = pipelineexec.Observation{IsCancelled: true}
 		case http.StatusOK:
 			if response.Status == jobs.Done || response.Status == jobs.Cancelled {
-				run.recordResponse(ref, response)
+				run.applyResponse(ref, response)
 			}
 		}
 	})
 }
 
-// awaitResponse waits for the controller's response to a call for an attempt, and passes it to
-// handle on the actor, if the run is still known.
+// awaitResponse waits in a goroutine of its own for the controller's response to a call for an
+// attempt. It passes the response to handle on the actor's goroutine, unless the run is no longer
+// known.
 func (l *Leader) awaitResponse(run *runState, ref string, reply <-chan controller.Response, handle func(response controller.Response)) {
 	l.callsInFlight[ref] = true
 	go func() {
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -1,6 +1,6 @@
-// Package pipelinerun leads runs of pipeline files: it submits their jobs to the controller as
-// their dependencies allow, keeps their progress in durable records, and answers users. A run is
-// led by the owner of its home shard; any controller accepts requests.
+// Package pipelinerun leads runs of pipeline files: it submits their jobs to the controller when
+// the dependencies allow it, stores their progress in durable records, and answers users' requests.
+// A run is led by the owner of its home shard; any controller accepts requests.
 package pipelinerun
 
 import (
@@ -19,18 +19,19 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Store is what the leader needs of the key-value store.
+// Store contains the operations of the key-value store that the leader uses.
 type Store interface {
 	Commit(ctx context.Context, priority kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error)
 	Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.GetResult, error)
 	List(ctx context.Context, prefix string) ([]kvstore.KeyValue, uint64, error)
 }
 
-// Controller is this process's controller: jobs are submitted to it, and it passes on the changes
-// of the run records. Its methods may wait for its actor.
+// Controller is the controller of this process. It receives the jobs of the runs, and delivers the
+// changes of the run records. Its methods may block until the controller's actor has answered.
 type Controller interface {
-	// Subscribe has the changes of records below jobs.OpaquePrefix passed to notify, and reload
-	// if some were missed, so that all have to be listed again. notify must not block for long.
+	// Subscribe makes the controller pass the changes of records below jobs.OpaquePrefix to notify.
+	// reload is set if some changes were missed, so that all records have to be listed again.
+	// notify must not block for long.
 	Subscribe(notify func(events []kvstore.Event, reload bool))
 	// SubmitIf submits a job under a precondition.
 	SubmitIf(spec *jobs.Spec, precondition kvstore.Condition, reply chan<- controller.Response)
@@ -38,14 +39,14 @@
 	Poll(ref string, reply chan controller.Response)
 	// Cancel cancels a job.
 	Cancel(ref string, reply chan controller.Response)
-	// LocalState returns the shards owned by this controller, and what is cached of some jobs; ok
-	// is false if the controller has shut down.
+	// LocalState returns the shards owned by this controller, and the cached states of the given
+	// jobs. ok is false if the controller has shut down.
 	LocalState(refs []string) (state controller.LocalState, ok bool)
 }
 
 // Leader is the actor that leads the runs whose home shards this controller owns, and answers
-// requests on all runs. Exported methods may be called from any goroutine; all state is touched
-// by the actor alone.
+// requests on all runs. Exported methods may be called from any goroutine; the state is read and
+// written only on the actor's goroutine.
 type Leader struct {
 	mailbox    *actor.Mailbox
 	cfg        *config.Config
@@ -55,20 +56,20 @@
 	log        *slog.Logger
 	metrics    *leaderMetrics
 
-	inbox         inbox
-	synced        bool // all records were listed
-	loading       bool // a listing is in flight
-	reloads       int  // how often events were missed, to notice it during a listing
-	pendingEvents []kvstore.Event
+	inbox          inbox
+	synced         bool // all records were listed once
+	loading        bool // a listing is in flight
+	reloadRequests int  // how often events were missed; used to detect this during a listing
+	pendingEvents  []kvstore.Event
 
 	runs           map[string]*runState      // unfinished, by id
 	resourceGroups map[string]resourceGroup  // by key
 	schedules      map[string]*scheduleState // by key
 	finalRuns      *lru.Cache[string, runRecord]
-	callsInFlight  map[string]bool // submissions, cancellations and polls, by job
+	callsInFlight  map[string]bool // submissions, cancellations and polls, by job id
 }
 
-// New returns a leader that works from Start until ctx ends.
+// New returns a leader that works from the call of Start until ctx ends.
 func New(ctx context.Context, cfg *config.Config, store Store, controller Controller, tracer *tracing.Tracer, log *slog.Logger) *Leader {
 	finalRuns, err := lru.New[string, runRecord](tuning.MaxCachedEndedRuns)
 	if err != nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// tick starts the runs of due schedules, and advances every run that is led here.
+// tick starts the runs of due schedules, and advances every run that this controller leads.
 func (l *Leader) tick(now time.Time) {
 	if !l.synced || len(l.runs)+len(l.schedules) == 0 {
 		return
--- a/internal/pipelinerun/load_test.go
+++ b/internal/pipelinerun/load_test.go
@@ -10,10 +10,11 @@
 	"cherrywall/internal/jobs"
 )
 
-// Five hundred jobs in one file, and the writes to the store that they and small runs take.
+// A run with 500 jobs in one file succeeds, and small runs take at most 3.5 writes to the store
+// each.
 func TestManyJobsAndManyRuns(t *testing.T) {
 	var file strings.Builder
-	file.WriteString(head)
+	file.WriteString(fileHeader)
 	for i := range 500 {
 		fmt.Fprintf(&file, "street-%d: {stage: one, cluster: {cpus: 0.2, memory_gb: 0.1}}\n", i)
 	}
@@ -23,7 +24,7 @@
 		if run := c.awaitSuccess("n1", "run-1", 6*time.Minute); run.Ended != 500 {
 			t.Errorf("%s, %d jobs ended", run.Status, run.Ended)
 		}
-		t.Logf("500 jobs: %d writes beside the jobs' own", c.Store.WriteCountOf(jobs.OpaquePrefix)-before)
+		t.Logf("500 jobs: %d writes, not counting those of the jobs themselves", c.Store.WriteCountOf(jobs.OpaquePrefix)-before)
 
 		before = c.Store.WriteCountOf(jobs.OpaquePrefix)
 		for i := range 40 {
@@ -38,12 +39,12 @@
 	})
 }
 
-// Runs of ten jobs, created at two hundred a minute, take less than a quarter of the writes that
-// the smaller deployment's store allows (50 a second), and a user's own requests are answered as
-// fast as ever.
+// Runs of ten jobs, created at a rate of 200 a minute, take less than a quarter of the 50 writes a
+// second that the store of the smaller deployment allows. Meanwhile a user's own requests are
+// answered within 300 ms.
 func TestTwoHundredRunsAMinute(t *testing.T) {
 	const runCount = 60
-	file := head + "a: {stage: one, parallel: 4, cluster: {cpus: 0.2, memory_gb: 0.1}}\nb: {stage: two, parallel: 5, cluster: {cpus: 0.2, memory_gb: 0.1}}\nc: {stage: three}\n"
+	file := fileHeader + "a: {stage: one, parallel: 4, cluster: {cpus: 0.2, memory_gb: 0.1}}\nb: {stage: two, parallel: 5, cluster: {cpus: 0.2, memory_gb: 0.1}}\nc: {stage: three}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		before := c.Store.WriteCountOf(jobs.OpaquePrefix)
 		longest := time.Duration(0)
@@ -58,7 +59,7 @@
 			c.awaitSuccess("n2", fmt.Sprintf("run-%d", i+1), 10*time.Minute)
 		}
 		writes := c.Store.WriteCountOf(jobs.OpaquePrefix) - before
-		t.Logf("%.2f writes for each run of 10 jobs, users waited for %v at the most", float64(writes)/runCount, longest)
+		t.Logf("%.2f writes for each run of 10 jobs, users waited for at most %v", float64(writes)/runCount, longest)
 		if float64(writes) > 50*runCount*0.3/4 || longest > 300*time.Millisecond {
 			t.Errorf("%d writes for %d runs, a user waited for %v", writes, runCount, longest)
 		}
@@ -74,7 +75,7 @@
 		c.t.Errorf("response to a user's submission: %+v", response)
 	}
 	submission := time.Since(start)
-	// A poll waits until the cache is current: the records of runs must not delay that.
+	// A poll waits until the cache is current; the records of runs must not delay that.
 	start = time.Now()
 	if response := c.Poll("n2", ref); response.Code != 200 {
 		c.t.Errorf("response to a user's poll: %+v", response)
@@ -82,11 +83,12 @@
 	return max(submission, time.Since(start))
 }
 
-// What a run adds to the time between the end of one job and the start of the next: ten jobs in a
-// row as a pipeline, and ten submitted singly as soon as a poll, ten times a second, reports the
-// end of the one before.
+// Measures what a pipeline adds to the time between the end of one job and the start of the next.
+// Ten jobs in a row run as a pipeline, and then as ten single submissions. Each of the single
+// submissions is sent as soon as a poll, repeated ten times a second, reports the end of the job
+// before.
 func TestDelayBetweenJobs(t *testing.T) {
-	file := head
+	file := fileHeader
 	for i := range 10 {
 		needs := ""
 		if i > 0 {
@@ -117,8 +119,8 @@
 		single = time.Since(start)
 	})
 	added := (pipelined - single) / 10
-	t.Logf("ten jobs in a row: %v as a pipeline, %v singly: %v for each step", pipelined, single, added)
+	t.Logf("ten jobs in a row: %v as a pipeline, %v as single submissions: difference of %v for each step", pipelined, single, added)
 	if added > 400*time.Millisecond {
-		t.Errorf("each step takes %v more than singly", added)
+		t.Errorf("each step takes %v more than with single submissions", added)
 	}
 }
--- a/internal/pipelinerun/plan.go
+++ b/internal/pipelinerun/plan.go
@@ -14,15 +14,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// unreadableRunDelay is after how long the record of a run or schedule that cannot be read is read
-// again.
-const unreadableRunDelay = time.Minute
+// unreadableRecordRetryDelay is the time after which an unreadable record of a run or schedule is
+// read again.
+const unreadableRecordRetryDelay = time.Minute
 
 var errPlanChunkMissing = errors.New("a chunk of the plan is missing")
 
-// newRunRecord makes the first record of a run. The part of the plan that does not fit into it is
-// returned as writes of chunks, under keys that nobody else uses; they have to be committed before
-// the record. owner names the run or schedule that the plan belongs to.
+// newRunRecord returns the first record of a run. chunks are the writes of the part of the plan
+// that does not fit into the record; their keys are unique, and they have to be committed before
+// the record. owner is the id of the run or schedule that the plan belongs to.
 func (l *Leader) newRunRecord(name string, file []byte, plan *pipeline.Plan, owner string) (record runRecord, chunks []kvstore.Write, err error) {
 	compressed, err := plan.Compress()
 	if err != nil {
@@ -37,23 +37,25 @@
 	record.HomeShard, record.Epoch = l.chooseHomeShard()
 	maxValueBytes := l.cfg.TargetValueBytes()
 	chunksID := fmt.Sprintf("%s-%x", owner, rand.Uint64())
-	inline := rawBytes(maxValueBytes - len(kvstore.Encode(record)) - tuning.RunProgressReserveBytes)
+	inline := rawBytesInBase64(maxValueBytes - len(kvstore.Encode(record)) - tuning.RunProgressReserveBytes)
 	inline = min(len(compressed), max(0, inline))
 	record.Plan = compressed[:inline]
 	for rest := compressed[inline:]; len(rest) > 0; record.PlanChunks++ {
-		size := min(len(rest), rawBytes(maxValueBytes)-2) // without the quotes
+		size := min(len(rest), rawBytesInBase64(maxValueBytes)-2) // without the two quotes
 		chunks = append(chunks, kvstore.Write{Key: planKey(chunksID, record.PlanChunks), Value: kvstore.Encode(rest[:size])})
 		rest, record.PlanChunksID = rest[size:], chunksID
 	}
 	return record, chunks, nil
 }
 
-// rawBytes returns how many bytes fit into a JSON string of a size: base64 takes a third more.
-func rawBytes(jsonBytes int) int { return jsonBytes * 3 / 4 }
+// rawBytesInBase64 returns how many bytes fit into a base64 string of the given size: the encoding
+// makes them a third longer.
+func rawBytesInBase64(jsonBytes int) int { return jsonBytes * 3 / 4 }
 
 // chooseHomeShard chooses the shard whose owner leads a new run. It prefers a shard that this
-// controller owns, since the run then begins without another write of its record, and among these
-// the shard of this controller's name. epoch is 0 if this controller owns no shard.
+// controller owns, since the run then begins without another write of its record. Among these it
+// prefers the shard that is named after this controller. epoch is 0 if this controller owns no
+// shard.
 func (l *Leader) chooseHomeShard() (shard string, epoch uint64) {
 	local, _ := l.controller.LocalState(nil)
 	shard = l.cfg.Node
@@ -65,8 +67,9 @@
 	return shard, epoch
 }
 
-// readPlan makes the execution of a run from its record.
-func (l *Leader) readPlan(run *runState) {
+// loadExecution restores a run's execution from its record, after reading the chunks of its plan
+// from the store if there are any.
+func (l *Leader) loadExecution(run *runState) {
 	run.writeInFlight = true
 	l.loadCompressedPlan(run.record, kvstore.Background, func(compressed []byte, err error) {
 		run.writeInFlight = false
@@ -75,12 +78,12 @@
 			run.pausedUntil = time.Now().Add(tuning.MaxRetryDelay)
 			return
 		}
-		l.setPlan(run, compressed)
+		l.setExecution(run, compressed)
 	})
 }
 
-// loadCompressedPlan passes the compressed plan of a record to done: at once if the record
-// contains all of it, otherwise after its chunks were read.
+// loadCompressedPlan passes the compressed plan of a record to done. It does so immediately if the
+// record contains the whole plan, otherwise after the plan's chunks were read.
 func (l *Leader) loadCompressedPlan(record runRecord, priority kvstore.Priority, done func(compressed []byte, err error)) {
 	if record.PlanChunks == 0 {
 		done(record.Plan, nil)
@@ -111,20 +114,21 @@
 	return compressed, nil
 }
 
-// setPlan makes the execution of a run from its record and the compressed plan. It stays nil if
-// they cannot be read.
-func (l *Leader) setPlan(run *runState, compressed []byte) {
+// setExecution restores a run's execution from its record and the compressed plan. If they cannot
+// be decoded, the execution stays nil and the run is paused.
+func (l *Leader) setExecution(run *runState, compressed []byte) {
 	plan, states, err := decodeExecution(run.record, compressed)
 	if err != nil {
-		// A later version of the program may have written it, so it is kept and read again.
+		// A later version of the program may have written the record, so it is kept and read again
+		// later.
 		l.log.Error("run cannot be read", "run", run.id, "error", err)
-		run.pausedUntil = time.Now().Add(unreadableRunDelay)
+		run.pausedUntil = time.Now().Add(unreadableRecordRetryDelay)
 		return
 	}
 	run.execution = &pipelineexec.Execution{Plan: plan, JobStates: states, CancelMode: run.record.CancelMode}
-	// An earlier leader may have submitted jobs whose record still says that they wait. In a
-	// cancelled run the next step would take these for unstarted, and they would run on after the
-	// run has ended; so they are found first, see findSubmittedJobs.
+	// An earlier leader may have submitted jobs that are still waiting according to the record. In
+	// a cancelled run the next step would treat them as not started, and they would continue to run
+	// after the end of the run. Therefore they are found first, see findSubmittedJobs.
 	if run.epoch != 0 && run.record.CancelMode != pipelineexec.NotCancelled {
 		run.findingSubmitted = true
 		run.notSubmitted, run.execution.CancelMode = map[int]bool{}, pipelineexec.NotCancelled
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -11,15 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The keys of the records in the key-value store. The state cache passes their changes on without
-// reading them.
+// Prefixes of the records' keys in the key-value store. The state cache passes changes of these
+// records on without decoding them.
 const (
-	prefix         = jobs.OpaquePrefix
-	runPrefix      = prefix + "run/"
-	planPrefix     = prefix + "plan/"
-	finalPrefix    = prefix + "final/"
-	groupPrefix    = prefix + "group/"
-	schedulePrefix = prefix + "sched/"
+	keyPrefix      = jobs.OpaquePrefix
+	runPrefix      = keyPrefix + "run/"
+	planPrefix     = keyPrefix + "plan/"
+	finalPrefix    = keyPrefix + "final/"
+	groupPrefix    = keyPrefix + "group/"
+	schedulePrefix = keyPrefix + "sched/"
 )
 
 func runKey(id string) string        { return runPrefix + id }
@@ -27,7 +27,7 @@
 func groupKey(name string) string    { return groupPrefix + hex.EncodeToString([]byte(name)) }
 func scheduleKey(name string) string { return schedulePrefix + hex.EncodeToString([]byte(name)) }
 
-// planKey is the key of a chunk of a plan.
+// planKey returns the key of a chunk of a plan.
 func planKey(chunksID string, number int) string {
 	return planPrefix + chunksID + "/" + strconv.Itoa(number)
 }
@@ -40,21 +40,22 @@
 // ValidID reports whether a run's id has the required form: "run-" and up to 18 digits.
 func ValidID(id string) bool { return runIDPattern.MatchString(id) }
 
-// runRecord is a run's record, unfinished or final.
+// runRecord is the record of an unfinished or finished run.
 type runRecord struct {
 	Name         string `json:"name"`
 	Digest       string `json:"digest"` // of the file, to recognise a repeated request
 	AcceptedAtMS int64  `json:"at"`     // Unix ms
 	// Plan is the compressed plan, or its beginning: PlanChunks further records contain the rest.
 	// The parsed plan is stored instead of the file, so that a version of the program that parses
-	// files differently continues the run unchanged.
+	// files differently continues the run with the same plan.
 	Plan         []byte                  `json:"plan"`
 	PlanChunks   int                     `json:"parts,omitempty"`
-	PlanChunksID string                  `json:"plan_id,omitempty"` // of the run, or of its schedule
+	PlanChunksID string                  `json:"plan_id,omitempty"` // unique; begins with the id of the run or schedule
 	Progress     pipelineexec.Progress   `json:"p"`
 	CancelMode   pipelineexec.CancelMode `json:"cancel,omitempty"`
-	// HomeShard is the shard whose owner leads the run. Epoch is the shard's epoch under which its
-	// owner wrote this record last; 0 if a controller accepted the run that does not own the shard.
+	// HomeShard is the shard whose owner leads the run. Epoch is the shard's epoch in which its
+	// owner last wrote this record. It is 0 if the run was accepted by a controller that does not
+	// own the shard, until the owner writes the record.
 	HomeShard string `json:"home"`
 	Epoch     uint64 `json:"tenure,omitempty"`
 	// Status and EndedAtMS (Unix ms) are set when the run has finished.
@@ -75,7 +76,7 @@
 	Zone     string `json:"zone"`
 	NextAtMS int64  `json:"next"` // Unix ms
 	LastRun  string `json:"last,omitempty"`
-	// Template is the record with which its runs begin.
+	// Template is the first record of each run of the schedule.
 	Template runRecord `json:"begin"`
 }
 
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -22,15 +22,18 @@
 	Run   *RunView
 }
 
-// replyRun takes the response to a request for a run, and the digest of the run's file; the digest is
-// empty in errors.
-type replyRun func(response Response, digest string)
+// runReplyFunc receives the response to a request for a run, and the digest of the run's file. The
+// digest is empty if the response is an error.
+type runReplyFunc func(response Response, digest string)
 
 func errorResponse(code int, text string) Response { return Response{Code: code, Error: text} }
 
-func retryLater(text string) Response { return errorResponse(http.StatusServiceUnavailable, text) }
+func unavailableResponse(text string) Response {
+	return errorResponse(http.StatusServiceUnavailable, text)
+}
 
-// ask has a request handled by the actor and waits for the response, which may come later.
+// ask has the actor handle a request, and waits for the response. handle may call reply after it
+// has returned.
 func (l *Leader) ask(handle func(reply func(Response))) Response {
 	responses := make(chan Response, 1)
 	l.mailbox.Send(func() { handle(func(response Response) { responses <- response }) })
@@ -38,13 +41,14 @@
 	case response := <-responses:
 		return response
 	case <-l.mailbox.Context().Done():
-		return retryLater("ending")
+		return unavailableResponse("ending")
 	}
 }
 
 // Create starts a run of a plan that was parsed from a file. The response has the code 201 once the
-// run's record is durable. The request is idempotent: for a run with the same id and file it has the
-// code 200 and the run's state, and the code 409 if the file is another one.
+// run's record is durable. The request is idempotent: if a run with the same id exists, the
+// response has the code 200 and the state of that run, or the code 409 if that run has another
+// file.
 func (l *Leader) Create(id, name string, file []byte, plan *pipeline.Plan) Response {
 	record, chunks, err := l.newRunRecord(name, file, plan, id)
 	if err != nil {
@@ -59,13 +63,13 @@
 	}
 	return l.ask(func(reply func(Response)) {
 		if !l.synced {
-			reply(retryLater("state not read yet"))
+			reply(unavailableResponse("state not read yet"))
 			return
 		}
-		l.commitAfter(chunks, kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
+		l.commitAfterWrites(chunks, kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
 			switch {
 			case err != nil:
-				reply(retryLater("state service"))
+				reply(unavailableResponse("state service unavailable"))
 			case result.Succeeded:
 				reply(l.acceptRun(id, record, plan, result.Revision))
 			default:
@@ -84,13 +88,14 @@
 	return Response{Code: http.StatusCreated, Run: newRunView(id, record, execution, nil)}
 }
 
-// replyExisting answers a request to create a run that was not accepted: most likely it exists.
-func (l *Leader) replyExisting(id, fileDigest string, reply func(Response)) {
+// replyExisting answers a request to create a run after a precondition of the write has failed. The
+// most likely reason is that the run exists.
+func (l *Leader) replyExisting(id, requestDigest string, reply func(Response)) {
 	l.lookUpRun(id, func(response Response, digest string) {
 		if response.Code == http.StatusNotFound { // the home shard has a new owner
-			response = retryLater("busy")
+			response = unavailableResponse("busy")
 		}
-		if response.Code == http.StatusOK && digest != fileDigest {
+		if response.Code == http.StatusOK && digest != requestDigest {
 			response = errorResponse(http.StatusConflict, "another run has this id")
 		}
 		reply(response)
@@ -104,9 +109,10 @@
 	})
 }
 
-// lookUpRun passes the state of a run to done. The store is asked whether it has finished, since this
-// controller's cache may be older than what another controller has answered already.
-func (l *Leader) lookUpRun(id string, done replyRun) {
+// lookUpRun passes the state of a run to done. Unless the final record is cached, it reads the
+// run's record from the store: another controller may already have returned a newer state to a user
+// than this controller has cached.
+func (l *Leader) lookUpRun(id string, done runReplyFunc) {
 	if record, finished := l.finalRuns.Get(id); finished {
 		l.replyFinished(id, record, done)
 		return
@@ -121,7 +127,7 @@
 		l.mailbox.Send(func() {
 			switch {
 			case err != nil || !l.synced:
-				done(retryLater("state service"), "")
+				done(unavailableResponse("state service unavailable"), "")
 			case !record.Found:
 				l.replyNotFound(id, done)
 			default:
@@ -131,25 +137,25 @@
 	}()
 }
 
-// replyNotFound answers a request for a run that has no record. It may have finished between the
-// reads of its two records.
-func (l *Leader) replyNotFound(id string, done replyRun) {
+// replyNotFound answers a request for a run of which no record was found. The run may nevertheless
+// exist, if it finished between the reads of its two records.
+func (l *Leader) replyNotFound(id string, done runReplyFunc) {
 	if record, finished := l.finalRuns.Get(id); finished {
 		l.replyFinished(id, record, done)
 		return
 	}
 	if l.runs[id] != nil {
-		done(retryLater("it is just ending"), "")
+		done(unavailableResponse("the run is finishing, try again"), "")
 		return
 	}
 	done(errorResponse(http.StatusNotFound, "no such run"), "")
 }
 
-// replyRecord answers a request for a run with its record as it was read.
-func (l *Leader) replyRecord(id string, row kvstore.KeyValue, finished bool, done replyRun) {
+// replyRecord answers a request for a run with the record that was read from the store.
+func (l *Leader) replyRecord(id string, row kvstore.KeyValue, finished bool, done runReplyFunc) {
 	var record runRecord
 	if json.Unmarshal(row.Value, &record) != nil {
-		done(retryLater("record not understood"), "")
+		done(unavailableResponse("the run's record cannot be decoded"), "")
 		return
 	}
 	if finished {
@@ -161,11 +167,12 @@
 	l.replyUnfinished(l.runs[id], done)
 }
 
-// replyUnfinished answers with the state of an unfinished run. Its leader may have observed more than
-// it has recorded; the same step on a copy of the execution comes to the same states here.
-func (l *Leader) replyUnfinished(run *runState, done replyRun) {
+// replyUnfinished answers with the state of an unfinished run. The run's leader may have observed
+// changes that are not in the record yet. The same step on a copy of the execution produces these
+// changes here as well.
+func (l *Leader) replyUnfinished(run *runState, done runReplyFunc) {
 	if run.execution == nil && !run.writeInFlight {
-		l.readPlan(run)
+		l.loadExecution(run)
 	}
 	if run.execution == nil {
 		view := newRunView(run.id, run.record, nil, nil)
@@ -181,11 +188,11 @@
 	}
 	observe := func(job int) pipelineexec.Observation {
 		ref := pipelineexec.JobRef(run.id, job, execution.JobStates[job])
-		observation, known := l.observeLocally(run, job, ref, local)
+		observation, known := l.observeFromCache(run, job, ref, local)
 		if !known {
 			return run.observations[ref]
 		}
-		observation.IsFaulty = false // only the leader acts on it
+		observation.IsFaulty = false // only the leader reacts to a faulty job
 		return observation
 	}
 	execution.Step(time.Now().UnixMilli(), observe)
@@ -195,18 +202,18 @@
 }
 
 // replyFinished answers with the final state of a run.
-func (l *Leader) replyFinished(id string, record runRecord, done replyRun) {
+func (l *Leader) replyFinished(id string, record runRecord, done runReplyFunc) {
 	run := &runState{id: id, record: record}
 	l.loadCompressedPlan(record, kvstore.Normal, func(compressed []byte, err error) {
 		if err == nil {
-			l.setPlan(run, compressed)
+			l.setExecution(run, compressed)
 		}
 		done(Response{Code: http.StatusOK, Run: newRunView(id, record, run.execution, nil)}, record.Digest)
 	})
 }
 
-// List returns the unfinished runs and the last that finished, without their jobs; ok is false
-// while they are not known.
+// List returns the unfinished runs and the runs that finished last, without their jobs. ok is false
+// while the runs were not read from the store yet.
 func (l *Leader) List() (runs []*RunView, ok bool) {
 	type answer struct {
 		runs   []*RunView
@@ -215,7 +222,7 @@
 	all, _ := actor.Ask(l.mailbox, func() answer {
 		a := answer{synced: l.synced}
 		for _, run := range l.runs {
-			a.runs = append(a.runs, l.listUnfinished(run))
+			a.runs = append(a.runs, l.unfinishedRunSummary(run))
 		}
 		for _, id := range l.finalRuns.Keys() {
 			record, _ := l.finalRuns.Peek(id)
@@ -226,9 +233,9 @@
 	return all.runs, all.synced
 }
 
-func (l *Leader) listUnfinished(run *runState) *RunView {
+func (l *Leader) unfinishedRunSummary(run *runState) *RunView {
 	if run.execution == nil && run.record.PlanChunks == 0 {
-		l.readPlan(run)
+		l.loadExecution(run)
 	}
 	view := newRunView(run.id, run.record, run.execution, nil)
 	if view.Status == "" {
@@ -238,9 +245,10 @@
 	return view
 }
 
-// Cancel cancels a run. A drained run can still be cancelled with pipelineexec.CancelNow, but not the
-// other way round. The cancellation is durable, and no job of the run is submitted any more, when it
-// is answered. The response has the run's state, which is final only when all jobs have ended.
+// Cancel cancels a run. A run that was cancelled with pipelineexec.CancelDrain can still be
+// cancelled with pipelineexec.CancelNow, but not the other way round. When Cancel returns success,
+// the cancellation is durable and no further job of the run is submitted. The response has the
+// run's state, which is final only when all jobs have ended.
 func (l *Leader) Cancel(id string, mode pipelineexec.CancelMode) Response {
 	return l.changeRun(id, func(record *runRecord, _ *pipelineexec.Execution) (changed bool, failure Response) {
 		if record.CancelMode == pipelineexec.CancelNow || record.CancelMode == mode {
@@ -251,8 +259,9 @@
 	})
 }
 
-// StartManualJob has a manual job start as soon as its dependencies allow it. The response has
-// the code 404 for an unknown job, and 409 for one that does not wait for a user.
+// StartManualJob makes a manual job start as soon as its dependencies allow it. The response has
+// the code 404 for an unknown job, and the code 409 for a job that is not waiting for a user to
+// start it.
 func (l *Leader) StartManualJob(id, name string) Response {
 	return l.changeRun(id, func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response) {
 		planJobs := execution.Plan.Jobs
@@ -266,11 +275,11 @@
 		}
 		isUnstarted := state.Status == pipelineexec.Manual || state.Status == pipelineexec.Waiting
 		if planJobs[index].When != pipeline.Manual || !isUnstarted {
-			return false, errorResponse(http.StatusConflict, "the job is "+state.Status.String()+" and waits for nobody")
+			return false, errorResponse(http.StatusConflict, "the job is "+state.Status.String()+" and does not wait for a manual start")
 		}
 		recorded, err := record.Progress.JobStates(len(execution.JobStates))
 		if err != nil {
-			return false, retryLater("record not understood")
+			return false, unavailableResponse("the run's record cannot be decoded")
 		}
 		recorded[index].ManuallyStarted = true
 		record.Progress = pipelineexec.EncodeProgress(recorded)
@@ -278,21 +287,21 @@
 	})
 }
 
-// recordChange changes a run's record. changed is false if the record is as requested already;
+// recordUpdateFunc changes a run's record. changed is false if the record already is as requested.
 // failure has an error if the request is refused.
-type recordChange func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response)
+type recordUpdateFunc func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response)
 
-// changeRun changes a run's record, whichever controller leads it, and responds with the run's state
-// once the change is durable.
-func (l *Leader) changeRun(id string, change recordChange) Response {
+// changeRun changes a run's record, regardless of which controller leads the run. It responds with
+// the run's state once the change is durable.
+func (l *Leader) changeRun(id string, change recordUpdateFunc) Response {
 	return l.ask(func(reply func(Response)) { l.tryChangeRun(id, 0, change, reply) })
 }
 
-func (l *Leader) tryChangeRun(id string, attempt int, change recordChange, reply func(Response)) {
+func (l *Leader) tryChangeRun(id string, attempt int, change recordUpdateFunc, reply func(Response)) {
 	replyState := func() { l.lookUpRun(id, func(response Response, _ string) { reply(response) }) }
 	retry := func() {
 		if attempt >= tuning.RunCancelAttempts {
-			reply(retryLater("busy"))
+			reply(unavailableResponse("busy"))
 			return
 		}
 		l.mailbox.SendAfter(tuning.MinWatchRequestGap, func() { l.tryChangeRun(id, attempt+1, change, reply) })
@@ -303,7 +312,7 @@
 		return
 	}
 	if run.execution == nil && !run.writeInFlight {
-		l.readPlan(run)
+		l.loadExecution(run)
 	}
 	if run.execution == nil || run.writeInFlight {
 		retry()
@@ -320,8 +329,8 @@
 		l.commitChange(run, record, func(result kvstore.TxnResult, err error) {
 			switch {
 			case err != nil:
-				reply(retryLater("state service"))
-			case !result.Succeeded: // the watch is about to deliver what has changed
+				reply(unavailableResponse("state service unavailable"))
+			case !result.Succeeded: // the watch is about to deliver the conflicting change
 				retry()
 			default:
 				replyState()
@@ -334,7 +343,7 @@
 func (l *Leader) commitChange(run *runState, record runRecord, done func(result kvstore.TxnResult, err error)) {
 	value := kvstore.Encode(record)
 	txn := kvstore.Txn{
-		Conditions: []kvstore.Condition{run.unchanged()},
+		Conditions: []kvstore.Condition{run.recordUnchangedCondition()},
 		Writes:     []kvstore.Write{{Key: runKey(run.id), Value: value}},
 	}
 	run.writeInFlight = true
--- a/internal/pipelinerun/requests_test.go
+++ b/internal/pipelinerun/requests_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestRequestsForUnknownRunsAndJobs(t *testing.T) {
-	const file = head + "a: {stage: one}\nb: {stage: two}\n"
+	const file = fileHeader + "a: {stage: one}\nb: {stage: two}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-1", file)
 		time.Sleep(time.Second)
@@ -57,7 +57,7 @@
 }
 
 func TestListHasUnfinishedAndFinishedRuns(t *testing.T) {
-	const file = head + "a: {stage: one}\n"
+	const file = fileHeader + "a: {stage: one}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-1", file)
 		time.Sleep(time.Second)
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -13,36 +13,38 @@
 	"cherrywall/internal/tuning"
 )
 
-// runState is an unfinished run as this controller knows it.
+// runState is this controller's state of an unfinished run.
 type runState struct {
 	id       string
 	record   runRecord
 	revision uint64 // of the record
-	// epoch is the home shard's epoch under which this controller leads the run, 0 if it does not.
+	// epoch is the home shard's epoch in which this controller leads the run, or 0 if it does not
+	// lead the run.
 	epoch         uint64
 	execution     *pipelineexec.Execution // nil until the plan was read
-	writeInFlight bool                    // also while the plan is read
-	pausedUntil   time.Time               // no step before
-	writtenAt     time.Time               // when this controller wrote the record last, as the leader
+	writeInFlight bool                    // also set while the plan is read
+	pausedUntil   time.Time               // no step is done before this time
+	writtenAt     time.Time               // when this controller last wrote the record as the leader
 
 	observations map[string]pipelineexec.Observation // from the controller's responses, by job id
 	// findingSubmitted is set while the leader of a cancelled run finds out which jobs an earlier
-	// leader has submitted; notSubmitted are the jobs that were not. See findSubmittedJobs.
+	// leader has submitted. notSubmitted contains the jobs that turned out not to be submitted. See
+	// findSubmittedJobs.
 	findingSubmitted bool
 	notSubmitted     map[int]bool
 
 	startTimes   tracing.StartTimes
-	tracedStates []pipelineexec.JobState // as passed to the tracer last
+	tracedStates []pipelineexec.JobState // the states that were last passed to the tracer
 }
 
-// jobRef is the id under which the current attempt of a job is submitted.
+// jobRef returns the id under which the current attempt of a job is submitted.
 func (r *runState) jobRef(job int) string {
 	return pipelineexec.JobRef(r.id, job, r.execution.JobStates[job])
 }
 
 func (r *runState) jobName(job int) string { return r.execution.Plan.Jobs[job].Name }
 
-// activeRefs are the ids of the attempts that are in progress.
+// activeRefs returns the ids of the attempts that are in progress.
 func (r *runState) activeRefs() []string {
 	if r.execution == nil {
 		return nil
@@ -56,9 +58,10 @@
 	return refs
 }
 
-// unrecordedChanges compares the job states with the record. mustRecord says that the record has to
-// be written before any action: a next leader could not find out a change. changedJobs is the number
-// of jobs with other changes, which a next leader would find out by asking the controller.
+// unrecordedChanges compares the job states with the record. mustRecord is true if the next leader
+// could not find out one of the changes, so that the record has to be written before any action.
+// Otherwise changedJobs is the number of jobs with changes, which the next leader would find out by
+// asking the controller.
 func (r *runState) unrecordedChanges() (mustRecord bool, changedJobs int) {
 	recorded, err := r.record.Progress.JobStates(len(r.execution.JobStates))
 	if err != nil {
@@ -76,7 +79,8 @@
 	return false, changedJobs
 }
 
-// mustRecordChange reports whether a job's change cannot be found out by the next leader.
+// mustRecordChange reports whether a change of a job must be recorded because the next leader could
+// not find it out.
 func mustRecordChange(before, after pipelineexec.JobState) bool {
 	return after.Status == pipelineexec.Stopping ||
 		after.Attempt != before.Attempt ||
@@ -84,8 +88,9 @@
 		after.Status == pipelineexec.Delayed && after.DelayedUntilMS != before.DelayedUntilMS
 }
 
-// recordResponse notes what the controller's response says of an attempt. Errors say nothing.
-func (r *runState) recordResponse(ref string, response controller.Response) {
+// applyResponse stores the observation of an attempt that follows from the controller's response.
+// Error responses are ignored.
+func (r *runState) applyResponse(ref string, response controller.Response) {
 	switch {
 	case response.Code/100 != 2:
 	case response.Status == jobs.Done:
@@ -98,15 +103,16 @@
 }
 
 // matchesSpec reports whether a submitted job can be the attempt that has its id. Another user may
-// have submitted a job under this id; taking that for the attempt would skip the job. The spec of a
-// job that has ended is not known, so that such a job always matches.
+// have submitted a job under this id; if that job were mistaken for the attempt, the job of the run
+// would be skipped. The spec of a job that has ended is not known, so that such a job always
+// matches.
 func (r *runState) matchesSpec(job int, local controller.LocalJob) bool {
 	spec := r.execution.Plan.Jobs[job].Spec
 	spec.Ref = local.Spec.Ref
 	return !local.IsUnfinished || reflect.DeepEqual(spec, local.Spec)
 }
 
-// leadRun does the next step of a run if this controller owns its home shard.
+// leadRun advances a run by one step if this controller owns its home shard.
 func (l *Leader) leadRun(run *runState, local controller.LocalState, now time.Time) {
 	epoch := local.Shards[run.record.HomeShard]
 	if epoch == 0 {
@@ -119,35 +125,36 @@
 		return
 	}
 	if run.epoch != epoch {
-		l.adoptRun(run, epoch)
+		l.startLeadingRun(run, epoch)
 	}
 	if run.epoch == epoch && run.execution == nil {
-		l.readPlan(run)
+		l.loadExecution(run)
 	}
 	if run.epoch == epoch && run.execution != nil {
 		l.advanceRun(run, local, now)
 	}
 }
 
-// adoptRun begins to lead a run under an epoch of its home shard. It first writes the run's record
-// anew, on the precondition that the epoch is current: the submissions, acquisitions of groups and
-// writes of the record that an earlier leader still has in flight require the former record and fail.
-func (l *Leader) adoptRun(run *runState, epoch uint64) {
-	lead := func() {
+// startLeadingRun makes this controller the leader of a run in an epoch of its home shard. It first
+// writes the run's record anew, on the precondition that the epoch is current. The submissions,
+// acquisitions of groups and writes of the record that an earlier leader still has in flight have
+// the former revision of the record as their precondition, so that they fail.
+func (l *Leader) startLeadingRun(run *runState, epoch uint64) {
+	startFromRecord := func() {
 		run.epoch, run.execution = epoch, nil
 		clear(run.observations)
 		run.startTimes, run.tracedStates = tracing.NewStartTimes(), nil
 		l.log.Info("run led by this controller", "run", run.id, "shard", run.record.HomeShard, "cancel", string(run.record.CancelMode))
 	}
 	if run.record.Epoch == epoch {
-		lead() // this owner accepted the run or wrote its record: there was no other leader since
+		startFromRecord() // this owner accepted the run or wrote its record, so there was no other leader since
 		return
 	}
-	l.writeRunRecord(run, epoch, run.record, lead)
+	l.writeRunRecord(run, epoch, run.record, startFromRecord)
 }
 
-// advanceRun steps the execution of a run. Then it does the first of these that is due: find out what
-// an earlier leader has submitted, finish the run, write its record, or carry out the actions.
+// advanceRun steps the execution of a run. Then it does the first of these that is due: find out
+// what an earlier leader has submitted, finish the run, write its record, or perform the actions.
 func (l *Leader) advanceRun(run *runState, local controller.LocalState, now time.Time) {
 	execution := run.execution
 	if run.tracedStates == nil {
@@ -172,12 +179,12 @@
 		l.writeRunRecord(run, run.epoch, record, func() {})
 		return
 	}
-	l.carryOut(run, actions)
+	l.performActions(run, actions)
 }
 
-// carryOut carries out the actions of a step, until one of them writes a record or too many calls
-// are in flight: the next step repeats what is left.
-func (l *Leader) carryOut(run *runState, actions []pipelineexec.Action) {
+// performActions performs the actions of a step, until one of them starts a write of the run or too
+// many calls are in flight. The next step returns the remaining actions again.
+func (l *Leader) performActions(run *runState, actions []pipelineexec.Action) {
 	for _, action := range actions {
 		if len(l.callsInFlight) >= tuning.MaxConcurrentRunRequests {
 			return
@@ -196,16 +203,16 @@
 	l.releaseGroups(run)
 }
 
-// finishRun replaces the record of a run by its final record, which never changes, and releases its
-// resource groups in the same transaction as far as they fit. An owner whose run is not known counts
-// as finished, so that groups that do not fit are free as well.
+// finishRun replaces the record of a run by its final record, which never changes. In the same
+// transaction it releases as many of the run's resource groups as the limits of the store allow.
+// The other groups become free as well, since an owner whose run is not known counts as finished.
 func (l *Leader) finishRun(run *runState, status pipelineexec.RunStatus, now time.Time) {
 	run.execution.SkipOptional()
 	record := run.record
 	record.Progress = pipelineexec.EncodeProgress(run.execution.JobStates)
 	record.Status, record.EndedAtMS = status, now.UnixMilli()
 	txn := kvstore.Txn{
-		Conditions: []kvstore.Condition{run.unchanged(), {Key: finalKey(run.id)}, run.ownedUnder(run.epoch)},
+		Conditions: []kvstore.Condition{run.recordUnchangedCondition(), {Key: finalKey(run.id)}, run.shardEpochCondition(run.epoch)},
 		Writes:     []kvstore.Write{{Key: finalKey(run.id), Value: kvstore.Encode(record)}, {DeleteKey: runKey(run.id)}},
 	}
 	for key, group := range l.resourceGroups {
--- a/internal/pipelinerun/schedule_test.go
+++ b/internal/pipelinerun/schedule_test.go
@@ -8,7 +8,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// checkRunCount checks how many runs there are, finished ones included.
+// checkRunCount checks how many runs exist, including the finished ones.
 func (c *testCluster) checkRunCount(want int, when string) {
 	c.t.Helper()
 	count := len(c.Store.Keys(jobs.OpaquePrefix+"final/")) + len(c.Store.Keys(jobs.OpaquePrefix+"run/"))
@@ -17,12 +17,12 @@
 	}
 }
 
-// A schedule's runs are started once for each time, whoever leads it; one run makes up for the
-// times that were missed while the store was down.
+// A schedule starts one run for each of its times, whichever controller leads it. For the times
+// that were missed while the store was down it starts only one run.
 func TestScheduleDuringOutageAndFailover(t *testing.T) {
-	const file = head + "a: {stage: one}\n"
-	runScenario(t, func(t *testing.T, c *testCluster) { // it starts on 2000-01-01 at 00:00:08 UTC
-		// no machines are added by scaling out
+	const file = fileHeader + "a: {stage: one}\n"
+	runScenario(t, func(t *testing.T, c *testCluster) { // the simulated time starts on 2000-01-01 at 00:00:08 UTC
+		// prevents a scale-out
 		if err := c.ChangeSettings("n0", func(s *admin.Settings) { s.SpareMachines = 6 }); err != nil {
 			t.Fatal(err)
 		}
@@ -36,14 +36,14 @@
 			t.FailNow()
 		}
 		c.Store.SetOutage(true)
-		time.Sleep(9 * time.Minute) // 6, 8, 10 and 12 past
+		time.Sleep(9 * time.Minute) // the times 6, 8, 10 and 12 minutes after midnight are missed
 		c.Store.SetOutage(false)
-		for range 3 { // the others missed heartbeats for so long that they were removed
+		for range 3 { // the first machines were removed, since they missed heartbeats for too long
 			c.AddMachine("b", false)
 		}
-		time.Sleep(20 * time.Second) // 13:58
+		time.Sleep(20 * time.Second) // the time is 00:13:58
 		c.checkRunCount(3, "after an outage over four times")
-		c.CrashController("n1") // which led it
+		c.CrashController("n1") // the controller that led the schedule
 		time.Sleep(9 * time.Second)
 		c.StartController("n1")
 		time.Sleep(time.Minute)
@@ -54,7 +54,7 @@
 		}
 		c.awaitSuccess("n0", all[0].LastRun, time.Minute)
 		if response := c.leader("n2").RemoveSchedule("lamps"); response.Code != 200 {
-			t.Errorf("the removal of the schedule was answered %+v", response)
+			t.Errorf("response to the removal of the schedule: %+v", response)
 		}
 		time.Sleep(3 * time.Minute)
 		c.checkRunCount(4, "after the schedule was removed")
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -22,7 +22,7 @@
 // A schedule is led like a run, by the owner of its home shard. When it is due, one transaction
 // starts a run and sets the schedule's next time.
 
-// scheduleState is a schedule as this controller knows it.
+// scheduleState is this controller's state of a schedule.
 type scheduleState struct {
 	scheduleRecord
 	revision      uint64 // of the record
@@ -30,8 +30,8 @@
 	pausedUntil   time.Time
 }
 
-// mayStartRun reports whether the schedule is due and nothing prevents a transaction for it: two in
-// flight would contradict each other.
+// mayStartRun reports whether the schedule is due, is not paused and has no transaction in flight.
+// Two concurrent transactions of a schedule would conflict.
 func (s *scheduleState) mayStartRun(now time.Time) bool {
 	isDue := now.UnixMilli() >= s.NextAtMS
 	return isDue && !s.writeInFlight && !now.Before(s.pausedUntil)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// startDueSchedules starts a run of each schedule that is led here and due.
+// startDueSchedules starts a run of each schedule that this controller leads and that is due.
 func (l *Leader) startDueSchedules(local controller.LocalState, now time.Time) {
 	for key, schedule := range l.schedules {
 		epoch := local.Shards[schedule.Template.HomeShard]
@@ -61,16 +61,16 @@
 		times, err := cronschedule.Parse(schedule.Cron, schedule.Zone)
 		if err != nil {
 			l.log.Error("schedule cannot be read", "schedule", schedule.Name, "error", err)
-			schedule.pausedUntil = now.Add(unreadableRunDelay)
+			schedule.pausedUntil = now.Add(unreadableRecordRetryDelay)
 			continue
 		}
 		l.startScheduledRun(key, schedule, times, epoch, now)
 	}
 }
 
-// startScheduledRun starts a run of a schedule. If several times were missed, as in an outage, one run
-// starts for the last of them. The run's id depends on the schedule and that time alone, so that a
-// repeated transaction does not start a second run.
+// startScheduledRun starts a run of a schedule. If several times were missed, for example in an
+// outage, one run is started for the last of them. The run's id depends only on the schedule and
+// that time, so that a repeated transaction does not start a second run.
 func (l *Leader) startScheduledRun(key string, schedule *scheduleState, times *cronschedule.Schedule, epoch uint64, now time.Time) {
 	dueAt, nextAt := times.Due(time.UnixMilli(schedule.NextAtMS), now)
 	id := jobs.NumberedRef("run", xxhash.Sum64String(schedule.Name+"@"+dueAt.UTC().Format(time.RFC3339)))
@@ -105,8 +105,8 @@
 }
 
 // Schedule stores a schedule that runs a pipeline file at the times of a cron expression in a time
-// zone, the first of them after now. It replaces a schedule of the same name. The response has the
-// code 400 if the name, the expression or the zone is invalid.
+// zone, beginning with the first time after now. It replaces a schedule of the same name. The
+// response has the code 400 if the name, the expression or the zone is invalid.
 func (l *Leader) Schedule(name, expression, zone string, file []byte, plan *pipeline.Plan) (ScheduleView, Response) {
 	if !scheduleNamePattern.MatchString(name) {
 		return ScheduleView{}, errorResponse(http.StatusBadRequest, "name: must be 1 to 64 letters, digits, dots, dashes and underscores")
@@ -146,18 +146,18 @@
 	})
 }
 
-// commitSchedule writes a schedule's record, provided that it has the given revision, after the
-// chunks of its plan.
+// commitSchedule writes a schedule's record after the chunks of its plan, on the precondition that
+// the stored record has the given revision.
 func (l *Leader) commitSchedule(key string, revision uint64, chunks []kvstore.Write, write kvstore.Write, reply func(Response)) {
 	if !l.synced {
-		reply(retryLater("state not read yet"))
+		reply(unavailableResponse("state not read yet"))
 		return
 	}
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: key, Revision: revision}}, Writes: []kvstore.Write{write}}
-	l.commitAfter(chunks, kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
+	l.commitAfterWrites(chunks, kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		switch {
-		case err != nil || !result.Succeeded: // it has just started a run, or another user has changed it
-			reply(retryLater("busy"))
+		case err != nil || !result.Succeeded: // e.g. the schedule has just started a run, or another user has changed it
+			reply(unavailableResponse("busy"))
 			return
 		case write.DeleteKey != "":
 			l.applyDelete(key, result.Revision)
@@ -168,7 +168,8 @@
 	})
 }
 
-// Schedules returns all schedules by name; ok is false while they are not known.
+// Schedules returns all schedules, sorted by name. ok is false while the schedules were not read
+// from the store yet.
 func (l *Leader) Schedules() (schedules []ScheduleView, ok bool) {
 	type answer struct {
 		schedules []ScheduleView
--- a/internal/pipelinerun/step_bench_test.go
+++ b/internal/pipelinerun/step_bench_test.go
@@ -10,12 +10,13 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-// BenchmarkIdleStep measures what a leader keeps in memory for its runs, in bytes for each job, in
-// one run of 500 jobs and in 200 runs of ten, and the time of a step in which nothing is new.
+// BenchmarkIdleStep measures the memory that a leader needs for its runs, in bytes for each job,
+// with one run of 500 jobs and with 200 runs of ten jobs. It also measures the time of a step in
+// which nothing changes.
 func BenchmarkIdleStep(b *testing.B) {
 	for _, size := range []struct{ runs, jobs int }{{1, 500}, {200, 10}} {
 		b.Run(fmt.Sprintf("runs=%d/jobs=%d", size.runs, size.jobs), func(b *testing.B) {
-			file := idleFile(size.jobs)
+			file := independentJobsFile(size.jobs)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -38,8 +39,8 @@
 	}
 }
 
-// idleFile is a file of jobs that do not depend on each other.
-func idleFile(jobCount int) string {
+// independentJobsFile returns a pipeline file of jobs that do not depend on each other.
+func independentJobsFile(jobCount int) string {
 	var file strings.Builder
 	file.WriteString("default: {cluster: {class: c, team: t, image: i, cpus: 1}}\n")
 	for i := range jobCount {
@@ -48,7 +49,7 @@
 	return file.String()
 }
 
-// newIdleRun makes a run as it is when it was read from its record.
+// newIdleRun returns a run in the state that follows from reading its record.
 func newIdleRun(b *testing.B, id, file string) *runState {
 	b.Helper()
 	plan, _, err := pipeline.Parse([]byte(file), nil, nil)
--- a/internal/pipelinerun/sync.go
+++ b/internal/pipelinerun/sync.go
@@ -11,18 +11,20 @@
 	"cherrywall/internal/tuning"
 )
 
-// loadedPrefixes are the prefixes that a load lists, in this order. A group whose run is not known
-// counts as free, see acquireGroup; a run that starts between the listings becomes known by its event.
+// loadedPrefixes are the prefixes whose records loadRecords lists, in this order. A group whose run
+// is not known counts as free, see acquireGroup. A run that starts between the listings becomes
+// known by its event.
 var loadedPrefixes = []string{runPrefix, groupPrefix, schedulePrefix}
 
-// handleEvents applies what the controller's watch has delivered, after a load that is in flight.
-// reload says that events were missed and all records have to be listed again.
+// handleEvents applies events of the controller's watch. While a load is in flight, the events are
+// kept until it has finished. reload is set if events were missed, so that all records have to be
+// listed again.
 func (l *Leader) handleEvents(events []kvstore.Event, reload bool) {
 	if reload {
-		l.reloads++
+		l.reloadRequests++
 		if !l.loading {
 			l.loading = true
-			go l.load(l.mailbox.Context())
+			go l.loadRecords(l.mailbox.Context())
 		}
 	}
 	l.pendingEvents = append(l.pendingEvents, events...)
@@ -43,12 +45,12 @@
 	l.pendingEvents = nil
 }
 
-// load lists all unfinished runs, groups and schedules, until it succeeds or the context ends. It
-// lists them again if events were missed meanwhile.
-func (l *Leader) load(ctx context.Context) {
+// loadRecords lists all unfinished runs, groups and schedules, and retries until it succeeds or the
+// context ends. It lists them again if events were missed in the meantime.
+func (l *Leader) loadRecords(ctx context.Context) {
 	for ctx.Err() == nil {
-		reloads, _ := actor.Ask(l.mailbox, func() int { return l.reloads })
-		rows, err := l.list(ctx)
+		reloadRequests, _ := actor.Ask(l.mailbox, func() int { return l.reloadRequests })
+		rows, err := l.listRecords(ctx)
 		if err != nil {
 			if kvstore.Pause(ctx, tuning.MaxRetryDelay) != nil {
 				return
@@ -56,7 +58,7 @@
 			continue
 		}
 		applied, _ := actor.Ask(l.mailbox, func() bool {
-			if l.reloads != reloads {
+			if l.reloadRequests != reloadRequests {
 				return false
 			}
 			l.applyListing(rows)
@@ -68,7 +70,7 @@
 	}
 }
 
-func (l *Leader) list(ctx context.Context) ([]kvstore.KeyValue, error) {
+func (l *Leader) listRecords(ctx context.Context) ([]kvstore.KeyValue, error) {
 	var all []kvstore.KeyValue
 	for _, prefix := range loadedPrefixes {
 		rows, _, err := l.store.List(ctx, prefix)
@@ -91,7 +93,8 @@
 	l.synced, l.loading = true, false
 }
 
-// applyWrite applies a record that was written at a revision. One that cannot be read is skipped.
+// applyWrite applies a record that was written at a revision. A record that cannot be decoded is
+// logged and skipped.
 func (l *Leader) applyWrite(key string, value json.RawMessage, revision uint64) {
 	var err error
 	switch {
@@ -137,9 +140,9 @@
 	}
 }
 
-// applyRunRecord applies an unfinished run's record. For a run that is led here, the progress in
-// memory is newer than that of any record; only users' requests, which any controller may have
-// written, are taken from the record.
+// applyRunRecord applies an unfinished run's record. If this controller leads the run, its progress
+// in memory is newer than that in any record. Only users' requests are taken from the record then,
+// since any controller may have written them.
 func (l *Leader) applyRunRecord(id string, record runRecord, revision uint64) {
 	run := l.runs[id]
 	if run == nil {
@@ -153,7 +156,7 @@
 	switch {
 	case run.execution == nil:
 	case run.epoch == 0:
-		run.execution = nil // made again from the record when needed
+		run.execution = nil // restored from the record when needed
 	default:
 		if !run.findingSubmitted {
 			run.execution.CancelMode = record.CancelMode
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -13,7 +13,7 @@
 	HomeShard    string                 `json:"share,omitempty"`
 	Stages       []string               `json:"stages,omitempty"`
 	Jobs         []JobView              `json:"jobs,omitempty"`
-	// How many jobs wait, are in progress and have ended.
+	// Numbers of jobs that wait, are in progress and have ended.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
 	Ended   int `json:"ended"`
@@ -52,8 +52,8 @@
 // observeFunc returns what is known of a job's current attempt.
 type observeFunc func(job int) pipelineexec.Observation
 
-// newRunView makes the view of a run. execution is nil if the plan was not read, observe is nil if
-// nothing is known of its jobs.
+// newRunView returns the view of a run. execution is nil if the plan was not read. observe is nil
+// if nothing is known about the current attempts of the run's jobs.
 func newRunView(id string, record runRecord, execution *pipelineexec.Execution, observe observeFunc) *RunView {
 	view := &RunView{
 		ID:           id,
@@ -80,7 +80,7 @@
 	return view
 }
 
-// countJob adds a job to the numbers of jobs.
+// countJob counts a job as waiting, running or ended.
 func (v *RunView) countJob(status pipelineexec.Status) {
 	switch status {
 	case pipelineexec.Active, pipelineexec.Stopping:
