--- a/internal/tracing/tracer.go
+++ b/internal/tracing/tracer.go
@@ -1,5 +1,6 @@
-// Package tracing makes traces of runs of pipeline files: a span for the run, below it those of its
-// stages, their jobs and the attempts of these. Spans are made when they have ended.
+// Package tracing creates traces of runs of pipeline files. A trace has a span for the run; its
+// descendants are the spans of the stages, of their jobs, and of the attempts of each job. A span
+// is created when it has ended.
 package tracing
 
 import (
@@ -21,11 +22,12 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// runSpan is the name by which the span of a whole run is identified.
-const runSpan = "run"
+// runSpanID identifies the span of a whole run within the run.
+const runSpanID = "run"
 
-// Tracer makes spans of runs, stages, jobs and attempts. The ids of the spans are derived from the
-// run's id, so that the spans of several leaders in turn make one trace.
+// Tracer creates the spans of runs, stages, jobs and attempts. The ids of the spans are derived
+// from the run's id, so that the spans of a run form one trace even if several leaders create them
+// in turn.
 type Tracer struct {
 	tracer trace.Tracer
 }
@@ -33,8 +35,8 @@
 // NewNoopTracer returns a tracer without output.
 func NewNoopTracer() *Tracer { return &Tracer{noop.NewTracerProvider().Tracer("")} }
 
-// NewTracer returns a tracer that writes its spans to w as lines of JSON, in batches. shutdown writes
-// what has not been written yet; it must be called before the process ends.
+// NewTracer returns a tracer that writes its spans to w as lines of JSON, in batches. shutdown
+// writes the spans that have not been written yet; it must be called before the process ends.
 func NewTracer(w io.Writer, node string) (t *Tracer, shutdown func(context.Context) error, err error) {
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(w))
 	if err != nil {
@@ -45,7 +47,7 @@
 	return &Tracer{tracer}, provider.Shutdown, nil
 }
 
-// deterministicIDs takes the ids of a span from the context in which it is started, see emit.
+// deterministicIDs takes the ids of a span from the context in which the span is started, see emit.
 type deterministicIDs struct{}
 
 type spanContextKey struct{}
@@ -77,10 +79,10 @@
 
 // span is a span that has ended.
 type span struct {
-	id, parent string // unique within the run; equal in the span of the run itself
+	id, parent string // unique within the run; the span of the run itself has id and parent equal
 	name       string
 	interval
-	failure    string // "" unless it failed
+	failure    string // reason of the failure, "" if the span did not fail
 	attributes []attribute.KeyValue
 }
 
@@ -98,29 +100,29 @@
 	started.End(trace.WithTimestamp(s.end))
 }
 
-// StartTimes are when the jobs, attempts and stages of a run started, as far as its current leader
-// has observed.
+// StartTimes contains the times at which the jobs, attempts and stages of a run started, as far as
+// the run's current leader has observed them.
 type StartTimes struct {
 	job, attempt map[int]time.Time // by job
 	stage        map[int]interval
 }
 
-// NewStartTimes returns those of a leader that has observed nothing.
+// NewStartTimes returns the start times of a leader that has observed nothing yet.
 func NewStartTimes() StartTimes {
 	return StartTimes{job: map[int]time.Time{}, attempt: map[int]time.Time{}, stage: map[int]interval{}}
 }
 
-// RecordStep makes the spans of the attempts and jobs that have ended in a step, which changed the
-// job states from before to after. It adds to startTimes what has started.
+// RecordStep creates the spans of the attempts and jobs that have ended in a step, which changed
+// the job states from before to after. It also updates startTimes.
 func (t *Tracer) RecordStep(run string, startTimes *StartTimes, plan *pipeline.Plan, before, after []pipelineexec.JobState, now time.Time) {
 	for job := range after {
 		if before[job] != after[job] {
-			t.recordChange(run, startTimes, plan, job, before[job], after[job], now)
+			t.recordJobChange(run, startTimes, plan, job, before[job], after[job], now)
 		}
 	}
 }
 
-func (t *Tracer) recordChange(run string, startTimes *StartTimes, plan *pipeline.Plan, job int, before, after pipelineexec.JobState, now time.Time) {
+func (t *Tracer) recordJobChange(run string, startTimes *StartTimes, plan *pipeline.Plan, job int, before, after pipelineexec.JobState, now time.Time) {
 	inProgress := after.Status == pipelineexec.Active || after.Status == pipelineexec.Stopping
 	if inProgress && startTimes.job[job].IsZero() {
 		startTimes.job[job] = now
@@ -143,22 +145,22 @@
 	startTimes.extendStage(plan.Jobs[job].Stage, startTimes.job[job], now)
 }
 
-// extendStage extends the interval of a stage by that of one of its jobs.
+// extendStage extends the interval of a stage so that it includes the interval of one of its jobs.
 func (s *StartTimes) extendStage(stage int, start, end time.Time) {
-	lasted, known := s.stage[stage]
-	if !known || start.Before(lasted.start) {
-		lasted.start = start
+	period, known := s.stage[stage]
+	if !known || start.Before(period.start) {
+		period.start = start
 	}
-	lasted.end = end
-	s.stage[stage] = lasted
+	period.end = end
+	s.stage[stage] = period
 }
 
-func (t *Tracer) emitAttempt(run string, job int, state pipelineexec.JobState, lasted interval, failure string) {
+func (t *Tracer) emitAttempt(run string, job int, state pipelineexec.JobState, period interval, failure string) {
 	t.emit(run, span{
-		id:       fmt.Sprintf("%s/%d", jobSpan(job), state.Attempt),
-		parent:   jobSpan(job),
+		id:       fmt.Sprintf("%s/%d", jobSpanID(job), state.Attempt),
+		parent:   jobSpanID(job),
 		name:     "try",
-		interval: lasted,
+		interval: period,
 		failure:  failure,
 		attributes: []attribute.KeyValue{
 			attribute.Int("try", state.Attempt),
@@ -167,12 +169,12 @@
 	})
 }
 
-func (t *Tracer) emitJob(run string, index int, job *pipeline.Job, status pipelineexec.Status, lasted interval, failure string) {
+func (t *Tracer) emitJob(run string, index int, job *pipeline.Job, status pipelineexec.Status, period interval, failure string) {
 	t.emit(run, span{
-		id:       jobSpan(index),
-		parent:   stageSpan(job.Stage),
+		id:       jobSpanID(index),
+		parent:   stageSpanID(job.Stage),
 		name:     job.Name,
-		interval: lasted,
+		interval: period,
 		failure:  failure,
 		attributes: []attribute.KeyValue{
 			attribute.String("status", status.String()),
@@ -182,22 +184,22 @@
 	})
 }
 
-func jobSpan(job int) string     { return fmt.Sprintf("job/%d", job) }
-func stageSpan(stage int) string { return fmt.Sprintf("stage/%d", stage) }
+func jobSpanID(job int) string     { return fmt.Sprintf("job/%d", job) }
+func stageSpanID(stage int) string { return fmt.Sprintf("stage/%d", stage) }
 
-// RecordEnd makes the spans of the stages and of the run itself. It is called once, by the leader that
-// has written the run's final record.
+// RecordEnd creates the spans of the stages and of the run itself. It is called once, by the leader
+// that has written the run's final record.
 func (t *Tracer) RecordEnd(run, name string, status pipelineexec.RunStatus, startTimes *StartTimes, plan *pipeline.Plan, start, end time.Time) {
-	for stage, lasted := range startTimes.stage {
-		t.emit(run, span{id: stageSpan(stage), parent: runSpan, name: plan.Stages[stage], interval: lasted})
+	for stage, period := range startTimes.stage {
+		t.emit(run, span{id: stageSpanID(stage), parent: runSpanID, name: plan.Stages[stage], interval: period})
 	}
 	failure := ""
 	if status == pipelineexec.RunFailed {
 		failure = string(status)
 	}
 	t.emit(run, span{
-		id:         runSpan,
-		parent:     runSpan,
+		id:         runSpanID,
+		parent:     runSpanID,
 		name:       name,
 		interval:   interval{start, end},
 		failure:    failure,
--- a/internal/tracing/tracer_test.go
+++ b/internal/tracing/tracer_test.go
@@ -12,27 +12,27 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-const file = "default: {cluster: {class: c, team: t, image: i, cpus: 1}}\nstages: [one, two]\n" +
+const pipelineFile = "default: {cluster: {class: c, team: t, image: i, cpus: 1}}\nstages: [one, two]\n" +
 	"a: {stage: one, retry: 1}\nb: {stage: two}\n"
 
-// Spans of a run that two leaders have led in turn make one trace, with the run above the stages,
-// the stages above the jobs, and the jobs above their attempts.
+// The spans of a run that is led by two leaders in turn form one trace, with the run above the
+// stages, the stages above the jobs, and the jobs above their attempts.
 func TestSpansOfTwoLeadersMakeOneTrace(t *testing.T) {
 	var output bytes.Buffer
-	plan, _, err := pipeline.Parse([]byte(file), nil, nil)
+	plan, _, err := pipeline.Parse([]byte(pipelineFile), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var (
-		waiting = pipelineexec.JobState{Status: pipelineexec.Waiting}
-		active  = pipelineexec.JobState{Status: pipelineexec.Active}
-		retried = pipelineexec.JobState{Status: pipelineexec.Active, Attempt: 1}
-		retryOK = pipelineexec.JobState{Status: pipelineexec.Succeeded, Attempt: 1}
-		ok      = pipelineexec.JobState{Status: pipelineexec.Succeeded}
+		waiting        = pipelineexec.JobState{Status: pipelineexec.Waiting}
+		active         = pipelineexec.JobState{Status: pipelineexec.Active}
+		retried        = pipelineexec.JobState{Status: pipelineexec.Active, Attempt: 1}
+		retrySucceeded = pipelineexec.JobState{Status: pipelineexec.Succeeded, Attempt: 1}
+		succeeded      = pipelineexec.JobState{Status: pipelineexec.Succeeded}
 	)
 	stepsByLeader := [][][]pipelineexec.JobState{
 		{{waiting, waiting}, {active, waiting}, {retried, waiting}},
-		{{retried, waiting}, {retried, waiting}, {retryOK, waiting}, {retryOK, active}, {retryOK, ok}},
+		{{retried, waiting}, {retried, waiting}, {retrySucceeded, waiting}, {retrySucceeded, active}, {retrySucceeded, succeeded}},
 	}
 	at := func(seconds int) time.Time { return time.UnixMilli(int64(1000 * seconds)) }
 	for leader, steps := range stepsByLeader {
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		startTimes := NewStartTimes()
-		if leader == 1 { // for this leader the jobs in progress started when it began to lead the run
+		if leader == 1 { // this leader regards the job in progress as started when it began to lead the run
 			startTimes.job[0], startTimes.attempt[0] = at(20), at(20)
 		}
 		for k := 1; k < len(steps); k++ {
@@ -60,8 +60,8 @@
 	}
 }
 
-// readSpans returns the number of traces, and the numbers of spans by the names of their ancestors
-// and their own.
+// readSpans returns the number of traces, and the number of spans for each path. The path of a span
+// consists of the names of its ancestors and its own name.
 func readSpans(t *testing.T, output string) (traceCount int, paths map[string]int) {
 	t.Helper()
 	type ids struct{ TraceID, SpanID string }
