--- a/internal/forecast/boottimes_test.go
+++ b/internal/forecast/boottimes_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// All machines were late, and each was requested again and again.
+// Guards against a fault in which all machines were late and each was requested again and again.
 func TestExpectedBootTimeGrowsOnlyIfMostMachinesAreLate(t *testing.T) {
 	var bootTimes BootTimes
 	typeZone := TypeZone{"m", "a"}
@@ -50,19 +50,19 @@
 	if expected := bootTimes.ExpectedSeconds(typeZone, 30, late, time.Now()); PendingWeight(100, expected) != 1 {
 		t.Errorf("all machines are late, expected boot time %v s, and they do not count fully", expected)
 	}
-	// Four do not boot while those that were requested with them did.
+	// Four machines do not boot, while others that were requested with them did.
 	if expected := bootTimes.ExpectedSeconds(typeZone, 30, late[:4], time.Now()); PendingWeight(100, expected) > 0.3 || PendingWeight(130, expected) != 0 {
 		t.Errorf("expected boot time %v s; a missing machine still counts %v", expected, PendingWeight(100, expected))
 	}
 }
 
-// Of seven hundred machines requested at once the last to boot are the slowest, and dozens are
-// still pending then: the boot time was estimated at three times its value.
+// Of 700 machines requested at once the slowest machines boot last, and dozens are still pending
+// then. In this case the boot time was once estimated at three times its value.
 func TestSlowestOfManyMachinesDoNotDominate(t *testing.T) {
 	var bootTimes BootTimes
 	typeZone := TypeZone{"m", "a"}
 	for i := range 400 {
-		bootTimes.Observe(typeZone, time.Now().Add(-100*time.Second), time.Duration(20+i/10)*time.Second) // in the order of their boots
+		bootTimes.Observe(typeZone, time.Now().Add(-100*time.Second), time.Duration(20+i/10)*time.Second) // in boot order
 	}
 	if expected := bootTimes.ExpectedSeconds(typeZone, 35, []float64{70, 80, 90, 95, 95, 95, 95, 95, 95, 95, 95, 95}, time.Now()); expected < 35 || expected > 45 {
 		t.Errorf("expected boot time %v s of boots that take 20 to 60 s", expected)
--- a/internal/forecast/load.go
+++ b/internal/forecast/load.go
@@ -1,6 +1,6 @@
-// Package forecast estimates the near future from recent observations: the load of a class of
-// jobs, and the boot times of requested machines. It has no clock and no locks; callers pass the
-// time.
+// Package forecast estimates the near future from recent observations: the load of a class of jobs,
+// and the boot times of requested machines. It reads no clock and is not safe for concurrent use;
+// callers pass the time.
 package forecast
 
 import (
@@ -15,9 +15,10 @@
 }
 
 // ExpectedLoad returns the number of CPUs that a class of jobs is likely to use at once: the mean
-// of the arrivals within the window plus one standard deviation. Each job counts as spread over
-// the horizon, the time in seconds that it may take, so a class of few large urgent jobs deviates
-// more than one of many small jobs with late deadlines.
+// of the arrivals within the window plus one standard deviation. The work of each job is regarded
+// as spread over the horizon, which is the time in seconds that the job may take. So the deviation
+// is greater for a class of a few large, urgent jobs than for one of many small jobs with late
+// deadlines.
 func ExpectedLoad(arrivals []Arrival, now time.Time, window time.Duration, horizon float64) float64 {
 	var first time.Time
 	sum, sumOfSquares := 0.0, 0.0
