--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -10,33 +10,34 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxBackoffShift limits how often the pause of a faulty job is doubled, before its upper bound
-// is applied.
+// maxBackoffShift limits how often the pause of a faulty job is doubled, before the upper bound of
+// the pause is applied.
 const maxBackoffShift = 10
 
 // Thresholds are the operators' settings.
 type Thresholds struct {
-	// MachineFailures is how many failures of a single job are sufficient evidence against a
-	// machine. Failures of two jobs always are.
+	// MachineFailures is the number of failures of a single job that are sufficient evidence
+	// against a machine. Failures of two jobs are always sufficient.
 	MachineFailures int
-	// JobMachines is on how many machines a job must fail before it is at fault.
+	// JobMachines is the number of machines on which a job must fail before the fault is attributed
+	// to it.
 	JobMachines int
 }
 
-// Attributor keeps the evidence. It is not safe for concurrent use: one actor owns it.
+// Attributor collects the evidence. It is not safe for concurrent use; one actor owns it.
 type Attributor struct {
 	jobs     map[string]*jobEvidence
 	machines map[string]*machineEvidence
 }
 
 type jobEvidence struct {
-	// hasSucceeded is set once a task was done, or ran far longer than the failing ones.
+	// hasSucceeded is set once a task of the job was done, or ran far longer than the failed tasks.
 	hasSucceeded bool
-	// failuresByMachine and failureCount start anew when the job is found at fault.
+	// failuresByMachine and failureCount are reset when the job is found at fault.
 	failuresByMachine map[string]int
 	failureCount      int
-	longestFailure    time.Duration // the longest time that a failing task ran
-	pauseCount        int           // pauses in a row; 0: not at fault
+	longestFailure    time.Duration // the longest time for which a failed task ran
+	pauseCount        int           // consecutive pauses; 0 if the job is not at fault
 	pausedUntil       time.Time
 }
 
@@ -46,9 +47,10 @@
 	isFaulty       bool
 }
 
-// Attribution is what a failure shows. The zero value finds nobody at fault.
+// Attribution is the conclusion from a failure. In the zero value neither the job nor the machine
+// is at fault.
 type Attribution struct {
-	// JobPause is how long the job has to wait since it is found at fault; 0 if it is not.
+	// JobPause is how long the job has to wait if it is found at fault; otherwise it is 0.
 	JobPause time.Duration
 	// MachineFaulty is set when the machine is found at fault.
 	MachineFaulty bool
@@ -77,21 +79,21 @@
 	return machine
 }
 
-// RecordFailure notes that a job's task failed on a machine after it ran for some time, and returns
-// whether that shows the job or the machine to be at fault.
-func (a *Attributor) RecordFailure(ref, host string, ran time.Duration, now time.Time, thresholds Thresholds) Attribution {
+// RecordFailure records that a job's task failed on a machine after it had run for runTime. It
+// returns whether this shows that the job or the machine is at fault.
+func (a *Attributor) RecordFailure(ref, host string, runTime time.Duration, now time.Time, thresholds Thresholds) Attribution {
 	job, machine := a.jobEvidenceOf(ref), a.machineEvidenceOf(host)
 	machine.failuresByJob[ref]++
-	job.longestFailure = max(job.longestFailure, ran)
+	job.longestFailure = max(job.longestFailure, runTime)
 	if now.Before(job.pausedUntil) {
-		return Attribution{} // the task was started before the job was paused: no new evidence
+		return Attribution{} // the task was started before the job was paused, so it is no new evidence
 	}
 	job.failuresByMachine[host]++
 	job.failureCount++
 	if a.isJobAtFault(job, thresholds) {
 		return Attribution{JobPause: a.pauseJob(ref, job, now)}
 	}
-	if a.attributeToMachine(machine, thresholds) {
+	if a.markMachineIfFaulty(machine, thresholds) {
 		return Attribution{MachineFaulty: true}
 	}
 	if a.credibleEvidence(machine).isSufficient(thresholds) {
@@ -100,19 +102,19 @@
 	return Attribution{}
 }
 
-// isJobAtFault reports whether the failures of a job that has never succeeded are its own fault.
-// After the first pause a single failing trial is enough for the next, longer one.
+// isJobAtFault reports whether a job is at fault for its failures. A job that has succeeded is
+// never at fault. After the first pause a single failure is enough for the next, longer pause.
 func (a *Attributor) isJobAtFault(job *jobEvidence, thresholds Thresholds) bool {
 	if job.hasSucceeded {
 		return false
 	}
 	return job.pauseCount > 0 ||
-		a.countWitnesses(job) >= thresholds.JobMachines ||
+		a.countTrustedMachines(job) >= thresholds.JobMachines ||
 		job.failureCount >= thresholds.JobMachines*tuning.JobFaultFailureFactor
 }
 
-// pauseJob starts the next pause of a job at fault. Its failures are no evidence against
-// machines any more.
+// pauseJob starts the next pause of a job at fault. From then on the job's failures are no evidence
+// against machines.
 func (a *Attributor) pauseJob(ref string, job *jobEvidence, now time.Time) time.Duration {
 	pause := min(tuning.MinJobBackoff<<min(job.pauseCount, maxBackoffShift), tuning.MaxJobBackoff)
 	job.pauseCount++
@@ -124,9 +126,9 @@
 	return pause
 }
 
-// countWitnesses returns how many machines are evidence against a job: those on which it failed,
-// which are not faulty and on which at most one credible job failed.
-func (a *Attributor) countWitnesses(job *jobEvidence) int {
+// countTrustedMachines returns the number of machines that are evidence against a job: the job
+// failed on them, they are not faulty, and at most one credible job failed on them.
+func (a *Attributor) countTrustedMachines(job *jobEvidence) int {
 	count := 0
 	for host := range job.failuresByMachine {
 		machine := a.machineEvidenceOf(host)
@@ -137,21 +139,21 @@
 	return count
 }
 
-// evidenceSummary sums up the evidence against a machine that counts.
+// evidenceSummary is the sum of the credible evidence against a machine.
 type evidenceSummary struct {
-	jobs      int // that failed on it
-	failures  int // of those jobs
-	succeeded int // of the jobs, those that have succeeded somewhere
+	jobs          int // number of jobs that failed on the machine
+	failures      int // number of failures of these jobs
+	succeededJobs int // number of these jobs that have succeeded somewhere
 }
 
-// isSufficient reports whether the evidence is enough to suspect the machine.
+// isSufficient reports whether the evidence is sufficient to suspect the machine.
 func (e evidenceSummary) isSufficient(thresholds Thresholds) bool {
 	return e.jobs > 1 || e.failures >= thresholds.MachineFailures
 }
 
-// credibleEvidence sums up the failures on a machine of jobs that have succeeded somewhere, and of
-// jobs that have failed only there. A job that has failed on other machines too, or was paused, and
-// has not succeeded is no evidence.
+// credibleEvidence sums up the credible evidence against a machine. It consists of the failures of
+// jobs that have succeeded somewhere, and of jobs that have failed only on this machine. A job that
+// has not succeeded is no evidence if it has also failed on other machines or was paused.
 func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
 	var evidence evidenceSummary
 	for ref, failures := range machine.failuresByJob {
@@ -166,27 +168,27 @@
 		evidence.jobs++
 		evidence.failures += failures
 		if job.hasSucceeded {
-			evidence.succeeded++
+			evidence.succeededJobs++
 		}
 	}
 	return evidence
 }
 
-// attributeToMachine marks a machine as faulty if the evidence suffices, and reports whether it has
-// done so; a machine that was marked before is not reported again. Faulty jobs that happen
-// to meet on it must not suffice, however many they are: one of the jobs must have succeeded
-// elsewhere.
-func (a *Attributor) attributeToMachine(machine *machineEvidence, thresholds Thresholds) bool {
+// markMachineIfFaulty marks a machine as faulty if the evidence is sufficient. It reports whether
+// it has marked the machine, which is false if the machine was already marked. Several faulty jobs
+// that meet on a machine must not be sufficient, however many they are. Therefore at least one of
+// the jobs must have succeeded elsewhere.
+func (a *Attributor) markMachineIfFaulty(machine *machineEvidence, thresholds Thresholds) bool {
 	if machine.isFaulty {
 		return false
 	}
 	evidence := a.credibleEvidence(machine)
-	machine.isFaulty = evidence.succeeded > 0 && evidence.isSufficient(thresholds)
+	machine.isFaulty = evidence.succeededJobs > 0 && evidence.isSufficient(thresholds)
 	return machine.isFaulty
 }
 
-// RecordSuccess notes that a job's task was done, or runs well, on a machine. It returns the
-// machines that this shows to be at fault for the job's earlier failures.
+// RecordSuccess records that a job's task was done, or runs well, on a machine. It returns the
+// machines that are found at fault for the job's earlier failures due to this success.
 func (a *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (faulty []string) {
 	if machine := a.machines[host]; machine != nil {
 		clear(machine.failuresByJob)
@@ -194,7 +196,7 @@
 	}
 	job := a.jobs[ref]
 	if job == nil {
-		return nil // most jobs never fail: nothing is remembered of them
+		return nil // like most jobs, this one has never failed: nothing is stored about it
 	}
 	job.pausedUntil, job.pauseCount, job.failureCount = time.Time{}, 0, 0
 	delete(job.failuresByMachine, host)
@@ -203,15 +205,15 @@
 	}
 	job.hasSucceeded = true
 	for other := range job.failuresByMachine {
-		if machine := a.machines[other]; machine != nil && a.attributeToMachine(machine, thresholds) {
+		if machine := a.machines[other]; machine != nil && a.markMachineIfFaulty(machine, thresholds) {
 			faulty = append(faulty, other)
 		}
 	}
 	return faulty
 }
 
-// UnprovenJobs returns the jobs that failed and have not been seen to succeed, each with the
-// time for which a task must run to prove that the job works.
+// UnprovenJobs returns the jobs that failed and were not observed to succeed. The value is the time
+// for which a task must run to prove that the job works.
 func (a *Attributor) UnprovenJobs() map[string]time.Duration {
 	unproven := map[string]time.Duration{}
 	for ref, job := range a.jobs {
@@ -222,7 +224,7 @@
 	return unproven
 }
 
-// ShouldAvoid reports whether a job should not be tried on a machine since it failed there.
+// ShouldAvoid reports whether a job should not be tried on a machine because it has failed there.
 func (a *Attributor) ShouldAvoid(ref, host string) bool {
 	job := a.jobs[ref]
 	return job != nil && job.failuresByMachine[host] > 0
@@ -234,14 +236,14 @@
 	return job != nil && now.Before(job.pausedUntil)
 }
 
-// IsJobFaulty reports whether a job is at fault as far as is known: a few of its tasks may be
+// IsJobFaulty reports whether a job is currently found at fault. A few tasks of such a job may be
 // tried, but nothing is preempted, reserved or scaled out for it.
 func (a *Attributor) IsJobFaulty(ref string) bool {
 	job := a.jobs[ref]
 	return job != nil && job.pauseCount > 0
 }
 
-// FaultyJobs returns up to limit jobs at fault, in no order.
+// FaultyJobs returns at most limit jobs at fault, in no particular order.
 func (a *Attributor) FaultyJobs(limit int) []string {
 	var refs []string
 	for ref, job := range a.jobs {
@@ -252,14 +254,14 @@
 	return refs
 }
 
-// IsSuspected reports whether a machine is not to be used for the moment.
+// IsSuspected reports whether a machine must not be used at present.
 func (a *Attributor) IsSuspected(host string, now time.Time) bool {
 	machine := a.machines[host]
 	return machine != nil && now.Before(machine.suspectedUntil)
 }
 
-// FailureCount returns how many failures are recorded against a machine since a task was last
-// done there.
+// FailureCount returns the number of failures recorded against a machine since a task was last done
+// there.
 func (a *Attributor) FailureCount(host string) int {
 	machine := a.machines[host]
 	if machine == nil {
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -8,9 +8,9 @@
 
 var thresholds = Thresholds{MachineFailures: 3, JobMachines: 3}
 
-// Two faulty arrays that met on a machine put it out of use, and a faulty job was paused only
-// after it had done so with several.
-func TestFaultyJobsDoNotCondemnHealthyMachines(t *testing.T) {
+// Guards against a fault in which two faulty arrays that met on a machine caused its quarantine,
+// and a faulty job was paused only after it had caused the quarantine of several machines.
+func TestFaultyJobsDoNotMakeHealthyMachinesFaulty(t *testing.T) {
 	attributor, now := New(), time.Now()
 	paused := map[string]bool{}
 	for round := range 12 {
@@ -18,12 +18,12 @@
 		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
 			attribution := attributor.RecordFailure(ref, host, time.Second, now, thresholds)
 			if attribution.MachineFaulty {
-				t.Errorf("%s put out of use by faulty jobs", host)
+				t.Errorf("%s found faulty because of faulty jobs", host)
 			}
 			paused[ref] = paused[ref] || attribution.JobPause > 0
 		}
 		if attributor.RecordSuccess("wk-9", host, thresholds) != nil {
-			t.Error("a machine that works was put out of use")
+			t.Error("a machine that works was found faulty")
 		}
 	}
 	if len(paused) != 3 || !paused["wk-1"] || !paused["wk-2"] || !paused["wk-3"] {
@@ -46,12 +46,12 @@
 		}
 	}
 	if !isFaulty {
-		t.Error("the machine stays in use")
+		t.Error("the faulty machine was not found faulty")
 	}
 }
 
-// Many machines became faulty at once; a healthy job that met three of them first was taken
-// for faulty, though other jobs failed there as well.
+// Guards against a fault in which many machines became faulty at once: a healthy job that ran on
+// three of them first was found at fault, although other jobs failed there as well.
 func TestSeveralFaultyMachinesDoNotPauseJob(t *testing.T) {
 	attributor, now := New(), time.Now()
 	for h := range 4 {
@@ -61,7 +61,7 @@
 	}
 	for h := range 3 {
 		if a := attributor.RecordFailure("wk-9", fmt.Sprintf("i-%d", h), time.Second, now, thresholds); a.JobPause > 0 {
-			t.Fatal("paused although its machines fail everything")
+			t.Fatal("the job was paused although every task fails on its machines")
 		}
 	}
 }
