--- a/internal/fake/encodedform/encodedform.go
+++ b/internal/fake/encodedform/encodedform.go
@@ -1,6 +1,6 @@
 // Package encodedform compares the encoded form of records and messages with golden files. Stored
-// records, messages between processes and answers to users and operators must keep the names and the
-// sequence of their fields when the code is renamed or reorganised.
+// records, messages between processes and responses to users and operators must keep the names and the
+// order of their fields when the code is renamed or reorganised.
 package encodedform
 
 import (
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// updateVariable is the environment variable that makes Check write its golden file instead of
-// comparing. It is for forms that are added, never for forms that have changed.
+// updateVariable is the environment variable that makes Check write its golden file instead of comparing
+// the forms with it. Use it only to add forms, never to accept a changed form.
 const updateVariable = "WRITE_ENCODED_FORMS"
 
-// Form is a type with its name in the golden file. The name stays when the type is renamed.
+// Form is a type and its name in the golden file. The name stays the same when the type is renamed.
 type Form struct {
 	Name string
 	// Value is any value of the type; Check fills a new one.
 	Value any
-	// WriteOnly is set for types that are encoded but never decoded by this program.
+	// WriteOnly is set for types that this program encodes but never decodes.
 	WriteOnly bool
 }
 
-// Check fills a value of each type with distinct data, field by field in the sequence of declaration,
-// and compares its JSON with the golden file. Types that are not WriteOnly are also decoded from the
-// golden form and encoded again, which must give the same.
+// Check fills a value of each type with distinct data, field by field in the order of declaration, and
+// compares its JSON encoding with the golden file. For types that are not WriteOnly it also decodes the
+// golden form and encodes it again, which must give the golden form.
 func Check(t *testing.T, goldenFile string, forms ...Form) {
 	t.Helper()
 	encoded := make(map[string]json.RawMessage, len(forms))
@@ -41,12 +41,12 @@
 		encoded[form.Name] = raw
 	}
 	if os.Getenv(updateVariable) != "" {
-		write(t, goldenFile, encoded)
+		writeGolden(t, goldenFile, encoded)
 		return
 	}
-	golden := read(t, goldenFile)
+	golden := readGolden(t, goldenFile)
 	if len(golden) != len(forms) {
-		t.Errorf("%s: %d forms, the test has %d", goldenFile, len(golden), len(forms))
+		t.Errorf("%s has %d forms, the test has %d", goldenFile, len(golden), len(forms))
 	}
 	for _, form := range forms {
 		want := golden[form.Name]
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkDecoding decodes the golden form and encodes it again.
+// checkDecoding checks that the golden form is the same after it is decoded and encoded again.
 func checkDecoding(t *testing.T, form Form, golden json.RawMessage) {
 	t.Helper()
 	decoded := reflect.New(reflect.TypeOf(form.Value))
@@ -67,17 +67,17 @@
 		t.Errorf("%s: decode: %v", form.Name, err)
 		return
 	}
-	again, err := json.Marshal(decoded.Interface())
+	reencoded, err := json.Marshal(decoded.Interface())
 	if err != nil {
 		t.Errorf("%s: encode again: %v", form.Name, err)
 		return
 	}
-	if !bytes.Equal(again, golden) {
-		t.Errorf("%s: decoded and encoded again it is\n%s\nwant\n%s", form.Name, again, golden)
+	if !bytes.Equal(reencoded, golden) {
+		t.Errorf("%s: after decoding and encoding again, the form is\n%s\nwant\n%s", form.Name, reencoded, golden)
 	}
 }
 
-func read(t *testing.T, file string) map[string]json.RawMessage {
+func readGolden(t *testing.T, file string) map[string]json.RawMessage {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return golden
 }
 
-func write(t *testing.T, file string, encoded map[string]json.RawMessage) {
+func writeGolden(t *testing.T, file string, encoded map[string]json.RawMessage) {
 	t.Helper()
 	raw, err := json.MarshalIndent(encoded, "", "  ")
 	if err != nil {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Fill makes a value of the same type in which every exported field, however deep, has data that
-// differs from that of all others.
+// Fill returns a value of the type of sample in which every exported field, at any depth, is set. All
+// values but booleans are different from each other.
 func Fill(sample any) any {
 	value := reflect.New(reflect.TypeOf(sample)).Elem()
 	f := filler{}
@@ -120,38 +120,38 @@
 	return value.Interface()
 }
 
-type filler struct{ next int }
+type filler struct{ last int }
 
-func (f *filler) number() int {
-	f.next++
-	return f.next
+func (f *filler) nextNumber() int {
+	f.last++
+	return f.last
 }
 
 func (f *filler) fill(v reflect.Value) {
 	switch v.Interface().(type) {
 	case json.RawMessage:
-		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.number()))
+		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.nextNumber()))
 		return
 	case time.Duration:
-		v.SetInt(int64(f.number()) * int64(time.Second)) // whole seconds survive every unit
+		v.SetInt(int64(f.nextNumber()) * int64(time.Second)) // a number of whole seconds is exact in every unit of encoding
 		return
 	case time.Time:
-		v.Set(reflect.ValueOf(time.UnixMilli(int64(f.number())).UTC()))
+		v.Set(reflect.ValueOf(time.UnixMilli(int64(f.nextNumber())).UTC()))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.number()))
+		v.SetString(fmt.Sprintf("text-%d", f.nextNumber()))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.number()))
+		v.SetInt(int64(f.nextNumber()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.number()))
+		v.SetUint(uint64(f.nextNumber()))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.number()) + 0.5)
+		v.SetFloat(float64(f.nextNumber()) + 0.5)
 	case reflect.Interface:
-		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", f.number())))
+		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", f.nextNumber())))
 	default:
 		f.fillComposite(v)
 	}
