--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -13,19 +13,19 @@
 )
 
 // FaultKind is a kind of fault or user request that violated invariants in combination with others
-// (docs/meetings.md). Faults that last end with another one of their kind, or with the run.
+// (docs/meetings.md). A lasting fault ends with a later fault of the same kind, or when InjectFaults ends.
 type FaultKind int
 
-// The kinds. Their numbers and their count are part of a seed's scenario and must not change. Only
-// kinds that tests inject alone are exported.
+// The kinds of faults. A seed's scenario depends on their values and their number, which must not change.
+// Only the kinds that tests inject separately are exported.
 const (
 	lateWrites FaultKind = iota
-	lateHeartbeats
+	duplicatedHeartbeats
 	inboundBlocked
 	inboundRestored
 	inboundDelayed
 	machineFrozen
-	controllerIsolated // from the store and its peers, but not from workers and users
+	controllerIsolated // disconnected from the store and its peers, but not from workers and users
 	controllerRejoined
 	OutageDuringCancellation
 	workersReconnectLate
@@ -40,17 +40,17 @@
 const (
 	combinedMachines = 12
 	combinedSteps    = 150
-	faultSeed        = 33 // the second part of the seed
+	faultSeed        = 33 // second part of the seed of each run
 )
 
 // RunCombined runs the scenario of a seed with all kinds of faults and returns the violations of
-// invariants. The lease duration and the cancel timeout vary with the seed.
+// invariants. The lease duration and the cancel timeout depend on the seed.
 func RunCombined(t *testing.T, seed uint64) (violations []string) {
 	t.Helper()
 	return runCombined(t, seed, nil, func(*fake.Cluster) {})
 }
 
-func runCombined(t *testing.T, seed uint64, only *FaultKind, set func(cluster *fake.Cluster)) []string {
+func runCombined(t *testing.T, seed uint64, onlyKind *FaultKind, configure func(cluster *fake.Cluster)) []string {
 	t.Helper()
 	return RunWith(t, combinedMachines, func(cluster *fake.Cluster) {
 		cluster.ConnectPeers = seed%2 == 1
@@ -58,34 +58,35 @@
 		cluster.Cfg.Cluster.Workers.LeaseSeconds = durations.lease
 		cluster.Cfg.Cluster.Workers.CancelSeconds = durations.cancellation
 		cluster.SetImageFetchTime(time.Duration(seed%4) * 1500 * time.Millisecond)
-		set(cluster)
+		configure(cluster)
 	}, func(r *FaultRun) {
-		r.CombineFaults, r.WithDependencies, r.onlyKind = true, seed%5 == 0, only
+		r.CombineFaults, r.WithDependencies, r.onlyKind = true, seed%5 == 0, onlyKind
 		r.InjectFaults(rand.New(rand.NewPCG(seed, faultSeed)), combinedSteps)
 		r.Finish()
 	})
 }
 
-// injectCombined begins or ends a fault of a random kind. node is a running controller. The sequence of
-// the random numbers is part of a seed's scenario and must not change.
+// injectCombined begins or ends a fault of a random kind. node is a running controller. A seed's scenario
+// depends on the sequence of the random numbers, which must not change.
 func (r *FaultRun) injectCombined(node string) {
 	hosts := r.Hosts()
-	host := anyOf(r.rnd, hosts)
-	// Faults that draw numbers from other goroutines have a source of their own: their number of
-	// draws must not change the scenario. It is made for each kind, so that all draw the same here.
-	ownRand := rand.New(rand.NewPCG(r.rnd.Uint64(), 1))
+	host := randomElement(r.rnd, hosts)
+	// Faults that draw random numbers in other goroutines use a source of their own, so that the number
+	// of their draws does not change the scenario. The source is created for every kind of fault, so that
+	// all kinds draw the same number of values from r.rnd here.
+	faultRand := rand.New(rand.NewPCG(r.rnd.Uint64(), 1))
 	kind := FaultKind(r.rnd.IntN(int(faultKindCount)))
 	if r.onlyKind != nil {
 		kind = *r.onlyKind
 	}
 	switch kind {
 	case lateWrites:
-		r.Store.ApplyLate(ownRand, anyOf(r.rnd, []float64{0, 0.1, 0.3}))
-	case lateHeartbeats:
-		r.duplicateHeartbeats(ownRand)
+		r.Store.ApplyLate(faultRand, randomElement(r.rnd, []float64{0, 0.1, 0.3}))
+	case duplicatedHeartbeats:
+		r.duplicateHeartbeats(faultRand)
 	case inboundBlocked:
-		for _, each := range hosts {
-			r.BlockInbound(each, r.rnd.IntN(6) == 0)
+		for _, target := range hosts {
+			r.BlockInbound(target, r.rnd.IntN(6) == 0)
 		}
 	case inboundRestored:
 		r.BlockInbound(host, false)
@@ -116,11 +117,11 @@
 	}
 }
 
-func (r *FaultRun) duplicateHeartbeats(ownRand *rand.Rand) {
+func (r *FaultRun) duplicateHeartbeats(faultRand *rand.Rand) {
 	if r.rnd.IntN(3) == 0 {
 		r.DuplicateHeartbeats(nil, 0)
 	} else {
-		r.DuplicateHeartbeats(ownRand, 2*r.leaseDuration())
+		r.DuplicateHeartbeats(faultRand, 2*r.leaseDuration())
 	}
 }
 
@@ -131,7 +132,7 @@
 	}
 }
 
-// reloadCache has a controller read all records again while commands to the machines are in flight.
+// reloadCache makes a controller read all records again while commands to the machines are in flight.
 func (r *FaultRun) reloadCache(node string, hosts []string) {
 	for _, host := range hosts {
 		r.DelayInbound(host, randomMilliseconds(r.rnd, 4000))
@@ -140,10 +141,10 @@
 	r.Store.CompactWatch(node)
 }
 
-// cancelSeveral has users cancel several jobs within a fifth of a second at random controllers, while
-// some machines are frozen and continue within the lease or after it.
+// cancelSeveral cancels several jobs at random controllers within a fifth of a second, while some machines
+// are frozen. These machines resume before or after their leases expire.
 func (r *FaultRun) cancelSeveral() {
-	if len(r.refs) == 0 {
+	if len(r.jobRefs) == 0 {
 		return
 	}
 	lease := r.leaseDuration()
@@ -154,26 +155,27 @@
 			time.AfterFunc(frozenFor, func() { r.FreezeMachine(host, false) })
 		}
 	}
-	for _, ref := range r.refs[max(0, len(r.refs)-1-r.rnd.IntN(5)):] {
+	for _, ref := range r.jobRefs[max(0, len(r.jobRefs)-1-r.rnd.IntN(5)):] {
 		running := r.runningControllers()
 		if len(running) == 0 {
 			break
 		}
-		r.cancelAsync(anyOf(r.rnd, running), ref)
+		r.cancelAsync(randomElement(r.rnd, running), ref)
 		time.Sleep(randomMilliseconds(r.rnd, 50))
 	}
-	r.awaitCancelAnswers()
+	r.awaitCancelResponses()
 }
 
-// cancelAtCompletion submits jobs, and cancels, polls or resubmits each about when it completes.
+// cancelAtCompletion submits jobs, and cancels, polls or resubmits each job at about the time at which it
+// completes.
 func (r *FaultRun) cancelAtCompletion() {
 	running := r.runningControllers()
-	first := len(r.refs)
+	first := len(r.jobRefs)
 	runTime := time.Duration(1500+r.rnd.IntN(3000)) * time.Millisecond
 	for range 1 + r.rnd.IntN(4) {
-		r.submit(anyOf(r.rnd, running), anyOf(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 1+r.rnd.IntN(6), 1, runTime)
+		r.submit(randomElement(r.rnd, running), randomElement(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 1+r.rnd.IntN(6), 1, runTime)
 	}
-	for _, ref := range r.refs[first:] {
+	for _, ref := range r.jobRefs[first:] {
 		for i := 0; i < 200 && !r.IsComplete(ref); i++ {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -182,11 +184,12 @@
 		if len(running) == 0 {
 			return
 		}
-		r.askAtCompletion(anyOf(r.rnd, running), ref)
+		r.requestAtCompletion(randomElement(r.rnd, running), ref)
 	}
 }
 
-func (r *FaultRun) askAtCompletion(node, ref string) {
+// requestAtCompletion cancels, polls or resubmits a job.
+func (r *FaultRun) requestAtCompletion(node, ref string) {
 	switch r.rnd.IntN(3) {
 	case 0:
 		r.cancel(node, ref)
@@ -194,17 +197,17 @@
 		r.poll(node, ref, "a poll at its completion")
 	case 2:
 		response := r.ResubmitUnchanged(node, ref)
-		r.checkAnswer(ref, "a resubmission at its completion", response)
+		r.checkResponse(ref, "a resubmission at its completion", response)
 		if response.Code == http.StatusBadRequest || response.Code == http.StatusUnprocessableEntity {
 			r.reportViolation("forgotten: a resubmission of %s was answered %+v", ref, response)
 		}
 	}
 }
 
-// reconnectLate isolates a controller from the store and its peers, but not from its workers, until
-// about when it may not renew their leases any more. Then the workers are cut off as well; they
-// reconnect to its successor up to a lease later, and most are cut off again once the successor knows
-// them, with their tasks running.
+// reconnectLate isolates a controller from the store and its peers, but not from its workers, until about
+// the time at which the controller must stop renewing the workers' leases. Then all workers are cut off
+// from the controllers as well, for up to a lease duration. They reconnect to the successor of the isolated
+// controller, and most are cut off again once the successor knows them, while their tasks run.
 func (r *FaultRun) reconnectLate(isolated string) {
 	r.isolateController(isolated, true)
 	time.Sleep(r.Cfg.HeartbeatAnswerValidity() - randomMilliseconds(r.rnd, 4000))
@@ -217,7 +220,7 @@
 	for _, host := range hosts {
 		r.IsolateWorker(host, false)
 	}
-	// Time for a heartbeat that times out, and for those that find the successor.
+	// Time for a heartbeat that times out, and for the heartbeats until a worker finds the successor.
 	time.Sleep(4*time.Second + randomMilliseconds(r.rnd, 4000))
 	for _, host := range hosts {
 		r.IsolateWorker(host, r.rnd.IntN(3) > 0)
@@ -229,7 +232,7 @@
 	r.isolateController(isolated, false)
 }
 
-// isolateController cuts a controller off from the store and its peers, or ends that.
+// isolateController disconnects a controller from the store and its peers, or reconnects it.
 func (r *FaultRun) isolateController(node string, on bool) {
 	r.Store.RefuseNode(node, on)
 	peerLink := fake.PeerLink{}
@@ -239,12 +242,12 @@
 	r.SetPeerLink(peerLink)
 }
 
-// outageDuringCancellation has the store refuse one controller, users cancel jobs through the others,
-// and then an outage for all that lasts longer than a cancellation may take. Workers continue to send
-// heartbeats.
+// outageDuringCancellation makes the store refuse one controller, cancels jobs through the other controllers,
+// and then makes the store unavailable for all controllers, for longer than a cancellation may take.
+// Workers continue to send heartbeats.
 func (r *FaultRun) outageDuringCancellation(refused string) {
-	// These tasks still run when the time limit of the cancellations is over.
-	r.submit(refused, anyOf(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 12, 1, 2*r.cancelTimeout())
+	// These tasks still run when the timeout of the cancellations is over.
+	r.submit(refused, randomElement(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 12, 1, 2*r.cancelTimeout())
 	time.Sleep(time.Duration(4000+r.rnd.IntN(4000)) * time.Millisecond)
 	r.Store.RefuseNode(refused, true)
 	if r.rnd.IntN(3) == 0 {
@@ -261,61 +264,61 @@
 	}
 	r.Store.SetOutage(true)
 	r.pollDuringOutage(r.cancelTimeout() + 2*time.Second + time.Duration(r.rnd.IntN(10))*time.Second)
-	r.awaitCancelAnswers()
-	r.Store.RefuseNode(refused, r.rnd.IntN(2) == 0) // for the refused controller the outage may go on
+	r.awaitCancelResponses()
+	r.Store.RefuseNode(refused, r.rnd.IntN(2) == 0) // the refused controller may remain without the store
 	r.Store.SetOutage(false)
 }
 
-// cancelThroughOthers cancels some of the last three jobs through all controllers but one.
+// cancelThroughOthers cancels some of the last three jobs through all controllers except the refused one.
 func (r *FaultRun) cancelThroughOthers(refused string) {
 	for range 1 + r.rnd.IntN(4) {
 		time.Sleep(randomMilliseconds(r.rnd, 2500))
 		for _, name := range r.runningControllers() {
 			if name != refused {
-				r.cancelAsync(name, r.refs[len(r.refs)-1-r.rnd.IntN(min(3, len(r.refs)))])
+				r.cancelAsync(name, r.jobRefs[len(r.jobRefs)-1-r.rnd.IntN(min(3, len(r.jobRefs)))])
 			}
 		}
 	}
 }
 
-// pollDuringOutage polls random jobs for a time.
+// pollDuringOutage polls a random job every second for the given duration.
 func (r *FaultRun) pollDuringOutage(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
 		r.checkCancelledTasks()
-		if running := r.runningControllers(); len(running) > 0 && len(r.refs) > 0 {
-			ref := anyOf(r.rnd, r.refs)
-			r.poll(anyOf(r.rnd, running), ref, "a poll in the outage")
+		if running := r.runningControllers(); len(running) > 0 && len(r.jobRefs) > 0 {
+			ref := randomElement(r.rnd, r.jobRefs)
+			r.poll(randomElement(r.rnd, running), ref, "a poll during the outage")
 		}
 	}
 }
 
-// submitInvalid has a user resubmit a job with other content or an invalid body, cancel a done job, or
-// submit a job that must not be accepted.
+// submitInvalid resubmits a job with other content or an invalid body, cancels a done job, or submits a job
+// that must not be accepted.
 func (r *FaultRun) submitInvalid(node string) {
-	known := ""
-	if len(r.refs) > 0 {
-		known = anyOf(r.rnd, r.refs)
+	knownRef := ""
+	if len(r.jobRefs) > 0 {
+		knownRef = randomElement(r.rnd, r.jobRefs)
 	}
 	switch action := r.rnd.IntN(5); {
-	case action < 2 && r.lastStatus[known] != "":
-		r.resubmitChanged(node, known, action == 1)
-	case action == 2 && r.lastStatus[known] == jobs.Done:
-		r.checkCancelAnswer(known, r.Cancel(node, known))
+	case action < 2 && r.lastStatus[knownRef] != "":
+		r.resubmitChanged(node, knownRef, action == 1)
+	case action == 2 && r.lastStatus[knownRef] == jobs.Done:
+		r.checkCancelResponse(knownRef, r.Cancel(node, knownRef))
 	default:
 		spec, invalid := r.invalidSubmission()
 		response := r.SubmitUntracked(node, spec, invalid)
 		if response.Code == http.StatusOK || response.Code == http.StatusCreated {
-			r.reportViolation("accepted_odd: %+v (%v) was answered %+v", spec, invalid, response)
+			r.reportViolation("accepted_odd: invalid submission %+v (%v) was answered %+v", spec, invalid, response)
 		}
 	}
 }
 
-// errInvalidBody stands for what is wrong with a body.
+// errInvalidBody is the validation error of an invalid request body.
 var errInvalidBody = errors.New("shifts: missing")
 
-// resubmitChanged submits an accepted job again, with other content and perhaps an invalid body. The
-// answer must be about the accepted job.
+// resubmitChanged submits an accepted job again, with other content and optionally an invalid body. The
+// response must be about the accepted job.
 func (r *FaultRun) resubmitChanged(node, ref string, hasInvalidBody bool) {
 	spec := fake.JobSpec(ref, jobs.Array, 1+r.rnd.IntN(500), 99)
 	request, invalid := "a resubmission with other content", error(nil)
@@ -327,10 +330,11 @@
 	case http.StatusCreated, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		r.reportViolation("forgotten: %s of %s was answered %+v", request, ref, response)
 	}
-	r.checkAnswer(ref, request, response)
+	r.checkResponse(ref, request, response)
 }
 
-// invalidSubmission returns a submission that must not be accepted, and what is wrong with its body.
+// invalidSubmission returns a submission that must not be accepted, and the validation error of its body, nil
+// if the body is valid.
 func (r *FaultRun) invalidSubmission() (spec jobs.Spec, invalid error) {
 	spec = fake.JobSpec(fmt.Sprintf("odd-%d", r.rnd.Uint32()), jobs.Array, 1+r.rnd.IntN(4), 1)
 	switch r.rnd.IntN(7) {
@@ -353,7 +357,7 @@
 	return spec, invalid
 }
 
-// clearCombined ends the faults of all kinds that last.
+// clearCombined ends the lasting faults of all kinds.
 func (r *FaultRun) clearCombined() {
 	r.Store.ApplyLate(nil, 0)
 	r.DuplicateHeartbeats(nil, 0)
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -25,26 +25,26 @@
 const (
 	controllerStartTime = 3 * time.Second // until machines are added
 	machineStartTime    = 8 * time.Second // until the scenario begins
-	addedMachines       = 12              // once the faults are over, see Finish
+	addedMachines       = 12              // in each call of addMachines, once the faults are over
 )
 
-// Run runs a scenario with three controllers and some machines in simulated time, and returns the
-// violations of invariants that the workers and the users observed. connectPeers has the controllers
+// Run runs a scenario with three controllers and the given number of machines in simulated time, and returns
+// the violations of invariants that the workers and the users observed. With connectPeers the controllers
 // exchange peer messages.
 func Run(t *testing.T, machines int, connectPeers bool, scenario func(r *FaultRun)) (violations []string) {
 	t.Helper()
 	return RunWith(t, machines, func(cluster *fake.Cluster) { cluster.ConnectPeers = connectPeers }, scenario)
 }
 
-// RunWith is Run with a function that changes the cluster's settings before the controllers start.
-func RunWith(t *testing.T, machines int, set func(cluster *fake.Cluster), scenario func(r *FaultRun)) (violations []string) {
+// RunWith is like Run, but calls configure to change the cluster's settings before the controllers start.
+func RunWith(t *testing.T, machines int, configure func(cluster *fake.Cluster), scenario func(r *FaultRun)) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		cluster := fake.NewClusterWith(ctx, map[string]string{"n0": "a", "n1": "b", "n2": "b"}, func(cluster *fake.Cluster) {
 			cluster.OfferedTypes[0].CPU, cluster.OfferedTypes[0].MemGB = 8, 32
-			set(cluster)
+			configure(cluster)
 		})
 		time.Sleep(controllerStartTime)
 		for i := range machines {
@@ -61,40 +61,40 @@
 	return violations
 }
 
-// FaultRun is a cluster and its users, whose answers are checked against each other. Except for the
-// fields that mu protects, it is used by the scenario's goroutine alone.
+// FaultRun is a cluster and its users. The responses that the users get are checked against each other. Only
+// the scenario's goroutine may use a FaultRun, except for the fields that mu protects.
 type FaultRun struct {
 	*fake.Cluster
-	CombineFaults    bool // InjectFaults injects the faults of FaultKind, too
+	CombineFaults    bool // InjectFaults also injects the faults of FaultKind
 	WithDependencies bool // about half of the jobs depend on up to three others
 
 	rnd    *rand.Rand
 	faults singleFaults
 
 	onlyKind        *FaultKind // nil: all kinds
-	refs            []string   // of all submitted jobs
-	maxDependencies int        // how many dependencies are drawn for the next job
+	jobRefs         []string   // of all submitted jobs
+	maxDependencies int        // how many random dependencies submit draws for the next job
 	longestRunTime  time.Duration
 	taskCounts      map[string]int
 	isGang          map[string]bool
-	// lastStatus has the last final status that a user was answered, else statusAccepted, by job. It
-	// has no entry for a job that may not have been accepted.
+	// lastStatus has, by job, the last final status that a user got in a response, or statusAccepted if
+	// there was none. It has no entry for a job that may not have been accepted.
 	lastStatus        map[string]jobs.Status
-	dependents        map[string][]string // jobs by a job that they depend on
+	dependents        map[string][]string // by job: the jobs that depend on it
 	cancelRequested   map[string]bool
-	cancelRequests    sync.WaitGroup       // that are not answered
-	mustBeCancelledBy map[string]time.Time // of jobs that depend on a cancelled one
+	pendingCancels    sync.WaitGroup       // requests without a response yet
+	mustBeCancelledBy map[string]time.Time // deadlines for cancelled jobs and the jobs that depend on them
 
 	mu            sync.Mutex
-	cancellations map[string]cancellation // that were confirmed to a user
+	cancellations map[string]cancellation // by job, see recordConfirmedCancellation
 	violations    []string
-	pendingChecks []func() // of the answers to cancelAsync, run by awaitCancelAnswers
+	pendingChecks []func() // checks of the responses to cancelAsync, run by awaitCancelResponses
 }
 
-// cancellation is a confirmed cancellation of a job.
+// cancellation is the cancellation of a job that a controller confirmed to a user.
 type cancellation struct {
 	confirmedAt time.Time
-	deadline    time.Time // by when its tasks must have stopped
+	deadline    time.Time // by when the job's tasks must have stopped
 	taskCount   int
 }
 
@@ -124,12 +124,12 @@
 	return slices.Clone(r.violations)
 }
 
-// leaseDuration is how long a worker's lease lasts.
+// leaseDuration returns the duration of a worker's lease.
 func (r *FaultRun) leaseDuration() time.Duration {
 	return config.Seconds(r.Cfg.Cluster.Workers.LeaseSeconds)
 }
 
-// cancelTimeout is how long a cancellation may take.
+// cancelTimeout returns how long a cancellation may take.
 func (r *FaultRun) cancelTimeout() time.Duration {
 	return config.Seconds(r.Cfg.Cluster.Workers.CancelSeconds)
 }
@@ -139,10 +139,10 @@
 	return slices.DeleteFunc(slices.Clone(controllerNames), func(name string) bool { return r.Nodes[name] == nil })
 }
 
-// anyOf returns one of several values at random, with one random number.
-func anyOf[T any](rnd *rand.Rand, values []T) T { return values[rnd.IntN(len(values))] }
+// randomElement returns a random one of several values. It draws one random number.
+func randomElement[T any](rnd *rand.Rand, values []T) T { return values[rnd.IntN(len(values))] }
 
-// randomMilliseconds returns a random duration below a number of milliseconds, with one random number.
+// randomMilliseconds returns a random duration below limit milliseconds. It draws one random number.
 func randomMilliseconds(rnd *rand.Rand, limit int) time.Duration {
 	return time.Duration(rnd.IntN(limit)) * time.Millisecond
 }
--- a/internal/fake/faultinjection/faultinjection_test.go
+++ b/internal/fake/faultinjection/faultinjection_test.go
@@ -8,31 +8,31 @@
 	"cherrywall/internal/fake/faultinjection"
 )
 
-// Mutation: late writes are applied without their preconditions, which alone keep them from undoing
-// newer writes.
+// Mutation: late writes are applied without checking their preconditions. Only the preconditions keep late
+// writes from overwriting newer ones.
 func TestLateWritesWithoutConditionsAreFound(t *testing.T) {
 	skipConditions := func(cluster *fake.Cluster) { cluster.Store.SkipConditions() }
 	if !faultinjection.FindsViolationWith(t, 30, skipConditions, "ran_", "went_back", "not_done", "quota", "forgotten") {
-		t.Error("30 runs of the mutation violated no invariant")
+		t.Error("no expected violation in 30 runs with the mutation")
 	}
 }
 
-// Mutation: the controllers take the cancel timeout for longer than it is, and so renew worker leases
-// for too long after a cancellation that they can't read.
+// Mutation: the controllers use a cancel timeout that is longer than the configured one, so that they renew
+// worker leases for too long after a cancellation that they cannot read.
 func TestCancelTimeoutTooLongIsFound(t *testing.T) {
 	lengthen := func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds }
 	mutate := func(cluster *fake.Cluster) { cluster.AlterConfig = lengthen }
 	if !faultinjection.FindsViolationOf(t, 30, faultinjection.OutageDuringCancellation, mutate, "ran_cancelled") {
-		t.Error("30 runs of the mutation violated no invariant")
+		t.Error("no expected violation in 30 runs with the mutation")
 	}
 }
 
-// Mutation: machines ignore stop commands and the expiry of their leases, so that cancelled tasks
-// continue.
+// Mutation: machines ignore stop commands and the expiry of their leases, so that cancelled tasks continue
+// to run.
 func TestContinuingCancelledTaskIsFound(t *testing.T) {
 	mutate := func(cluster *fake.Cluster) { cluster.IgnoreStops = true }
 	if !faultinjection.FindsViolationOf(t, 10, faultinjection.CancelSeveral, mutate, "ran_cancelled") {
-		t.Error("10 runs with machines that stop no task violated no invariant")
+		t.Error("no expected violation in 10 runs with machines that stop no task")
 	}
 }
 
@@ -40,6 +40,6 @@
 func TestJobLeftWaitingIsFound(t *testing.T) {
 	mutate := func(cluster *fake.Cluster) { cluster.RefuseStarts = true }
 	if !faultinjection.FindsViolationOf(t, 5, faultinjection.InvalidRequests, mutate, "left_waiting") {
-		t.Error("5 runs with machines that start no task violated no invariant")
+		t.Error("no expected violation in 5 runs with machines that start no task")
 	}
 }
--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -8,19 +8,19 @@
 	"cherrywall/internal/jobs"
 )
 
-// minMachines is how many machines are kept up while faults are combined, since machines whose
-// heartbeats are missed are released.
+// minMachines is the minimum number of machines while faults are combined. Machines that miss heartbeats are
+// released, and InjectFaults adds new ones.
 const minMachines = 8
 
-// singleFaults are the faults of injectSingle that last until another step changes them.
+// singleFaults are the faults of injectSingle that last until a later step changes them.
 type singleFaults struct {
-	refusedNode string // by the key-value store, empty for none
+	refusedNode string // controller that the key-value store refuses, empty for none
 	isStoreDown bool
-	isolated    map[string]bool // by machine; false if its isolation has ended
+	isolated    map[string]bool // by machine; false if the machine's isolation has ended
 }
 
-// InjectFaults runs so many random steps, each a user's request or the begin or end of a fault. Then it
-// ends all faults and starts all controllers.
+// InjectFaults runs random steps, as many as steps says. Each step sends a user's request, or begins or ends
+// a fault. Then InjectFaults ends all faults and starts all controllers.
 func (r *FaultRun) InjectFaults(rnd *rand.Rand, steps int) {
 	r.rnd = rnd
 	r.faults = singleFaults{isolated: map[string]bool{}}
@@ -28,7 +28,7 @@
 		time.Sleep(time.Duration(100+rnd.IntN(900)) * time.Millisecond)
 		r.checkCancelledTasks()
 		if r.CombineFaults && len(r.Hosts()) < minMachines {
-			r.AddMachine(anyOf(rnd, zones), false)
+			r.AddMachine(randomElement(rnd, zones), false)
 		}
 		r.step()
 	}
@@ -36,7 +36,7 @@
 	r.clearSingle()
 }
 
-// step runs one random step.
+// step runs one random step. If no controller runs, it only starts some.
 func (r *FaultRun) step() {
 	running := r.runningControllers()
 	if len(running) == 0 {
@@ -47,38 +47,38 @@
 		}
 		return
 	}
-	node := anyOf(r.rnd, running)
+	node := randomElement(r.rnd, running)
 	if r.CombineFaults && r.rnd.IntN(5) == 0 {
 		r.injectCombined(node)
 		return
 	}
 	r.maxDependencies = 0
-	if r.WithDependencies && len(r.refs) > 0 && r.rnd.IntN(2) == 0 {
+	if r.WithDependencies && len(r.jobRefs) > 0 && r.rnd.IntN(2) == 0 {
 		r.maxDependencies = 1 + r.rnd.IntN(3)
 	}
 	r.requestOrInject(node, running)
 }
 
-// requestOrInject has a user send a request to a controller, or begins or ends a single fault. The
-// numbers are cumulative percentages, continued in injectSingle. The sequence of the random numbers is
-// part of a seed's scenario and must not change.
+// requestOrInject sends a user's request to a controller, or begins or ends a single fault. The bounds of
+// action are cumulative percentages, continued in injectSingle. A seed's scenario depends on the sequence of
+// the random numbers, which must not change.
 func (r *FaultRun) requestOrInject(node string, running []string) {
-	hasJobs := len(r.refs) > 0
+	hasJobs := len(r.jobRefs) > 0
 	switch action := r.rnd.IntN(100); {
 	case action < 25:
 		r.submit(node, jobs.Gang, 1+r.rnd.IntN(6), 3, r.runTime(2+r.rnd.IntN(12)))
 	case action < 35:
 		r.submit(node, jobs.Array, 1+r.rnd.IntN(20), 1, r.runTime(1+r.rnd.IntN(9)))
 	case action < 50 && hasJobs:
-		r.poll(node, anyOf(r.rnd, r.refs), "poll")
+		r.poll(node, randomElement(r.rnd, r.jobRefs), "poll")
 	case action < 56 && hasJobs:
-		r.cancel(node, anyOf(r.rnd, r.refs))
+		r.cancel(node, randomElement(r.rnd, r.jobRefs))
 	default:
 		r.injectSingle(action, node, running)
 	}
 }
 
-// injectSingle begins or ends a single fault.
+// injectSingle begins or ends a single fault, see requestOrInject.
 func (r *FaultRun) injectSingle(action int, node string, running []string) {
 	switch {
 	case action < 62:
@@ -129,14 +129,15 @@
 	}
 }
 
-// toggleIsolation isolates a machine, or ends its isolation.
+// toggleIsolation begins or ends the isolation of a random machine.
 func (r *FaultRun) toggleIsolation() {
-	host := anyOf(r.rnd, r.Hosts())
+	host := randomElement(r.rnd, r.Hosts())
 	r.faults.isolated[host] = !r.faults.isolated[host]
 	r.IsolateWorker(host, r.faults.isolated[host])
 }
 
-// changeRefusedNode has the key-value store refuse another controller than before, or none.
+// changeRefusedNode makes the key-value store refuse the given controller, or none, instead of the previous
+// one.
 func (r *FaultRun) changeRefusedNode(node string) {
 	r.Store.RefuseNode(r.faults.refusedNode, false)
 	r.faults.refusedNode = ""
--- a/internal/fake/faultinjection/mutation.go
+++ b/internal/fake/faultinjection/mutation.go
@@ -8,31 +8,31 @@
 	"cherrywall/internal/fake"
 )
 
-// FindsViolation reports whether one of the combined runs with the first seeds violates one of the
-// invariants, any of them if none is given. Tests of the invariant checker call it with a mutation in
-// effect. An invariant is given by a prefix of its violations.
-func FindsViolation(t *testing.T, seeds uint64, rules ...string) bool {
+// FindsViolation reports whether one of the combined runs violates an invariant. It runs the given number of
+// seeds, starting at 0. Only violations that begin with one of the prefixes count, all violations if no
+// prefix is given. Tests of the invariant checker call FindsViolation with a mutation in effect.
+func FindsViolation(t *testing.T, seeds uint64, prefixes ...string) bool {
 	t.Helper()
-	return FindsViolationWith(t, seeds, func(*fake.Cluster) {}, rules...)
+	return FindsViolationWith(t, seeds, func(*fake.Cluster) {}, prefixes...)
 }
 
-// FindsViolationWith is FindsViolation for a mutation of the cluster.
-func FindsViolationWith(t *testing.T, seeds uint64, mutate func(cluster *fake.Cluster), rules ...string) bool {
+// FindsViolationWith is FindsViolation with a mutation of the cluster.
+func FindsViolationWith(t *testing.T, seeds uint64, mutate func(cluster *fake.Cluster), prefixes ...string) bool {
 	t.Helper()
-	return findsViolation(t, seeds, nil, mutate, rules)
+	return findsViolation(t, seeds, nil, mutate, prefixes)
 }
 
-// FindsViolationOf is FindsViolationWith for runs in which only faults of one kind are combined.
-func FindsViolationOf(t *testing.T, seeds uint64, only FaultKind, mutate func(cluster *fake.Cluster), rules ...string) bool {
+// FindsViolationOf is FindsViolationWith for runs whose combined faults are all of one kind.
+func FindsViolationOf(t *testing.T, seeds uint64, onlyKind FaultKind, mutate func(cluster *fake.Cluster), prefixes ...string) bool {
 	t.Helper()
-	return findsViolation(t, seeds, &only, mutate, rules)
+	return findsViolation(t, seeds, &onlyKind, mutate, prefixes)
 }
 
-func findsViolation(t *testing.T, seeds uint64, only *FaultKind, mutate func(cluster *fake.Cluster), rules []string) bool {
+func findsViolation(t *testing.T, seeds uint64, onlyKind *FaultKind, mutate func(cluster *fake.Cluster), prefixes []string) bool {
 	t.Helper()
 	for seed := range seeds {
-		for _, violation := range runCombined(t, seed, only, mutate) {
-			if isOf(violation, rules) {
+		for _, violation := range runCombined(t, seed, onlyKind, mutate) {
+			if hasAnyPrefix(violation, prefixes) {
 				t.Logf("seed %d: %s", seed, violation)
 				return true
 			}
@@ -41,7 +41,7 @@
 	return false
 }
 
-// isOf reports whether a violation has the prefix of one of the rules, or no rules are given.
-func isOf(violation string, rules []string) bool {
-	return len(rules) == 0 || slices.ContainsFunc(rules, func(rule string) bool { return strings.HasPrefix(violation, rule) })
+// hasAnyPrefix reports whether a violation has one of the prefixes. It returns true if there are no prefixes.
+func hasAnyPrefix(violation string, prefixes []string) bool {
+	return len(prefixes) == 0 || slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(violation, prefix) })
 }
--- a/internal/fake/faultinjection/users.go
+++ b/internal/fake/faultinjection/users.go
@@ -16,19 +16,19 @@
 
 // submit submits a job, with up to maxDependencies random dependencies.
 func (r *FaultRun) submit(node string, kind jobs.Kind, tasks int, cpu float64, runTime time.Duration) {
-	spec := fake.JobSpec(fmt.Sprintf("wk-%d", len(r.refs)+1), kind, tasks, cpu)
+	spec := fake.JobSpec(fmt.Sprintf("wk-%d", len(r.jobRefs)+1), kind, tasks, cpu)
 	spec.Spot = kind == jobs.Array
-	if len(r.refs)%3 == 0 && cpu*float64(tasks) <= 4 {
+	if len(r.jobRefs)%3 == 0 && cpu*float64(tasks) <= 4 {
 		spec.Team = "capped"
 	}
 	if kind == jobs.Gang {
 		spec.Urgency, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = "high", 5, 1
 	}
-	r.refs = append(r.refs, spec.Ref)
+	r.jobRefs = append(r.jobRefs, spec.Ref)
 	r.taskCounts[spec.Ref] = tasks
 	r.isGang[spec.Ref] = kind == jobs.Gang
 	for range r.maxDependencies {
-		ref := anyOf(r.rnd, r.refs)
+		ref := randomElement(r.rnd, r.jobRefs)
 		if r.lastStatus[ref] != "" && !slices.Contains(spec.DependsOn, ref) {
 			spec.DependsOn = append(spec.DependsOn, ref)
 		}
@@ -37,13 +37,13 @@
 	r.checkSubmission(spec, r.Submit(node, spec, runTime))
 }
 
-// checkSubmission checks the answer to a valid submission, and notes what is expected of the job.
+// checkSubmission checks the response to a valid submission, and records what later checks expect of the job.
 func (r *FaultRun) checkSubmission(spec jobs.Spec, response controller.Response) {
 	switch response.Code {
 	case http.StatusUnprocessableEntity, http.StatusNotFound, http.StatusBadRequest:
-		r.reportViolation("forgotten: %s, naming %v, was answered %+v", spec.Ref, spec.DependsOn, response)
+		r.reportViolation("forgotten: a submission of %s with dependencies %v was answered %+v", spec.Ref, spec.DependsOn, response)
 	}
-	for _, ref := range spec.DependsOn { // also without an answer: the job may have been accepted
+	for _, ref := range spec.DependsOn { // also without a valid response: the job may have been accepted
 		r.dependents[ref] = append(r.dependents[ref], spec.Ref)
 	}
 	if response.Code != http.StatusOK && response.Code != http.StatusCreated {
@@ -57,8 +57,8 @@
 	}
 }
 
-// runTime returns a run time of so many seconds. Where faults are combined some tasks run longer, so
-// that they still run at the deadline of a cancellation or when a lease has expired.
+// runTime returns a run time in seconds as a duration. If faults are combined, some run times are longer, so
+// that tasks still run at the deadline of a cancellation or when a lease has expired.
 func (r *FaultRun) runTime(seconds int) time.Duration {
 	if r.CombineFaults && r.rnd.IntN(2) == 0 {
 		seconds *= 1 + r.rnd.IntN(9)
@@ -66,47 +66,47 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// poll polls a job and checks the answer.
+// poll polls a job and checks the response. request describes the poll in the text of a violation.
 func (r *FaultRun) poll(node, ref, request string) controller.Response {
 	response := r.Poll(node, ref)
-	r.checkAnswer(ref, request, response)
+	r.checkResponse(ref, request, response)
 	return response
 }
 
-// cancel asks a controller to cancel a job.
+// cancel asks a controller to cancel a job and checks the response.
 func (r *FaultRun) cancel(node, ref string) {
 	r.cancelRequested[ref] = true
-	r.checkCancelAnswer(ref, r.Cancel(node, ref))
+	r.checkCancelResponse(ref, r.Cancel(node, ref))
 }
 
-// cancelAsync asks a controller to cancel a job without waiting for the answer, see
-// awaitCancelAnswers.
+// cancelAsync asks a controller to cancel a job without waiting for the response, see
+// awaitCancelResponses.
 func (r *FaultRun) cancelAsync(node, ref string) {
 	r.cancelRequested[ref] = true
-	r.cancelRequests.Go(func() {
+	r.pendingCancels.Go(func() {
 		response := r.Cancel(node, ref)
 		if response.Code != http.StatusOK {
 			return
 		}
 		if response.Status == jobs.Cancelled {
-			r.cancellationConfirmed(ref)
+			r.recordConfirmedCancellation(ref)
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.pendingChecks = append(r.pendingChecks, func() { r.checkCancelAnswer(ref, response) })
+		r.pendingChecks = append(r.pendingChecks, func() { r.checkCancelResponse(ref, response) })
 	})
 }
 
-// awaitCancelAnswers waits for the answers to cancelAsync and checks them.
-func (r *FaultRun) awaitCancelAnswers() {
-	r.cancelRequests.Wait()
+// awaitCancelResponses waits for the responses to cancelAsync and checks them.
+func (r *FaultRun) awaitCancelResponses() {
+	r.pendingCancels.Wait()
 	for _, check := range r.pendingChecks {
 		check()
 	}
 	r.pendingChecks = nil
 }
 
-// expectCancelled notes that a job and all that depend on it must be called cancelled once the cancel
+// expectCancelled records that a job and all jobs that depend on it must be reported cancelled once the cancel
 // timeout is over.
 func (r *FaultRun) expectCancelled(ref string) {
 	if !r.mustBeCancelledBy[ref].IsZero() {
