--- a/internal/fake/harness/cloud.go
+++ b/internal/fake/harness/cloud.go
@@ -6,16 +6,15 @@
 	"cherrywall/internal/cloud"
 )
 
-// Cloud is a stand-in of the cloud that lists Machines, and refuses to release machines unless
-// AcceptsReleases is set.
+// Cloud is a fake cloud that lists Machines, and fails to release machines unless AcceptsReleases is set.
 type Cloud struct {
 	AcceptsReleases bool
 	Machines        []cloud.Machine
 	ReleaseCalls    int // how often Release was called
-	ReleasedHosts   int // how many machines these calls named, whether or not they were accepted
+	ReleasedHosts   int // how many machines these calls named, including calls that failed
 }
 
-// Release returns cloud.ErrUnavailable unless the cloud accepts releases.
+// Release returns cloud.ErrUnavailable unless AcceptsReleases is set.
 func (c *Cloud) Release(_ context.Context, hosts []string) error {
 	c.ReleaseCalls++
 	c.ReleasedHosts += len(hosts)
@@ -25,5 +24,5 @@
 	return cloud.ErrUnavailable
 }
 
-// List returns the machines.
+// List returns Machines.
 func (c *Cloud) List(context.Context) ([]cloud.Machine, error) { return c.Machines, nil }
--- a/internal/fake/harness/harness.go
+++ b/internal/fake/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness builds the components of a controller without the actor that drives them, for
-// tests of one component together with those that it depends on. Messages to the actor wait until the
-// test handles them, see Harness.RunNext.
+// Package harness builds the components of a controller without the actor that runs them, for tests of
+// one component together with its dependencies. Messages to the actor wait until the test handles them,
+// see Harness.RunNext.
 package harness
 
 import (
@@ -34,7 +34,8 @@
 	"cherrywall/internal/workersession"
 )
 
-// Names of the harness's controller and of another one, and the incarnation of the former.
+// Self is the name of the harness's controller, Incarnation its incarnation. OtherNode is the name of
+// another controller.
 const (
 	Self        = "n0"
 	OtherNode   = "n1"
@@ -48,10 +49,10 @@
 type Harness struct {
 	T            testing.TB
 	Cfg          *config.Config
-	Mailbox      *actor.Mailbox // of the actor that the test stands in for
+	Mailbox      *actor.Mailbox // of the actor, whose messages the test handles
 	Cloud        *Cloud
 	Store        *Store
-	Workers      workersession.WorkerClient // nil unless New's set gives one
+	Workers      workersession.WorkerClient // nil unless the function that is passed to New sets it
 	Membership   *membership.Table
 	MachineTypes *machinetype.Catalog
 	ClassStats   *classstats.Stats
@@ -74,9 +75,9 @@
 	expectedViolations uint64 // see ExpectViolations
 }
 
-// New makes a harness with an empty cache. set, if it is not nil, changes the settings and the
-// stand-ins before the components are made.
-func New(t testing.TB, set func(h *Harness)) *Harness {
+// New makes a harness with an empty cache. configure, if it is not nil, changes the settings and the
+// fakes before the components are made.
+func New(t testing.TB, configure func(h *Harness)) *Harness {
 	t.Helper()
 	h := &Harness{
 		T:       t,
@@ -86,8 +87,8 @@
 		Store:   &Store{},
 		log:     slog.New(slog.DiscardHandler),
 	}
-	if set != nil {
-		set(h)
+	if configure != nil {
+		configure(h)
 	}
 	h.buildState()
 	h.buildCache()
@@ -96,17 +97,17 @@
 	return h
 }
 
-// ExpectViolations fails the test unless so many violations of invariants were found up to now. At the end
-// of a test there must be as many as were expected last, none by default.
+// ExpectViolations fails the test unless the number of invariant violations that were found so far is
+// count. At the end of the test the number is checked again, against the count of the last call or 0.
 func (h *Harness) ExpectViolations(t testing.TB, count uint64) {
 	t.Helper()
 	h.expectedViolations = count
 	found := uint64(0)
-	for _, ofInvariant := range h.Violations.Counts() {
-		found += ofInvariant
+	for _, invariantCount := range h.Violations.Counts() {
+		found += invariantCount
 	}
 	if found != count {
-		t.Errorf("%d violations of invariants, expected %d: %v", found, count, h.Violations.Counts())
+		t.Errorf("%d invariant violations, expected %d: %v", found, count, h.Violations.Counts())
 	}
 }
 
@@ -218,12 +219,13 @@
 	h.Cache.ApplyWrite(key, raw, revision)
 }
 
-// Event returns the write of a record as the watch delivers it.
+// Event returns the event that a watch delivers for the write of a record.
 func Event(key string, record any, revision uint64) kvstore.Event {
 	return kvstore.Event{Key: key, Value: kvstore.Encode(record), Revision: revision}
 }
 
-// SetOwner records that a controller owns a shard, under an epoch.
+// SetOwner records that a controller owns a shard. epoch is the revision of the
+// record, which is the epoch of the ownership.
 func (h *Harness) SetOwner(shard, owner string, epoch uint64) {
 	incarnation := uint64(Incarnation)
 	if owner != Self {
@@ -232,7 +234,7 @@
 	h.Cache.ApplyWrite(jobs.ShardPrefix+shard, membership.EncodeShard(owner, incarnation, nil, time.Now()), epoch)
 }
 
-// AddMachine records a machine of a type in zone a that was registered an hour ago.
+// AddMachine records a machine in zone a that was registered an hour ago, and returns its state.
 func (h *Harness) AddMachine(host, shard, machineType string, spot bool) *clusterstate.Machine {
 	h.T.Helper()
 	h.WriteRecord(jobs.WorkerPrefix+host, workerapi.Record{
@@ -246,7 +248,8 @@
 	return h.State.Machine(host)
 }
 
-// AddJob records an unfinished job whose last tasks are unclaimed, as many as given.
+// AddJob records an unfinished job and returns its state. The last tasks of the job are unclaimed, as many
+// as the parameter unclaimed says.
 func (h *Harness) AddJob(spec jobs.Spec, unclaimed int, revision uint64) *clusterstate.Job {
 	h.T.Helper()
 	record := jobs.JobRecord{Spec: spec, AcceptedAtMS: time.Now().UnixMilli()}
@@ -257,14 +260,15 @@
 	return h.State.Job(spec.Ref)
 }
 
-// AddTaskRange records that a shard has claimed the first tasks of a job, as many as given.
+// AddTaskRange records that a shard has claimed the first tasks of a job, as many as the parameter tasks
+// says, and returns the state of this range.
 func (h *Harness) AddTaskRange(ref, shard string, tasks int, revision uint64) *clusterstate.TaskRange {
 	h.T.Helper()
 	h.WriteRecord(jobs.RangeKey(ref, 0), jobs.RangeRecord{Shard: shard, Count: tasks}, revision)
 	return h.State.Job(ref).TaskRange(0)
 }
 
-// OfferMachineTypes adds machine types of 16 CPUs to those that the cloud offers.
+// OfferMachineTypes adds machine types with 16 CPUs to those that the cloud offers.
 func (h *Harness) OfferMachineTypes(names ...string) {
 	for _, name := range names {
 		h.MachineTypes.SetFromCloud([]cloud.MachineType{
@@ -273,8 +277,8 @@
 	h.State.RecountAllMachines()
 }
 
-// SyncCache makes the cache current at a revision: it has applied all changes up to there, and there
-// are no later ones.
+// SyncCache makes the cache current at a revision: the cache has applied all changes up to that revision,
+// and there are no later changes.
 func (h *Harness) SyncCache(revision uint64) {
 	h.Cache.ApplyEvents(nil, revision)
 	isCurrent := false
@@ -284,8 +288,8 @@
 	}
 }
 
-// Heartbeat has a machine send a heartbeat with its tasks, under a fencing token. The reply is empty if
-// the session answers later.
+// Heartbeat passes a heartbeat with a fencing token and the tasks of a machine to the worker's session. The
+// heartbeat was received a second ago. The reply is empty if the session replies later.
 func (h *Harness) Heartbeat(host string, sequence, token uint64, tasks ...workerapi.TaskStatus) workersession.HeartbeatReply {
 	replies := make(chan workersession.HeartbeatReply, 1)
 	h.Sessions.HandleHeartbeat(&workerapi.Heartbeat{
--- a/internal/fake/harness/store.go
+++ b/internal/fake/harness/store.go
@@ -9,30 +9,30 @@
 	"cherrywall/internal/kvstore"
 )
 
-// Store is a stand-in of the key-value store that has no records, and accepts all transactions or none.
-// It implements kvstore.Service and is safe for concurrent use.
+// Store is a fake key-value store without records that accepts either all transactions or none. It
+// implements kvstore.Service and is safe for concurrent use.
 type Store struct {
 	mu           sync.Mutex
-	nextRevision uint64 // of the next accepted transaction; 0: none is accepted
+	nextRevision uint64 // of the next accepted transaction; 0: no transaction is accepted
 	transactions []kvstore.Txn
 }
 
-// AcceptFrom has the store accept transactions from now on, the first under the given revision.
+// AcceptFrom makes the store accept transactions from now on. The first one gets the given revision.
 func (s *Store) AcceptFrom(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextRevision = revision
 }
 
-// Transactions lists the transactions that were requested, refused ones too.
+// Transactions lists the transactions that were requested, including those that were not accepted.
 func (s *Store) Transactions() []kvstore.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.transactions)
 }
 
-// Commit accepts a transaction whatever its conditions are, or returns kvstore.ErrUnavailable before
-// AcceptFrom was called.
+// Commit accepts a transaction without checking its conditions. It returns kvstore.ErrUnavailable until
+// AcceptFrom is called.
 func (s *Store) Commit(_ context.Context, _ kvstore.Priority, txn kvstore.Txn) (kvstore.TxnResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	return kvstore.TxnResult{Succeeded: true, Revision: s.nextRevision - 1}, nil
 }
 
-// Get finds no record.
+// Get returns an empty result, since the store has no records.
 func (*Store) Get(context.Context, kvstore.Priority, string) (kvstore.GetResult, error) {
 	return kvstore.GetResult{}, nil
 }
