--- a/internal/fake/network/network.go
+++ b/internal/fake/network/network.go
@@ -1,4 +1,4 @@
-// Package network is the state of the connections of an in-memory cluster: which of them tests have
+// Package network holds the state of the connections in an in-memory cluster: which connections tests have
 // cut, blocked or delayed, and which machines are frozen.
 package network
 
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// transferChunkTime is how long a chunk of a transfer between controllers takes at least.
-const transferChunkTime = time.Millisecond
+// minChunkTransferTime is the minimum time for sending one chunk of a transfer between controllers.
+const minChunkTransferTime = time.Millisecond
 
 // PeerLink is the state of the connections between the controllers.
 type PeerLink struct {
-	IsCut      bool          // between all controllers
+	IsCut      bool          // no controller reaches another one
 	Isolated   string        // a controller that neither receives nor sends peer messages
 	DropChunks int           // how many of the next transfer chunks are lost
-	Delay      time.Duration // of transfer chunks, beyond a millisecond each
+	Delay      time.Duration // added to the minimum of a millisecond for each transfer chunk
 }
 
 // link is the connection between a controller and a machine.
@@ -27,14 +27,14 @@
 	mu              sync.Mutex
 	peerLink        PeerLink
 	cutLinks        map[link]bool
-	isolated        map[string]bool // machines that nothing reaches and that reach nothing
-	inboundBlocked  map[string]bool // machines that nothing reaches
-	outboundBlocked map[string]bool // machines that reach no controller
+	isolated        map[string]bool // machines without a connection to any controller
+	inboundBlocked  map[string]bool // machines that receive nothing
+	outboundBlocked map[string]bool // machines whose heartbeats are lost
 	inboundDelays   map[string]time.Duration
-	frozen          map[string]chan struct{} // by machine; closed when it continues
+	frozen          map[string]chan struct{} // by machine; closed when the machine resumes
 }
 
-// New creates a network in which everything is connected.
+// New creates a network without faults.
 func New() *Network {
 	return &Network{
 		cutLinks:        map[link]bool{},
@@ -60,69 +60,69 @@
 	n.isolated[host] = on
 }
 
-// IsCut reports whether a controller and a machine are not connected.
+// IsCut reports whether the connection between a controller and a machine is cut.
 func (n *Network) IsCut(node, host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cutLinks[link{node, host}] || n.isolated[host]
 }
 
-// BlockInbound blocks all that is sent to a machine, commands and answers, or ends that. Its heartbeats
-// arrive.
+// BlockInbound blocks or unblocks all inbound traffic of a machine: commands and responses. The machine's
+// heartbeats still arrive.
 func (n *Network) BlockInbound(host string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inboundBlocked[host] = on
 }
 
-// IsInboundBlocked reports whether nothing reaches a machine.
+// IsInboundBlocked reports whether the inbound traffic of a machine is blocked.
 func (n *Network) IsInboundBlocked(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inboundBlocked[host]
 }
 
-// BlockOutbound blocks the heartbeats of a machine, or ends that. Direct commands reach it and are
-// answered.
+// BlockOutbound blocks or unblocks the heartbeats of a machine. Direct commands still reach the machine,
+// and the controller gets the responses.
 func (n *Network) BlockOutbound(host string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.outboundBlocked[host] = on
 }
 
-// IsOutboundBlocked reports whether no heartbeat of a machine arrives.
+// IsOutboundBlocked reports whether the heartbeats of a machine are blocked.
 func (n *Network) IsOutboundBlocked(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.outboundBlocked[host]
 }
 
-// DelayInbound delays all that is sent to a machine, commands and answers; a delay of 0 ends that.
+// DelayInbound delays all inbound traffic of a machine: commands and responses. A delay of 0 ends this.
 func (n *Network) DelayInbound(host string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inboundDelays[host] = delay
 }
 
-// InboundDelay is the delay of all that is sent to a machine.
+// InboundDelay returns the delay of a machine's inbound traffic.
 func (n *Network) InboundDelay(host string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inboundDelays[host]
 }
 
-// SetFrozen freezes a machine or has it continue, and reports whether that has changed anything.
+// SetFrozen freezes or resumes a machine, and reports whether the state of the machine has changed.
 func (n *Network) SetFrozen(host string, on bool) (hasChanged bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	frozen := n.frozen[host]
-	if on == (frozen != nil) {
+	resumed := n.frozen[host]
+	if on == (resumed != nil) {
 		return false
 	}
 	if on {
 		n.frozen[host] = make(chan struct{})
 	} else {
-		close(frozen)
+		close(resumed)
 		delete(n.frozen, host)
 	}
 	return true
@@ -131,24 +131,25 @@
 // IsFrozen reports whether a machine is frozen.
 func (n *Network) IsFrozen(host string) bool { return n.Unfrozen(host) != nil }
 
-// Unfrozen returns a channel that is closed when a machine continues, nil if it is not frozen.
+// Unfrozen returns a channel that is closed when a frozen machine resumes, nil if the machine is not
+// frozen.
 func (n *Network) Unfrozen(host string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if frozen := n.frozen[host]; frozen != nil {
-		return frozen
+	if resumed := n.frozen[host]; resumed != nil {
+		return resumed
 	}
 	return nil
 }
 
-// WaitWhileFrozen returns once a machine is not frozen, or when ctx ends.
+// WaitWhileFrozen waits while a machine is frozen, at most until ctx ends.
 func (n *Network) WaitWhileFrozen(ctx context.Context, host string) {
-	unfrozen := n.Unfrozen(host)
-	if unfrozen == nil {
+	resumed := n.Unfrozen(host)
+	if resumed == nil {
 		return
 	}
 	select {
-	case <-unfrozen:
+	case <-resumed:
 	case <-ctx.Done():
 	}
 }
@@ -160,7 +161,7 @@
 	n.peerLink = peerLink
 }
 
-// ArePeersCut reports whether two controllers are not connected.
+// ArePeersCut reports whether the connection between two controllers is cut.
 func (n *Network) ArePeersCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -168,7 +169,7 @@
 }
 
 // NextChunk returns how long the next transfer chunk takes and whether it is lost. Each call counts as
-// one chunk.
+// sending one chunk.
 func (n *Network) NextChunk() (delay time.Duration, isDropped bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -176,5 +177,5 @@
 	if isDropped {
 		n.peerLink.DropChunks--
 	}
-	return n.peerLink.Delay + transferChunkTime, isDropped
+	return n.peerLink.Delay + minChunkTransferTime, isDropped
 }
