--- a/internal/fake/workeragent/task.go
+++ b/internal/fake/workeragent/task.go
@@ -7,23 +7,23 @@
 	"cherrywall/internal/workerapi"
 )
 
-// resourceTolerance is by how much a sum of resources may exceed a limit because of rounding.
+// resourceTolerance is the amount by which a sum of resources may exceed a limit because of rounding errors.
 const resourceTolerance = 1e-6
 
 // Task is a task that an agent was commanded to start.
 type Task struct {
 	Name        string
 	Attempt     uint64
-	Status      workerapi.TaskState // as in heartbeats
+	Status      workerapi.TaskState // as reported in heartbeats
 	Spec        jobs.Spec
-	CommandedAt time.Time // when a controller commanded its start
+	CommandedAt time.Time // when a controller commanded the start
 
-	cause  workerapi.ExitCause // of its end
+	cause  workerapi.ExitCause // why the task ended
 	endsAt time.Time           // zero for a service and before the start
 
-	fetchTimer     *time.Timer   // fires when the image is fetched; nil if no fetch is under way
-	imageReadyAt   time.Time     // when it fires
-	fetchRemaining time.Duration // of a fetch that FreezeFetches has interrupted
+	fetchTimer     *time.Timer   // fires when the image is fetched; nil if no fetch is in progress
+	imageReadyAt   time.Time     // when fetchTimer fires
+	fetchRemaining time.Duration // rest of a fetch that FreezeFetches has interrupted
 }
 
 // HasEnded reports whether a task has ended.
@@ -43,7 +43,7 @@
 	}
 }
 
-// startTask starts a task, or begins to fetch its image.
+// startTask executes the command to start a task: it starts the task, or begins to fetch its image.
 func (a *Agent) startTask(command workerapi.Command) {
 	spec, runTime, known := a.env.TaskSpec(command.Task)
 	task := &Task{
@@ -56,21 +56,21 @@
 	switch fetchTime := a.env.ImageFetchTime(); {
 	case !known:
 		task.end(workerapi.CauseNoSuch)
-	case a.env.RefusesStarts() || !a.hasRoomFor(spec):
+	case a.env.RefusesStarts() || !a.hasCapacityFor(spec):
 		task.end(workerapi.CauseFull)
 	case fetchTime == 0:
-		a.beginTask(task, runTime)
+		a.runTask(task, runTime)
 	default:
 		task.Status = workerapi.StatusPulling
 		task.imageReadyAt = time.Now().Add(fetchTime)
-		task.fetchTimer = a.env.AfterFetch(fetchTime, func() { a.imageFetched(task, runTime) })
+		task.fetchTimer = a.env.AfterFetch(fetchTime, func() { a.handleImageFetched(task, runTime) })
 	}
 	a.tasks[command.Task] = task
 	a.env.TaskCommanded(command.Task)
 }
 
-// hasRoomFor reports whether one more task fits on the machine.
-func (a *Agent) hasRoomFor(spec jobs.Spec) bool {
+// hasCapacityFor reports whether one more task fits on the machine.
+func (a *Agent) hasCapacityFor(spec jobs.Spec) bool {
 	usedCPU, usedGPU := 0.0, 0.0
 	for _, task := range a.tasks {
 		if !task.HasEnded() {
@@ -82,17 +82,17 @@
 	return usedCPU+spec.CPU <= total.CPU+resourceTolerance && usedGPU+spec.GPU <= total.GPU+resourceTolerance
 }
 
-// imageFetched starts a task whose image is fetched, if it was not stopped meanwhile.
-func (a *Agent) imageFetched(task *Task, runTime time.Duration) {
+// handleImageFetched starts a task whose image has been fetched, unless the task was stopped meanwhile.
+func (a *Agent) handleImageFetched(task *Task, runTime time.Duration) {
 	a.Expire()
 	if a.tasks[task.Name] == task && task.Status == workerapi.StatusPulling {
 		task.fetchTimer, task.Status = nil, workerapi.StatusRunning
-		a.beginTask(task, runTime)
+		a.runTask(task, runTime)
 		a.env.ReportSoon()
 	}
 }
 
-// FreezeFetches interrupts all image fetches, or continues them.
+// FreezeFetches interrupts or resumes all image fetches.
 func (a *Agent) FreezeFetches(on bool) {
 	a.Expire()
 	for _, task := range a.tasks {
@@ -108,16 +108,17 @@
 	}
 }
 
-// beginTask starts a task that has its image.
-func (a *Agent) beginTask(task *Task, runTime time.Duration) {
+// runTask starts a task whose image is on the machine.
+func (a *Agent) runTask(task *Task, runTime time.Duration) {
 	runTime = a.env.TaskStarted(task, runTime)
 	if task.Spec.Kind != jobs.Service {
 		task.endsAt = time.Now().Add(runTime)
 	}
 }
 
-// finish ends a task whose run time is over.
-func (a *Agent) finish(task *Task) {
+// completeTask ends a task whose run time is over, with an error if FailTasks is set or
+// the tasks of its job fail.
+func (a *Agent) completeTask(task *Task) {
 	if a.FailTasks || a.env.FailsTasks(task.Spec.Ref) {
 		task.end(workerapi.CauseError)
 		return
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -1,6 +1,6 @@
-// Package workeragent is a stand-in of the agent that runs on each machine: it renews its lease by
-// heartbeats, executes commands and runs tasks as the protocol prescribes. Its caller transports
-// heartbeats and commands; its Environment determines what the tasks do.
+// Package workeragent is a fake of the agent that runs on each machine. It renews its lease by heartbeats,
+// executes commands and runs tasks as the worker protocol prescribes. The caller transports heartbeats
+// and commands; the Environment determines how long tasks run and whether they fail.
 package workeragent
 
 import (
@@ -13,37 +13,39 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Environment is what an agent needs of the cluster that it runs in.
+// Environment is the interface of an agent to the cluster that it runs in.
 type Environment interface {
 	LeaseDuration() time.Duration
 	// MachineSpec returns the resources of the agent's machine.
 	MachineSpec() cloud.MachineType
-	// TaskSpec returns the specification of a task's job, and how long the task runs.
+	// TaskSpec returns the specification of a task's job and the run time of the task. known is false if
+	// there is no such job.
 	TaskSpec(task string) (spec jobs.Spec, runTime time.Duration, known bool)
 	// FailsTasks reports whether the tasks of a job fail.
 	FailsTasks(ref string) bool
-	// IgnoresStops reports whether the agent stops no task, also not when its lease expires.
+	// IgnoresStops reports whether the agent ignores stop commands and the expiry of its lease.
 	IgnoresStops() bool
 	// RefusesStarts reports whether the agent starts no task.
 	RefusesStarts() bool
 
-	// ImageFetchTime is how long a task's image is fetched, 0 for no time.
+	// ImageFetchTime returns how long fetching a task's image takes. With 0, tasks start at once.
 	ImageFetchTime() time.Duration
-	// AfterFetch calls fetched after fetchTime, with the lock held that protects the agent, unless
-	// the machine is frozen or released by then.
+	// AfterFetch calls fetched after fetchTime unless the machine is frozen or released by then. The
+	// lock that protects the agent is held during the call.
 	AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer
 
 	// TaskCommanded is called when the agent has executed the command to start a task.
 	TaskCommanded(task string)
-	// TaskStarted is called at the moment at which a task starts, and returns how long it runs.
+	// TaskStarted is called when a task starts, and returns how long the task runs. runTime is the run
+	// time according to TaskSpec.
 	TaskStarted(task *Task, runTime time.Duration) time.Duration
 	// TaskDone is called when a task has ended without an error.
 	TaskDone(task *Task)
-	// ReportSoon has the next heartbeat sent at once.
+	// ReportSoon triggers the next heartbeat immediately.
 	ReportSoon()
 }
 
-// Machine is what an agent reports of its machine.
+// Machine is the description of a machine that its agent reports.
 type Machine struct {
 	Host        string
 	Addr        string // for direct commands, empty for none
@@ -52,20 +54,20 @@
 	Spot        bool
 }
 
-// Agent is the agent of a machine. It has no lock of its own: its methods must be called with the lock
-// held that protects it.
+// Agent is the agent of a machine. It is not safe for concurrent use: the caller must hold the lock that
+// protects the agent.
 type Agent struct {
 	Machine
 	FailTasks        bool     // every task ends with an error
-	PreemptionNotice *float64 // seconds, in the heartbeat if it is set
+	PreemptionNotice *float64 // in seconds; nil: heartbeats contain no notice
 
 	env            Environment
-	epoch          uint64 // the agent epoch; a new one begins when the lease expires
+	epoch          uint64 // the agent epoch, which is incremented when the lease expires
 	sequence       uint64 // of the heartbeats
-	fencingToken   uint64 // the highest that was seen
+	fencingToken   uint64 // the highest token that was received
 	tasks          map[string]*Task
 	leaseRenewedAt time.Time
-	answeredAt     time.Time // when the last accepted answer to a heartbeat was given
+	answeredAt     time.Time // when the last accepted response to a heartbeat was sent
 }
 
 // New creates an agent whose lease begins now.
@@ -82,14 +84,14 @@
 // Epoch returns the agent epoch.
 func (a *Agent) Epoch() uint64 { return a.epoch }
 
-// Task returns a task that the agent was commanded to start, nil if it does not know it.
+// Task returns a task that the agent was commanded to start, nil if the agent does not know the task.
 func (a *Agent) Task(name string) *Task { return a.tasks[name] }
 
 // Tasks returns all tasks that the agent knows. The caller must not change the map.
 func (a *Agent) Tasks() map[string]*Task { return a.tasks }
 
-// Expire applies what has happened since the last call: if the lease has expired all tasks are dropped
-// and a new agent epoch begins, else the tasks whose run time is over end.
+// Expire applies the effects of the time that has passed since the last call. If the lease has expired, all
+// tasks are dropped and a new agent epoch begins; otherwise the tasks whose run time is over end.
 func (a *Agent) Expire() {
 	now := time.Now()
 	if now.Sub(a.leaseRenewedAt) > a.env.LeaseDuration() && !a.env.IgnoresStops() {
@@ -102,7 +104,7 @@
 	}
 	for _, task := range a.tasks {
 		if task.Status == workerapi.StatusRunning && !task.endsAt.IsZero() && now.After(task.endsAt) {
-			a.finish(task)
+			a.completeTask(task)
 		}
 	}
 }
@@ -129,9 +131,9 @@
 	return heartbeat
 }
 
-// Accept renews the lease from when the heartbeat was sent, and executes the commands of its answer. It
-// does neither if the agent epoch of the heartbeat has ended or a newer owner of the shard is known. It
-// reports whether the next heartbeat has a change to report.
+// Accept handles the response to a heartbeat: it renews the lease, whose duration counts from sentAt, and
+// executes the commands in the response. It does neither if the agent epoch of the heartbeat has ended or
+// the agent knows a newer owner of the shard. It reports whether the next heartbeat has a change to report.
 func (a *Agent) Accept(epoch uint64, response workerapi.HeartbeatResponse, sentAt, answeredAt time.Time) (hasChanged bool) {
 	if epoch != a.epoch || response.FencingToken < a.fencingToken {
 		return false
@@ -142,7 +144,7 @@
 	return hasCommands || isNewToken
 }
 
-// Probe accepts a fencing token, or returns workerapi.ErrStaleToken if the agent has seen a higher one.
+// Probe accepts a fencing token, or returns workerapi.ErrStaleToken if the agent has received a higher one.
 func (a *Agent) Probe(token uint64) error {
 	a.Expire()
 	if token < a.fencingToken {
@@ -152,8 +154,9 @@
 	return nil
 }
 
-// Execute executes direct commands if they are for this agent epoch and not from an earlier owner. It
-// returns a heartbeat, and whether it has executed them. It does not renew the lease.
+// Execute executes direct commands if they are for the current agent epoch and not from an earlier owner of
+// the shard. It returns the next heartbeat, and whether it has executed the commands. It does not renew
+// the lease.
 func (a *Agent) Execute(request workerapi.CommandRequest) (heartbeat *workerapi.Heartbeat, done bool) {
 	a.Expire()
 	done = request.FencingToken >= a.fencingToken && request.AgentEpoch == a.epoch
