--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs controllers as real processes on the loopback interface against stand-ins, with random
-// faults, and checks the rules of the protocol. It ends with status 1 if a rule was broken.
+// Command soak runs controllers as real processes on the loopback interface against fakes of everything
+// outside of them, injects random faults, and checks the rules of the protocol. It exits with status 0 if no
+// rule was broken, 1 if a rule was broken or a run could not be completed, and 2 if an argument is invalid.
 package main
 
 import (
@@ -21,14 +22,14 @@
 
 // Exit statuses.
 const (
-	exitViolation = 1
-	exitUsage     = 2
+	exitViolation = 1 // a rule was broken, or a run could not be completed
+	exitUsage     = 2 // an argument is invalid
 )
 
-// errViolated means that a rule was broken.
+// errViolated is returned if a run broke a rule.
 var errViolated = errors.New("rules were broken")
 
-// cli is the command line.
+// cli holds the arguments of the command line.
 type cli struct {
 	Seed     uint64        `help:"Seed of the first run." default:"1"`
 	Seeds    int           `help:"Number of runs, with successive seeds." default:"1"`
@@ -46,12 +47,12 @@
 	os.Exit(status)
 }
 
-// execute runs a command line and returns the exit status. An error is one line on stderr.
+// execute runs a command line and returns the exit status. It writes an error as one line to stderr.
 func execute(ctx context.Context, args []string, stderr io.Writer) (status int) {
 	var options cli
-	parser, err := kong.New(&options, kong.Name("soak"), kong.Description("Random faults on real processes, judged from outside."))
+	parser, err := kong.New(&options, kong.Name("soak"), kong.Description("Runs real controller processes with random faults, and checks the rules of the protocol from outside."))
 	if err != nil {
-		panic(err) // the command line is declared wrongly
+		panic(err) // cli is declared wrongly
 	}
 	if _, err = parser.Parse(args); err != nil {
 		_, _ = fmt.Fprintln(stderr, "soak:", err)
@@ -69,7 +70,8 @@
 	return exitViolation
 }
 
-// run makes the runs one after the other.
+// run executes the runs one after the other. It returns errViolated if a run broke a rule, and stops at the first
+// run that could not be completed.
 func (c cli) run(ctx context.Context) error {
 	if c.Seeds < 1 {
 		return &soak.OptionError{Option: "seeds", Reason: "must be at least 1"}
@@ -81,29 +83,30 @@
 	if dir == "" {
 		created, err := os.MkdirTemp("", "cherrywall-soak-")
 		if err != nil {
-			return fmt.Errorf("folder: %w", err)
+			return fmt.Errorf("create temporary folder: %w", err)
 		}
 		dir = created
 	}
-	broken := 0
+	violatingRuns := 0
 	for i := range uint64(c.Seeds) {
 		seed := c.Seed + i
 		result, err := soak.Run(ctx, c.options(seed, filepath.Join(dir, fmt.Sprint("seed-", seed))), os.Stdout)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		report(seed, result)
+		printResult(seed, result)
 		if len(result.Violations) > 0 {
-			broken++
+			violatingRuns++
 		}
 	}
-	fmt.Printf("%d of %d runs broke a rule\n", broken, c.Seeds)
-	if broken > 0 {
+	fmt.Printf("%d of %d runs broke a rule\n", violatingRuns, c.Seeds)
+	if violatingRuns > 0 {
 		return errViolated
 	}
 	return nil
 }
 
+// options returns the options of one run.
 func (c cli) options(seed uint64, dir string) soak.Options {
 	options := soak.Options{Seed: seed, Duration: c.Duration, Workers: c.Workers, Program: c.Program, Dir: dir}
 	for name := range strings.SplitSeq(c.Faults, ",") {
@@ -114,14 +117,14 @@
 	return options
 }
 
-// report prints the outcome of a run.
-func report(seed uint64, result soak.Result) {
+// printResult prints the result of a run: the events around violations, the violations and a summary.
+func printResult(seed uint64, result soak.Result) {
 	for _, line := range result.Around {
 		fmt.Println(line)
 	}
 	for _, violation := range result.Violations {
 		fmt.Println("violation:", violation)
 	}
-	fmt.Printf("seed %d: %d violations; %d jobs, %d of them without a known end, the answers about %d not checked in time, %d requests, %d starts; the limited team at its limit for %.0f%% of the time\n",
+	fmt.Printf("seed %d: %d violations; %d jobs, %d of them not seen to end, the histories of %d not checked in time, %d requests, %d task starts; the limited team was at its limit for %.0f%% of the time\n",
 		seed, len(result.Violations), result.Jobs, result.Unfinished, result.Unchecked, result.Exchanges, result.Starts, 100*result.AtLimit)
 }
--- a/cmd/soak/main_test.go
+++ b/cmd/soak/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBadArgumentsAreOneLineAndStatusTwo(t *testing.T) {
+func TestInvalidArgumentsPrintOneLineAndExitWithStatus2(t *testing.T) {
 	for _, args := range [][]string{
 		{"--workers", "0"},
 		{"--workers", "many"},
