--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -114,8 +114,8 @@
 		}
 		position += next
 	}
-	changed := putSettings(controller, `{"version":4,"settings":{}}`).Body.String()
-	if !strings.HasPrefix(changed, `{"settings":{"growth_factor":1,`) || !strings.HasSuffix(changed, `},"version":5}`) {
-		t.Errorf("response to a change: %s", changed)
+	changeResponse := putSettings(controller, `{"version":4,"settings":{}}`).Body.String()
+	if !strings.HasPrefix(changeResponse, `{"settings":{"growth_factor":1,`) || !strings.HasSuffix(changeResponse, `},"version":5}`) {
+		t.Errorf("response to a change: %s", changeResponse)
 	}
 }
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -199,7 +199,8 @@
 	return need
 }
 
-// NoteStartSent adds a task whose start was just sent to the cached usage of its team.
+// NoteStartSent adds the resources of a task to the cached usage of the task's team. It is called when
+// the start of the task was just sent.
 func (w *Writer) NoteStartSent(assignment *clusterstate.Assignment) {
 	team, _ := w.cfg.Team(assignment.Job().Record().Team)
 	key := teamShard{team.Name, assignment.Machine().Record().Shard}
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -44,8 +44,8 @@
 // unclaimed as a whole or not at all. As long as some tasks are placed now and then, the others wait
 // for their turn. Tasks at the end of the range are preferred, since unclaiming them creates no
 // further range record. If there are none, tasks in the middle are taken, which have become ready
-// because a machine was lost: otherwise they would wait for capacity in their shard or zone without
-// limit.
+// because a machine was lost: otherwise they could wait indefinitely for capacity in their shard or
+// zone.
 func (w *Writer) unplaceableSpan(taskRange *clusterstate.TaskRange, now time.Time) taskSpan {
 	job := taskRange.Job()
 	if !canUnclaimFrom(taskRange) {
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -15,8 +15,8 @@
 	"cherrywall/internal/workerapi"
 )
 
-// newShardWithMachine returns a harness that owns a reconciled shard n0 with the empty machine
-// i-1 of 16 CPUs.
+// newShardWithMachine returns a harness that owns the reconciled shard n0. The shard has one machine,
+// "i-1", which has 16 CPUs and runs no tasks.
 func newShardWithMachine(t *testing.T) (*harness.Harness, *clusterstate.Machine) {
 	t.Helper()
 	h := harness.New(t, nil)
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// RemoveExited removes the assignment of a task that is done from its machine. Until MarkDone is
-// called, the task is not on any machine and not ready.
+// RemoveExited removes a completed task's assignment from its machine. Until MarkDone is called, the
+// task is not on any machine and not ready.
 func (s *State) RemoveExited(assignment *Assignment) {
 	entity.MutableStatus(assignment).Reported = true
 	entity.RemoveAssignment(assignment)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A gang that fits on no machines, and one that waits for its team's quota, reserve no capacity: all
-// others would wait with them.
+// Neither a gang that fits on no machines nor a gang that waits for its team's quota reserves capacity.
+// If they did, all other jobs would have to wait as well.
 func TestNoReservationForUnplaceableGangs(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -64,10 +64,10 @@
 		}
 		time.Sleep(time.Minute)
 		for _, node := range controllerNames {
-			ofController := reportedReason(t, cluster, node, diagnostics.ControllerProblem, "n0")
-			ofMachine := reportedReason(t, cluster, node, diagnostics.MachineProblem, host)
-			if ofController != "" || ofMachine != "" {
-				t.Errorf("%s: what is over is still reported: %q %q", node, ofController, ofMachine)
+			controllerReason := reportedReason(t, cluster, node, diagnostics.ControllerProblem, "n0")
+			machineReason := reportedReason(t, cluster, node, diagnostics.MachineProblem, host)
+			if controllerReason != "" || machineReason != "" {
+				t.Errorf("%s: what is over is still reported: %q %q", node, controllerReason, machineReason)
 			}
 		}
 	})
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// Users repeat submissions, also with other contents, cancel jobs that have ended, and send what is
-// invalid.
+// Users repeat submissions, with the same or with changed fields, cancel jobs that have ended, and send
+// invalid requests.
 func TestInvalidAndRepeatedRequests(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -58,7 +58,8 @@
 	})
 }
 
-// submit validates a submission and accepts its job, or answers with the status of a known job.
+// submit validates a submission and accepts its job. If the job is already known, submit answers with
+// the job's status; if the submission is invalid, it answers with the error.
 func (c *Controller) submit(sub submission) {
 	if !c.cache.Synced() {
 		sub.reply <- unavailable(reasonNotSynced)
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -105,8 +105,8 @@
 	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
 }
 
-// isLeavingPeer returns a function that reports whether a controller has announced its shutdown.
-func (c *Coordinator) isLeavingPeer(now time.Time) func(controller string) bool {
+// leavingPredicate returns a function that reports whether a controller has announced its shutdown.
+func (c *Coordinator) leavingPredicate(now time.Time) func(controller string) bool {
 	return func(controller string) bool { return c.Peers.IsLeaving(controller, now) }
 }
 
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -105,7 +105,7 @@
 // requestFromLeaving requests the shards whose owners are shutting down and whose successor is this
 // controller.
 func (c *Coordinator) requestFromLeaving(now time.Time) {
-	isLeaving := c.isLeavingPeer(now)
+	isLeaving := c.leavingPredicate(now)
 	for _, shard := range c.Membership.Shards() {
 		if c.ownedByLivePeer(shard) && isLeaving(shard.Owner()) &&
 			c.Membership.SuccessorExcluding(shard.ID(), isLeaving) == c.cfg.Node {
--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -67,11 +67,12 @@
 	return t.liveSince.IsZero() || now.Sub(t.liveSince) < tuning.StartupGracePeriod
 }
 
-// returnDelay returns how long after its start the home leaves the shard with its present owner. The
-// delay is 0 if one crash and the return from it explain the number of recent acquisitions. The first
-// acquisition beyond that number causes the minimum delay, and each further one doubles the delay, up
-// to a limit. Without the delay, a controller that crashed every few seconds would acquire its shard
-// at each start, and two controllers would take turns probing the shard's workers.
+// returnDelay returns how long the shard's home controller waits after its own start before it acquires
+// the shard from the present owner. The delay is 0 if one crash and the return from it explain the
+// number of recent acquisitions. The first acquisition beyond that number causes the minimum delay, and
+// each further one doubles the delay, up to a limit. Without the delay, a controller that crashed every
+// few seconds would acquire its shard at each start, and two controllers would take turns probing the
+// shard's workers.
 func (s *Shard) returnDelay(now time.Time) time.Duration {
 	recentAcquisitions := 0
 	for _, acquiredMs := range s.acquisitions {
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -46,8 +46,9 @@
 // MarkReconciled records that the shard is reconciled; see IsReconciled.
 func (s *Shard) MarkReconciled() { s.isReconciled = true }
 
-// TrustsMark reports whether a mark that was written at a revision can be relied on. This is not the
-// case if a later owner may have run a version that ignores marks.
+// TrustsMark reports whether the mark of a gang can be relied on. A mark is the list of workers in the
+// gang's range record (jobs.RangeRecord.GangWorkers), and revision is the revision of that record. The
+// mark cannot be relied on if a later owner of the shard may have run a version that ignores marks.
 func (s *Shard) TrustsMark(revision uint64) bool {
 	return s.marksTrustedAfter != nil && revision > *s.marksTrustedAfter
 }
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -102,8 +102,8 @@
 
 // A worker that had been partitioned together with its previous owner reconnected late, got a response
 // from this controller, and was partitioned again. The controller considered only the time of the
-// shard's acquisition and took the worker for lost, although up to a full lease remained from its own
-// response. The worker's tasks were started a second time.
+// shard's acquisition and assumed that the worker was lost, although up to a full lease remained: the
+// response had renewed the worker's lease. The worker's tasks were started a second time.
 func TestAnsweredWorkerIsLostOnlyAfterItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -39,7 +39,7 @@
 	ready := taskRange.CountTasks(clusterstate.TaskReady)
 	startCount := min(ready, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
 	if startCount > 0 {
-		startCount = s.withinQuota(job, shard, min(startCount, s.probeLimit(job)))
+		startCount = s.limitToQuota(job, shard, min(startCount, s.probeLimit(job)))
 	}
 	var readyTasks []int
 	for i := 0; i < taskRange.Len() && len(readyTasks) < startCount; i++ {
@@ -75,9 +75,9 @@
 	return 1
 }
 
-// withinQuota limits a number of fitting tasks to those that the team's quota allocation in a shard
+// limitToQuota limits a number of fitting tasks to those that the team's quota allocation in a shard
 // allows. If it does not allow all of them, more quota is requested for the shard.
-func (s *Scheduler) withinQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
+func (s *Scheduler) limitToQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
 	allowed := s.Claims.TasksWithinQuota(job, shard)
 	if allowed < tasks {
 		s.Claims.RequestQuota(job, shard, tasks, false)
@@ -171,7 +171,7 @@
 	score   float64
 }
 
-// placeArray assigns as many of the given tasks of a range as fit to the machines with the best
+// placeArray assigns the given tasks of a range, as far as they fit, to the machines with the best
 // scores, and returns how many it assigned. An empty zone stands for all zones.
 func (s *Scheduler) placeArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard, tasks []int, zone string, surplus surplusUse) int {
 	var scored []scoredMachine
@@ -224,7 +224,7 @@
 		startCount = min(startCount, 1) // once one task is claimed the job is no longer overdue
 	}
 	if startCount > 0 {
-		if startCount = s.withinQuota(job, shard, startCount); startCount == 0 {
+		if startCount = s.limitToQuota(job, shard, startCount); startCount == 0 {
 			s.waitReasons[job.Ref()] = waitReason{kind: waitQuota}
 			return
 		}
@@ -303,8 +303,8 @@
 			running += taskRange.CountTasks(clusterstate.TaskPlaced)
 		}
 	}
-	rounds := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
-	return min(int(float64(running)*rounds), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
+	runsPerPeriod := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
+	return min(int(float64(running)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
 }
 
 // canStayInZone reports whether an array that must run in one zone can use the given zone: none of
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -73,7 +73,8 @@
 	Buffers   []capacity.Buffer  `json:"buffers,omitempty"`
 }
 
-// CapacityTable counts, by zone, the fitting tasks of the shapes of all runnable jobs.
+// CapacityTable returns, for each task shape of the runnable jobs and each zone, how many tasks of that
+// shape fit.
 func (s *Scheduler) CapacityTable() []CapacityRow {
 	jobsByShape := map[capacity.Resources]*clusterstate.Job{}
 	for job := range s.State.Jobs() {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -200,7 +200,7 @@
 		return job.Record().Allows(g) && (zone == "" || g.Zone == zone)
 	}))
 	if tasks > 0 {
-		tasks = s.withinQuota(job, shard, tasks)
+		tasks = s.limitToQuota(job, shard, tasks)
 	}
 	for ; tasks > 0; tasks /= 2 {
 		plan, ok := s.planWithPreemption(job, shard.ID(), zone, tasks)
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -20,9 +20,9 @@
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
 
-// Take subtracts as many of a job's unclaimed tasks as fit from its team's remaining quota, and
-// returns their number. For a gang it is all tasks or none. Tasks that are claimed or were taken
-// before do not count as remaining quota.
+// Take returns how many of a job's unclaimed tasks its team's remaining quota allows, and subtracts
+// these tasks from that quota. For a gang it is all tasks or none. The remaining quota excludes what
+// is used by claimed tasks and by tasks of earlier calls.
 func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
 	record := job.Record()
 	tasks := record.UnclaimedCount()
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// restartStuckWatch restarts the watch request if its changes lag behind the newest revision that a
-// read has returned for longer than tuning.WatchStuckAfter: the connection may be dead without
-// having reported an error.
+// restartStuckWatch restarts the watch request if the changes received from it have lagged behind for
+// longer than tuning.WatchStuckAfter, compared with the newest revision that a read has returned. The
+// connection may be dead without having reported an error.
 func (c *Cache) restartStuckWatch(now time.Time) {
 	if c.readBarrier.NewestRevision() <= c.appliedRevision {
 		c.watchBehindSince = time.Time{}
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -13,8 +13,9 @@
 	// a machine that is not listed as terminated, in multiples of the stated lag. The protocol
 	// gives a factor of two, but operators saw the list lag far more than usual.
 	MaxListLagFactor = 4
-	// ListAbsenceMargin is added to the allowed lag before a machine that is not listed counts
-	// as removed, since the clocks of controllers differ slightly.
+	// ListAbsenceMargin is added to the lag that is allowed for the machine list. A machine that
+	// is not listed counts as removed only if it was requested or registered longer ago than
+	// this sum. The margin is needed because the clocks of controllers differ slightly.
 	ListAbsenceMargin = 5 * time.Second
 	// MachineTypeListInterval is how often machine types and prices are read.
 	MachineTypeListInterval = 60 * time.Second
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -44,9 +44,9 @@
 	// controller cancels concurrently, at two changes each. Users are told that these jobs are
 	// cancelled as soon as the first job is, so the writes are not urgent.
 	MaxConcurrentDependentCancellations = 2
-	// CancellationConfirmWait is how long the answer to a cancellation waits until this
-	// controller's workers acknowledge that tasks which have not begun are stopped: several
-	// times the duration of one exchange.
+	// CancellationConfirmWait is the maximum time for which the response to a cancellation
+	// waits for this controller's workers to acknowledge that tasks which have not begun are
+	// stopped: several times the duration of one exchange.
 	CancellationConfirmWait = 300 * time.Millisecond
 	// CancellationConfirmPollInterval is how often the controller checks for these
 	// acknowledgements.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -63,14 +63,16 @@
 
 // The first contact with the workers of a newly acquired shard.
 const (
-	// MaxConcurrentFirstContacts bounds the workers that are contacted concurrently (sockets).
-	// FirstContactCPUFraction bounds the processor time.
+	// MaxConcurrentFirstContacts is the maximum number of workers that are contacted
+	// concurrently, each over one socket. The processor time of the contacts is limited
+	// separately, by FirstContactCPUFraction.
 	MaxConcurrentFirstContacts = 16
 	// SlowFirstContactAfter is many times the usual duration of an answer. A contact that
 	// lasts longer has most likely met an unreachable worker and no longer counts towards
 	// MaxConcurrentFirstContacts.
 	SlowFirstContactAfter = 150 * time.Millisecond
-	// MaxOpenFirstContacts bounds all concurrent contacts, including slow ones (sockets).
+	// MaxOpenFirstContacts is the maximum number of concurrent contacts including slow ones,
+	// each over one socket.
 	MaxOpenFirstContacts = 160
 	// FirstContactTimeout ends one contact.
 	FirstContactTimeout = time.Second
@@ -98,7 +100,8 @@
 	// other than first contacts. It suffices to stop a cancelled array of 2,000 tasks that are
 	// fetching their image within a few seconds.
 	DirectCommandCPUFraction = 0.1
-	// MaxConcurrentDirectCommands bounds the concurrent exchanges (sockets).
+	// MaxConcurrentDirectCommands is the maximum number of concurrent exchanges, each over one
+	// socket.
 	MaxConcurrentDirectCommands = 16
 	// MaxCommandsPerDirectRequest bounds the commands in one exchange (60 bytes each, 64 KiB in
 	// all).
