--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -6,16 +6,16 @@
 const (
 	// MachineListInterval is how often the cloud's list of machines is read.
 	MachineListInterval = 10 * time.Second
-	// MinMachineListGap is the minimum time between two reads of that list that are made
-	// because workers send no heartbeats.
+	// MinMachineListGap is the minimum time between two extra reads of that list, which are made
+	// when workers send no heartbeats.
 	MinMachineListGap = 3 * time.Second
-	// MaxListLagFactor is the lag of the machine list that a rule allows for before it treats
-	// a machine that is not listed as terminated, in multiples of the stated lag. The protocol
-	// gives a factor of two, but operators saw the list lag far more than usual.
+	// MaxListLagFactor times the stated lag is the maximum lag of the machine list that is assumed
+	// when a machine that is not listed is to be treated as terminated. The protocol gives a factor
+	// of two, but operators saw the list lag far more than usual.
 	MaxListLagFactor = 4
-	// ListAbsenceMargin is added to the lag that is allowed for the machine list. A machine that
-	// is not listed counts as removed only if it was requested or registered longer ago than
-	// this sum. The margin is needed because the clocks of controllers differ slightly.
+	// ListAbsenceMargin is added to the assumed lag of the machine list, because the clocks of
+	// controllers differ slightly. A machine that is not listed counts as removed only if it was
+	// requested or registered longer ago than the sum.
 	ListAbsenceMargin = 5 * time.Second
 	// MachineTypeListInterval is how often machine types and prices are read.
 	MachineTypeListInterval = 60 * time.Second
@@ -46,7 +46,7 @@
 	// In the meantime another controller may claim it.
 	ScaleOutDelay = 700 * time.Millisecond
 	// NoCapacityScaleOutDelay is how long an array may find no free capacity before a machine is
-	// requested for it regardless of the computed demand.
+	// requested for it even if the computed demand is 0.
 	NoCapacityScaleOutDelay = 15 * time.Second
 	// ScaleOutPlanAttempts is how many times one scale-out is planned when the cloud refuses a
 	// part of it. Each attempt avoids the combinations of machine type, zone and kind that
@@ -56,7 +56,7 @@
 	// deadline nor an objective of their class sets one.
 	WorkHorizon = 60 * time.Second
 	// MinWorkHorizon is the minimum horizon for which machines are planned. It bounds how many
-	// machines a late job can request.
+	// machines are requested for a late job.
 	MinWorkHorizon = 20 * time.Second
 	// DeadlineTargetFraction is the fraction of a deadline that is planned for. The rest
 	// allows for wrong estimates, lost machines and image fetches.
@@ -70,8 +70,8 @@
 	// BootTimeChangeFraction is the fraction by which a learned boot time must differ from the
 	// recorded one before it is recorded again.
 	BootTimeChangeFraction = 0.2
-	// PendingMachineGracePeriod is added to a machine's boot timeout. After the sum the
-	// machine is no longer expected.
+	// PendingMachineGracePeriod is added to a machine's boot timeout. A requested machine that has
+	// not registered by then is no longer expected.
 	PendingMachineGracePeriod = time.Minute
 )
 
@@ -80,17 +80,17 @@
 	// MachineFailureWindow is how far back lost machines count for the healing buffer, which
 	// replaces machines that are likely to fail.
 	MachineFailureWindow = 10 * time.Minute
-	// MaxRecordedMachineFailures bounds how many lost machines are remembered (entries).
+	// MaxRecordedMachineFailures bounds how many lost machines are remembered.
 	MaxRecordedMachineFailures = 256
 	// ArrivalWindow is how far back arrivals count for the growth buffers. A class without
 	// arrivals in this window has no buffer.
 	ArrivalWindow = 2 * time.Minute
-	// MaxRecordedArrivals bounds how many arrivals of a class are remembered (entries).
+	// MaxRecordedArrivals bounds how many arrivals of a class are remembered.
 	MaxRecordedArrivals = 128
-	// MinClassInactivityTimeout and MaxClassPause bound the time without arrivals after which no more jobs
-	// of a class are expected. Between these bounds it is twice the mean gap between arrivals.
+	// MinClassInactivityTimeout is the minimum time without arrivals after which no more jobs of a
+	// class are expected. The time is twice the mean gap between arrivals, within these bounds.
 	MinClassInactivityTimeout = 15 * time.Second
-	// MaxClassPause: see MinClassPause.
+	// MaxClassInactivityTimeout is the maximum of that time.
 	MaxClassInactivityTimeout = 40 * time.Second
 )
 
@@ -101,25 +101,24 @@
 	MachineCheckTicks = 4
 	// MinMachineChecksPerTick is the minimum number of machines checked in each tick.
 	MinMachineChecksPerTick = 64
-	// MaintenanceInterval is how often a controller looks for idle and surplus machines and
-	// moves machines to other shards. Each pass walks all local machines, and none of its
-	// decisions changes sooner.
+	// MaintenanceInterval is how often a controller looks for idle and surplus machines and moves
+	// machines to other shards. Each pass visits all local machines, and a shorter interval would
+	// not lead to other decisions.
 	MaintenanceInterval = time.Second
 	// MinScaleInRequestGap is the minimum time between two requests to return machines.
 	MinScaleInRequestGap = time.Second
-	// ConsolidationInterval is the time between two machines that are drained because their
-	// long tasks fit on fuller machines.
+	// ConsolidationInterval is the minimum time between the drains of two machines. A machine is
+	// drained if its long tasks fit on fuller machines.
 	ConsolidationInterval = time.Second
-	// MinConsolidationRunTime is the minimum run time that such a task must have left. The
-	// task must also have run for half of this time since its last start.
+	// MinConsolidationRunTime is the minimum remaining run time of a task that is moved in this
+	// way. The task must also have run for half of this time since its last start.
 	MinConsolidationRunTime = time.Minute
 	// MinChargedPeriod is the minimum period for which the cloud charges a machine, counted
 	// from its request; given by the protocol.
 	MinChargedPeriod = time.Minute
-	// MinIdlePeriod and MaxIdlePeriod bound how long a machine stays idle before it is
-	// returned. Between these bounds the time depends on what it costs to boot another
-	// machine.
+	// MinIdlePeriod is the minimum time for which a machine stays idle before it is returned. The
+	// time depends on what it costs to boot another machine, within these bounds.
 	MinIdlePeriod = 10 * time.Second
-	// MaxIdlePeriod: see MinIdlePeriod.
+	// MaxIdlePeriod is the maximum of that time.
 	MaxIdlePeriod = 50 * time.Second
 )
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -4,12 +4,14 @@
 
 // Claims of tasks.
 const (
-	// ClaimAheadPeriod is how far ahead an array's tasks are claimed: as many as the capacity
-	// that its running tasks are likely to free in this time can run. Each claim costs changes
-	// in the key-value store, and a task that waits in one shard cannot be claimed by another.
+	// ClaimAheadPeriod is the period for which tasks of an array are claimed before there is
+	// capacity for them: as many tasks as the array's running tasks are likely to make room for in
+	// this period. Each claim costs changes in the key-value store, but a task that waits in one
+	// shard cannot be claimed by another.
 	ClaimAheadPeriod = 5 * time.Second
-	// UnclaimAfter is how long no task of a range must have found capacity in its shard before
-	// the waiting tasks of the range are unclaimed. It is not shorter than ClaimAheadPeriod.
+	// UnclaimAfter is how long no task of a range must have been placed before the tasks of the
+	// range that wait for capacity are unclaimed. It is not shorter than ClaimAheadPeriod, in which
+	// capacity is expected.
 	UnclaimAfter = 5 * time.Second
 	// RangeSplitAfter replaces UnclaimAfter for tasks in the middle of a range, whose machine
 	// was lost. Unclaiming them splits the range, which costs one more record. The value is
@@ -35,13 +37,12 @@
 	// MaxCompletionBatchJobs is the maximum number of jobs in one completion batch: 400 names
 	// of 12 bytes fit a value of 8 KiB. With longer names a batch is full earlier.
 	MaxCompletionBatchJobs = 400
-	// BatchCleanupInterval is how often a step of the cleanup runs, which gives batched jobs
-	// final states of their own.
+	// BatchCleanupInterval is how often a cleanup step runs. The cleanup replaces the entries of
+	// completion batches by one final state for each job.
 	BatchCleanupInterval = time.Second
 	// BatchCleanupChanges is the maximum number of changes in one cleanup step.
 	BatchCleanupChanges = 16
-	// BatchCleanupQuietPeriod is how long no job must have been submitted before a cleanup
-	// step runs.
+	// BatchCleanupQuietPeriod is the time without submissions after which cleanup steps run.
 	BatchCleanupQuietPeriod = 5 * time.Second
 	// BatchCleanupBacklog is the number of batched jobs from which cleanup steps run even
 	// while jobs are submitted. It limits how many batched jobs a controller has to read when
@@ -58,7 +59,7 @@
 	// AllocationReleaseDelay replaces ContendedAllocationReleaseDelay while the team has no
 	// unclaimed work: its next work may arrive in any shard.
 	AllocationReleaseDelay = 10 * time.Second
-	// QuotaShortfallValidity is how long the shortfall of a shard counts after a scheduling
-	// cycle recorded it. While anything changes, the next cycle follows sooner.
+	// QuotaShortfallValidity is how long the quota that a scheduling cycle found missing in a shard
+	// counts as missing. As long as anything changes, the next cycle updates the value sooner.
 	QuotaShortfallValidity = time.Second
 )
--- a/internal/tuning/faults.go
+++ b/internal/tuning/faults.go
@@ -4,8 +4,9 @@
 
 // Fault attribution: whether a job or a machine is at fault for failed tasks.
 const (
-	// MachineQuarantineFailures is the number of failed tasks in a row after which a machine
-	// is quarantined, if they belong to at least two jobs or if no task was done in between.
+	// MachineQuarantineFailures is the number of failures of a single job, with no task done on the
+	// machine in between, that are sufficient evidence to quarantine a machine. Failures of two
+	// jobs are always sufficient.
 	MachineQuarantineFailures = 3
 	// MinJobBackoff is the first pause of a job that fails on several machines.
 	MinJobBackoff = 10 * time.Second
@@ -20,8 +21,7 @@
 	// SuspectMachinePause is how long a machine on which several jobs failed gets no tasks. In
 	// this time a few retries of these jobs show whether they work elsewhere.
 	SuspectMachinePause = 10 * time.Second
-	// JobSuccessRunTimeMargin is added to twice the longest time for which a task of a job ran until it
-	// failed. If another task of the job runs for longer than the sum, the job is known to
-	// work.
+	// JobSuccessRunTimeMargin is added to twice the run time of the longest failed task of a job. A
+	// task of the job that runs for longer than the sum proves that the job works.
 	JobSuccessRunTimeMargin = 3 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -14,7 +14,8 @@
 	PeerTimeout = time.Second
 	// MaxPeerFrameBytes bounds the size of a frame. A heartbeat takes a few hundred bytes.
 	MaxPeerFrameBytes = 64 << 10
-	// MaxPeerHeartbeatShapes bounds the task shapes whose counts a heartbeat carries.
+	// MaxPeerHeartbeatShapes is the maximum number of task shapes for which a heartbeat reports how
+	// many tasks fit.
 	MaxPeerHeartbeatShapes = 12
 	// MaxPeerHeartbeatFaultyJobs is the maximum number of jobs at fault that a heartbeat
 	// names. If more than a few are at fault at the same time, the cause is not the jobs.
@@ -23,23 +24,23 @@
 
 // The failure detector.
 const (
-	// MinSuspicionTimeout is the minimum time without a heartbeat before a peer is suspected:
-	// three heartbeats are missing. On lumenweg-ops-fleet at 9.6% of a core, no gap was above
-	// 0.9 s except where a controller had ended.
+	// MinSuspicionTimeout is the minimum time without a heartbeat before a peer is suspected: three
+	// heartbeats are missing. On lumenweg-ops-fleet, with 9.6% of a core, the heartbeats of running
+	// controllers were never more than 0.9 s apart.
 	MinSuspicionTimeout = 1500 * time.Millisecond
 	// HeartbeatGapWeight is the weight of a new gap between heartbeats in their mean.
 	HeartbeatGapWeight = 0.05
-	// HeartbeatGapDeviations is how many deviations a gap may be above the mean before the
-	// peer is suspected.
+	// HeartbeatGapDeviations times the mean deviation is how far a gap may exceed the mean gap
+	// before the peer is suspected.
 	HeartbeatGapDeviations = 8
-	// MinHeartbeatGapSamples is the number of heartbeats after which the gaps of a peer count
-	// as known.
+	// MinHeartbeatGapSamples is the number of gaps that must be known before a peer can be
+	// suspected.
 	MinHeartbeatGapSamples = 4
-	// SuspicionSuppressionPeriod is how long a controller suspects no peer after it was paused
-	// or lost the key-value store.
+	// SuspicionSuppressionPeriod is how long a controller suspects no peer after its process was
+	// paused or its view of the key-value store was out of date.
 	SuspicionSuppressionPeriod = 3 * time.Second
-	// OwnerActivityValidity is how long a record that only a shard's owner writes proves that
-	// the owner is alive.
+	// OwnerActivityValidity is how long a controller counts as alive after the write of a record
+	// that only the owner of a shard writes.
 	OwnerActivityValidity = 1200 * time.Millisecond
 )
 
@@ -49,31 +50,31 @@
 	// describes, where each machine counts as one task. At about 110 bytes each, a chunk fits
 	// a frame together with a heartbeat.
 	MaxTransferChunkTasks = 400
-	// MaxPendingTransferChunks is the maximum number of chunks that a shard may have and that
-	// may wait to be sent: about 50,000 tasks, which take a tenth of a second of a core to
-	// write.
+	// MaxPendingTransferChunks is the maximum number of chunks in the transfer of one shard, and of
+	// chunks that wait to be sent. They hold about 50,000 tasks, whose encoding takes 0.1 s of
+	// processor time.
 	MaxPendingTransferChunks = 128
-	// TransferTimeout is how long an owner may prepare a transfer. Once it has sent the shard,
-	// the owner waits for the acquisition for the same time before it reclaims the shard.
-	// Chunks take about 100 ms.
+	// TransferTimeout is how long an owner may prepare a transfer. Once it has sent the shard, the
+	// owner waits for the acquisition for the same time before it reclaims the shard. Sending the
+	// chunks takes about 100 ms.
 	TransferTimeout = 2 * time.Second
-	// TransferRequestTimeout is how long a controller that requests its home shard waits for
-	// the transfer before it acquires the shard without one. After a pause of seconds its
-	// connection to the owner is up again within two seconds, and the owner serves the shard
-	// in the meantime.
+	// TransferRequestTimeout is how long a controller that requests its home shard waits for the
+	// transfer before it acquires the shard without one. The owner serves the shard in the
+	// meantime. A controller that was paused for a few seconds reconnects to the owner within two
+	// seconds.
 	TransferRequestTimeout = 6 * time.Second
-	// TransferRetryDelay is how long a shard is not transferred again after a failed transfer:
-	// during each attempt the workers of the shard are not answered.
+	// TransferRetryDelay is the pause after a failed transfer of a shard. It is long because the
+	// workers of the shard are not answered during an attempt.
 	TransferRetryDelay = 30 * time.Second
-	// MisdirectedWorkerFraction is the fraction of a shard's workers that must contact the shard's
-	// home controller within StrayWorkerWindow, although another controller owns the shard, to
-	// show that they cannot reach the owner.
+	// MisdirectedWorkerFraction is the fraction of a shard's workers above which their heartbeats,
+	// if they arrive at the shard's home controller instead of the owner, show that the workers
+	// cannot reach the owner.
 	MisdirectedWorkerFraction = 0.1
-	// MisdirectedWorkerWindow is how far back these contacts count: one heartbeat interval.
+	// MisdirectedWorkerWindow is how far back these heartbeats count: one heartbeat interval.
 	MisdirectedWorkerWindow = 5 * time.Second
-	// ShutdownTransferTimeout bounds the time in which a controller that shuts down transfers
-	// its shards. The transfers are requested within a heartbeat interval, and sent one after
-	// the other.
+	// ShutdownTransferTimeout bounds the time in which a controller that shuts down transfers its
+	// shards. Peers request the transfers within a heartbeat interval, and the shards are sent one
+	// after the other.
 	ShutdownTransferTimeout = 4 * time.Second
 	// ShutdownLastWriteTimeout bounds the controller's last write to the key-value store at
 	// shutdown.
@@ -82,23 +83,23 @@
 
 // The acquisition of shards.
 const (
-	// StartupGracePeriod is how long a controller that has just started does not acquire the
-	// shards of others. When all controllers start together, the last one is 1.5 s behind the
-	// first.
+	// StartupGracePeriod is how long after its start a controller does not acquire the shards of
+	// others. When all controllers are started together, the last one is up 1.5 s after the first.
 	StartupGracePeriod = 2 * time.Second
 	// AcquisitionWindow is how far back acquisitions of a shard count towards
 	// MaxUndelayedAcquisitions.
 	AcquisitionWindow = 2 * time.Minute
-	// MaxUndelayedAcquisitions is how many acquisitions of a shard cause no delay: those of a
-	// crash and the return from it, twice. After more of them the home controller waits before
-	// it reclaims the shard from a live owner.
+	// MaxUndelayedAcquisitions is the maximum number of acquisitions of a shard in
+	// AcquisitionWindow after which its home controller reclaims it from a live owner without a
+	// delay. A crash, the return from it and a second crash cause three, so the return from two
+	// crashes in a row is not delayed, and the return from a third crash is.
 	MaxUndelayedAcquisitions = 3
-	// MaxRecordedAcquisitions is how many acquisitions are recorded (entries).
+	// MaxRecordedAcquisitions is how many acquisitions of a shard are recorded.
 	MaxRecordedAcquisitions = 8
-	// MinShardReturnDelay is the first wait before the home controller reclaims the shard. It
-	// doubles with each further acquisition.
+	// MinShardReturnDelay is the minimum delay after more acquisitions than that. It doubles with
+	// each further acquisition.
 	MinShardReturnDelay = 5 * time.Second
-	// MaxShardReturnDelay bounds this wait to a minute, in which a machine that was kept
-	// waiting throughout would have been replaced.
+	// MaxShardReturnDelay bounds this delay: a machine whose worker was not answered for a minute
+	// would have been replaced.
 	MaxShardReturnDelay = time.Minute
 )
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -24,32 +24,32 @@
 // Runs of pipeline files.
 const (
 	// RunTickInterval is how often the jobs of runs are checked: half of the time that users
-	// wait for the report of a final state.
+	// usually wait until a final state is reported.
 	RunTickInterval = 250 * time.Millisecond
 	// RunProgressWriteInterval is how often a run's record is updated with progress that the
-	// records of the jobs show as well. Each update costs one change, and saves the next
-	// leader reads.
+	// records of the jobs show as well. Each update costs one change in the key-value store, and
+	// saves reads if another controller takes over the run.
 	RunProgressWriteInterval = 30 * time.Second
 	// RunProgressWriteJobs is how many jobs must have made progress before such an update is
 	// written.
 	RunProgressWriteJobs = 20
-	// RunWriteRetryDelay is the pause after a write whose precondition failed. In the meantime
-	// the watch delivers what has changed.
+	// RunWriteRetryDelay is the pause after a write whose precondition failed. In this time the
+	// watch delivers the change that made it fail.
 	RunWriteRetryDelay = 2 * MinWatchRequestGap
-	// MaxConcurrentRunRequests is how many submissions and cancellations of runs may be in
-	// flight at a time. The limit leaves capacity for those of users.
+	// MaxConcurrentRunRequests is how many jobs may be submitted or cancelled for runs at the same
+	// time. The limit leaves capacity for the requests of users.
 	MaxConcurrentRunRequests = 16
-	// MaxCachedEndedRuns is how many ended runs are cached (entries); others are read from the
-	// store.
+	// MaxCachedEndedRuns is the maximum number of ended runs that are cached; others are read from
+	// the store.
 	MaxCachedEndedRuns = 200
 	// RunProgressReserveBytes is the space kept free in a run's record for the states of its
 	// jobs, including the attempts and times of some of them.
 	RunProgressReserveBytes = 2048
 	// MaxRunNameBytes is the longest name of a run.
 	MaxRunNameBytes = 200
-	// RunCancelAttempts is how many times a cancellation is attempted, once per
-	// MinWatchRequestGap, while the run's record changes concurrently. The attempts take 2 s,
-	// as long as users wait for a poll.
+	// RunCancelAttempts is how many times a user's change of a run, a cancellation or a manual
+	// start, is retried, once per MinWatchRequestGap, while the run's record cannot be written. The
+	// retries take 2 s, the time after which users give up a poll.
 	RunCancelAttempts = 20
 	// MaxPlanBytes bounds the size of an unpacked plan, about 500 bytes for each of
 	// MaxPipelineJobs.
@@ -64,7 +64,7 @@
 	// CLIRetryTimeout is how long a request is repeated: as long as the platform's users repeat
 	// a submission.
 	CLIRetryTimeout = 60 * time.Second
-	// MaxCLIRetryDelay is the longest pause between two attempts that a controller may ask for.
+	// MaxCLIRetryDelay is the longest pause that a controller may ask for between two attempts.
 	MaxCLIRetryDelay = 30 * time.Second
 	// CLIPollInterval is how often a command that waits polls the status.
 	CLIPollInterval = time.Second
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -12,8 +12,8 @@
 	// ProcessStallThreshold is the gap between two ticks that shows that this process was
 	// paused or starved of processor time: several times TickInterval.
 	ProcessStallThreshold = 1500 * time.Millisecond
-	// RecountInterval is how often derived counts are recomputed in full (one minute in the
-	// Kerveros paper, 5 s in the design).
+	// RecountInterval is how often derived counts are recomputed in full. The Kerveros paper has
+	// one minute, the design of this scheduler 5 s.
 	RecountInterval = 5 * time.Second
 	// HeapLimitFraction is the fraction of the memory allowance that is the soft limit of the
 	// heap. The rest is for memory that the runtime does not count.
@@ -28,29 +28,29 @@
 	// UnreconciledShardReportAfter is how long a shard may stay unreconciled before it is
 	// reported. It is longer than any delay that unreachable machines can cause.
 	UnreconciledShardReportAfter = 90 * time.Second
-	// MinReportedJobWait is the minimum wait of a job that is listed among the problems. A
-	// shorter wait is usual for a claim.
+	// MinReportedJobWait is the minimum wait of a job that is listed among the problems. A job
+	// often waits for less than this until it is claimed.
 	MinReportedJobWait = 10 * time.Second
 	// ProblemLogInterval is how often a lasting problem is logged: often enough to appear
 	// close to its cause in the log, and rarely enough to keep the log readable.
 	ProblemLogInterval = 30 * time.Second
 	// MaxListedNames is the maximum number of names in a view that could list hundreds.
 	MaxListedNames = 8
-	// MaxListedQuarantinedRecords is how many records that cannot be interpreted are listed
-	// (entries).
+	// MaxListedQuarantinedRecords is the maximum number of listed records that cannot be
+	// interpreted.
 	MaxListedQuarantinedRecords = 100
-	// MaxQuarantinedRecordBytes is how much of each such record is shown (bytes).
+	// MaxQuarantinedRecordBytes is how many bytes of each such record are shown.
 	MaxQuarantinedRecordBytes = 200
 )
 
 // Evidence that a controller keeps of its decisions.
 const (
-	// DecisionLogEntries is how many of its latest decisions a controller keeps in memory
-	// (entries): those of about 20 s at 100 starts and stops a second, at 250 bytes each.
+	// DecisionLogEntries is how many of its latest decisions a controller keeps in memory: those of
+	// about 20 s at 100 starts and stops a second, at 250 bytes each.
 	DecisionLogEntries = 2048
-	// DecisionsLoggedOnViolation is how many of these decisions are logged when an invariant
-	// is violated (entries). The log line stays below 64 KiB.
+	// DecisionsLoggedOnViolation is how many of these decisions are logged when an invariant is
+	// violated. The log line stays below 64 KiB.
 	DecisionsLoggedOnViolation = 100
-	// DecisionsShown is how many of these decisions the administration API shows (entries).
+	// DecisionsShown is how many of these decisions the administration API shows.
 	DecisionsShown = 500
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -22,21 +22,23 @@
 
 // Order of jobs.
 const (
-	// JobOverdueAfter is how long a job may wait without any task started before it takes
-	// precedence over all others, either for one task or as a gang. Users count a day as
-	// failed if one of the largest jobs starts after four minutes. The capacity for a gang
-	// becomes free when another gang has run, which takes about a minute.
+	// JobOverdueAfter is how long a job may wait before it is overdue if none of its tasks is
+	// claimed. An overdue job takes precedence over all others, an array for its first task, a gang
+	// for all of them. Users count a day as failed if one of the largest jobs starts after four
+	// minutes. The capacity for a gang becomes free when another gang has ended, which takes about
+	// a minute.
 	JobOverdueAfter = 150 * time.Second
 	// GangReservationPeriod is how long capacity is reserved for an overdue gang at a time:
 	// two or three runs of gangs of usual length.
 	GangReservationPeriod = 2 * time.Minute
-	// DeadlineAtRiskMargin is how long before its latest start for an objective a gang takes
-	// precedence over gangs that have more time. It is a few times as long as it takes until
-	// capacity for the gang becomes free.
+	// DeadlineAtRiskMargin is the time before the latest start that meets an objective, in which
+	// the objective is at risk. A gang whose objective is at risk takes precedence over gangs that
+	// have more time. The margin is a few times as long as it takes until capacity for a gang
+	// becomes free.
 	DeadlineAtRiskMargin = 20 * time.Second
-	// AgingPeriod is how long after it became runnable an array should start if it has no
-	// deadline or objective that it can still meet, so that it does not starve. A gang that
-	// has waited for longer takes precedence over all others of its priority.
+	// AgingPeriod prevents starvation. An array that has no deadline or objective that it can still
+	// meet is queued as if it had to start AgingPeriod after it became runnable. A gang that has
+	// waited for longer than AgingPeriod takes precedence over all other gangs of its priority.
 	AgingPeriod = 5 * time.Minute
 )
 
@@ -49,20 +51,21 @@
 	// start command, the fetch of an image of one or two gigabytes, the last heartbeat and the
 	// record of the end.
 	JobOverheadSeconds = 6.0
-	// MinRunTimeSampleWeight is the minimum weight of a new run time in the mean that corrects
-	// the users' estimates: the last twenty run times count most.
+	// MinRunTimeSampleWeight is the minimum weight of a new run time in the mean that corrects the
+	// users' estimates, so that the last twenty run times count most.
 	MinRunTimeSampleWeight = 0.05
-	// MinEstimateRatio and MaxEstimateRatio bound this correction. A ratio beyond these bounds
+	// MinEstimateRatio is the smallest factor of this correction. A factor outside these bounds
 	// more likely comes from a few unusual tasks.
 	MinEstimateRatio = 0.3
-	// MaxEstimateRatio: see MinEstimateRatio.
+	// MaxEstimateRatio is the largest factor of this correction.
 	MaxEstimateRatio = 3.0
 )
 
 // Placement of tasks on machines.
 const (
-	// TieBreakWeight decides between machine types or zones of otherwise equal cost (per CPU
-	// or machine). It is small compared with every real difference.
+	// TieBreakWeight is the weight of a CPU or of a machine in a cost, which decides between
+	// machines, machine types or zones of otherwise equal cost. It is small compared with every
+	// real difference.
 	TieBreakWeight = 0.001
 	// ScoreCachedImage is added to the score of a machine that has the task's image, so that
 	// it is preferred to a fuller machine: fullness adds up to 1.
@@ -71,8 +74,8 @@
 	ScoreRetained = 4.0
 	// ScoreOnDemand is added to the score of a retained machine that is not spot.
 	ScoreOnDemand = 4.0
-	// ScoreGangSafe is added to the score of a machine whose capacity urgent gangs do not
-	// need. It counts for more than all the other scores together.
+	// ScoreGangSafe is added to the score of a machine that urgent gangs cannot use. It counts for
+	// more than all the other scores together.
 	ScoreGangSafe = 16.0
 	// GangCostNoCapacity is the cost of placing a gang at a controller that has no capacity for it. It
 	// is above every count of free tasks.
@@ -90,8 +93,8 @@
 
 // Background work.
 const (
-	// BackgroundSpotOnlyPeriod is how long only spot machines are scaled out for background
-	// work.
+	// BackgroundSpotOnlyPeriod is how long after a background job became runnable only spot
+	// machines are scaled out for it.
 	BackgroundSpotOnlyPeriod = 150 * time.Second
 	// BackgroundHorizon is the time within which background work should be finished after
 	// BackgroundSpotOnlyPeriod.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -4,23 +4,23 @@
 
 // Leases of controllers and reads of the store's revision.
 const (
-	// ControllerLeaseTTL is the time to live of a controller's lease in the key-value store:
-	// how long a controller may fail to renew it before its shards fail over. It is shorter
-	// than a restart, so that workers are not unanswered for the whole restart after a crash,
-	// and longer than a slow answer of the store.
+	// ControllerLeaseTTL is the time to live of a controller's lease in the key-value store: how
+	// long a controller may fail to renew it before its shards fail over. It is shorter than a
+	// restart, so that after a crash another controller answers the workers before the crashed one
+	// is back, and longer than a slow answer of the store.
 	ControllerLeaseTTL = 4 * time.Second
 	// ControllerLeaseRenewInterval is how often that lease is renewed: three attempts fit into
 	// one ControllerLeaseTTL.
 	ControllerLeaseRenewInterval = 1200 * time.Millisecond
-	// RevisionReadInterval is how often the store's revision is read when no poll causes a
-	// read. The time of the read tells how recent the records are on which a controller
-	// answers workers.
+	// RevisionReadInterval is how often the store's revision is read when no poll causes a read.
+	// The time of the last read shows how recent the records are on which a controller bases its
+	// answers to workers.
 	RevisionReadInterval = time.Second
 	// MinRevisionReadGap is the minimum time between two reads of the revision, so that a
 	// burst of polls shares one read.
 	MinRevisionReadGap = 20 * time.Millisecond
-	// MinPollRevisionReadGap replaces MinRevisionReadGap when only polls wait. Users give up a
-	// poll after 2 s, and all controllers together may make 150 requests a second.
+	// MinPollRevisionReadGap replaces MinRevisionReadGap when only polls wait for the read. Users
+	// give up a poll after 2 s, and all controllers together may make 150 requests a second.
 	MinPollRevisionReadGap = 100 * time.Millisecond
 )
 
@@ -29,14 +29,14 @@
 	// StoreRequestTimeout ends a request to the store. Answers take under 10 ms and
 	// occasionally a few hundred milliseconds.
 	StoreRequestTimeout = 1500 * time.Millisecond
-	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s;
-	// the shorter time lets a watch on a dead connection be noticed.
+	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s; with
+	// a shorter wait, a dead connection is noticed earlier.
 	WatchRequestWait = 10 * time.Second
 	// WatchStuckAfter is how long a watch may lag behind a known revision before it is
 	// restarted.
 	WatchStuckAfter = 1200 * time.Millisecond
-	// MinWatchRequestGap is the minimum time between two watch requests. Otherwise the watches
-	// of all controllers would use up the request budget when there are many changes.
+	// MinWatchRequestGap is the minimum time between two watch requests. Without it, the watches of
+	// all controllers would use up the request budget when there are many changes.
 	MinWatchRequestGap = 100 * time.Millisecond
 	// WatchTimeoutMargin is how much longer than WatchRequestWait a watch may take to answer.
 	WatchTimeoutMargin = 5 * time.Second
@@ -44,9 +44,9 @@
 	MinRetryDelay = 200 * time.Millisecond
 	// MaxRetryDelay bounds the pause after failed requests.
 	MaxRetryDelay = 2 * time.Second
-	// IdleConnectionTimeout ends connections that are not used.
+	// IdleConnectionTimeout is how long an unused connection is kept open.
 	IdleConnectionTimeout = 30 * time.Second
-	// DialTimeout ends an attempt to connect. A host that drops packets gives no error.
+	// DialTimeout ends an attempt to connect, since a host that drops packets gives no error.
 	DialTimeout = time.Second
 	// ListPageRows is the number of rows read in one request. The store allows 1,000.
 	ListPageRows = 500
@@ -54,44 +54,46 @@
 
 // The rate limits of the key-value store, as shared by the controllers.
 const (
-	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller
-	// may use. It is above 1/controllers, since the others are rarely all busy.
+	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller may
+	// use. It is above an equal share, since the other controllers are rarely all busy.
 	ControllerBudgetFraction = 0.5
-	// EvenBudgetFraction times 1/controllers is the fraction to which a controller falls back
-	// while the store refuses requests. The rest absorbs how the store counts bursts.
+	// EvenBudgetFraction, divided by the number of controllers, is the smallest fraction of the
+	// rate limits to which a controller's fraction falls while the store refuses requests. The rest
+	// is a reserve, since the store may count bursts differently.
 	EvenBudgetFraction = 0.95
-	// BusyControllerBudgetFraction is the maximum fraction that one controller uses while its
-	// peers report low usage. All of them may become busy at once, and a peer heartbeat
-	// reports that half a second later.
+	// BusyControllerBudgetFraction is the maximum fraction that one controller uses while its peers
+	// report low usage. It is well below 1 because all of the peers may become busy at once, and
+	// their heartbeats report that half a second later.
 	BusyControllerBudgetFraction = 0.6
-	// BudgetOvercommitFactor times the limits is the budget that remains for a controller after
-	// the usage reported by its peers is subtracted. It is above one: a refusal costs a few
+	// BudgetOvercommitFactor times the limits is the amount from which the usage reported by the
+	// peers is subtracted to get a controller's budget. It is above 1 because a refusal costs a few
 	// tens of milliseconds, and waiting for budget that a peer does not use after all may cost
 	// more.
 	BudgetOvercommitFactor = 1.25
-	// BudgetUsageSmoothingPeriod is the time constant of the usage that is reported to peers.
+	// BudgetUsageSmoothingPeriod is the time constant with which the usage that is reported to
+	// peers is averaged.
 	BudgetUsageSmoothingPeriod = 500 * time.Millisecond
 	// BudgetBackoffFactor multiplies a controller's fraction at each refusal.
 	BudgetBackoffFactor = 0.85
-	// BudgetRecoveryInterval is the time without a refusal after which the fraction rises by
-	// the same factor.
+	// BudgetRecoveryInterval is the time without a refusal after which the fraction is divided by
+	// BudgetBackoffFactor.
 	BudgetRecoveryInterval = 2 * time.Second
 	// RateLimitedAttempts is the maximum number of attempts at a request that the store
 	// refuses because of its rate limits.
 	RateLimitedAttempts = 4
-	// RateLimitedRetryDelay is the first pause between these attempts. By the last attempt a
+	// RateLimitedRetryDelay is the first pause between these attempts. Before the last attempt, a
 	// budget of 50 changes a second has regained a few changes.
 	RateLimitedRetryDelay = 30 * time.Millisecond
-	// BudgetPollInterval is how often a caller that leaves budget to more urgent ones checks
-	// again.
+	// BudgetPollInterval is how often a caller checks again whether it may proceed while it leaves
+	// the budget to more urgent callers.
 	BudgetPollInterval = 20 * time.Millisecond
 )
 
 // Sizes of records in the key-value store.
 const (
-	// RecordValueFraction is the fraction of the maximum value size that a job's record may
-	// use. The rest is for the store's own counting of bytes and for fields that are added
-	// later.
+	// RecordValueFraction is the fraction of the maximum value size that a job's record may use.
+	// The rest is a reserve for fields that are added later, and for bytes that the store counts in
+	// addition.
 	RecordValueFraction = 0.8
 	// ValueMarginBytes is left free in every value, in case the store counts slightly more
 	// bytes than the value has.
@@ -99,19 +101,20 @@
 	// MaxTxnBytes bounds what one transaction writes. The store accepts 64 KiB, including keys
 	// and preconditions.
 	MaxTxnBytes = 48 << 10
-	// MaxChunkedRecordBytes bounds a record that is stored in chunks: the largest user request
-	// and, for the record's other fields, half as much again.
+	// MaxChunkedRecordBytes bounds a record that is stored in chunks: the size of the largest user
+	// request, plus half of that size for the record's other fields.
 	MaxChunkedRecordBytes = 96 << 10
-	// MaxCachedChunkedRecords is how many records that are stored in chunks are cached in full
-	// (entries). There are few such records.
+	// MaxCachedChunkedRecords is the maximum number of records stored in chunks that are cached in
+	// full. There are few such records.
 	MaxCachedChunkedRecords = 64
 	// MaxChunkPointerBytes is an upper bound on the size of a record that refers to chunks.
 	MaxChunkPointerBytes = 128
 	// MaxChunkAssembleAttempts is the maximum number of attempts to read a record that is
 	// rewritten while its chunks are read.
 	MaxChunkAssembleAttempts = 4
-	// ChunkCleanupInterval is how often the controller looks for chunks without a record.
-	// Chunks that are being written have their record long before a second pass.
+	// ChunkCleanupInterval is the time between two passes over all chunks. A pass deletes the
+	// chunks to which no record pointed in the previous pass either: the record of chunks that are
+	// being written is stored long before a second pass.
 	ChunkCleanupInterval = time.Minute
 	// MinValueKB is the smallest limit of the value size (KiB) with which the program can
 	// work: the size of a usual job's record.
