--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -9,9 +9,9 @@
 	// MinMachineListGap is the minimum time between two extra reads of that list, which are made
 	// when workers send no heartbeats.
 	MinMachineListGap = 3 * time.Second
-	// MaxListLagFactor times the stated lag is the maximum lag of the machine list that is assumed
-	// when a machine that is not listed is to be treated as terminated. The protocol gives a factor
-	// of two, but operators saw the list lag far more than usual.
+	// MaxListLagFactor times the stated lag is the assumed maximum lag of the machine list. A
+	// machine is treated as terminated only if it would be listed even with this lag, and is not.
+	// The protocol gives a factor of two, but operators saw the list lag far more than usual.
 	MaxListLagFactor = 4
 	// ListAbsenceMargin is added to the assumed lag of the machine list, because the clocks of
 	// controllers differ slightly. A machine that is not listed counts as removed only if it was
@@ -102,16 +102,16 @@
 	// MinMachineChecksPerTick is the minimum number of machines checked in each tick.
 	MinMachineChecksPerTick = 64
 	// MaintenanceInterval is how often a controller looks for idle and surplus machines and moves
-	// machines to other shards. Each pass visits all local machines, and a shorter interval would
-	// not lead to other decisions.
+	// machines to other shards. Each pass visits all local machines, and the decisions do not
+	// change within a shorter time.
 	MaintenanceInterval = time.Second
 	// MinScaleInRequestGap is the minimum time between two requests to return machines.
 	MinScaleInRequestGap = time.Second
-	// ConsolidationInterval is the minimum time between the drains of two machines. A machine is
-	// drained if its long tasks fit on fuller machines.
+	// ConsolidationInterval is the minimum time between two drains for consolidation. Such a drain
+	// empties a machine whose long tasks fit on fuller machines.
 	ConsolidationInterval = time.Second
-	// MinConsolidationRunTime is the minimum remaining run time of a task that is moved in this
-	// way. The task must also have run for half of this time since its last start.
+	// MinConsolidationRunTime is the minimum remaining run time of these long tasks. Each must also
+	// have run for half of this time since its last start.
 	MinConsolidationRunTime = time.Minute
 	// MinChargedPeriod is the minimum period for which the cloud charges a machine, counted
 	// from its request; given by the protocol.
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -6,8 +6,8 @@
 const (
 	// ClaimAheadPeriod is the period for which tasks of an array are claimed before there is
 	// capacity for them: as many tasks as the array's running tasks are likely to make room for in
-	// this period. Each claim costs changes in the key-value store, but a task that waits in one
-	// shard cannot be claimed by another.
+	// this period. A longer period would save claims, each of which costs changes in the key-value
+	// store, but a task that waits in one shard cannot be claimed by another.
 	ClaimAheadPeriod = 5 * time.Second
 	// UnclaimAfter is how long no task of a range must have been placed before the tasks of the
 	// range that wait for capacity are unclaimed. It is not shorter than ClaimAheadPeriod, in which
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -35,8 +35,8 @@
 	// MaxCachedFinalStates is the maximum number of cached final states.
 	MaxCachedFinalStates = 4096
 	// MaxConcurrentFinalStateReads is how many final states of jobs on which others depend are read
-	// concurrently. Each job takes one request. After the start of a controller, the final states
-	// of 100 jobs that ended before are known within two seconds.
+	// concurrently. Each job takes one request. The final states of 100 jobs that ended before a
+	// controller was started are known within two seconds of its start.
 	MaxConcurrentFinalStateReads = 8
 	// FinalStateReadRetryInterval is the time after which a final state that did not exist or
 	// could not be read is read again.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -90,14 +90,14 @@
 	// MaxUndelayedAcquisitions.
 	AcquisitionWindow = 2 * time.Minute
 	// MaxUndelayedAcquisitions is the maximum number of acquisitions of a shard in
-	// AcquisitionWindow after which its home controller reclaims it from a live owner without a
-	// delay. A crash, the return from it and a second crash cause three, so the return from two
-	// crashes in a row is not delayed, and the return from a third crash is.
+	// AcquisitionWindow with which its home controller reclaims it from a live owner without a
+	// delay. A crash, the return from it and a second crash cause three acquisitions, so the return
+	// from the second crash is not delayed, but the return from a third crash is.
 	MaxUndelayedAcquisitions = 3
 	// MaxRecordedAcquisitions is how many acquisitions of a shard are recorded.
 	MaxRecordedAcquisitions = 8
-	// MinShardReturnDelay is the minimum delay after more acquisitions than that. It doubles with
-	// each further acquisition.
+	// MinShardReturnDelay is the delay if there was one more acquisition than
+	// MaxUndelayedAcquisitions. It doubles with each further acquisition.
 	MinShardReturnDelay = 5 * time.Second
 	// MaxShardReturnDelay bounds this delay: a machine whose worker was not answered for a minute
 	// would have been replaced.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -31,9 +31,9 @@
 	// GangReservationPeriod is how long capacity is reserved for an overdue gang at a time:
 	// two or three runs of gangs of usual length.
 	GangReservationPeriod = 2 * time.Minute
-	// DeadlineAtRiskMargin is the time before the latest start that meets an objective, in which
-	// the objective is at risk. A gang whose objective is at risk takes precedence over gangs that
-	// have more time. The margin is a few times as long as it takes until capacity for a gang
+	// DeadlineAtRiskMargin is how long before the latest start that meets an objective the
+	// objective counts as at risk. A gang whose objective is at risk takes precedence over gangs
+	// that have more time. The margin is a few times as long as it takes until capacity for a gang
 	// becomes free.
 	DeadlineAtRiskMargin = 20 * time.Second
 	// AgingPeriod prevents starvation. An array that has no deadline or objective that it can still
@@ -77,8 +77,8 @@
 	// ScoreGangSafe is added to the score of a machine that urgent gangs cannot use. It counts for
 	// more than all the other scores together.
 	ScoreGangSafe = 16.0
-	// GangCostNoCapacity is the cost of placing a gang at a controller that has no capacity for it. It
-	// is above every count of free tasks.
+	// GangCostNoCapacity is the cost of placing a gang at a controller that has no capacity for it.
+	// It is above every count of free tasks, which is the cost where the gang fits.
 	GangCostNoCapacity = 1 << 20
 	// GangCostAfterPreemption is the base cost of placing a gang at a controller that has capacity
 	// for it only after preemption. It is also above every count of free tasks.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -57,9 +57,9 @@
 	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller may
 	// use. It is above an equal share, since the other controllers are rarely all busy.
 	ControllerBudgetFraction = 0.5
-	// EvenBudgetFraction, divided by the number of controllers, is the smallest fraction of the
-	// rate limits to which a controller's fraction falls while the store refuses requests. The rest
-	// is a reserve, since the store may count bursts differently.
+	// EvenBudgetFraction, divided by the number of controllers, is the lower bound of a
+	// controller's fraction of the rate limits, which is reduced while the store refuses requests.
+	// The remainder to 1 is a reserve, since the store may count bursts differently.
 	EvenBudgetFraction = 0.95
 	// BusyControllerBudgetFraction is the maximum fraction that one controller uses while its peers
 	// report low usage. It is well below 1 because all of the peers may become busy at once, and
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -25,9 +25,8 @@
 	// worker any more: the worker stops waiting after 4 s (protocol), and clocks drift
 	// slightly.
 	HeartbeatAnswerLifetime = 4500 * time.Millisecond
-	// HeartbeatOverdueMargin is how late a heartbeat may be before it is overdue. Without the
-	// margin, it is due one and a quarter heartbeat intervals plus the maximum delay of the last
-	// answer after the previous heartbeat.
+	// HeartbeatOverdueMargin is added to one and a quarter heartbeat intervals and the maximum
+	// delay of the last answer. If no heartbeat arrives for the sum, the next heartbeat is overdue.
 	HeartbeatOverdueMargin = time.Second
 	// MaxQueuedHeartbeats is how many heartbeats may wait until the records are read or a
 	// shard is acquired: those of a few thousand workers, 2 kB each.
@@ -48,8 +47,8 @@
 const (
 	// MaxStartKnowledgeAge is how old a controller's knowledge of cancellations may be when it
 	// starts a task: twice the time of a slow answer of the key-value store. The response to a
-	// cancellation waits no longer than this: by then each controller that owns a part of the job
-	// either knows of the cancellation or may not start tasks.
+	// cancellation waits for at most about the same time: by then each controller that owns a part
+	// of the job either knows of the cancellation or may not start tasks.
 	MaxStartKnowledgeAge = 3 * time.Second
 	// StartKnowledgeMargin is added to MaxStartKnowledgeAge where the response to a user waits for
 	// that time, since timers fire in steps.
@@ -96,8 +95,8 @@
 // Direct requests to workers at their own addresses.
 const (
 	// DirectRequestCPUFraction is the fraction of the controller's processor limit that direct
-	// requests other than first contacts may use. It suffices to stop a cancelled array of 2,000
-	// tasks that are fetching their image within a few seconds.
+	// requests other than first contacts may use. It suffices to stop, within a few seconds, a
+	// cancelled array of 2,000 tasks that are fetching their image.
 	DirectRequestCPUFraction = 0.1
 	// MaxConcurrentDirectRequests is the maximum number of concurrent exchanges, each over one
 	// socket.
@@ -146,10 +145,10 @@
 	// ReachabilityProbeSuccesses is the number of successful probes in a row after which a
 	// controller that was unreachable for its workers counts as reachable again.
 	ReachabilityProbeSuccesses = 3
-	// InboundLossBackoff is the first minimum time for which such a controller counts as
-	// unreachable. It doubles each time the controller becomes unreachable again.
+	// InboundLossBackoff is the minimum time for which such a controller counts as unreachable. It
+	// doubles each time the controller becomes unreachable again.
 	InboundLossBackoff = 3 * time.Second
-	// InboundLossBackoffReset is the time for which a controller must be reachable before
-	// InboundLossBackoff applies again.
+	// InboundLossBackoffReset is the time for which a controller must be reachable before the
+	// doubling of InboundLossBackoff starts anew.
 	InboundLossBackoffReset = 5 * time.Minute
 )
