--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,7 +62,7 @@
 	// GangPeerTimeoutSeconds is how long a gang's tasks continue without one of them before they
 	// fail.
 	GangPeerTimeoutSeconds float64 `toml:"gang_peer_s"`
-	// CancelSeconds is the time in which the tasks of a cancelled job must have ended.
+	// CancelSeconds is the maximum time from the cancellation of a job until its tasks have ended.
 	CancelSeconds float64 `toml:"cancel_s"`
 }
 
@@ -70,7 +70,7 @@
 type StateSettings struct {
 	StateLimits
 	// Next are the limits that will replace the current ones at some time, without notice. 0 means
-	// that the current limit stays.
+	// that the current limit stays in force.
 	Next StateLimits `toml:"next"`
 }
 
@@ -95,7 +95,8 @@
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// Team is a team's guaranteed resources and its quota. 0 means none.
+// Team is a team with its guaranteed resources and its quota, the maximum that it may use. An
+// amount of 0 means that there is no guarantee or no limit.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,15 +56,15 @@
 	if err := loadSettings(t, validSettings); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ from, to, field string }{
+	for _, c := range []struct{ original, replacement, field string }{
 		{`node = "n0"`, ``, "node"}, {`listen = "127.0.0.1:1"`, `listen = "x"`, "listen"},
 		{`rps = 150.0`, `rps = 0`, "cluster.state.rps"}, {`cancel_s = 30.0`, `cancel_s = 5.0`, "cluster.workers.cancel_s"},
 		{`node = "n1"`, `node = "n0"`, "others[0].node"}, {`txn_ops = 40`, `txn_ops = "x"`, "txn_ops"},
 		{`[outside]`, `[outside`, ""},
 	} {
-		err := loadSettings(t, strings.Replace(validSettings, c.from, c.to, 1))
+		err := loadSettings(t, strings.Replace(validSettings, c.original, c.replacement, 1))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%q -> %q: %v", c.from, c.to, err)
+			t.Errorf("%q -> %q: %v", c.original, c.replacement, err)
 		}
 	}
 	if _, err := Load("/nowhere/x.toml"); err == nil {
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -8,36 +8,36 @@
 
 // This file has all rules that depend on time alone: how long after its last read of the
 // key-value store a controller may renew the leases of workers, and when the lease of a worker
-// without heartbeats has expired. docs/recovery.md, "How long a worker may be kept alive", shows
-// why these rules are correct.
+// that sends no heartbeats has expired. docs/recovery.md, "How long a worker may be kept alive",
+// shows why these rules are correct.
 
-// HeartbeatAnswerValidity returns how long a controller may answer heartbeats without a newer
-// read of the key-value store. A previous owner that has lost a shard may answer the shard's
-// workers for as long. The time is short enough that a cancellation decided elsewhere still ends
-// the tasks in time, by the expiry of their workers' leases.
+// HeartbeatAnswerValidity returns how long after its last read of the key-value store a controller
+// may answer heartbeats. A controller that has lost a shard, and has not read this yet, may answer
+// the shard's workers for as long. The time is short enough that the tasks of a job that another
+// controller has cancelled still end in time, by the expiry of their workers' leases.
 func (c *Config) HeartbeatAnswerValidity() time.Duration {
 	workers := c.Cluster.Workers
 	return Seconds(workers.CancelSeconds*(1-2*tuning.MaxClockDrift)-workers.LeaseSeconds) - 2*tuning.LeaseExpiryMargin
 }
 
-// MayAnswerHeartbeats reports whether leases of workers may be renewed and their tasks started
-// at now. All decisions up to knownAt are known: knownAt is when the latest answered read of the
-// key-value store was sent. The age of knownAt is measured by the monotonic clock and by the
-// wall clock, and the longer one counts: the monotonic clock stops while a machine is suspended,
-// and the wall clock may be set back.
+// MayAnswerHeartbeats reports whether leases of workers may be renewed and their tasks started at
+// now by a controller that knows all changes of records that were committed up to knownAt. knownAt
+// is when the latest answered read of the key-value store was sent. The age of knownAt is measured
+// by the monotonic clock and by the wall clock, and the longer one counts: the monotonic clock
+// stops while a machine is suspended, and the wall clock may be set back.
 func (c *Config) MayAnswerHeartbeats(now, knownAt time.Time) bool {
 	return knowledgeAge(now, knownAt) < c.HeartbeatAnswerValidity()
 }
 
-// MayStartTasks reports whether a task may be started at now if all cancellations up to knownAt
-// are known. knownAt has the same meaning as for MayAnswerHeartbeats. See docs/recovery.md, "No
-// start after a cancellation".
+// MayStartTasks reports whether a task may be started at now by a controller that knows all
+// cancellations up to knownAt, which has the same meaning as for MayAnswerHeartbeats.
+// docs/recovery.md, "No start after a cancellation", shows why the rule is correct.
 func (c *Config) MayStartTasks(now, knownAt time.Time) bool {
 	return knowledgeAge(now, knownAt) < tuning.MaxStartKnowledgeAge
 }
 
-// CancellationEffectiveDelay returns the time after which a cancellation that became known to one
-// controller is in effect at all of them: none starts a task without knowing of the cancellation.
+// CancellationEffectiveDelay returns how long after one controller learned of a cancellation all
+// controllers observe it: none starts a task without knowing of the cancellation.
 func (c *Config) CancellationEffectiveDelay() time.Duration {
 	return Seconds(tuning.MaxStartKnowledgeAge.Seconds()*(1+2*tuning.MaxClockDrift)) + tuning.StartKnowledgeMargin
 }
@@ -56,13 +56,14 @@
 }
 
 // PreviousOwnerExpiryDelay returns how long after the acquisition of a shard all leases that its
-// previous owner may have renewed have certainly expired: see HeartbeatAnswerValidity.
+// previous owner may have renewed have certainly expired. The previous owner renews leases for no
+// longer than HeartbeatAnswerValidity.
 func (c *Config) PreviousOwnerExpiryDelay() time.Duration {
 	return expiryDelay(c.Cluster.Workers.CancelSeconds)
 }
 
-// expiryDelay returns how long a period of the given seconds may last by the slowest clock that
-// the protocol allows, plus a margin.
+// expiryDelay returns the longest time that a period of the given seconds takes if it is measured
+// by the slowest clock that the protocol allows, plus a margin.
 func expiryDelay(seconds float64) time.Duration {
 	return Seconds(seconds*(1+2*tuning.MaxClockDrift)) + tuning.LeaseExpiryMargin
 }
@@ -71,10 +72,10 @@
 // sent no heartbeat with the fencing token of its shard's current owner. acquiredAt is when that
 // owner acquired the shard: leases that the previous owner renewed have expired
 // PreviousOwnerExpiryDelay later. lastHeartbeatAt is when the last heartbeat arrived that the
-// current owner may have answered. The answer must count: a worker may be cut off together with
-// the previous owner, reconnect late, and then be cut off itself. If the answer did not count, the
-// lease of that worker would count as expired up to one lease too early, and its tasks would run
-// twice.
+// current owner may have answered. That answer may have renewed the lease even though no heartbeat
+// shows the token: a worker may be cut off together with the previous owner, reconnect late, and
+// then be cut off itself. If the answer were ignored, the lease of that worker would count as
+// expired up to one lease too early, and its tasks would run twice.
 func (c *Config) WorkerLeaseExpiresAt(acquiredAt, lastHeartbeatAt time.Time) time.Time {
 	previousOwnerLeaseExpiry := acquiredAt.Add(c.PreviousOwnerExpiryDelay())
 	lastAnswerLeaseExpiry := lastHeartbeatAt.Add(c.WorkerLeaseExpiryDelay())
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -35,8 +35,8 @@
 	return int(c.EffectiveStateLimits().ValueKB*1024) - tuning.ValueMarginBytes
 }
 
-// CurrentMaxValueBytes returns the maximum size (bytes) of a value until the next limits come into
-// force.
+// CurrentMaxValueBytes returns the maximum size (bytes) of a value as long as the next limits are
+// not in force.
 func (c *Config) CurrentMaxValueBytes() int {
 	return int(c.Cluster.State.ValueKB*1024) - tuning.ValueMarginBytes
 }
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -2,7 +2,8 @@
 
 import "cherrywall/internal/tuning"
 
-// ObjectiveKind is what an objective measures. The settings may also have other kinds.
+// ObjectiveKind is what an objective measures. The settings may also contain kinds that are not
+// listed here.
 type ObjectiveKind string
 
 // Kinds of objectives that apply to single jobs.
@@ -20,8 +21,9 @@
 	Kind          ObjectiveKind `toml:"kind"`
 	Class         string        `toml:"class"`
 	WithinSeconds float64       `toml:"within_s"`
-	Fraction      float64       `toml:"share"` // of the jobs that must meet the objective
-	// DeadlineMultiple is for ObjectiveDeadline; 0 means 1.
+	Fraction      float64       `toml:"share"` // the fraction of the jobs that must meet the objective
+	// DeadlineMultiple is the multiple of its deadline within which a job must be done, for
+	// ObjectiveDeadline. 0 means 1.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
@@ -54,14 +56,14 @@
 // or the objective of its class if that is shorter. For a job without a deadline, a time derived
 // from tuning.WorkHorizon replaces the deadline.
 func TargetSeconds(objectives []Objective, class string, deadline *float64) float64 {
-	within := tuning.WorkHorizon.Seconds() / tuning.DeadlineTargetFraction
+	targetSeconds := tuning.WorkHorizon.Seconds() / tuning.DeadlineTargetFraction
 	if deadline != nil {
-		within = *deadline
+		targetSeconds = *deadline
 	}
 	for _, objective := range objectives {
 		if objective.Kind == ObjectiveFinished && objective.Class == class {
-			return min(within, objective.WithinSeconds)
+			return min(targetSeconds, objective.WithinSeconds)
 		}
 	}
-	return within
+	return targetSeconds
 }
