--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -13,31 +13,32 @@
 	"cherrywall/internal/tuning"
 )
 
-// Scheduling of arrays and services: as many of their tasks are claimed and assigned as fit.
+// Scheduling of arrays and services: all of their tasks that fit are claimed and assigned, even if
+// others do not fit.
 
-// placeClaimed assigns machines to the claimed tasks of a job that have none.
-func (s *Scheduler) placeClaimed(job *clusterstate.Job) {
+// placeClaimedTasks assigns machines to those claimed tasks of a job that have none.
+func (s *Scheduler) placeClaimedTasks(job *clusterstate.Job) {
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() || taskRange.IsTentative() {
 			continue
 		}
 		shard := s.Membership.Shard(taskRange.Record().Shard)
-		ready := taskRange.CountTasks(clusterstate.TaskReady)
-		if ready == 0 || shard == nil || !shard.IsLocal() {
+		readyCount := taskRange.CountTasks(clusterstate.TaskReady)
+		if readyCount == 0 || shard == nil || !shard.IsLocal() {
 			continue
 		}
 		if job.Record().Kind != jobs.Gang {
 			s.placeClaimedArray(job, taskRange, shard)
-		} else if ready == taskRange.Len() && s.placeGang(job, taskRange, shard) {
+		} else if readyCount == taskRange.Len() && s.placeGang(job, taskRange, shard) {
 			s.Claims.RecordGangWorkers(taskRange)
 		}
 	}
 }
 
-// placeClaimedArray assigns as many ready tasks of a claimed range as fit.
+// placeClaimedArray assigns machines to as many ready tasks of a claimed range as fit.
 func (s *Scheduler) placeClaimedArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) {
-	ready := taskRange.CountTasks(clusterstate.TaskReady)
-	startCount := min(ready, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
+	readyCount := taskRange.CountTasks(clusterstate.TaskReady)
+	startCount := min(readyCount, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
 	if startCount > 0 {
 		startCount = s.limitToQuota(job, shard, min(startCount, s.probeLimit(job)))
 	}
@@ -75,18 +76,18 @@
 	return 1
 }
 
-// limitToQuota limits a number of fitting tasks to those that the team's quota allocation in a shard
-// allows. If it does not allow all of them, more quota is requested for the shard.
+// limitToQuota returns the given number of tasks, or the number that the team's quota allocation in
+// a shard allows if that is smaller. In the second case it also requests more quota for the shard.
 func (s *Scheduler) limitToQuota(job *clusterstate.Job, shard *membership.Shard, tasks int) int {
-	allowed := s.Claims.TasksWithinQuota(job, shard)
-	if allowed < tasks {
+	allowedTasks := s.Claims.TasksWithinQuota(job, shard)
+	if allowedTasks < tasks {
 		s.Claims.RequestQuota(job, shard, tasks, false)
 	}
-	return min(allowed, tasks)
+	return min(allowedTasks, tasks)
 }
 
-// surplusUse tells whether an array may use surplus machines. These are to be drained and scaled in,
-// so only work that fits nowhere else uses them.
+// surplusUse tells whether an array may use surplus machines, which are to be drained and scaled
+// in. Only work that fits nowhere else uses them.
 type surplusUse int
 
 const (
@@ -95,7 +96,8 @@
 )
 
 // surplusUseFor returns whether a job may use surplus machines now. A job that may run on spot
-// machines avoids them for SurplusPlacementDelay, so that a spot machine can become free.
+// machines avoids surplus machines for SurplusPlacementDelay, since a spot machine may become free
+// in that time.
 func (s *Scheduler) surplusUseFor(job *clusterstate.Job, now time.Time) surplusUse {
 	if job.IsBestEffort() {
 		return avoidSurplus
@@ -150,7 +152,7 @@
 		}
 	}
 	if !s.allowsUrgentGangs(machine) {
-		// Machines that urgent gangs can not use are preferred to all others: no such gang will
+		// Machines that urgent gangs cannot use are preferred to all others: no such gang will
 		// preempt the task there, and the machine need not stay free for one.
 		score += tuning.ScoreGangSafe
 	}
@@ -174,24 +176,24 @@
 // placeArray assigns the given tasks of a range, as far as they fit, to the machines with the best
 // scores, and returns how many it assigned. An empty zone stands for all zones.
 func (s *Scheduler) placeArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard, tasks []int, zone string, surplus surplusUse) int {
-	var scored []scoredMachine
+	var scoredMachines []scoredMachine
 	for _, machine := range s.candidates(job, shard.ID(), zone) {
 		if surplus.allows(machine.Group()) && s.State.Free(machine).Covers(job.Need()) {
-			scored = append(scored, scoredMachine{machine, s.score(job, machine)})
+			scoredMachines = append(scoredMachines, scoredMachine{machine, s.score(job, machine)})
 		}
 	}
-	slices.SortStableFunc(scored, func(x, y scoredMachine) int { return cmp.Compare(y.score, x.score) })
-	placed := 0
-	for _, candidate := range scored {
+	slices.SortStableFunc(scoredMachines, func(x, y scoredMachine) int { return cmp.Compare(y.score, x.score) })
+	placedCount := 0
+	for _, candidate := range scoredMachines {
 		for range capacity.FitCount(s.State.Free(candidate.machine), job.Need()) {
-			if placed == len(tasks) {
-				return placed
+			if placedCount == len(tasks) {
+				return placedCount
 			}
-			s.State.Place(taskRange, tasks[placed], candidate.machine, s.nextAttempt(shard))
-			placed++
+			s.State.Place(taskRange, tasks[placedCount], candidate.machine, s.nextAttempt(shard))
+			placedCount++
 		}
 	}
-	return placed
+	return placedCount
 }
 
 // arrayZone is the zone in which the next tasks of an array may run, and how many of them may.
@@ -221,7 +223,7 @@
 	}
 	startCount := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
 	if isOverdue(job, time.Now()) {
-		startCount = min(startCount, 1) // once one task is claimed the job is no longer overdue
+		startCount = min(startCount, 1) // the job is no longer overdue once one task is claimed
 	}
 	if startCount > 0 {
 		if startCount = s.limitToQuota(job, shard, startCount); startCount == 0 {
@@ -231,32 +233,32 @@
 	}
 	if startCount <= 0 {
 		s.waitReasons[job.Ref()] = waitReason{kind: waitNothingFits}
-		s.claimByPreemption(job, shard, zone.name, min(zone.maxTasks, s.fittingWithPreemption(job, allow, buffers)))
+		s.claimByPreemption(job, shard, zone.name, min(zone.maxTasks, s.tasksFittingWithPreemption(job, allow, buffers)))
 		return
 	}
 	s.claimArray(job, shard, startCount, zone.name, surplus)
 }
 
-// claimArray claims startCount tasks of an array and assigns them. In the same transaction it claims
-// the tasks that are expected to fit soon, see claimAhead.
+// claimArray claims startCount tasks of an array and assigns them. In the same transaction it
+// claims the tasks that are expected to fit soon, as computed by tasksToClaimAhead.
 func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, startCount int, zone string, surplus surplusUse) {
 	aheadCount := 0
 	if zone == "" && !s.Faults.IsJobFaulty(job.Ref()) {
-		aheadCount = s.claimAhead(job, shard, startCount)
+		aheadCount = s.tasksToClaimAhead(job, shard, startCount)
 	}
 	s.Claims.Claim(job, shard, startCount+aheadCount, zone, func(taskRange *clusterstate.TaskRange) bool {
 		tasks := make([]int, min(startCount, taskRange.Len()))
 		for i := range tasks {
 			tasks[i] = i
 		}
-		placed := s.placeArray(job, taskRange, shard, tasks, zone, surplus)
-		if placed == 0 {
+		placedCount := s.placeArray(job, taskRange, shard, tasks, zone, surplus)
+		if placedCount == 0 {
 			return false
 		}
-		// Claim only the tasks that were assigned and those that will soon fit. The rest is left
-		// to other shards.
-		if claimed := min(placed+aheadCount, taskRange.Len()); claimed < taskRange.Len() {
-			taskRange.Truncate(claimed)
+		// Claim only the tasks that were assigned and those that are expected to fit soon. The
+		// others are left to other shards.
+		if claimCount := min(placedCount+aheadCount, taskRange.Len()); claimCount < taskRange.Len() {
+			taskRange.Truncate(claimCount)
 		}
 		return true
 	})
@@ -264,8 +266,8 @@
 
 // zoneForArray selects the zone for the next tasks of an array that must run in one zone or is
 // spread over zones. Of the zones that the array may use, it selects the one with the most free
-// capacity: with any other choice the array might wait for a full zone while another one is empty.
-// The result has an empty name if the array may use no zone.
+// capacity: otherwise the array might wait for a full zone while another one is empty. The result
+// has an empty name if the array may use no zone.
 func (s *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, surplus surplusUse, buffers []capacity.Buffer) arrayZone {
 	record := job.Record()
 	best, maxFitting := arrayZone{}, -1
@@ -278,11 +280,11 @@
 		if mustAvoidZone || len(s.candidates(job, shard.ID(), zone)) == 0 {
 			continue
 		}
-		fitting := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
+		fittingTasks := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
 			return record.Allows(g) && g.Zone == zone && surplus.allows(g)
 		}, buffers))
-		if fitting > maxFitting {
-			best, maxFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fitting
+		if fittingTasks > maxFitting {
+			best, maxFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fittingTasks
 		}
 	}
 	return best
@@ -291,36 +293,36 @@
 // maxTasksPerZone returns how many tasks of a job that is spread over zones may run in one zone.
 func maxTasksPerZone(record *jobs.JobRecord) int { return (record.Tasks + 1) / 2 }
 
-// claimAhead returns how many tasks to claim in addition to the startCount tasks that fit now. It is
-// the number of tasks for which the job's running and starting tasks in this shard are expected to
-// make room within ClaimAheadPeriod, so that they then start without another transaction. It is
-// limited to this shard's equal share of the remaining unclaimed tasks; the others are left to the
-// other shards.
-func (s *Scheduler) claimAhead(job *clusterstate.Job, shard *membership.Shard, startCount int) int {
-	running := startCount
+// tasksToClaimAhead returns how many tasks to claim in addition to the startCount tasks that fit
+// now: those for which the job's running and starting tasks in this shard are expected to make room
+// within ClaimAheadPeriod. They can then start without another transaction. The number is limited
+// to this shard's equal share of the remaining unclaimed tasks; the others are left to the other
+// shards.
+func (s *Scheduler) tasksToClaimAhead(job *clusterstate.Job, shard *membership.Shard, startCount int) int {
+	runningTasks := startCount
 	for taskRange := range job.TaskRanges() {
 		if taskRange.Record().Shard == shard.ID() {
-			running += taskRange.CountTasks(clusterstate.TaskPlaced)
+			runningTasks += taskRange.CountTasks(clusterstate.TaskPlaced)
 		}
 	}
 	runsPerPeriod := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
-	return min(int(float64(running)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
+	return min(int(float64(runningTasks)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
 }
 
 // canStayInZone reports whether an array that must run in one zone can use the given zone: none of
 // its claimed ranges is bound to another zone.
 func canStayInZone(job *clusterstate.Job, zone string) bool {
 	for taskRange := range job.TaskRanges() {
-		if claimedIn := taskRange.Record().Zone; claimedIn != "" && claimedIn != zone {
+		if boundZone := taskRange.Record().Zone; boundZone != "" && boundZone != zone {
 			return false
 		}
 	}
 	return true
 }
 
-// ShardForImmediateClaim returns an owned shard whose machines have room for a small job when it is
-// submitted, or nil if there is none. pendingTasks is the number of tasks that were claimed this way
-// and are not in the cluster state yet.
+// ShardForImmediateClaim returns an owned shard whose machines have room for a small job that is
+// being submitted, or nil if there is none. pendingTasks is the number of tasks that were claimed
+// in this way before and are not in the cluster state yet.
 func (s *Scheduler) ShardForImmediateClaim(record *jobs.JobRecord, pendingTasks int) *membership.Shard {
 	if !s.Claims.IsSmallJob(record) || !s.Cache.MayRenewWorkerLeases(time.Now()) {
 		return nil
@@ -333,12 +335,12 @@
 		return nil
 	}
 	for _, shard := range s.Membership.LocalShards() {
-		fitting := 0
+		fittingTasks := 0
 		for _, machine := range s.candidates(job, shard.ID(), "") {
 			if surplus.allows(machine.Group()) {
-				fitting += capacity.FitCount(s.State.Free(machine), job.Need())
+				fittingTasks += capacity.FitCount(s.State.Free(machine), job.Need())
 			}
-			if fitting >= record.Tasks {
+			if fittingTasks >= record.Tasks {
 				return shard
 			}
 		}
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -11,15 +11,15 @@
 	"cherrywall/internal/tuning"
 )
 
-// Buffers reserve capacity that some of the jobs may not use. Their sizes follow from observed
-// arrivals, failures and usage.
+// A buffer is capacity that some of the jobs have to leave free. The sizes of the buffers follow from
+// observed arrivals, failures and usage.
 
 // GrowthBuffers returns the buffers for urgent work that is expected to arrive.
 func (s *Scheduler) GrowthBuffers(now time.Time) []classstats.GrowthBuffer {
-	var running []classstats.RunningJob
+	var runningJobs []classstats.RunningJob
 	for job := range s.State.Jobs() {
 		if record := job.Record(); !job.HasEnded() && len(record.Unclaimed) == 0 {
-			running = append(running, classstats.RunningJob{
+			runningJobs = append(runningJobs, classstats.RunningJob{
 				Class:           record.Class,
 				Tasks:           record.Tasks,
 				ExpectedSeconds: s.ExpectedRunSeconds(record),
@@ -27,7 +27,7 @@
 		}
 	}
 	settings, _ := s.Cache.Settings()
-	return s.ClassStats.GrowthBuffers(now, s.MachineTypes.LongestBootSeconds(), settings.GrowthFactor, running)
+	return s.ClassStats.GrowthBuffers(now, s.MachineTypes.LongestBootSeconds(), settings.GrowthFactor, runningJobs)
 }
 
 // ExpectedRunSeconds returns the expected run time of a task in seconds: the submitted estimate,
@@ -59,16 +59,16 @@
 		buffers = append(buffers, s.objectiveBuffers(job)...)
 	}
 	if isHighest {
-		// Lower-priority work can be preempted when a machine fails; work of the highest priority
-		// can not.
+		// When a machine fails, lower-priority work can be preempted, but work of the highest
+		// priority cannot.
 		buffers = append(buffers, s.machineFailureBuffers()...)
 	}
 	return buffers
 }
 
 // guaranteeBuffers returns a buffer for the unused part of each team's guarantee, except that of
-// exceptTeam. A buffer consists of tasks of the shape of the team's largest job. The unused part is
-// divided by the number of shards.
+// exceptTeam. A buffer consists of tasks of the shape of the team's largest job. Each shard buffers
+// an equal part of it.
 func (s *Scheduler) guaranteeBuffers(exceptTeam string) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	for _, team := range s.cfg.Cluster.Teams {
@@ -149,8 +149,8 @@
 // of these machines counts as the largest owned machine.
 func (s *Scheduler) machineFailureBuffers() []capacity.Buffer {
 	failures := float64(s.State.RecentMachineFailures(time.Now()))
-	machines := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
-	if machines <= 0 {
+	machineCount := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
+	if machineCount <= 0 {
 		return nil
 	}
 	var largest capacity.Resources
@@ -162,7 +162,7 @@
 	if largest.CPU <= 0 {
 		return nil
 	}
-	return []capacity.Buffer{{Shape: largest, Tasks: machines}}
+	return []capacity.Buffer{{Shape: largest, Tasks: machineCount}}
 }
 
 // classLoad is the expected load of a class and the number of CPUs that its claimed tasks use now.
@@ -171,10 +171,10 @@
 	usedCPU float64
 }
 
-// objectiveBuffers returns the buffers that a background job has to leave free: the CPUs that arrays
-// with an objective are likely to use in addition to those that they use now. Only arrays of the
-// job's priority or lower count: work of higher priority preempts background work, but work of the
-// same priority can not.
+// objectiveBuffers returns the buffers that a background job has to leave free: the CPUs that
+// arrays with an objective are likely to use in addition to those that they use now. Only arrays of
+// the job's priority or lower count: arrays of higher priority can preempt background work, but
+// arrays of the same priority cannot.
 func (s *Scheduler) objectiveBuffers(job *clusterstate.Job) []capacity.Buffer {
 	if s.cycle.classLoads == nil {
 		s.cycle.classLoads = s.expectedLoads(time.Now())
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -11,9 +11,9 @@
 	"cherrywall/internal/tuning"
 )
 
-// FittingTasks returns, by zone, how many tasks fit, for the shapes of waiting gangs and of expected
-// urgent work. The counts are sent to the peers and are used by the autoscaler. The result is cached
-// for half a peer heartbeat interval; the caller must not change it.
+// FittingTasks returns, by zone, how many tasks fit, for each shape of the waiting gangs and of the
+// urgent work that is expected. The counts are sent to the peers and are used by the autoscaler.
+// The result is cached for half a peer heartbeat interval; the caller must not change it.
 func (s *Scheduler) FittingTasks(now time.Time) []peer.ShapeCapacity {
 	if now.Sub(s.fittingTasksAt) < tuning.PeerHeartbeatInterval/2 {
 		return s.fittingTasks
@@ -46,20 +46,20 @@
 			continue
 		}
 		zone := machine.Record().Zone
-		count := byZone[zone]
-		if count == nil {
-			count = &peer.ShapeCapacity{CPU: need.CPU, GPU: need.GPU, Mem: need.MemGB, Zone: zone}
-			byZone[zone] = count
+		shapeCapacity := byZone[zone]
+		if shapeCapacity == nil {
+			shapeCapacity = &peer.ShapeCapacity{CPU: need.CPU, GPU: need.GPU, Mem: need.MemGB, Zone: zone}
+			byZone[zone] = shapeCapacity
 		}
 		if record.Allows(machine.Group()) {
-			free := capacity.FitCount(s.State.Free(machine), need)
-			count.Free += free
-			count.Preemptible += s.FitCountWithPreemption(machine, classstats.GrowthBuffer{Record: record, Need: need}) - free
+			freeCount := capacity.FitCount(s.State.Free(machine), need)
+			shapeCapacity.Free += freeCount
+			shapeCapacity.Preemptible += s.FitCountWithPreemption(machine, classstats.GrowthBuffer{Record: record, Need: need}) - freeCount
 		}
 	}
 	var capacities []peer.ShapeCapacity
-	for _, count := range byZone {
-		capacities = append(capacities, *count)
+	for _, shapeCapacity := range byZone {
+		capacities = append(capacities, *shapeCapacity)
 	}
 	return capacities
 }
@@ -83,7 +83,7 @@
 		}
 	}
 	rows := []CapacityRow{}
-	counts := s.State.FreeCapacity()
+	freeCapacity := s.State.FreeCapacity()
 	for need, job := range jobsByShape {
 		buffers := s.buffersFor(job)
 		for _, zone := range s.zones() {
@@ -91,8 +91,8 @@
 			rows = append(rows, CapacityRow{
 				Shape:     need,
 				Zone:      zone,
-				Fitting:   counts.Count(need, isInZone),
-				Allocable: counts.Allocable(need, isInZone, buffers),
+				Fitting:   freeCapacity.Count(need, isInZone),
+				Allocable: freeCapacity.Allocable(need, isInZone, buffers),
 				Buffers:   buffers,
 			})
 		}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -20,18 +20,18 @@
 	Need       capacity.Resources // of one task
 	Tasks      int                // number of tasks that are unclaimed and within the team's quota
 	RunSeconds float64            // expected run time of a task
-	Waiting    time.Duration      // since this controller has known the job
-	Age        time.Duration      // since the job could have run
+	Waiting    time.Duration      // how long this controller has known the job
+	Age        time.Duration      // how long the job could have run
 	Background bool               // must leave capacity free for the classes with an objective
 	BestEffort bool               // only spot machines are scaled out for it
 }
 
 // Demand is the input of the autoscaler: the jobs that wait and the machines that exist.
 type Demand struct {
-	IsCurrent        bool // false if the cached state may be outdated: then nothing else is reliable
+	IsCurrent        bool // false if the cached state may be outdated: then the other fields are unreliable
 	Settings         admin.Settings
 	Incarnation      uint64             // identifies this controller's process
-	BootSeconds      map[string]float64 // usual boot time by machine type, as recorded
+	BootSeconds      map[string]float64 // recorded usual boot time by machine type
 	Jobs             []PendingJob       // in the order of the queue
 	LiveMachines     map[string]capacity.Group
 	RecordedMachines map[string]bool // includes lost, releasing, cordoned and preempted machines
@@ -39,19 +39,21 @@
 	// zone.
 	FittingTasks         map[capacity.Resources]map[string]int
 	GangCPU              float64                // CPUs used by gangs and services
-	UrgentGangCPU        float64                // CPUs that urgent gangs leave to arrays, see cpuForUrgentGangs
+	UrgentGangCPU        float64                // CPUs that urgent gangs leave to arrays, see cpuLeftByUrgentGangs
 	Running              map[string]RunningWork // remaining work of running array tasks, by class
 	BackgroundReserveCPU float64                // CPUs that background work has to leave free, see objectiveBuffers
 }
 
-// RunningWork is the work of a class that is running: the CPUs it uses and for how long.
+// RunningWork is the running work of a class: the CPUs that it uses, and for how much longer it
+// uses them.
 type RunningWork struct {
 	CPU              float64
 	RemainingSeconds float64
-	Background       bool // has no objective, so it need not be finished within a horizon
+	Background       bool // the class has no objective, so the work need not be finished within a horizon
 }
 
-// Add returns the work with more work of the class added: cpu CPUs for remainingSeconds seconds.
+// Add returns the sum of the work and more work of the class, which uses cpu CPUs for
+// remainingSeconds more seconds. The remaining time of the sum is the mean, weighted by CPUs.
 func (r RunningWork) Add(cpu, remainingSeconds float64, background bool) RunningWork {
 	if r.CPU+cpu > 0 {
 		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*remainingSeconds) / (r.CPU + cpu)
@@ -62,8 +64,9 @@
 }
 
 // CPUSecondsWithin returns how many CPU seconds of the work count as demand within the next horizon
-// seconds. Work with an objective counts in full, including the part that will not be finished by
-// then: the machines that are scaled out for it are also useful for later work.
+// seconds. Work with an objective counts in full, including the part that will not be finished
+// within the horizon: the machines that are scaled out for that part are also useful for later
+// work.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
 	if r.Background {
 		return r.CPU * min(r.RemainingSeconds, horizon)
@@ -87,7 +90,7 @@
 	s.addMachines(&demand)
 	s.addFittingTasks(&demand, now)
 	s.addRunningWork(&demand)
-	demand.UrgentGangCPU = s.cpuForUrgentGangs(demand.GangCPU, now)
+	demand.UrgentGangCPU = s.cpuLeftByUrgentGangs(demand.GangCPU, now)
 	for _, load := range s.expectedLoads(now) {
 		demand.BackgroundReserveCPU += max(0, load.PeakCPU-load.usedCPU)
 	}
@@ -107,12 +110,12 @@
 
 // addFittingTasks adds the counts of fitting tasks of this controller and of its peers.
 func (s *Scheduler) addFittingTasks(demand *Demand, now time.Time) {
-	for _, count := range slices.Concat(s.FittingTasks(now), s.Peers.Capacities(now)) {
-		need := capacity.Resources{CPU: count.CPU, GPU: count.GPU, MemGB: count.Mem}
+	for _, shapeCapacity := range slices.Concat(s.FittingTasks(now), s.Peers.Capacities(now)) {
+		need := capacity.Resources{CPU: shapeCapacity.CPU, GPU: shapeCapacity.GPU, MemGB: shapeCapacity.Mem}
 		if demand.FittingTasks[need] == nil {
 			demand.FittingTasks[need] = map[string]int{}
 		}
-		demand.FittingTasks[need][count.Zone] += count.Free + count.Preemptible
+		demand.FittingTasks[need][shapeCapacity.Zone] += shapeCapacity.Free + shapeCapacity.Preemptible
 	}
 }
 
@@ -175,41 +178,42 @@
 	return queue
 }
 
-// cpuForUrgentGangs returns the number of CPUs that gangs do not use on the machines that exist for
-// urgent gangs: the CPUs that remain beside the tasks of gangs, and those that are kept free for
-// gangs that are likely to arrive. Arrays may count on these CPUs. They may not count on other
-// on-demand machines: these are to be scaled in, and an array that uses them would keep them.
-func (s *Scheduler) cpuForUrgentGangs(gangCPU float64, now time.Time) float64 {
+// cpuLeftByUrgentGangs returns the number of CPUs that gangs do not use on the machines that exist
+// for urgent gangs: the CPUs that are too few for another task of a gang, and those that are kept
+// free for gangs that are likely to arrive. Arrays may count on these CPUs. They may not count on
+// other on-demand machines, which are to be scaled in: an array that used these machines would
+// prevent that.
+func (s *Scheduler) cpuLeftByUrgentGangs(gangCPU float64, now time.Time) float64 {
 	sum := 0.0
 	for _, buffer := range s.GrowthBuffers(now) {
 		if buffer.Need.CPU <= 0 {
 			continue
 		}
-		overhead := s.minCPUOverhead(buffer)
-		if math.IsInf(overhead, 1) {
+		cpuRatio := s.lowestCPURatio(buffer)
+		if math.IsInf(cpuRatio, 1) {
 			continue
 		}
-		sum += buffer.Tasks*buffer.Need.CPU*overhead + gangCPU*(overhead-1)
-		gangCPU = 0 // it is counted only once
+		sum += buffer.Tasks*buffer.Need.CPU*cpuRatio + gangCPU*(cpuRatio-1)
+		gangCPU = 0 // the running gangs are counted only once
 	}
 	return sum
 }
 
-// minCPUOverhead returns the ratio of a machine's CPUs to the CPUs of the buffered tasks that fit on
-// it, for the machine type with the lowest ratio. It is infinite if no machine type that the tasks
-// allow is large enough.
-func (s *Scheduler) minCPUOverhead(buffer classstats.GrowthBuffer) float64 {
-	minOverhead := math.Inf(1)
+// lowestCPURatio returns the lowest ratio, over the machine types that the buffered tasks allow, of
+// a machine's CPUs to the CPUs of those tasks that fit on the machine. It is infinite if no such
+// machine type is large enough for a task.
+func (s *Scheduler) lowestCPURatio(buffer classstats.GrowthBuffer) float64 {
+	lowestRatio := math.Inf(1)
 	for name, machineType := range s.MachineTypes.All() {
 		if !allowsType(buffer.Record, name) {
 			continue
 		}
 		total := machineType.Total()
 		if tasks := capacity.FitCount(total, buffer.Need); tasks > 0 {
-			minOverhead = min(minOverhead, total.CPU/(float64(tasks)*buffer.Need.CPU))
+			lowestRatio = min(lowestRatio, total.CPU/(float64(tasks)*buffer.Need.CPU))
 		}
 	}
-	return minOverhead
+	return lowestRatio
 }
 
 // allowsType reports whether the tasks of a job may run on a machine type.
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -46,12 +46,13 @@
 // gangFit is the number of fitting tasks of a gang shape.
 type gangFit struct {
 	version         uint64 // version of the capacity counts that were used
-	tasks           int    // see fittingWithPreemption
+	tasks           int    // result of tasksFittingWithPreemption
 	tasksInBestZone int    // largest number in one zone if lower-priority work is preempted
 }
 
 // gangFitFor counts the fitting tasks of a gang. The result is cached for all waiting gangs of the
-// same shape until a capacity count changes: a hundred waiting gangs cost little more than one.
+// same shape until a capacity count changes, so that a hundred waiting gangs take little more time
+// than one.
 func (s *Scheduler) gangFitFor(job *clusterstate.Job) gangFit {
 	version := s.State.FreeCapacity().Version()
 	key := s.gangShapeOf(job)
@@ -60,7 +61,7 @@
 	}
 	fit := gangFit{
 		version: version,
-		tasks:   s.fittingWithPreemption(job, job.Record().Allows, s.buffersFor(job)),
+		tasks:   s.tasksFittingWithPreemption(job, job.Record().Allows, s.buffersFor(job)),
 	}
 	for _, zone := range s.zones() {
 		fit.tasksInBestZone = max(fit.tasksInBestZone, s.tasksFittingInZone(job, zone))
@@ -92,9 +93,9 @@
 	})
 }
 
-// placeGang assigns all tasks of a claimed gang to machines on which they fit or lower-priority work
-// can be preempted. If there are not enough machines, or the team's quota does not allow the gang, it
-// assigns no task and returns false.
+// placeGang assigns all tasks of a claimed gang to machines, if necessary by preempting
+// lower-priority work. If there are not enough machines, or the team's quota does not allow the
+// gang, it assigns no task and returns false.
 func (s *Scheduler) placeGang(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) bool {
 	if s.Claims.TasksWithinQuota(job, shard) < taskRange.Len() {
 		s.Claims.RequestQuota(job, shard, taskRange.Len(), true)
@@ -132,22 +133,22 @@
 	return best, found
 }
 
-// zonesFitting returns the zones in which, by the capacity counts, the given number of a job's tasks
-// fit if lower-priority work is preempted. Only for these zones a plan is worth the time to compute
-// it.
+// zonesFitting returns the zones in which, by the capacity counts, the given number of a job's
+// tasks fit if lower-priority work is preempted. Plans are computed only for these zones, since a
+// plan takes much longer than a count.
 func (s *Scheduler) zonesFitting(job *clusterstate.Job, tasks int) []string {
-	var fitting []string
+	var fittingZones []string
 	for _, zone := range s.zones() {
 		if s.tasksFittingInZone(job, zone) >= tasks {
-			fitting = append(fitting, zone)
+			fittingZones = append(fittingZones, zone)
 		}
 	}
-	return fitting
+	return fittingZones
 }
 
 // tasksFittingInZone returns how many of a job's tasks fit in a zone if lower-priority work is
 // preempted.
 func (s *Scheduler) tasksFittingInZone(job *clusterstate.Job, zone string) int {
 	allow := func(g capacity.Group) bool { return g.Zone == zone && job.Record().Allows(g) }
-	return s.State.FreeCapacity().Count(job.Need(), allow) + s.preemptibleTasks(job, allow)
+	return s.State.FreeCapacity().Count(job.Need(), allow) + s.extraTasksWithPreemption(job, allow)
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -29,8 +29,8 @@
 	return used
 }
 
-// isWithinGuarantee reports whether one more task of a job, or all of a gang, keeps its team within
-// its guarantee.
+// isWithinGuarantee reports whether a job's team stays within its guarantee with one more task of
+// the job, or with all unclaimed tasks if the job is a gang.
 func (s *Scheduler) isWithinGuarantee(job *clusterstate.Job) bool {
 	team, _ := s.cfg.Team(job.Record().Team)
 	if !hasGuarantee(team) {
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -14,8 +14,8 @@
 // comes after all arrays that have one. Therefore an overdue job goes first in the queue, and
 // capacity is reserved for an overdue gang.
 
-// isOverdue reports whether no task of a job is claimed although the job could have run for longer
-// than JobOverdueAfter. Services are never overdue.
+// isOverdue reports whether a job has been runnable for longer than JobOverdueAfter and none of its
+// tasks is claimed. Services are never overdue.
 func isOverdue(job *clusterstate.Job, now time.Time) bool {
 	return job.Age(now) > tuning.JobOverdueAfter && job.Record().Kind != jobs.Service &&
 		job.Record().UnclaimedCount() == job.Record().Tasks
@@ -46,19 +46,19 @@
 // machines if the machines were empty. It depends only on stored records, so that all controllers
 // get the same counts.
 func (s *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
-	fitting := map[string]map[string]int{}
-	for shardGroup, machines := range s.State.MachineCounts() {
+	fittingTasks := map[string]map[string]int{}
+	for shardGroup, machineCount := range s.State.MachineCounts() {
 		shard, group := shardGroup.Shard, shardGroup.Group
 		total, known := s.MachineTypes.Capacity(group.MachineType)
 		if !known || !job.Record().Allows(group) {
 			continue
 		}
-		if fitting[shard] == nil {
-			fitting[shard] = map[string]int{}
+		if fittingTasks[shard] == nil {
+			fittingTasks[shard] = map[string]int{}
 		}
-		fitting[shard][group.Zone] += machines * capacity.FitCount(total, job.Need())
+		fittingTasks[shard][group.Zone] += machineCount * capacity.FitCount(total, job.Need())
 	}
-	return fitting
+	return fittingTasks
 }
 
 // reserveForOverdueGang reserves capacity for the first overdue gang of a sorted queue that may
@@ -71,17 +71,18 @@
 		if !s.mayReserve(job, now) {
 			continue
 		}
-		if reserved, ok := s.reservationFor(job); ok {
-			s.cycle.reserved = reserved
+		if gangReservation, ok := s.reservationFor(job); ok {
+			s.cycle.gangReservation = gangReservation
 			return
 		}
 	}
 }
 
-// mayReserve reports whether capacity may be reserved for an overdue job now. Only gangs that are not
-// faulty get a reservation. A gang that waits for its team's quota gets none, because the machines
-// would stay empty while it waits. A reservation lasts for GangReservationPeriod and then pauses for
-// the same time, so that other jobs make progress if the reservation does not help.
+// mayReserve reports whether capacity may be reserved for an overdue job now. Only gangs that are
+// not faulty get a reservation. A gang that waits for its team's quota gets none, because the
+// machines would stay empty in the meantime. A reservation lasts for GangReservationPeriod. Then
+// none is made for the same time, so that other jobs make progress if the reservation does not
+// help.
 func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
 	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
 		return false
@@ -93,20 +94,20 @@
 	return overdueFor%(2*tuning.GangReservationPeriod) <= tuning.GangReservationPeriod
 }
 
-// reservationScope is where capacity may be reserved for a gang: a shard and, if the gang must run
-// in one zone, a zone.
+// reservationScope is the shard in which capacity may be reserved for a gang and, if the gang must
+// run in one zone, the zone.
 type reservationScope struct{ shard, zone string }
 
-// before reports whether a scope sorts before another one by the names of shard and zone.
-func (s reservationScope) before(other reservationScope) bool {
+// sortsBefore reports whether a scope sorts before another one by the names of shard and zone.
+func (s reservationScope) sortsBefore(other reservationScope) bool {
 	return s.shard < other.shard || s.shard == other.shard && s.zone < other.zone
 }
 
 // reservationFor selects the shard and zone on whose machines the most tasks of a gang fit. Ties are
 // broken by name, so that all controllers select the same. ok is false if the gang does not fit on
 // the recorded machines.
-func (s *Scheduler) reservationFor(job *clusterstate.Job) (reserved reservation, ok bool) {
-	fitting := map[reservationScope]int{}
+func (s *Scheduler) reservationFor(job *clusterstate.Job) (gangReservation reservation, ok bool) {
+	fittingTasks := map[reservationScope]int{}
 	fittingInZone := map[string]int{}
 	for shard, byZone := range s.CapacityByShard(job) {
 		for zone, tasks := range byZone {
@@ -114,21 +115,21 @@
 			if job.Record().OneZone {
 				scope.zone = zone
 			}
-			fitting[scope] += tasks
+			fittingTasks[scope] += tasks
 			fittingInZone[scope.zone] += tasks
 		}
 	}
 	best := reservationScope{}
-	for scope, tasks := range fitting {
-		if tasks > fitting[best] || tasks == fitting[best] && scope.before(best) {
+	for scope, tasks := range fittingTasks {
+		if tasks > fittingTasks[best] || tasks == fittingTasks[best] && scope.sortsBefore(best) {
 			best = scope
 		}
 	}
 	if fittingInZone[best.zone] < job.Record().Tasks {
 		return reservation{}, false
 	}
-	if fitting[best] < job.Record().Tasks {
-		best.shard = "" // empty machines have to move to one shard first, see machinelifecycle
+	if fittingTasks[best] < job.Record().Tasks {
+		best.shard = "" // no shard is large enough: package machinelifecycle moves empty machines into one first
 	}
 	return reservation{job: job, shard: best.shard, zone: best.zone}, true
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -26,9 +26,9 @@
 	return victim.Record().Team != job.Record().Team && s.isWithinGuarantee(job) && s.exceedsGuarantee(victim)
 }
 
-// preemptionPriority returns the priority with which a job preempts others. A priority that the job
-// inherits from jobs that depend on it counts only when one of their objectives is at risk: until
-// then the inherited priority moves the job forward in the queue, but does not let it preempt others.
+// preemptionPriority returns the priority with which a job preempts others. A higher priority that
+// the job inherits from jobs that depend on it counts only if an objective of the job or of one of
+// these jobs is at risk. Otherwise the inherited priority only moves the job forward in the queue.
 func (s *Scheduler) preemptionPriority(job *clusterstate.Job) jobs.Priority {
 	priority := job.Record().Priority()
 	if job.Priority() == priority {
@@ -47,8 +47,8 @@
 	return priority
 }
 
-// preemptionLoss returns the work, in CPU seconds, that is lost if a task of an owned shard is
-// preempted.
+// preemptionLoss returns the work, in CPU seconds, that is lost if the given task, which runs in an
+// owned shard, is preempted.
 func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
 	record := assignment.Job().Record()
 	ranSeconds := 0.0
@@ -82,15 +82,15 @@
 	return free
 }
 
-// preemptibleTasks returns how many more tasks of a job would fit on the allowed machines if
+// extraTasksWithPreemption returns how many more tasks of a job would fit on the allowed machines if
 // lower-priority work were preempted.
-func (s *Scheduler) preemptibleTasks(job *clusterstate.Job, allow func(capacity.Group) bool) int {
+func (s *Scheduler) extraTasksWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool) int {
 	if s.Faults.IsJobFaulty(job.Ref()) {
 		return 0
 	}
 	if !s.hasGuarantees() {
-		below := s.State.FreeCapacityBelow(s.preemptionPriority(job)).Count(job.Need(), allow)
-		return below - s.State.FreeCapacity().Count(job.Need(), allow)
+		countWithPreemption := s.State.FreeCapacityBelow(s.preemptionPriority(job)).Count(job.Need(), allow)
+		return countWithPreemption - s.State.FreeCapacity().Count(job.Need(), allow)
 	}
 	// With guarantees, the tasks that may be preempted depend on each team's current usage, so the
 	// machines are checked one by one.
@@ -99,26 +99,26 @@
 		if !s.State.IsUsable(machine) || !allow(machine.Group()) {
 			continue
 		}
-		withPreemption := capacity.FitCount(s.freeWithPreemption(job, machine), job.Need())
-		tasks += withPreemption - capacity.FitCount(s.State.Free(machine), job.Need())
+		countWithPreemption := capacity.FitCount(s.freeWithPreemption(job, machine), job.Need())
+		tasks += countWithPreemption - capacity.FitCount(s.State.Free(machine), job.Need())
 	}
 	return tasks
 }
 
-// fittingWithPreemption returns how many tasks of a job fit if lower-priority work is preempted. The
-// buffers are also subtracted from preemptible capacity: lower-priority work may use buffered
-// capacity, but the job may not.
-func (s *Scheduler) fittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
-	free := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
-	preemptible := s.preemptibleTasks(job, allow)
-	if preemptible == 0 {
-		return free
-	}
-	all := s.State.FreeCapacity().Count(job.Need(), allow) + preemptible
+// tasksFittingWithPreemption returns how many tasks of a job fit if lower-priority work is
+// preempted and the buffers are left free. The buffers are also subtracted from the capacity that
+// preemption frees: lower-priority work may use buffered capacity, but the job may not.
+func (s *Scheduler) tasksFittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
+	freeCount := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
+	extraTasks := s.extraTasksWithPreemption(job, allow)
+	if extraTasks == 0 {
+		return freeCount
+	}
+	fittingTasks := s.State.FreeCapacity().Count(job.Need(), allow) + extraTasks
 	for _, buffer := range capacity.Aggregate(buffers) {
-		all -= buffer.ConvertByRatio(job.Need())
+		fittingTasks -= buffer.ConvertByRatio(job.Need())
 	}
-	return max(free, all)
+	return max(freeCount, fittingTasks)
 }
 
 // taskPlacement is the machine for one task, and the tasks that are to be preempted there.
@@ -127,14 +127,15 @@
 	victims []*clusterstate.Assignment
 }
 
-// placementPlan is a machine for each of several tasks.
+// placementPlan assigns a machine to each of several tasks.
 type placementPlan struct {
 	placements []taskPlacement
-	cost       float64 // CPU seconds, see binpacking.Plan
+	cost       float64 // CPU seconds, as computed by binpacking.Plan
 }
 
-// planWithPreemption finds machines of a shard for a number of a job's tasks so that the least work
-// is lost. An empty zone stands for all zones. ok is false if there are not enough machines.
+// planWithPreemption finds machines of a shard for a number of a job's tasks, so that as little
+// work as possible is lost by preemption. An empty zone stands for all zones. ok is false if there
+// are not enough machines.
 func (s *Scheduler) planWithPreemption(job *clusterstate.Job, shard, zone string, tasks int) (plan placementPlan, ok bool) {
 	var machines []*clusterstate.Machine
 	var bins []binpacking.Machine
@@ -160,8 +161,8 @@
 	return plan, ok
 }
 
-// binpackingMachine converts a machine to the planner's input. fits is false if not even one task of
-// the job would fit after all preemptible tasks were preempted.
+// binpackingMachine converts a machine to the input of binpacking.Plan. fits is false if not even
+// one task of the job would fit after all preemptible tasks were preempted.
 func (s *Scheduler) binpackingMachine(job *clusterstate.Job, machine *clusterstate.Machine) (bin binpacking.Machine, fits bool) {
 	bin = binpacking.Machine{Zone: machine.Record().Zone, Free: s.State.Free(machine)}
 	if !machine.HasImage(job.Record().Image) {
@@ -196,7 +197,7 @@
 // claimByPreemption claims up to maxTasks tasks of a job that fit if lower-priority work is
 // preempted. If no plan is found for a number of tasks, it tries half as many.
 func (s *Scheduler) claimByPreemption(job *clusterstate.Job, shard *membership.Shard, zone string, maxTasks int) {
-	tasks := min(maxTasks, s.preemptibleTasks(job, func(g capacity.Group) bool {
+	tasks := min(maxTasks, s.extraTasksWithPreemption(job, func(g capacity.Group) bool {
 		return job.Record().Allows(g) && (zone == "" || g.Zone == zone)
 	}))
 	if tasks > 0 {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -18,12 +18,12 @@
 	priority     jobs.Priority
 	isBackground bool
 	teamCPU      float64 // CPUs that the team uses; 0 unless the job is background work
-	startByMS    int64
+	startByMS    int64   // result of deadline.StartByMS (Unix ms)
 }
 
 // sortQueue orders waiting jobs: overdue ones first, then by priority, and within a priority by
-// when they have to start (see deadline.StartByMS). The jobs are considered in this order; a later
-// job may still start before an earlier one that does not fit.
+// the time that deadline.StartByMS returns. The jobs are considered in this order; a later job may
+// still start before an earlier one that does not fit.
 func (s *Scheduler) sortQueue(queue []*clusterstate.Job, now time.Time) {
 	entries := make([]queueEntry, len(queue))
 	teamCPU := map[string]float64{}
@@ -84,7 +84,8 @@
 	return 1
 }
 
-// deadlineJob returns the values from which the deadline of a job is computed.
+// deadlineJob returns the properties of a job from which package deadline computes when the job
+// should start.
 func (s *Scheduler) deadlineJob(job *clusterstate.Job) deadline.Job {
 	return deadline.Job{
 		Record:            job.Record(),
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -8,14 +8,14 @@
 
 // QuotaAllowance distributes the unused part of the teams' quotas among their waiting jobs, so that
 // machines are scaled out only for tasks that the quotas allow. Machines for other tasks would stay
-// empty: for a team whose limit was half of its load, they cost 26 times the price of its useful
-// work.
+// empty: for a team whose quota was half of its load, such machines cost 26 times as much as the
+// team's useful work.
 type QuotaAllowance struct {
 	scheduler *Scheduler
 	remaining map[string]quota.Amount // by team
 }
 
-// NewQuotaAllowance returns an allowance from which nothing was taken yet.
+// NewQuotaAllowance returns an allowance of which nothing has been taken yet.
 func (s *Scheduler) NewQuotaAllowance() *QuotaAllowance {
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
@@ -34,10 +34,10 @@
 	if !known {
 		remaining = quota.LimitOf(team).Sub(quota.UsageOf(team, a.scheduler.teamUsage(team.Name), 1))
 	}
-	allowed := quota.TasksThatFit(remaining, quota.UsageOf(team, job.Need(), 1))
+	allowedTasks := quota.TasksThatFit(remaining, quota.UsageOf(team, job.Need(), 1))
 	if record.Kind != jobs.Gang {
-		tasks = min(tasks, allowed)
-	} else if allowed < tasks {
+		tasks = min(tasks, allowedTasks)
+	} else if allowedTasks < tasks {
 		tasks = 0
 	}
 	a.remaining[team.Name] = remaining.Sub(quota.UsageOf(team, job.Need(), tasks))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,8 @@
 // Package scheduler decides which waiting jobs start and where. A scheduling cycle orders all
-// waiting jobs, compares what they need with the free capacity less the buffers that are
-// protected from them, claims the tasks that fit and assigns them to machines, if necessary by
-// preempting lower-priority work. It also reports to the autoscaler which jobs wait for machines.
+// waiting jobs, compares what each job needs with the free capacity less the buffers that the job
+// has to leave free, claims the tasks that fit and assigns them to machines, if necessary by
+// preempting lower-priority work. The package also reports to the autoscaler which jobs wait for
+// machines.
 package scheduler
 
 import (
@@ -24,8 +25,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Dependencies are the components from which the scheduler reads, and through which it writes its
-// claims.
+// Dependencies are the components from which the scheduler reads, and the writer of its claims.
 type Dependencies struct {
 	State        *clusterstate.State
 	Membership   *membership.Table
@@ -45,8 +45,8 @@
 
 	cycle          cycle
 	waitReasons    map[string]waitReason // by job reference
-	attempts       map[string]uint64     // number of attempts so far, by shard; see nextAttempt
-	nextCycleAt    time.Time             // when a requested cycle is due, zero for none; see requestCycle
+	attempts       map[string]uint64     // number of attempts so far, by shard; used by nextAttempt
+	nextCycleAt    time.Time             // when a requested cycle is due, zero if none is requested
 	fittingTasks   []peer.ShapeCapacity  // last result of FittingTasks
 	fittingTasksAt time.Time             // when fittingTasks was computed
 }
@@ -59,7 +59,7 @@
 	gangFits             map[gangShape]gangFit
 	classLoads           map[string]classLoad                // by class, see objectiveBuffers
 	preemptionPriorities map[*clusterstate.Job]jobs.Priority // see preemptionPriority
-	reserved             reservation
+	gangReservation      reservation
 }
 
 // New creates a scheduler whose requested cycles are triggered through the actor's mailbox.
@@ -85,7 +85,7 @@
 			s.waitReasons[job.Ref()] = waitReason{kind: waitFaultyJob}
 			continue
 		}
-		s.placeClaimed(job)
+		s.placeClaimedTasks(job)
 		if s.canClaimMore(job) {
 			s.admit(job)
 		}
@@ -98,8 +98,9 @@
 	return len(job.Record().Unclaimed) > 0 && job.CanWriteAt(s.Cache.AppliedRevision()) && !job.HasReadyTasks()
 }
 
-// waitingJobs lists the jobs with unclaimed tasks or with claimed tasks that have no machine.
-// Jobs that are blocked by their dependencies are not part of the queue.
+// waitingJobs lists the jobs with unclaimed tasks or with claimed tasks that have no machine. Jobs
+// that are blocked by their dependencies are not part of the queue. For each gang whose attempt has
+// failed it also stops the remaining tasks.
 func (s *Scheduler) waitingJobs() []*clusterstate.Job {
 	var queue []*clusterstate.Job
 	for job := range s.State.Jobs() {
@@ -150,8 +151,9 @@
 
 // waitsForTurn reports whether another controller should claim a new job before this one does.
 // Controllers claim a job in turn, ClaimStaggerDelay apart, so that they do not all write the same
-// record. For a gang, the first is the controller on whose machines it fits best; for other jobs, it
-// is the controller that accepted the job. The later ones take over if the earlier ones fail.
+// record. For a gang, the first is the controller on whose machines the gang fits best; for other
+// jobs, it is the controller that accepted the job. The other controllers claim the job later if
+// the first one does not.
 func (s *Scheduler) waitsForTurn(job *clusterstate.Job) bool {
 	now := time.Now()
 	knownFor := now.Sub(job.KnownSince())
@@ -168,17 +170,17 @@
 	return knownFor < time.Duration(turn)*tuning.ClaimStaggerDelay
 }
 
-// requestCycle makes another scheduling cycle run after a delay. A request replaces one that is due
-// later: otherwise the pause of a faulty job, minutes long, would also delay claims that are
-// staggered by ClaimStaggerDelay.
+// requestCycle makes another scheduling cycle run after a delay. The request replaces an earlier
+// request whose cycle is due later. Otherwise the pause of a faulty job, which is minutes long,
+// would also delay claims that are staggered by ClaimStaggerDelay.
 func (s *Scheduler) requestCycle(delay time.Duration) {
-	due := time.Now().Add(delay)
-	if !s.nextCycleAt.IsZero() && !due.Before(s.nextCycleAt) {
+	dueAt := time.Now().Add(delay)
+	if !s.nextCycleAt.IsZero() && !dueAt.Before(s.nextCycleAt) {
 		return
 	}
-	s.nextCycleAt = due
+	s.nextCycleAt = dueAt
 	s.mailbox.SendAfter(delay, func() {
-		if s.nextCycleAt.Equal(due) {
+		if s.nextCycleAt.Equal(dueAt) {
 			s.nextCycleAt = time.Time{}
 		}
 		s.State.MarkDirty()
@@ -186,7 +188,8 @@
 }
 
 // nextAttempt returns a new attempt number for a task of a shard. The upper bits of the number are
-// the shard's epoch, so it is greater than all numbers that earlier owners of the shard assigned.
+// the shard's epoch, so the number is greater than all numbers that earlier owners of the shard
+// assigned.
 func (s *Scheduler) nextAttempt(shard *membership.Shard) uint64 {
 	s.attempts[shard.ID()]++
 	return shard.Epoch()<<tuning.AttemptBits | (s.attempts[shard.ID()] & (1<<tuning.AttemptBits - 1))
@@ -212,7 +215,7 @@
 	if !s.State.IsUsable(machine) || !job.Record().Allows(machine.Group()) {
 		return false
 	}
-	if s.Faults.ShouldAvoid(job.Ref(), machine.Host()) || s.cycle.reserved.excludes(job, machine) {
+	if s.Faults.ShouldAvoid(job.Ref(), machine.Host()) || s.cycle.gangReservation.excludes(job, machine) {
 		return false
 	}
 	_, isTypeKnown := s.State.Total(machine)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -27,8 +27,8 @@
 		for i := range 10 {
 			h.State.EndHeartbeat(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false), true, false)
 		}
-		due := 60.0
-		objectiveSpec := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &due}
+		deadlineSeconds := 60.0
+		objectiveSpec := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &deadlineSeconds}
 		for i := range 4 {
 			objectiveSpec.Ref = fmt.Sprintf("wk-%d", i)
 			at := time.Now().Add(-time.Duration(40-10*i) * time.Second)
@@ -90,8 +90,8 @@
 	}
 }
 
-// When there was one timer for all requested cycles, the pause of a faulty job, minutes long, made
-// every claim that is staggered by 120 ms wait for the next recount.
+// When there was only one timer for requested cycles, and it was set to the end of a faulty job's
+// pause, which is minutes long, every claim that is staggered by 120 ms waited for the next recount.
 func TestEarlierCycleRequestReplacesLaterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
@@ -108,9 +108,9 @@
 	})
 }
 
-// When a machine was lost while a gang waited for its victims there, the gang's other tasks kept
-// their assignments forever and the gang never started (sinai-huts-booking-fleet, zone, six seeds of
-// six).
+// When a machine was lost while a gang waited until its victims there had stopped, the gang's other
+// tasks kept their assignments forever and the gang never started. This happened in the "zone" trials
+// of sinai-huts-booking-fleet, with six of six seeds.
 func TestGangIsReplannedAfterMachineLoss(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -126,13 +126,13 @@
 	if n := taskRange.CountTasks(clusterstate.TaskPlaced); n != 4 {
 		t.Fatalf("%d of 4 tasks placed", n)
 	}
-	lost := taskRange.Assignment(0).Machine()
-	h.State.MarkLost(lost)
+	lostMachine := taskRange.Assignment(0).Machine()
+	h.State.MarkLost(lostMachine)
 	for range 2 {
 		h.Scheduler.RunCycle(time.Now())
 	}
-	if n := taskRange.CountTasks(clusterstate.TaskPlaced); n != 4 || lost.AssignmentCount() > 0 {
-		t.Errorf("%d of 4 tasks placed, %d on the lost machine", n, lost.AssignmentCount())
+	if n := taskRange.CountTasks(clusterstate.TaskPlaced); n != 4 || lostMachine.AssignmentCount() > 0 {
+		t.Errorf("%d of 4 tasks placed, %d on the lost machine", n, lostMachine.AssignmentCount())
 	}
 	if reason := h.Scheduler.WaitReason(job); reason != "" {
 		t.Errorf("a job that does not wait has the wait reason %q", reason)
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -23,14 +23,14 @@
 // since cycles set the reasons of many jobs.
 type waitReason struct {
 	kind         waitKind
-	fittingTasks int // number of a gang's tasks that fitted when it was last considered
+	fittingTasks int // number of tasks of the gang that fitted when the gang was last considered
 }
 
 // describe returns the reason in words, empty if it is not known.
 func (r waitReason) describe(job *clusterstate.Job) string {
 	switch r.kind {
 	case waitFaultyJob:
-		return "it failed on several machines where other jobs work: it pauses, and is tried in small"
+		return "the job failed on several machines on which other jobs work: it is paused, and then retried with few tasks at a time"
 	case waitQuota:
 		return "the team's limit"
 	case waitNoZone:
