--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -27,7 +27,7 @@
 // shortfall is the quota that a shard lacked when it was last requested.
 type shortfall struct {
 	amount       quota.Amount
-	allOrNothing bool // a smaller amount is of no use
+	allOrNothing bool // a part of the amount is of no use
 	recordedAt   time.Time
 }
 
@@ -35,9 +35,9 @@
 type allocationState struct {
 	writesPending map[string]bool // by team, true while a write of the team's record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time // when a part of an allocation was first seen unused
-	usage         map[teamShard]teamUsage // cache of usageOf; valid at usageVersion
-	usageVersion  uint64                  // a change count of the cluster state
+	idleSince     map[teamShard]time.Time // since when a part of an allocation is unused
+	usage         map[teamShard]teamUsage // cached results of usageOf
+	usageVersion  uint64                  // the change count of the cluster state at which usage is valid
 }
 
 func newAllocationState() allocationState {
@@ -66,14 +66,14 @@
 }
 
 // RequestQuota acquires the quota that a shard lacks to run the given number of further tasks of a
-// job, which must fit on the shard's machines. With allOrNothing it acquires either all of the quota
-// or none. It does not wait for the write: a later scheduling cycle finds the quota if it was
-// acquired.
+// job. The caller has checked that the tasks fit on the shard's machines. With allOrNothing it
+// acquires either all of the quota or none. It does not wait for the write: a later scheduling
+// cycle finds the quota if it was acquired.
 func (w *Writer) RequestQuota(job *clusterstate.Job, shard *membership.Shard, tasks int, allOrNothing bool) {
 	team, _ := w.cfg.Team(job.Record().Team)
 	unused, ok := w.unusedAllocation(team, shard)
 	if !ok || tasks <= 0 || w.usageOf(team, shard.ID()).hasUnknownTasks() {
-		return // each cycle would acquire more, which could not be used before the unknown tasks have stopped
+		return // with unknown tasks, each cycle would acquire more, which is unusable until these tasks have stopped
 	}
 	missing := quota.UsageOf(team, job.Need(), tasks).Sub(unused.NonNegative()).NonNegative()
 	w.allocations.shortfalls[teamShard{team.Name, shard.ID()}] = shortfall{missing, allOrNothing, time.Now()}
@@ -82,8 +82,8 @@
 	}
 }
 
-// writeAllocations writes a team's record as the owner of a shard and calls done with the
-// outcome. It returns false, without a call of done, if no write is possible now.
+// writeAllocations writes a team's record as the owner of a shard and calls done with the outcome.
+// If no write is possible now, it returns false and does not call done.
 func (w *Writer) writeAllocations(team config.Team, shard *membership.Shard, record quota.Record, done func(result kvstore.TxnResult, err error)) bool {
 	if w.allocations.writesPending[team.Name] || w.Cache.IsStale(time.Now()) || !w.staysWithinQuota(team, record) {
 		return false
@@ -145,16 +145,16 @@
 // releaseIdleAllocations releases allocations of this controller's shards that have been unused for
 // AllocationReleaseDelay, or for ContendedAllocationReleaseDelay if the team has unclaimed work.
 func (w *Writer) releaseIdleAllocations(now time.Time) {
-	var contended map[string]bool // teams with unclaimed work
+	var contendedTeams map[string]bool // teams with unclaimed work
 	for _, team := range w.cfg.Cluster.Teams {
 		if !quota.IsLimited(team) || w.allocations.writesPending[team.Name] {
 			continue
 		}
-		if contended == nil {
-			contended = w.teamsWithUnclaimedWork()
+		if contendedTeams == nil {
+			contendedTeams = w.teamsWithUnclaimedWork()
 		}
 		delay := tuning.AllocationReleaseDelay
-		if contended[team.Name] {
+		if contendedTeams[team.Name] {
 			delay = tuning.ContendedAllocationReleaseDelay
 		}
 		w.releaseIdleAllocationsOfTeam(team, delay, now)
@@ -176,8 +176,9 @@
 func (w *Writer) releaseIdleAllocationsOfTeam(team config.Team, delay time.Duration, now time.Time) {
 	for _, shard := range w.Membership.LocalShards() {
 		if w.Quotas.IsReleasePending(team.Name) {
-			// The outcome of a release is not known. Writing the record again settles it: if the
-			// release is carried out late, it fails because the record has another revision.
+			// The outcome of a release is not known. Writing the record again settles the outcome:
+			// a release that is carried out after that fails, because the record has another
+			// revision.
 			w.writeAllocations(team, shard, w.Quotas.Record(team.Name), func(kvstore.TxnResult, error) {})
 			return
 		}
@@ -187,8 +188,8 @@
 	}
 }
 
-// releaseIdleAllocationInShard releases the unused part of a shard's allocation if there has been one
-// for the delay. It returns false if nothing was written.
+// releaseIdleAllocationInShard releases the unused part of a shard's allocation if there was an
+// unused part throughout the delay. It returns false if nothing was written.
 func (w *Writer) releaseIdleAllocationInShard(team config.Team, shard *membership.Shard, delay time.Duration, now time.Time) bool {
 	key := teamShard{team.Name, shard.ID()}
 	unused, ok := w.unusedAllocation(team, shard)
@@ -215,15 +216,15 @@
 	if !isSent {
 		return false
 	}
-	w.Quotas.RecordReleaseSent(team.Name, shard.ID(), unused) // not used from now on, since the release may succeed
+	w.Quotas.RecordReleaseSent(team.Name, shard.ID(), unused) // must not be used from now on, since the release may succeed
 	delete(w.allocations.idleSince, key)
 	return true
 }
 
 // shouldKeepUnused reports whether a shard should keep its unused allocation because it may still
-// acquire the quota that it lacks. If the shard needs all or nothing, it keeps the allocation only
-// while the missing amount is unallocated: otherwise two shards that each have half of what a gang
-// needs would wait for each other forever.
+// acquire the quota that it lacks. If it needs all of that quota or none, it keeps the allocation
+// only while the missing amount is unallocated: otherwise two shards that each have half of what a
+// gang needs would wait for each other forever.
 func (w *Writer) shouldKeepUnused(team config.Team, key teamShard, now time.Time) bool {
 	missing := w.allocations.shortfalls[key]
 	if now.Sub(missing.recordedAt) >= tuning.QuotaShortfallValidity {
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -12,21 +12,23 @@
 	"cherrywall/internal/tuning"
 )
 
-// Small jobs take few changes of the key-value store: with six changes each, 800 jobs of one task
-// within a minute would be more than the store allows. The write that accepts a small job also
-// claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many small jobs are
-// done. The jobs' own records are replaced by final states later, when the store has changes to
-// spare (cleanUpBatches).
+// Small jobs are recorded with few changes in the key-value store: at six changes each, 800 jobs of
+// one task within a minute would take more changes than the store allows. The write that accepts a
+// small job also claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many
+// small jobs are done. Later, when submissions do not need the store's rate limit, cleanUpBatches
+// replaces the jobs' own records by final states.
 
-// IsSmallJob reports whether a job may be claimed as a whole in its own record. Jobs whose tasks are
-// bound to zones or quotas may not, since these are tracked by task ranges.
+// IsSmallJob reports whether a job may be claimed as a whole in its own record. Jobs whose tasks
+// are bound to zones or quotas may not, since the zones and quotas of tasks are tracked by task
+// ranges.
 func (w *Writer) IsSmallJob(record *jobs.JobRecord) bool {
 	team, _ := w.cfg.Team(record.Team)
 	return record.Kind == jobs.Array && record.Tasks <= tuning.MaxSmallJobTasks && !record.OneZone && !record.Spread &&
 		record.Completed == 0 && !quota.IsLimited(team)
 }
 
-// NewWholeJobClaim returns the claim of all tasks of a job for its own record.
+// NewWholeJobClaim returns the claim of all tasks of a job, which is stored in the job's own
+// record.
 func NewWholeJobClaim(shard *membership.Shard, tasks int) *jobs.WholeJobClaim {
 	return &jobs.WholeJobClaim{Shard: shard.ID(), Epoch: shard.Epoch(), Count: tasks}
 }
@@ -37,29 +39,29 @@
 }
 
 // writeCompletionBatch records many completed small jobs of one shard in one write. The write is
-// conditional on the revisions of the jobs' records, so it fails if one of the jobs was cancelled
-// meanwhile, see ExcludeFromBatches.
+// conditional on the revisions of the jobs' records, so it fails if the cancellation of one of the
+// jobs has begun, which changes the job's record: see ExcludeFromBatches.
 func (w *Writer) writeCompletionBatch(now time.Time) {
 	if w.isWritingBatch {
 		return
 	}
-	completed, due := w.completedSmallJobs(now)
+	completedByShard, due := w.completedSmallJobs(now)
 	if !due {
 		return
 	}
-	for shardID, done := range completed {
+	for shardID, doneJobs := range completedByShard {
 		shard := w.ownedShard(shardID)
 		if shard == nil {
 			continue
 		}
-		w.addToBatch(shard, done)
+		w.addToBatch(shard, doneJobs)
 		return
 	}
 }
 
-// completedSmallJobs returns the completed small jobs by shard. due is true if at least one of them
-// has waited for CompletionBatchInterval to be recorded.
-func (w *Writer) completedSmallJobs(now time.Time) (completed map[string][]*clusterstate.Job, due bool) {
+// completedSmallJobs returns, by shard, the completed small jobs that are not recorded yet. due is
+// true if at least one of them has been complete for CompletionBatchInterval.
+func (w *Writer) completedSmallJobs(now time.Time) (completedByShard map[string][]*clusterstate.Job, due bool) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
 			continue
@@ -69,27 +71,27 @@
 		if !isCompletedHere {
 			continue
 		}
-		if completed == nil { // allocated only when needed, since this runs in each tick
-			completed = map[string][]*clusterstate.Job{}
+		if completedByShard == nil { // allocated only when needed, since this runs in each tick
+			completedByShard = map[string][]*clusterstate.Job{}
 		}
 		shardID := taskRange.Record().Shard
-		completed[shardID] = append(completed[shardID], job)
+		completedByShard[shardID] = append(completedByShard[shardID], job)
 		_, since := taskRange.UnrecordedDone()
 		due = due || now.Sub(since) >= tuning.CompletionBatchInterval
 	}
-	return completed, due
+	return completedByShard, due
 }
 
 // addToBatch writes as many completed jobs to the shard's open batch as one transaction can hold.
-func (w *Writer) addToBatch(shard *membership.Shard, completed []*clusterstate.Job) {
+func (w *Writer) addToBatch(shard *membership.Shard, completedJobs []*clusterstate.Job) {
 	batch := w.CompletionBatches.OpenBatch(shard.ID())
 	entries := batch.Entries
-	// The store allows four times as many preconditions as changes. Two of the preconditions are
-	// those on the batch and on the shard.
-	count := min(len(completed), 4*w.cfg.EffectiveStateLimits().TxnOps-2, tuning.MaxCompletionBatchJobs)
-	added := completed[:count]
+	// The store allows four times as many preconditions as changes. Two of them are needed for the
+	// batch and for the shard.
+	count := min(len(completedJobs), 4*w.cfg.EffectiveStateLimits().TxnOps-2, tuning.MaxCompletionBatchJobs)
+	addedJobs := completedJobs[:count]
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: batch.Key, Revision: batch.Revision}, ownershipCondition(shard)}}
-	for _, job := range added {
+	for _, job := range addedJobs {
 		entries = append(entries, jobs.FormatBatchEntry(job.Ref(), job.Record().Tasks))
 		txn.Conditions = append(txn.Conditions, jobCondition(job))
 	}
@@ -105,16 +107,16 @@
 		if !isCommitted(result, err) {
 			return
 		}
-		for _, job := range added {
+		for _, job := range addedJobs {
 			w.logJobDone(job)
 		}
 	})
 }
 
-// ExcludeFromBatches begins the cancellation of a job whose completion may be recorded in a batch. A
-// batch does not change the job's own record, so the record is marked first: from then on no batch
-// can include the job, and once the cache has applied the mark it is known whether an earlier batch
-// included it. done is called with the outcome.
+// ExcludeFromBatches begins the cancellation of a job whose completion may be recorded in a batch.
+// A batch does not change the job's own record, so ExcludeFromBatches first sets a flag in that
+// record. From then on no batch can include the job. Once the cache has applied the flag, it is
+// known whether an earlier batch included the job. done is called with the outcome of the write.
 func (w *Writer) ExcludeFromBatches(job *clusterstate.Job, done func(err error)) {
 	record := *job.Record()
 	record.ExcludedFromBatches = true
@@ -125,8 +127,9 @@
 }
 
 // cleanUpBatches writes final states for some jobs of a completion batch and deletes the jobs'
-// records. When no job of a batch remains, it deletes the batch. It runs only while no jobs are being
-// submitted, since submissions need the store's changes, or when batches have accumulated.
+// records. When no job of a batch remains, it deletes the batch. It runs only while no jobs are
+// being submitted, since submissions need the store's rate limit, or if many batched jobs have
+// accumulated.
 func (w *Writer) cleanUpBatches(now time.Time) {
 	if w.isCleaningUp || now.Sub(w.lastCleanupAt) < tuning.BatchCleanupInterval {
 		return
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -8,31 +8,31 @@
 	"cherrywall/internal/tuning"
 )
 
-// Claim claims up to count of a job's unclaimed tasks for a shard. One transaction removes them from
-// the unclaimed tasks and creates a task range of the shard. Before that, place assigns the tasks of
-// the tentative range to machines and may truncate the range. If place returns false, nothing is
-// written; if the transaction fails, the tasks are removed from their machines. zone is the zone to
-// which the tasks are bound, or empty if they may run in any zone.
+// Claim claims up to count of a job's unclaimed tasks for a shard. One transaction removes them
+// from the unclaimed tasks and creates a task range of the shard. Before the transaction, place
+// assigns the tasks of the tentative range to machines and may truncate the range. If place returns
+// false, nothing is written; if the transaction fails, the tasks are removed from their machines.
+// zone is the zone to which the tasks are bound, or empty if they may run in any zone.
 func (w *Writer) Claim(job *clusterstate.Job, shard *membership.Shard, count int, zone string, place func(taskRange *clusterstate.TaskRange) bool) {
-	if job.Record().Kind != jobs.Gang { // a gang is always one range, and is done as a whole
+	if job.Record().Kind != jobs.Gang { // a gang is always one range, whose tasks are done all at once
 		count = min(count, tuning.MaxRangeTasks)
 	}
-	claimed, rest := jobs.TakeUnclaimed(job.Record().Unclaimed, count)
-	taskRange := w.State.NewTentativeRange(job, shard, claimed, zone)
+	claimedTasks, remainingTasks := jobs.TakeUnclaimed(job.Record().Unclaimed, count)
+	taskRange := w.State.NewTentativeRange(job, shard, claimedTasks, zone)
 	if !place(taskRange) {
 		w.State.UnplaceRange(taskRange)
 		return
 	}
 	taskRange.SetPlannedHosts()
-	if taskRange.Record().Count < claimed.Count { // place has truncated it
-		claimed, rest = jobs.TakeUnclaimed(job.Record().Unclaimed, taskRange.Record().Count)
+	if taskRange.Record().Count < claimedTasks.Count { // place has truncated it
+		claimedTasks, remainingTasks = jobs.TakeUnclaimed(job.Record().Unclaimed, taskRange.Record().Count)
 	}
 	record := job.RecordWithoutDependencies()
-	record.Unclaimed = rest
+	record.Unclaimed = remainingTasks
 	if zone != "" && record.Spread {
-		record.ClaimedPerZone = addToZone(record.ClaimedPerZone, zone, claimed.Count)
+		record.ClaimedPerZone = addToZone(record.ClaimedPerZone, zone, claimedTasks.Count)
 	}
-	inline := claimed.Count == record.Tasks && w.IsSmallJob(job.Record())
+	inline := claimedTasks.Count == record.Tasks && w.IsSmallJob(job.Record())
 	txn := claimTxn(taskRange, shard, record, inline)
 	w.State.AddTentativeRange(taskRange, inline)
 	job.BeginTransaction()
@@ -40,9 +40,9 @@
 		job.EndTransaction(result, err)
 		if w.State.Job(job.Ref()) != job || isCommitted(result, err) || !taskRange.IsTentative() {
 			// If the range is no longer tentative, the cache has learned that the claim is
-			// durable, perhaps from an earlier request of the same transaction that was carried
-			// out although its answer was lost. If the range were abandoned then, a gang that
-			// has been started would lose its attempt.
+			// durable, even if this request failed: an earlier request with the same transaction
+			// may have been carried out although its answer was lost. If the range were abandoned
+			// then, a gang that was started since would lose its attempt.
 			return
 		}
 		w.State.AbandonTentativeRange(taskRange)
@@ -67,11 +67,12 @@
 	return txn
 }
 
-// addToZone returns a copy of the task counts by zone with n more (or fewer) in one zone.
+// addToZone returns a copy of the task counts by zone in which n is added to the count of one zone.
+// n may be negative.
 func addToZone(counts map[string]int, zone string, n int) map[string]int {
-	changed := map[string]int{zone: n}
+	sums := map[string]int{zone: n}
 	for name, count := range counts {
-		changed[name] += count
+		sums[name] += count
 	}
-	return changed
+	return sums
 }
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -22,10 +22,10 @@
 		}
 		pending := w.pendingCompletions(job, now)
 		if pending.mustCompact(job) {
-			w.compactRanges(job, pending.complete)
+			w.compactRanges(job, pending.completeRanges)
 			continue
 		}
-		for _, taskRange := range pending.partial {
+		for _, taskRange := range pending.partialRanges {
 			w.writeRangeCompletions(taskRange)
 		}
 	}
@@ -33,18 +33,18 @@
 
 // pendingCompletions are the completions of a job that this controller has yet to record.
 type pendingCompletions struct {
-	partial      []*clusterstate.TaskRange // ranges with completed tasks whose write is due
-	complete     []*clusterstate.TaskRange // ranges whose tasks are all done
-	doneTasks    int                       // the job's recorded done tasks once the complete ranges are recorded
-	due          bool                      // a complete range has waited for CompletionWriteDelay
-	hasOpenTasks bool                      // tasks are unclaimed, or not done in this controller's shards
+	partialRanges  []*clusterstate.TaskRange // ranges with completed tasks whose write is due
+	completeRanges []*clusterstate.TaskRange // ranges whose tasks are all done
+	doneTasks      int                       // done tasks in the job's record after the complete ranges are recorded
+	isDue          bool                      // a complete range has waited for CompletionWriteDelay
+	hasOpenTasks   bool                      // tasks are unclaimed, or are claimed by this controller's shards and not done
 }
 
-// mustCompact reports whether the complete ranges are to be recorded now. The last ones of this
-// controller are recorded at once: another controller may be waiting for them to complete the
-// job.
+// mustCompact reports whether the complete ranges are to be recorded now. If no task of the job is
+// unclaimed or open in this controller's shards, they are recorded at once: another controller may
+// have to know them to complete the job.
 func (p *pendingCompletions) mustCompact(job *clusterstate.Job) bool {
-	return len(p.complete) > 0 && (p.doneTasks == job.Record().Tasks || p.due || !p.hasOpenTasks)
+	return len(p.completeRanges) > 0 && (p.doneTasks == job.Record().Tasks || p.isDue || !p.hasOpenTasks)
 }
 
 func (w *Writer) pendingCompletions(job *clusterstate.Job, now time.Time) pendingCompletions {
@@ -62,12 +62,12 @@
 		unrecorded, since := taskRange.UnrecordedDone()
 		isDue := now.Sub(since) >= tuning.CompletionWriteDelay
 		switch {
-		case taskRange.IsComplete() && len(pending.complete) < maxRanges:
-			pending.complete = append(pending.complete, taskRange)
+		case taskRange.IsComplete() && len(pending.completeRanges) < maxRanges:
+			pending.completeRanges = append(pending.completeRanges, taskRange)
 			pending.doneTasks += taskRange.Record().Count
-			pending.due = pending.due || isDue
+			pending.isDue = pending.isDue || isDue
 		case unrecorded > 0 && !taskRange.IsInline() && isDue:
-			pending.partial = append(pending.partial, taskRange)
+			pending.partialRanges = append(pending.partialRanges, taskRange)
 		}
 	}
 	return pending
@@ -90,11 +90,11 @@
 // ranges' records. The compaction that completes the job records its final state in the same
 // transaction. Every compaction writes the job's record, so it conflicts with other compactions of
 // the job and with its cancellation.
-func (w *Writer) compactRanges(job *clusterstate.Job, complete []*clusterstate.TaskRange) {
+func (w *Writer) compactRanges(job *clusterstate.Job, completeRanges []*clusterstate.TaskRange) {
 	record := job.RecordWithoutDependencies()
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job)}}
 	checkedShards := map[string]bool{} // shards whose ownership is already a condition
-	for _, taskRange := range complete {
+	for _, taskRange := range completeRanges {
 		shard := w.localShard(taskRange)
 		if shard == nil {
 			return
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -14,10 +14,11 @@
 type teamUsage struct {
 	// upperBound is the most that the team's tasks may use, including tasks that are only planned.
 	upperBound quota.Amount
-	// sentUpperBound is the same, without the tasks that are only planned.
+	// sentUpperBound is the most that the team's tasks may use, without the tasks that are only
+	// planned.
 	sentUpperBound quota.Amount
-	// known is the amount that is used by tasks whose start was sent and that certainly belong to
-	// the team.
+	// known is the amount that is used by tasks which certainly belong to the team and whose start
+	// was sent.
 	known quota.Amount
 	// unknownTasks is the number of tasks whose needs are not known.
 	unknownTasks int
@@ -28,8 +29,9 @@
 func (u teamUsage) hasUnknownTasks() bool { return u.unknownTasks > 0 }
 
 // usageOf returns the resources that a team's tasks use on the machines of a shard. Tasks of ended
-// jobs count until they have stopped. Their team may no longer be known, so they count for every
-// team. The result is cached, so that a hundred waiting jobs cost little more than one.
+// jobs count until they have stopped. Since the team of such a task may no longer be known, the
+// task counts for every team. The result is cached, so that a hundred waiting jobs take little more
+// time than one.
 func (w *Writer) usageOf(team config.Team, shardID string) teamUsage {
 	if version := w.State.ChangeCount(); version != w.allocations.usageVersion {
 		w.allocations.usageVersion = version
@@ -48,15 +50,15 @@
 	var usage teamUsage
 	var upperBound, sentUpperBound, known capacity.Resources
 	for machine := range w.State.OwnedMachinesIn(shardID) {
-		onMachine := w.usageOnMachine(machine, team.Name)
-		known = known.Add(onMachine.known)
-		if onMachine.unknownTasks > 0 {
-			usage.unknownTasks += onMachine.unknownTasks
+		sums := w.usageOnMachine(machine, team.Name)
+		known = known.Add(sums.known)
+		if sums.unknownTasks > 0 {
+			usage.unknownTasks += sums.unknownTasks
 			total, isKnown := w.State.Total(machine)
 			usage.isUnbounded = usage.isUnbounded || !isKnown
-			onMachine.all, onMachine.sent = maxResources(onMachine.all, total), maxResources(onMachine.sent, total)
+			sums.all, sums.sent = maxResources(sums.all, total), maxResources(sums.sent, total)
 		}
-		upperBound, sentUpperBound = upperBound.Add(onMachine.all), sentUpperBound.Add(onMachine.sent)
+		upperBound, sentUpperBound = upperBound.Add(sums.all), sentUpperBound.Add(sums.sent)
 	}
 	usage.upperBound, usage.sentUpperBound = quota.UsageOf(team, upperBound, 1), quota.UsageOf(team, sentUpperBound, 1)
 	usage.known = quota.UsageOf(team, known, 1)
@@ -77,12 +79,12 @@
 // size is the upper bound of the usage: all its tasks together use no more than the machine has,
 // since its worker starts no task that does not fit. Such tasks must not count as nothing: when they
 // did, the new owner of a shard learned of cancelled tasks by heartbeats, found the shard below its
-// allocation, and started as much again (docs/incidents/2026-12-quota-exceeded.md).
+// allocation, and started as much work again (docs/incidents/2026-12-quota-exceeded.md).
 func (w *Writer) usageOnMachine(machine *clusterstate.Machine, team string) machineUsage {
-	var onMachine machineUsage
+	var sums machineUsage
 	for assignment := range machine.Assignments() {
 		if !assignment.NeedKnown() {
-			onMachine.unknownTasks++
+			sums.unknownTasks++
 			continue
 		}
 		match := w.matchTeam(assignment, team)
@@ -90,16 +92,16 @@
 			continue
 		}
 		need := assignment.Need()
-		onMachine.all = onMachine.all.Add(need)
+		sums.all = sums.all.Add(need)
 		if assignment.Status().IsPlanned() {
 			continue
 		}
-		onMachine.sent = onMachine.sent.Add(need)
+		sums.sent = sums.sent.Add(need)
 		if match == sameTeam {
-			onMachine.known = onMachine.known.Add(need)
+			sums.known = sums.known.Add(need)
 		}
 	}
-	return onMachine
+	return sums
 }
 
 // teamMatch tells whether a task belongs to a given team.
@@ -152,8 +154,8 @@
 const (
 	StartWithinQuota StartQuota = iota
 	// StartUsageUnknown means that with the start the team's tasks in the shard may use more than the
-	// shard's allocation. Whether they do is not known, since the needs or the team of some tasks are not
-	// known.
+	// shard's allocation. It is not known whether they do, because not all tasks of the shard are known,
+	// or because the needs or the team of some of them are not known.
 	StartUsageUnknown
 	// StartBeyondQuota means that with the start the team's tasks use more than the shard's allocation.
 	StartBeyondQuota
@@ -181,8 +183,9 @@
 	return StartBeyondQuota
 }
 
-// startNeed returns the resources that are needed to start a task. For a gang they include all its tasks
-// that were not started yet, since a part of a gang would only wait for the rest.
+// startNeed returns the resources that must be within the quota for a task to start. For a gang
+// these are the needs of all its tasks that were not started yet, since a part of a gang would only
+// wait for the rest.
 func startNeed(assignment *clusterstate.Assignment) capacity.Resources {
 	job := assignment.Job()
 	if job.Record().Kind != jobs.Gang {
@@ -199,8 +202,8 @@
 	return need
 }
 
-// RecordStartSent adds the resources of a task to the cached usage of the task's team. It is called when
-// the start of the task was just sent.
+// RecordStartSent must be called after the start of a task was sent. It adds the resources of the
+// task to the cached usage of the task's team.
 func (w *Writer) RecordStartSent(assignment *clusterstate.Assignment) {
 	team, _ := w.cfg.Team(assignment.Job().Record().Team)
 	key := teamShard{team.Name, assignment.Machine().Record().Shard}
@@ -213,11 +216,12 @@
 	w.allocations.usage[key] = usage
 }
 
-// checkUsage reports an invariant violation for each team whose known tasks use more than the recorded
-// allocation of a local shard. A release without an answer is not deducted from the allocation: if it
-// succeeded, the record shows it once it is read. A release of an earlier epoch can no longer succeed,
-// while the owner in between may have used its amount. A team whose allocations together exceed its quota
-// is not checked: its quota was lowered while work ran.
+// checkUsage reports an invariant violation for each team whose known tasks use more than the
+// recorded allocation of a local shard. An unanswered release is not deducted from the recorded
+// allocation: if it succeeded, it is deducted once the changed record is read, and if it was sent
+// in an earlier epoch, it can no longer succeed, while an owner in between may have used its
+// amount. A team whose allocations together exceed its quota is not checked, because its quota was
+// lowered while tasks ran.
 func (w *Writer) checkUsage() {
 	for _, team := range w.cfg.Cluster.Teams {
 		if !quota.IsLimited(team) || !quota.IsWithinLimit(team, w.Quotas.TotalAllocated(team)) {
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -18,8 +18,8 @@
 // end returns the offset of the first task after the span.
 func (s taskSpan) end() int { return s.offset + s.count }
 
-// unclaimUnplaceable withdraws the claim of tasks that have not fit on the machines of their shard for
-// a while, so that any shard can claim them.
+// unclaimUnplaceable unclaims tasks that have not fit on the machines of their shard for a while,
+// so that any shard can claim them.
 func (w *Writer) unclaimUnplaceable(now time.Time) {
 	for taskRange := range w.unplacedSince {
 		if !w.State.IsCurrentTaskRange(taskRange) {
@@ -39,21 +39,21 @@
 	}
 }
 
-// unplaceableSpan returns the tasks of a range that are to be unclaimed because they have not fit for
-// a while. The span is empty if there are none. A gang, or a job that was claimed as a whole, is
-// unclaimed as a whole or not at all. As long as some tasks are placed now and then, the others wait
-// for their turn. Tasks at the end of the range are preferred, since unclaiming them creates no
-// further range record. If there are none, tasks in the middle are taken, which have become ready
-// because a machine was lost: otherwise they could wait indefinitely for capacity in their shard or
-// zone.
+// unplaceableSpan returns the tasks of a range that are to be unclaimed because they have not fit
+// for a while. The span is empty if there are none. A gang, or a job that was claimed as a whole,
+// is unclaimed as a whole or not at all. Each placement of a task of the range restarts the delay
+// for the others, which may fit next. Ready tasks at the end of the range are preferred, since
+// unclaiming them creates no further range record. If there are none, ready tasks in the middle are
+// selected, which have lost their machine: otherwise they could wait indefinitely for capacity in
+// their shard or zone.
 func (w *Writer) unplaceableSpan(taskRange *clusterstate.TaskRange, now time.Time) taskSpan {
 	job := taskRange.Job()
 	if !canUnclaimFrom(taskRange) {
 		return taskSpan{}
 	}
-	ready := taskRange.CountTasks(clusterstate.TaskReady)
+	readyCount := taskRange.CountTasks(clusterstate.TaskReady)
 	onlyAsWhole := job.Record().Kind == jobs.Gang || taskRange.IsInline()
-	if ready == 0 || onlyAsWhole && ready < taskRange.Len() {
+	if readyCount == 0 || onlyAsWhole && readyCount < taskRange.Len() {
 		delete(w.unplacedSince, taskRange)
 		return taskSpan{}
 	}
@@ -75,8 +75,7 @@
 	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
 }
 
-// unclaimDelay returns how long the tasks of a span stay claimed without fitting before they are
-// unclaimed.
+// unclaimDelay returns how long a span of tasks that do not fit stays claimed.
 func unclaimDelay(taskRange *clusterstate.TaskRange, span taskSpan) time.Duration {
 	switch {
 	case taskRange.Job().IsBackground():
@@ -117,8 +116,8 @@
 		return
 	}
 	record := job.RecordWithoutDependencies()
-	returned := jobs.TaskInterval{First: taskRange.First() + span.offset, Count: span.count}
-	record.Unclaimed = jobs.ReturnUnclaimed(record.Unclaimed, returned)
+	interval := jobs.TaskInterval{First: taskRange.First() + span.offset, Count: span.count}
+	record.Unclaimed = jobs.ReturnUnclaimed(record.Unclaimed, interval)
 	if !w.FitsStore(record) {
 		return // the record would have too many intervals: the tasks stay claimed and wait for capacity
 	}
@@ -128,7 +127,7 @@
 	record.WholeClaim = nil
 	txn := unclaimTxn(taskRange, shard, span, record)
 	job.BeginTransaction()
-	taskRange.BeginUnclaim(span.offset, span.count) // the tasks must not start meanwhile
+	taskRange.BeginUnclaim(span.offset, span.count) // the tasks must not start until the outcome is known
 	epoch, since := shard.Epoch(), w.unplacedSince[taskRange]
 	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		job.EndTransaction(result, err)
@@ -141,9 +140,9 @@
 		case err == nil || !errors.Is(err, kvstore.ErrOutcomeUnknown): // certainly not committed
 			taskRange.CancelUnclaim(span.offset, span.count)
 		default:
-			// The tasks may be unclaimed already, and claimed by another shard, or may become so
-			// later. Rewriting the range settles it: if the unclaim is carried out late, it fails
-			// because the range has another revision.
+			// The unclaim may have been carried out, so that another shard may have claimed the
+			// tasks, or may still be carried out. Rewriting the range settles the outcome: an
+			// unclaim that is carried out after that fails, because the range has another revision.
 			w.fenceUnclaim(taskRange, span, epoch)
 		}
 	})
@@ -185,10 +184,10 @@
 	}
 }
 
-// fenceUnclaim rewrites a range so that an unclaim without an answer can no longer be applied,
-// and then allows its tasks to start. It is retried only within the epoch in which the tasks were
-// known to run nowhere. In a later epoch, tasks that another owner of the shard has started meanwhile
-// would become ready here, and run twice.
+// fenceUnclaim rewrites a range so that an unclaim without an answer can no longer be applied, and
+// then allows the tasks of the unclaim to start. It is retried only within the epoch in which the
+// tasks were known to run nowhere. In a later epoch, tasks that another owner of the shard has
+// started in between would become ready here, and run twice.
 func (w *Writer) fenceUnclaim(taskRange *clusterstate.TaskRange, span taskSpan, epoch uint64) {
 	shard := w.localShard(taskRange)
 	if shard == nil || shard.Epoch() != epoch || !w.State.IsCurrentTaskRange(taskRange) {
--- a/internal/claims/writer.go
+++ b/internal/claims/writer.go
@@ -1,6 +1,6 @@
 // Package claims writes to the key-value store which tasks a shard runs and which are done:
-// claims of unclaimed tasks, the return of claimed tasks that do not fit, the completion of tasks
-// and jobs (many in one transaction), and the allocations of team quotas.
+// claims of tasks, the withdrawal of claims whose tasks do not fit, the completion of tasks and jobs
+// (many in one transaction), and the allocations of team quotas.
 //
 // Every write is a compare-and-swap transaction that is conditional on the revision of each record
 // that it replaces and on the epoch of the shard, so that a controller that has lost the shard
@@ -44,7 +44,8 @@
 	mailbox *actor.Mailbox
 	cfg     *config.Config
 	log     *slog.Logger
-	// unplacedSince is the time since which no ready task of a range has been placed.
+	// unplacedSince is, for each range with ready tasks, the time since which none of its tasks has
+	// been placed.
 	unplacedSince map[*clusterstate.TaskRange]time.Time
 	// Cleanups and completion batches have separate flags, since a cleanup must not delay the next
 	// completion batch.
@@ -65,7 +66,7 @@
 	}
 }
 
-// Reset clears the state of all writes in progress. It is called before all records are read anew.
+// Reset clears the state of all writes in progress. It is called before all records are read again.
 func (w *Writer) Reset() {
 	w.isWritingBatch, w.isCleaningUp = false, false
 	clear(w.unplacedSince)
@@ -126,8 +127,8 @@
 	return kvstore.Write{Key: jobs.JobKey(job.Ref()), Value: kvstore.MustEncode(record)}
 }
 
-// jobDoneWrites returns the writes that record a job with the given number of tasks as done, and
-// delete its record.
+// jobDoneWrites returns the writes that record a job with the given number of tasks as done and
+// delete the job's record.
 func jobDoneWrites(ref string, tasks int) []kvstore.Write {
 	final := jobs.FinalState{Status: jobs.Done, Tasks: tasks}
 	return []kvstore.Write{
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -28,8 +28,8 @@
 	return h, machine
 }
 
-// If an unclaim had no answer when the shard was lost, its tasks must not become ready in a later
-// epoch.
+// If the shard is lost before an unclaim is answered, the tasks of the unclaim must not become ready
+// when the shard is owned again in a later epoch.
 func TestUnclaimFenceEndsWithEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
@@ -72,7 +72,7 @@
 
 // Tasks that do not fit are unclaimed after tuning.UnclaimAfter, counted from when a task of the
 // range was last placed.
-func TestUnclaimUnplaceableTail(t *testing.T) {
+func TestUnplaceableTailIsUnclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, machine := newShardWithMachine(t)
 		job := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 0, 6)
@@ -96,8 +96,8 @@
 }
 
 // A controller uses a team's quota in a shard only within the shard's allocation, and only if it
-// knows all tasks that run there. An amount that is being released is no longer used.
-func TestAllocationUseUntilRelease(t *testing.T) {
+// knows all tasks that run there. An amount whose release was sent is no longer used.
+func TestAllocationIsUsedOnlyUntilRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, func(h *harness.Harness) {
 			h.Cfg.Cluster.Teams = []config.Team{{Name: "few", MaxCPUs: 6}}
@@ -143,9 +143,9 @@
 }
 
 // A claim had no answer and was repeated. The first request had been carried out, the watch delivered
-// its changes, the gang was started, and then the second request was refused. As a result the gang
-// lost its attempt and was stopped.
-func TestClaimCommittedByUnansweredRequest(t *testing.T) {
+// its changes, the gang was started, and then the second request was refused. Because of the refusal
+// the gang lost its attempt and was stopped.
+func TestGangKeepsAttemptIfUnansweredClaimIsCommitted(t *testing.T) {
 	h, machine := newShardWithMachine(t)
 	spec := jobs.Spec{Ref: "wk-1", Kind: jobs.Gang, Urgency: "high", Tasks: 2, CPU: 1}
 	job := h.AddJob(spec, 2, 6)
@@ -170,11 +170,11 @@
 
 // When tasks in the middle of a range are unclaimed, the tasks after them stay on their machines, in
 // a new range, regardless of the order in which the watch delivers the records of that write.
-func TestRangeSplitEventOrder(t *testing.T) {
+func TestRangeSplitInAnyEventOrder(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		offset, count int   // the unclaimed tasks, of five
-		order         []int // of the records of the write
+		offset, count int   // the tasks that are unclaimed, of a range of five
+		order         []int // the order in which the records of the write are delivered
 	}{
 		{"middle, job first", 1, 3, []int{0, 1, 2}},
 		{"middle, job last", 1, 3, []int{2, 1, 0}},
