--- a/internal/binpacking/binpacking.go
+++ b/internal/binpacking/binpacking.go
@@ -22,8 +22,8 @@
 	Zone    string
 	Free    capacity.Resources
 	Victims []Victim // Plan sorts this slice in place
-	// ImageCost is the cost of fetching the image: the CPU seconds for which the task's resources
-	// are idle until the image is there.
+	// ImageCost is the cost of fetching the job's image: the CPU seconds for which a task's
+	// resources are idle until the image is there.
 	ImageCost float64
 }
 
@@ -37,7 +37,7 @@
 type candidate struct {
 	*Machine
 	free    capacity.Resources
-	victims []Victim // tasks that can still be preempted, the least lost work first
+	victims []Victim // tasks that can still be preempted, those with the least lost work first
 
 	fits        bool    // whether one more task fits
 	cost        float64 // cost (CPU seconds) of placing that task
@@ -59,7 +59,7 @@
 	free, cost, victimCount := c.free, 0.0, 0
 	for !free.Covers(need) && victimCount < len(c.victims) {
 		free = free.Add(c.victims[victimCount].Need)
-		cost += 1 + c.victims[victimCount].LostCPUSeconds // the 1 makes a preemption cost something even if no work is lost
+		cost += 1 + c.victims[victimCount].LostCPUSeconds // 1 is added so that every preemption has a cost
 		victimCount++
 	}
 	c.fits = free.Covers(need)
@@ -68,8 +68,8 @@
 	c.victimCount = victimCount
 }
 
-// place places the next task on the candidate: it removes the victims, deducts the task's need from the
-// free resources, and returns the victims.
+// place adds one more task to the candidate: it removes the victims, deducts the task's need from
+// the free resources, and returns the victims.
 func (c *candidate) place(need capacity.Resources) []Victim {
 	victims := slices.Clone(c.victims[:c.victimCount])
 	for _, victim := range victims {
@@ -92,7 +92,7 @@
 	}
 	tasksInZone := map[string]int{}
 	for range tasks {
-		best := cheapest(candidates, func(zone string) bool { return tasksInZone[zone] < maxPerZone })
+		best := cheapestIndex(candidates, func(zone string) bool { return tasksInZone[zone] < maxPerZone })
 		if best < 0 {
 			return nil, 0, false
 		}
@@ -104,9 +104,9 @@
 	return placements, cost, true
 }
 
-// cheapest returns the index of the candidate with the least cost among those that fit one more task
+// cheapestIndex returns the index of the candidate with the least cost among those that fit one more task
 // and are in an allowed zone, or -1 if there is none.
-func cheapest(candidates []candidate, allowsZone func(zone string) bool) int {
+func cheapestIndex(candidates []candidate, allowsZone func(zone string) bool) int {
 	best := -1
 	for i := range candidates {
 		c := &candidates[i]
--- a/internal/capacity/buffer.go
+++ b/internal/capacity/buffer.go
@@ -11,24 +11,24 @@
 	Tasks float64   `json:"tasks"`
 }
 
-// ConvertBuffer converts a buffer to the number of tasks of another shape for which it takes the
-// capacity, rounded up: the paper's A[t]/A[t'] * x. fitting and fittingBuffered are the numbers of
-// fitting tasks of that shape and of the buffer's shape, A[t] and A[t']. If no task of the buffer's
-// shape fits any more, the buffer is converted by ConvertByRatio.
-func ConvertBuffer(fitting, fittingBuffered int, buffer Buffer, shape Resources) int {
-	if buffer.Tasks <= 0 || fitting <= 0 {
+// ConvertBuffer returns for how many tasks of a shape, rounded up, a buffer takes the capacity:
+// A[t]/A[t'] * x in the paper, where x is the number of buffered tasks. fittingTasks (A[t]) and
+// fittingBufferTasks (A[t']) are how many tasks of the given shape and of the buffer's shape fit.
+// If no task of the buffer's shape fits any more, the buffer is converted by ConvertByRatio.
+func ConvertBuffer(fittingTasks, fittingBufferTasks int, buffer Buffer, shape Resources) int {
+	if buffer.Tasks <= 0 || fittingTasks <= 0 {
 		return 0
 	}
-	if fittingBuffered > 0 {
-		ratio := float64(fitting) / float64(fittingBuffered)
+	if fittingBufferTasks > 0 {
+		ratio := float64(fittingTasks) / float64(fittingBufferTasks)
 		return int(math.Ceil(ratio*buffer.Tasks - roundingTolerance))
 	}
 	return buffer.ConvertByRatio(shape)
 }
 
 // ConvertByRatio converts the buffer to tasks of another shape by the largest ratio between the
-// needs of the two shapes for any one resource, rounded up. It is for use where the fitting tasks of
-// the two shapes can not be counted.
+// needs of the two shapes for any one resource, rounded up. It is used where the fitting tasks of
+// the two shapes cannot be counted.
 func (b Buffer) ConvertByRatio(shape Resources) int {
 	ratio := 0.0
 	buffered := b.Shape.amounts()
@@ -40,7 +40,7 @@
 	return int(math.Ceil(ratio*b.Tasks - roundingTolerance))
 }
 
-// Aggregate sums up the buffers of each shape (the paper's step 5). The shapes are in the order of
+// Aggregate sums up the buffers of each shape (step 5 in the paper). The shapes are in the order of
 // their first appearance.
 func Aggregate(buffers []Buffer) []Buffer {
 	var sums []Buffer
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
 // Package capacity counts how many tasks of a shape still fit into the free resources of
-// machines, and converts buffers of one shape into tasks of another (the Kerveros paper, called "the
-// paper" in this package, sections 3.1 and 3.2).
+// machines, and converts buffers of one shape into tasks of another. It follows sections 3.1 and 3.2
+// of the Kerveros paper, which the comments of this package call "the paper".
 package capacity
 
 // Group identifies a set of machines with the same properties. The tasks that fit on each group are
@@ -17,9 +17,9 @@
 	free  Resources
 }
 
-// Table counts, by shape and group, how many tasks fit. The counts of a shape are computed when
-// it is first asked for, and updated with every change of a machine (the paper, section 4.2,
-// "Caching"). It is not safe for concurrent use.
+// Table counts, by shape and group, how many tasks fit. The counts of a shape are computed when the
+// shape is first asked for, and updated with every change of a machine, as in section 4.2 of the
+// paper, "Caching". A Table is not safe for concurrent use.
 type Table struct {
 	machines map[string]machine
 	counts   map[Resources]map[Group]int
@@ -89,12 +89,13 @@
 	return total
 }
 
-// Allocable returns the result of Count minus the converted buffers, at least 0.
+// Allocable returns how many tasks of a shape fit on the machines of the allowed groups if the
+// buffers are left free.
 func (t *Table) Allocable(shape Resources, allow func(Group) bool, buffers []Buffer) int {
-	fitting := t.Count(shape, allow)
-	remaining := fitting
+	fittingTasks := t.Count(shape, allow)
+	remaining := fittingTasks
 	for _, buffer := range Aggregate(buffers) {
-		remaining -= ConvertBuffer(fitting, t.Count(buffer.Shape, allow), buffer, shape)
+		remaining -= ConvertBuffer(fittingTasks, t.Count(buffer.Shape, allow), buffer, shape)
 	}
 	return max(remaining, 0)
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,8 +7,9 @@
 
 func allowAll(Group) bool { return true }
 
-// The paper's example (3.2.2): two empty machines of 100 units, shapes of 20, 50 and 60 units.
-// Two large buffers leave no capacity for a medium task, six small ones leave it for one.
+// The example in section 3.2.2 of the paper: two empty machines of 100 units, and shapes of 20, 50
+// and 60 units. A buffer of two large tasks leaves no capacity for a medium task, a buffer of six
+// small tasks leaves capacity for one.
 func TestAllocablePaperExample(t *testing.T) {
 	small, medium, large := Resources{CPU: 20}, Resources{CPU: 50}, Resources{CPU: 60}
 	table := NewTable()
@@ -16,27 +17,27 @@
 		table.Set(host, Group{Zone: "a"}, Resources{CPU: 100})
 	}
 	if n := table.Allocable(medium, allowAll, []Buffer{{large, 2}}); n != 0 {
-		t.Errorf("with two large buffers %d fit", n)
+		t.Errorf("with a buffer of two large tasks, %d medium tasks fit, want 0", n)
 	}
 	if n := table.Allocable(medium, allowAll, []Buffer{{small, 6}}); n != 1 {
-		t.Errorf("with six small buffers %d fit", n)
+		t.Errorf("with a buffer of six small tasks, %d medium tasks fit, want 1", n)
 	}
 }
 
 func TestConvertBuffer(t *testing.T) {
 	for _, test := range []struct {
-		name                     string
-		fitting, fittingBuffered int
-		buffer                   Buffer
-		shape                    Resources
-		want                     int
+		name                             string
+		fittingTasks, fittingBufferTasks int
+		buffer                           Buffer
+		shape                            Resources
+		want                             int
 	}{
 		{"rounds up", 3, 2, Buffer{Tasks: 1}, Resources{CPU: 1}, 2},
 		{"largest ratio if no buffered task fits", 9, 0,
 			Buffer{Shape: Resources{CPU: 4, MemGB: 30}, Tasks: 2}, Resources{CPU: 2, MemGB: 10}, 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := ConvertBuffer(test.fitting, test.fittingBuffered, test.buffer, test.shape); got != test.want {
+			if got := ConvertBuffer(test.fittingTasks, test.fittingBufferTasks, test.buffer, test.shape); got != test.want {
 				t.Errorf("got %d, want %d", got, test.want)
 			}
 		})
--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// roundingTolerance absorbs rounding in sums of decimal amounts.
+// roundingTolerance is the amount (CPUs, GPUs or GB) that is ignored in comparisons, because sums
+// of decimal amounts are rounded.
 const roundingTolerance = 1e-6
 
 // Resources is an amount of CPUs, GPUs and memory. The needs of a task are called its shape.
