--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -8,19 +8,19 @@
 	"cherrywall/internal/config"
 )
 
-// Allocations holds the latest records of all teams that a controller knows. It applies records that
-// were read from the store, and computes changed records but doesn't write them. It is not safe for
-// concurrent use: one actor owns it.
+// Allocations holds the latest records of all teams that a controller knows. It applies records
+// that were read from the store. It computes changed records, which the caller writes. It is not
+// safe for concurrent use: one actor owns it.
 type Allocations struct{ teams map[string]*teamState }
 
 // teamState is the record of one team, and the team's releases whose outcome is unknown.
 type teamState struct {
 	record   Record
 	revision uint64
-	// releasing holds, by shard, the amounts of releases whose outcome is unknown. The shard must
+	// pendingReleases holds, by shard, the amounts of releases whose outcome is unknown. The shard must
 	// not use these amounts, since another shard may have acquired them already. The writes of
 	// these releases have the precondition that the record's revision is releaseRevision.
-	releasing       map[string]Amount
+	pendingReleases map[string]Amount
 	releaseRevision uint64
 }
 
@@ -35,11 +35,11 @@
 	}
 }
 
-// teamOf returns the state of a team, and creates the state if there is none.
-func (a *Allocations) teamOf(team string) *teamState {
+// stateOf returns the state of a team, and creates the state if there is none.
+func (a *Allocations) stateOf(team string) *teamState {
 	state := a.teams[team]
 	if state == nil {
-		state = &teamState{releasing: map[string]Amount{}}
+		state = &teamState{pendingReleases: map[string]Amount{}}
 		a.teams[team] = state
 	}
 	return state
@@ -50,7 +50,7 @@
 // the record, or can no longer succeed because its precondition is an older revision. ApplyRecord
 // returns an error if the record can't be decoded.
 func (a *Allocations) ApplyRecord(team string, value json.RawMessage, revision uint64) error {
-	state := a.teamOf(team)
+	state := a.stateOf(team)
 	if state.revision >= revision {
 		return nil
 	}
@@ -60,22 +60,22 @@
 	}
 	state.record, state.revision = record, revision
 	if revision > state.releaseRevision {
-		clear(state.releasing)
+		clear(state.pendingReleases)
 	}
 	return nil
 }
 
 // Revision returns the revision of a team's record, 0 if there is none.
-func (a *Allocations) Revision(team string) uint64 { return a.teamOf(team).revision }
+func (a *Allocations) Revision(team string) uint64 { return a.stateOf(team).revision }
 
 // Record returns a team's record. It must not be changed.
-func (a *Allocations) Record(team string) Record { return a.teamOf(team).record }
+func (a *Allocations) Record(team string) Record { return a.stateOf(team).record }
 
 // Available returns how much of a team's quota a shard's owner may use. If the quota was lowered below
 // the sum of all allocations, each allocation is scaled down in proportion.
 func (a *Allocations) Available(team config.Team, shard string) Amount {
-	state := a.teamOf(team.Name)
-	available := state.record.ByShard[shard].Sub(state.releasing[shard])
+	state := a.stateOf(team.Name)
+	available := state.record.ByShard[shard].Sub(state.pendingReleases[shard])
 	total := state.record.Total()
 	if team.MaxCPUs > 0 && total.CPU > team.MaxCPUs {
 		available.CPU *= team.MaxCPUs / total.CPU
@@ -89,17 +89,17 @@
 // Recorded returns the amount that a team's record allocates to a shard. Releases whose outcome is
 // unknown are not deducted.
 func (a *Allocations) Recorded(team config.Team, shard string) Amount {
-	return a.teamOf(team.Name).record.ByShard[shard]
+	return a.stateOf(team.Name).record.ByShard[shard]
 }
 
 // TotalAllocated returns how much of a team's quota is allocated to all shards together.
 func (a *Allocations) TotalAllocated(team config.Team) Amount {
-	return a.teamOf(team.Name).record.Total()
+	return a.stateOf(team.Name).record.Total()
 }
 
 // Unallocated returns how much of a team's quota is not allocated to any shard.
 func (a *Allocations) Unallocated(team config.Team) Amount {
-	return LimitOf(team).Sub(a.teamOf(team.Name).record.Total()).NonNegative()
+	return LimitOf(team).Sub(a.stateOf(team.Name).record.Total()).NonNegative()
 }
 
 // Acquire returns the record to write in order to increase a shard's allocation by the wanted amount,
@@ -117,16 +117,17 @@
 	return a.recordWithDelta(team.Name, shard, acquired), true
 }
 
-// Release returns the record to write in order to reduce a shard's allocation by the released amount.
-// ReleaseSent has to be called in the same step of the actor in which the write is started: from then
-// on the shard must not use the released amount, since a write without a response may still succeed.
+// Release returns the record to write in order to reduce a shard's allocation by the released
+// amount. RecordReleaseSent must be called in the same step of the actor in which the write is
+// started: from then on the shard must not use the released amount, since a write without a
+// response may still succeed.
 func (a *Allocations) Release(team config.Team, shard string, released Amount) Record {
 	return a.recordWithDelta(team.Name, shard, Amount{}.Sub(released))
 }
 
 // recordWithDelta returns a copy of a team's record in which delta is added to a shard's allocation.
 func (a *Allocations) recordWithDelta(team, shard string, delta Amount) Record {
-	byShard := maps.Clone(a.teamOf(team).record.ByShard)
+	byShard := maps.Clone(a.stateOf(team).record.ByShard)
 	if byShard == nil {
 		byShard = map[string]Amount{}
 	}
@@ -140,18 +141,20 @@
 // RecordReleaseSent notes that the write of a release was started, with the known revision of the team's
 // record as its precondition. Available no longer includes the released amount.
 func (a *Allocations) RecordReleaseSent(team, shard string, released Amount) {
-	state := a.teamOf(team)
-	state.releasing[shard] = state.releasing[shard].Add(released)
+	state := a.stateOf(team)
+	state.pendingReleases[shard] = state.pendingReleases[shard].Add(released)
 	state.releaseRevision = state.revision
 }
 
 // RecordReleaseRejected notes that a shard's release was certainly not written, so that the shard may use
 // the amount again.
 func (a *Allocations) RecordReleaseRejected(team, shard string) {
-	delete(a.teamOf(team).releasing, shard)
+	delete(a.stateOf(team).pendingReleases, shard)
 }
 
-// IsReleasePending reports whether the outcome of a release of the team's quota is unknown. Another
-// write with the same precondition settles the outcome if it succeeds, since the release can no longer
-// succeed then.
-func (a *Allocations) IsReleasePending(team string) bool { return len(a.teamOf(team).releasing) > 0 }
+// IsReleasePending reports whether the outcome of a release of the team's quota is unknown. If
+// another write with the same precondition succeeds, the outcome is known: the release can no
+// longer succeed.
+func (a *Allocations) IsReleasePending(team string) bool {
+	return len(a.stateOf(team).pendingReleases) > 0
+}
--- a/internal/quota/allocations_test.go
+++ b/internal/quota/allocations_test.go
@@ -32,12 +32,12 @@
 }
 
 // explore visits states until it has visited at least maxStates, or an invariant does not hold.
-// withoutFaults leaves out the steps that are faults and allows only one transaction in flight, so
+// excludeFaults leaves out the steps that are faults and allows only one transaction in flight, so
 // that longer paths are searched in the same time.
-func explore(faults mutation, withoutFaults bool, maxStates int) exploration {
+func explore(faults mutation, excludeFaults bool, maxStates int) exploration {
 	e := explorer{faults: faults, steps: allSteps(), initial: initialModel(), origins: map[model]origin{}}
 	inFlightLimit = maxInFlight
-	if withoutFaults {
+	if excludeFaults {
 		inFlightLimit = 1
 		e.steps = slices.DeleteFunc(e.steps, func(s step) bool { return s.isFault })
 	}
@@ -46,13 +46,13 @@
 	for len(level) > 0 && len(e.origins) < maxStates {
 		var next []model
 		for _, state := range level {
-			reached := e.visitFrom(state)
-			if n := len(reached); n > 0 {
-				if violation := reached[n-1].violation(); violation != "" {
-					return exploration{len(e.origins), violation, e.pathTo(reached[n-1])}
+			newStates := e.visitFrom(state)
+			if n := len(newStates); n > 0 {
+				if violation := newStates[n-1].violation(); violation != "" {
+					return exploration{len(e.origins), violation, e.pathTo(newStates[n-1])}
 				}
 			}
-			next = append(next, reached...)
+			next = append(next, newStates...)
 		}
 		level = next
 	}
@@ -61,7 +61,7 @@
 
 // visitFrom returns the states that are one step away and were not visited before. It returns early
 // at the first state in which an invariant does not hold, which is then the last one returned.
-func (e *explorer) visitFrom(state model) (reached []model) {
+func (e *explorer) visitFrom(state model) (newStates []model) {
 	for _, step := range e.steps {
 		after := state
 		if !step.apply(&after, e.faults) {
@@ -71,12 +71,12 @@
 			continue
 		}
 		e.origins[after] = origin{state, step.name}
-		reached = append(reached, after)
+		newStates = append(newStates, after)
 		if after.violation() != "" {
-			return reached
+			return newStates
 		}
 	}
-	return reached
+	return newStates
 }
 
 // pathTo returns the names of the steps that lead from the initial state to a state.
@@ -91,23 +91,23 @@
 func TestAllocationInvariantsInEveryOrderOfSteps(t *testing.T) {
 	defer func(limit float64) { team.MaxCPUs = limit }(team.MaxCPUs)
 	for team.MaxCPUs = 1; team.MaxCPUs <= 2; team.MaxCPUs++ {
-		for withoutFaults, maxStates := range map[bool]int{false: 20_000, true: 60_000} {
-			t.Run(fmt.Sprintf("quota %v, without faults %v", team.MaxCPUs, withoutFaults), func(t *testing.T) {
-				explored := explore(mutation{}, withoutFaults, maxStates)
-				if explored.violation != "" {
-					t.Fatalf("%s after %q", explored.violation, explored.path)
+		for excludeFaults, maxStates := range map[bool]int{false: 20_000, true: 60_000} {
+			t.Run(fmt.Sprintf("quota %v, without faults %v", team.MaxCPUs, excludeFaults), func(t *testing.T) {
+				result := explore(mutation{}, excludeFaults, maxStates)
+				if result.violation != "" {
+					t.Fatalf("%s after %q", result.violation, result.path)
 				}
-				t.Logf("%d states", explored.states)
-				if explored.states < maxStates {
-					t.Errorf("only %d states: the steps of the model reach too few states", explored.states)
+				t.Logf("%d states", result.states)
+				if result.states < maxStates {
+					t.Errorf("only %d states: the steps of the model reach too few states", result.states)
 				}
 			})
 		}
 	}
 }
 
-// The exploration must find the faults of incorrect variants of the protocol. If it does, it would find
-// these faults in the real protocol as well.
+// The exploration must find the violations in incorrect variants of the protocol. This shows that it
+// would find them in the real protocol as well.
 func TestMutatedAllocationsViolateInvariants(t *testing.T) {
 	for name, faults := range map[string]mutation{
 		"used before its tasks are known":                               {useBeforeReconciled: true},
@@ -116,11 +116,11 @@
 		"reconciled before the records of the previous owner are known": {reconcileBeforeRecord: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			explored := explore(faults, true, 400_000)
-			if explored.violation == "" {
+			result := explore(faults, true, 400_000)
+			if result.violation == "" {
 				t.Fatal("no violation found")
 			}
-			t.Logf("%s after %q", explored.violation, explored.path)
+			t.Logf("%s after %q", result.violation, result.path)
 		})
 	}
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -7,7 +7,7 @@
 )
 
 // This file models the allocation protocol as a small state machine around the real Allocations:
-// - Controllers own shards, know an old revision of the record, crash and recover.
+// - Controllers own shards, may know only an old revision of the record, crash and recover.
 // - Workers obey the controller to which they sent their last heartbeat.
 // - Transactions are executed late, or their responses are lost.
 // The invariants are that neither the allocations nor the running tasks exceed the quota.
@@ -50,13 +50,13 @@
 	isOwned                     bool
 	epoch                       int8 // the epoch in which the controller owns the shard
 	isReconciled                bool
-	releasing                   int8 // tasks whose release has an unknown outcome
+	pendingRelease              int8 // tasks whose release has an unknown outcome
 	recordRevisionAtAcquisition int8 // the revision of the team's record when the shard was acquired
 }
 
 // inFlightTxn is a transaction in flight, by which the owner of a shard writes a new record.
 type inFlightTxn struct {
-	isActive          bool // false: the entry is unused
+	isActive          bool // false if the entry is unused
 	controller, shard int8
 	revision, epoch   int8 // the preconditions: revision of the record, epoch of the shard
 	byShard           [shardCount]int8
@@ -67,12 +67,12 @@
 // model is a state of the whole system. It is comparable, so that visited states can be map keys.
 type model struct {
 	record               modelRecord
-	owner                [shardCount]int8 // the controller that owns the shard according to the store
-	epoch                [shardCount]int8 // according to the store
-	running              [shardCount]int8 // tasks that run on the shard's workers
-	commandingController [shardCount]int8 // the controller whose commands the shard's workers obey
-	known                [controllerCount]modelRecord
-	releaseRevision      [controllerCount]int8 // revision that is the precondition of the last release
+	owner                [shardCount]int8             // the controller that owns the shard according to the store
+	epoch                [shardCount]int8             // according to the store
+	running              [shardCount]int8             // tasks that run on the shard's workers
+	commandingController [shardCount]int8             // the controller whose commands the shard's workers obey
+	known                [controllerCount]modelRecord // the record that each controller has read
+	releaseRevision      [controllerCount]int8        // the revision that is the precondition of each controller's last release
 	views                [controllerCount][shardCount]shardView
 	inFlight             [maxInFlight]inFlightTxn
 }
@@ -104,7 +104,7 @@
 // allocations returns the real Allocations of a controller in this state.
 func (m *model) allocations(controller int) *Allocations {
 	allocations := New()
-	state := allocations.teamOf(team.Name)
+	state := allocations.stateOf(team.Name)
 	state.record = Record{map[string]Amount{}}
 	state.revision = uint64(m.known[controller].revision)
 	state.releaseRevision = uint64(m.releaseRevision[controller])
@@ -112,8 +112,8 @@
 		if tasks := m.known[controller].byShard[s]; tasks > 0 {
 			state.record.ByShard[name] = Amount{CPU: float64(tasks)}
 		}
-		if tasks := m.views[controller][s].releasing; tasks > 0 {
-			state.releasing[name] = Amount{CPU: float64(tasks)}
+		if tasks := m.views[controller][s].pendingRelease; tasks > 0 {
+			state.pendingReleases[name] = Amount{CPU: float64(tasks)}
 		}
 	}
 	return allocations
@@ -125,14 +125,14 @@
 		if m.inFlight[i].isActive {
 			continue
 		}
-		sent := inFlightTxn{
+		txn := inFlightTxn{
 			isActive: true, controller: int8(controller), shard: int8(shard), revision: m.known[controller].revision,
 			epoch: m.views[controller][shard].epoch, isRelease: isRelease,
 		}
 		for s, name := range shardNames {
-			sent.byShard[s] = int8(record.ByShard[name].CPU)
+			txn.byShard[s] = int8(record.ByShard[name].CPU)
 		}
-		m.inFlight[i] = sent
+		m.inFlight[i] = txn
 		return true
 	}
 	return false
@@ -151,9 +151,9 @@
 	if err := allocations.ApplyRecord(team.Name, encodeRecord(m.record.byShard), uint64(m.record.revision)); err != nil {
 		panic(err)
 	}
-	state := allocations.teamOf(team.Name)
+	state := allocations.stateOf(team.Name)
 	for s, name := range shardNames {
-		m.views[controller][s].releasing = int8(state.releasing[name].CPU)
+		m.views[controller][s].pendingRelease = int8(state.pendingReleases[name].CPU)
 	}
 	m.known[controller] = m.record
 }
@@ -188,21 +188,21 @@
 func allSteps() []step {
 	var steps []step
 	for s := range shardCount {
-		steps = append(steps, taskEnds(s))
+		steps = append(steps, taskEndStep(s))
 		for c := range controllerCount {
-			steps = append(steps, startTask(c, s), acquireAllocation(c, s), releaseAllocation(c, s), acquireShard(c, s), reconcileShard(c, s))
+			steps = append(steps, startTaskStep(c, s), acquireAllocationStep(c, s), releaseAllocationStep(c, s), acquireShardStep(c, s), reconcileShardStep(c, s))
 		}
 	}
 	for c := range controllerCount {
-		steps = append(steps, applyRecords(c), rereadRecords(c), crash(c))
+		steps = append(steps, applyRecordsStep(c), rereadRecordsStep(c), crashStep(c))
 	}
 	for i := range maxInFlight {
-		steps = append(steps, decideTransaction(i), loseResponse(i))
+		steps = append(steps, decideTransactionStep(i), loseResponseStep(i))
 	}
 	return steps
 }
 
-func taskEnds(shard int) step {
+func taskEndStep(shard int) step {
 	return step{name: fmt.Sprint("a task ends in shard ", shard), apply: func(m *model, _ mutation) bool {
 		m.running[shard]--
 		return m.running[shard] >= 0
@@ -223,7 +223,7 @@
 	return view.isOwned && (view.isReconciled || faults.useBeforeReconciled)
 }
 
-func startTask(controller, shard int) step {
+func startTaskStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d starts a task in shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		needed := float64(m.knownRunning(controller, shard, faults) + 1)
@@ -234,7 +234,7 @@
 	}}
 }
 
-func acquireAllocation(controller, shard int) step {
+func acquireAllocationStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d acquires quota for shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, _ mutation) bool {
 		if !m.views[controller][shard].isOwned {
@@ -245,7 +245,7 @@
 	}}
 }
 
-func releaseAllocation(controller, shard int) step {
+func releaseAllocationStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d releases quota of shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		allocations, shardName := m.allocations(controller), shardNames[shard]
@@ -259,14 +259,14 @@
 		}
 		if !faults.useWhileReleasing {
 			allocations.RecordReleaseSent(team.Name, shardName, Amount{CPU: 1})
-			m.views[controller][shard].releasing = 1
+			m.views[controller][shard].pendingRelease = 1
 			m.releaseRevision[controller] = m.known[controller].revision
 		}
 		return true
 	}}
 }
 
-func acquireShard(controller, shard int) step {
+func acquireShardStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d acquires shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, _ mutation) bool {
 		view := &m.views[controller][shard]
@@ -275,12 +275,12 @@
 		}
 		m.owner[shard] = int8(controller)
 		m.epoch[shard]++
-		*view = shardView{isOwned: true, epoch: m.epoch[shard], releasing: view.releasing, recordRevisionAtAcquisition: m.record.revision}
+		*view = shardView{isOwned: true, epoch: m.epoch[shard], pendingRelease: view.pendingRelease, recordRevisionAtAcquisition: m.record.revision}
 		return true
 	}}
 }
 
-func reconcileShard(controller, shard int) step {
+func reconcileShardStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d reconciles shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		view := &m.views[controller][shard]
@@ -291,20 +291,20 @@
 	}}
 }
 
-func applyRecords(controller int) step {
+func applyRecordsStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " applies the records"), apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.applyRecord(controller, false)
 		for s := range shardCount {
 			if view := &m.views[controller][s]; view.isOwned && view.epoch != m.epoch[s] {
-				*view = shardView{releasing: view.releasing}
+				*view = shardView{pendingRelease: view.pendingRelease}
 			}
 		}
 		return *m != before
 	}}
 }
 
-func rereadRecords(controller int) step {
+func rereadRecordsStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " reads all records again"), isFault: true, apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.applyRecord(controller, true)
@@ -312,7 +312,7 @@
 	}}
 }
 
-func crash(controller int) step {
+func crashStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.views[controller], m.releaseRevision[controller] = [shardCount]shardView{}, 0
@@ -321,30 +321,30 @@
 	}}
 }
 
-func decideTransaction(i int) step {
+func decideTransactionStep(i int) step {
 	return step{name: fmt.Sprint("transaction ", i, " is decided"), apply: func(m *model, faults mutation) bool {
-		decided := m.inFlight[i]
-		if !decided.isActive {
+		txn := m.inFlight[i]
+		if !txn.isActive {
 			return false
 		}
 		m.inFlight[i] = inFlightTxn{}
-		succeeds := decided.revision == m.record.revision &&
-			(faults.writeWithoutEpoch || decided.epoch == m.epoch[decided.shard])
+		succeeds := txn.revision == m.record.revision &&
+			(faults.writeWithoutEpoch || txn.epoch == m.epoch[txn.shard])
 		if succeeds {
-			m.record = modelRecord{decided.byShard, m.record.revision + 1}
+			m.record = modelRecord{txn.byShard, m.record.revision + 1}
 		}
 		switch {
-		case decided.isResponseLost:
+		case txn.isResponseLost:
 		case succeeds:
-			m.applyRecord(int(decided.controller), false) // the controller applies its own write
-		case decided.isRelease:
-			m.views[decided.controller][decided.shard].releasing = 0 // certainly not written
+			m.applyRecord(int(txn.controller), false) // the controller applies its own write
+		case txn.isRelease:
+			m.views[txn.controller][txn.shard].pendingRelease = 0 // certainly not written
 		}
 		return true
 	}}
 }
 
-func loseResponse(i int) step {
+func loseResponseStep(i int) step {
 	return step{name: fmt.Sprint("the response to transaction ", i, " is lost"), isFault: true, apply: func(m *model, _ mutation) bool {
 		ok := m.inFlight[i].isActive && !m.inFlight[i].isResponseLost
 		m.inFlight[i].isResponseLost = true
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -26,7 +26,7 @@
 	return total
 }
 
-// Amount is an amount of the resources that a quota limits.
+// Amount is how much of each resource that a quota limits is allocated, used or allowed.
 type Amount struct {
 	CPU float64 `json:"cpu,omitempty"` // cores
 	GPU float64 `json:"gpu,omitempty"` // devices
@@ -72,8 +72,8 @@
 	return usage
 }
 
-// IsWithinLimit reports whether an amount is within a team's quota. Any amount of a resource without a
-// limit is.
+// IsWithinLimit reports whether an amount is within a team's quota. Resources without a limit are
+// not compared.
 func IsWithinLimit(team config.Team, amount Amount) bool {
 	return (team.MaxCPUs <= 0 || amount.CPU <= team.MaxCPUs+Tolerance) && (team.MaxGPUs <= 0 || amount.GPU <= team.MaxGPUs+Tolerance)
 }
