--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,5 @@
-// Package admission decides whether a submitted job is admitted: whether it could ever run on this cluster.
+// Package admission decides whether a submitted job is admitted. It rejects jobs that could never run on
+// this cluster.
 package admission
 
 import (
@@ -19,8 +20,8 @@
 // floating-point rounding.
 const roundingTolerance = 1e-9
 
-// unsatisfiable returns an error that names a field of the job and wraps ErrUnsatisfiable.
-func unsatisfiable(field, format string, args ...any) error {
+// unsatisfiableError returns an error that names a field of the job and wraps ErrUnsatisfiable.
+func unsatisfiableError(field, format string, args ...any) error {
 	reason := fmt.Sprintf("%v: %s", ErrUnsatisfiable, fmt.Sprintf(format, args...))
 	return &jobs.ValidationError{Field: field, Reason: reason, Err: ErrUnsatisfiable}
 }
@@ -31,7 +32,7 @@
 func Check(spec *jobs.Spec, teamByName func(name string) (config.Team, bool), types map[string]cloud.MachineType) Decision {
 	team, ok := teamByName(spec.Team)
 	if !ok {
-		return Decide(unsatisfiable("crew", "unknown team %q", spec.Team))
+		return Decide(unsatisfiableError("crew", "unknown team %q", spec.Team))
 	}
 	if len(types) == 0 {
 		return Decision{Verdict: Undecided}
@@ -59,18 +60,18 @@
 		}
 	}
 	if !fits {
-		return unsatisfiable("vcpus", "a task fits no allowed machine type")
+		return unsatisfiableError("vcpus", "a task fits no allowed machine type")
 	}
-	// At most half of a spread job's tasks, rounded up, may run in one zone: one task of one, and one
-	// task of two.
+	// At most half of a spread job's tasks, rounded up, may run in one zone. So a job of one task needs
+	// only one zone.
 	if !spec.Spread || spec.Tasks <= 1 {
 		return nil
 	}
 	switch {
 	case spec.OneZone:
-		return unsatisfiable("spread", "all tasks have to run in one zone, but at most half of them may run in the same zone")
+		return unsatisfiableError("spread", "all tasks have to run in one zone, but at most half of them may run in the same zone")
 	case len(zones) < 2:
-		return unsatisfiable("spread", "the job needs two zones, but only one zone is allowed and has machines for it")
+		return unsatisfiableError("spread", "the job needs two zones, but only one zone is allowed and has machines for it")
 	}
 	return nil
 }
@@ -86,15 +87,15 @@
 // checkQuota returns an error if the tasks that have to run at the same time exceed the team's
 // quota: one task of an array, all tasks of any other job.
 func checkQuota(spec *jobs.Spec, team config.Team) error {
-	concurrent := 1.0
+	concurrentTasks := 1.0
 	if spec.Kind != jobs.Array {
-		concurrent = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	if team.MaxCPUs > 0 && concurrent*spec.CPU > team.MaxCPUs+roundingTolerance {
-		return unsatisfiable("vcpus", "exceeds the team's quota")
+	if team.MaxCPUs > 0 && concurrentTasks*spec.CPU > team.MaxCPUs+roundingTolerance {
+		return unsatisfiableError("vcpus", "exceeds the team's quota")
 	}
-	if team.MaxGPUs > 0 && concurrent*spec.GPU > team.MaxGPUs+roundingTolerance {
-		return unsatisfiable("cards", "exceeds the team's quota")
+	if team.MaxGPUs > 0 && concurrentTasks*spec.GPU > team.MaxGPUs+roundingTolerance {
+		return unsatisfiableError("cards", "exceeds the team's quota")
 	}
 	return nil
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,12 +30,12 @@
 		"gang over the quota":       {func(spec *jobs.Spec) { spec.Kind, spec.Tasks = jobs.Gang, 6 }, "vcpus"},
 		"one zone and spread":       {func(spec *jobs.Spec) { spec.OneZone, spec.Spread = true, true }, "spread"},
 		"spread over the only zone": {func(spec *jobs.Spec) { spec.Spread = true }, "spread"},
-		"spread over one of two": {func(spec *jobs.Spec) {
+		"spread over one allowed zone of two": {func(spec *jobs.Spec) {
 			spec.Spread, spec.CPU, spec.GPU = true, 4, 0
 			spec.MachineTypes = []string{"m8"}
 			spec.Zone = &zoneOfSmallMachines
 		}, "spread"},
-		"spread over two":             {func(spec *jobs.Spec) { spec.Spread, spec.CPU, spec.MachineTypes = true, 4, []string{"m8"} }, ""},
+		"spread over two zones":       {func(spec *jobs.Spec) { spec.Spread, spec.CPU, spec.MachineTypes = true, 4, []string{"m8"} }, ""},
 		"one task spread in one zone": {func(spec *jobs.Spec) { spec.Spread, spec.OneZone, spec.Tasks = true, true, 1 }, ""},
 		"too much memory":             {func(spec *jobs.Spec) { spec.MemGB = 65 }, "vcpus"},
 		"too many GPUs":               {func(spec *jobs.Spec) { spec.GPU = 1.5 }, "vcpus"},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestCheckWithoutMachineTypes(t *testing.T) {
+func TestCheckIsUndecidedWithoutMachineTypes(t *testing.T) {
 	team := func(name string) (config.Team, bool) { return config.Team{Name: name}, true }
 	if decision := Check(&jobs.Spec{Team: "ops"}, team, nil); decision.Verdict != Undecided {
 		t.Errorf("%v without machine types", decision.Verdict)
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -23,11 +23,12 @@
 	Deadlines jobdag.Deadlines
 }
 
-// StartByMS returns the wall-clock time (Unix ms) by which a job should start. For a service it is the
-// time of its arrival. For an array it is the next deadline or objective less the run time: an array
-// that is too late for one objective is queued by the next one. An array that is too late for all of
-// them is queued by the time at which it has waited for tuning.AgingPeriod: after most arrays that can
-// still meet an objective, but without starving. For gangs see gangStartByMS.
+// StartByMS returns the wall-clock time (Unix ms) by which a job should start. For a service it is
+// the time of its arrival. For an array it is the next deadline or objective less the run time: an
+// array that is too late for one objective is queued by the next one. An array that is too late for
+// all of them is queued by the time at which it has waited for tuning.AgingPeriod: after most
+// arrays that can still meet an objective, but without starving. gangStartByMS returns the time for
+// a gang.
 func StartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	switch job.Record.Kind {
 	case jobs.Gang:
@@ -41,8 +42,8 @@
 	return job.RunnableSinceMS + tuning.AgingPeriod.Milliseconds()
 }
 
-// IsObjectiveAtRisk reports whether a job has to start within tuning.DeadlineAtRiskMargin to meet the
-// first deadline or objective that it can still meet.
+// IsObjectiveAtRisk reports whether a job has to start within tuning.DeadlineAtRiskMargin to meet
+// the first of its deadlines and objectives that it can still meet.
 func IsObjectiveAtRisk(job Job, objectives []config.Objective, now time.Time) bool {
 	startByMS, ok := nextObjectiveStartMS(job, objectives, now)
 	return ok && isAtRisk(startByMS, now)
--- a/internal/startgate/startgate.go
+++ b/internal/startgate/startgate.go
@@ -109,8 +109,8 @@
 }
 
 // checkTask checks that the task belongs to an unfinished job, is durably claimed by the machine's
-// shard, and is still placed on this machine. It need not check other machines, since a task is placed
-// only when it is on no other machine: see package reconciliation.
+// shard, and is still placed on this machine. It need not check other machines, since package
+// reconciliation ensures that a placed task is on no other machine.
 func (g *Gate) checkTask(assignment *clusterstate.Assignment) Refusal {
 	taskRange := assignment.TaskRange()
 	switch {
@@ -124,11 +124,11 @@
 	return Allowed
 }
 
-// knowsCancellations reports whether this controller knows all cancellations up to
-// tuning.MaxStartKnowledgeAge ago. Otherwise a task could start although the cancellation of its job was
-// confirmed to the user (docs/recovery.md, "No start after a cancellation"). Starts may also be sent if
-// all peers report that they can't reach the key-value store, since then none of them can have confirmed
-// a cancellation.
+// knowsCancellations reports whether this controller knows all cancellations that were committed
+// more than tuning.MaxStartKnowledgeAge ago. Without this check a task could start although the
+// cancellation of its job was confirmed to the user (docs/recovery.md, "No start after a
+// cancellation"). Starts may also be sent if all peers report that they can't reach the key-value
+// store, since then none of them can have confirmed a cancellation.
 func (g *Gate) knowsCancellations(now time.Time) bool {
 	return g.cfg.MayStartTasks(now, g.deps.Cache.ConsistentAsOf()) ||
 		g.deps.Peers.NoPeerReachesStore(now, tuning.MaxStartKnowledgeAge/2)
--- a/internal/startgate/startgate_test.go
+++ b/internal/startgate/startgate_test.go
@@ -137,7 +137,7 @@
 }
 
 // Known tasks that use more than the allocation violate an invariant. Each check counts and reports the
-// violation once. The test causes it by starting tasks without asking the gate.
+// violation once. The test causes one by starting tasks without a check by the gate.
 func TestUsageBeyondAllocationIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
@@ -192,9 +192,9 @@
 	})
 }
 
-// The check compares the usage with the recorded allocation, from which a release without a response is
-// not deducted. If the shard had another owner in the meantime, that owner may have used the amount,
-// and a release that was sent in an earlier epoch can no longer succeed.
+// Claims.Tick compares the usage with the recorded allocation, from which a release without a response
+// is not deducted: if the shard had another owner since the release was sent, that owner may have used
+// the amount, and the release, which belongs to an earlier epoch, can no longer succeed.
 func TestUnansweredReleaseIsNoViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
