--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -102,10 +102,10 @@
 
 // Recount computes the counts of the wanted shapes anew and drops those of all other shapes. It
 // adds no shapes that were not counted before.
-func (t *Table) Recount(wanted map[Resources]bool) {
+func (t *Table) Recount(wantedShapes map[Resources]bool) {
 	for shape := range t.counts {
 		delete(t.counts, shape)
-		if wanted[shape] {
+		if wantedShapes[shape] {
 			t.countsFor(shape)
 		}
 	}
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -45,8 +45,8 @@
 	if w.isWritingBatch {
 		return
 	}
-	completedByShard, due := w.completedSmallJobs(now)
-	if !due {
+	completedByShard, isDue := w.completedSmallJobs(now)
+	if !isDue {
 		return
 	}
 	for shardID, doneJobs := range completedByShard {
@@ -59,9 +59,9 @@
 	}
 }
 
-// completedSmallJobs returns, by shard, the completed small jobs that are not recorded yet. due is
-// true if at least one of them has been complete for CompletionBatchInterval.
-func (w *Writer) completedSmallJobs(now time.Time) (completedByShard map[string][]*clusterstate.Job, due bool) {
+// completedSmallJobs returns, by shard, the completed small jobs that are not recorded yet. isDue
+// is true if at least one of them has been complete for CompletionBatchInterval.
+func (w *Writer) completedSmallJobs(now time.Time) (completedByShard map[string][]*clusterstate.Job, isDue bool) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
 			continue
@@ -77,9 +77,9 @@
 		shardID := taskRange.Record().Shard
 		completedByShard[shardID] = append(completedByShard[shardID], job)
 		_, since := taskRange.UnrecordedDone()
-		due = due || now.Sub(since) >= tuning.CompletionBatchInterval
+		isDue = isDue || now.Sub(since) >= tuning.CompletionBatchInterval
 	}
-	return completedByShard, due
+	return completedByShard, isDue
 }
 
 // addToBatch writes as many completed jobs to the shard's open batch as one transaction can hold.
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -32,9 +32,9 @@
 	if zone != "" && record.Spread {
 		record.ClaimedPerZone = addToZone(record.ClaimedPerZone, zone, claimedTasks.Count)
 	}
-	inline := claimedTasks.Count == record.Tasks && w.IsSmallJob(job.Record())
-	txn := claimTxn(taskRange, shard, record, inline)
-	w.State.AddTentativeRange(taskRange, inline)
+	isInline := claimedTasks.Count == record.Tasks && w.IsSmallJob(job.Record())
+	txn := claimTxn(taskRange, shard, record, isInline)
+	w.State.AddTentativeRange(taskRange, isInline)
 	job.BeginTransaction()
 	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		job.EndTransaction(result, err)
@@ -50,10 +50,10 @@
 }
 
 // claimTxn returns the transaction of a claim. An inline claim is stored in the job's record.
-func claimTxn(taskRange *clusterstate.TaskRange, shard *membership.Shard, record jobs.JobRecord, inline bool) kvstore.Txn {
+func claimTxn(taskRange *clusterstate.TaskRange, shard *membership.Shard, record jobs.JobRecord, isInline bool) kvstore.Txn {
 	job := taskRange.Job()
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job), ownershipCondition(shard)}}
-	if inline {
+	if isInline {
 		record.WholeClaim = NewWholeJobClaim(shard, taskRange.Record().Count)
 		txn.Writes = []kvstore.Write{jobRecordWrite(job, record)}
 		return txn
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -17,9 +17,9 @@
 	// sentUpperBound is the most that the team's tasks may use, without the tasks that are only
 	// planned.
 	sentUpperBound quota.Amount
-	// known is the amount that is used by tasks which certainly belong to the team and whose start
-	// was sent.
-	known quota.Amount
+	// certainUsage is the amount that is used by tasks which certainly belong to the team and whose
+	// start was sent.
+	certainUsage quota.Amount
 	// unknownTasks is the number of tasks whose needs are not known.
 	unknownTasks int
 	// isUnbounded is set if a task with unknown needs is on a machine whose size is also unknown.
@@ -48,28 +48,28 @@
 
 func (w *Writer) computeUsage(team config.Team, shardID string) teamUsage {
 	var usage teamUsage
-	var upperBound, sentUpperBound, known capacity.Resources
+	var upperBound, sentUpperBound, certainUsage capacity.Resources
 	for machine := range w.State.OwnedMachinesIn(shardID) {
 		sums := w.usageOnMachine(machine, team.Name)
-		known = known.Add(sums.known)
+		certainUsage = certainUsage.Add(sums.certainNeeds)
 		if sums.unknownTasks > 0 {
 			usage.unknownTasks += sums.unknownTasks
 			total, isKnown := w.State.Total(machine)
 			usage.isUnbounded = usage.isUnbounded || !isKnown
-			sums.all, sums.sent = maxResources(sums.all, total), maxResources(sums.sent, total)
+			sums.allNeeds, sums.sentNeeds = maxResources(sums.allNeeds, total), maxResources(sums.sentNeeds, total)
 		}
-		upperBound, sentUpperBound = upperBound.Add(sums.all), sentUpperBound.Add(sums.sent)
+		upperBound, sentUpperBound = upperBound.Add(sums.allNeeds), sentUpperBound.Add(sums.sentNeeds)
 	}
 	usage.upperBound, usage.sentUpperBound = quota.UsageOf(team, upperBound, 1), quota.UsageOf(team, sentUpperBound, 1)
-	usage.known = quota.UsageOf(team, known, 1)
+	usage.certainUsage = quota.UsageOf(team, certainUsage, 1)
 	return usage
 }
 
 // machineUsage is the sum of the known needs of a team's tasks on a machine.
 type machineUsage struct {
-	all          capacity.Resources // includes planned tasks
-	sent         capacity.Resources // only tasks whose start was sent
-	known        capacity.Resources // only tasks whose start was sent and that certainly belong to the team
+	allNeeds     capacity.Resources // includes planned tasks
+	sentNeeds    capacity.Resources // only tasks whose start was sent
+	certainNeeds capacity.Resources // only tasks whose start was sent and that certainly belong to the team
 	unknownTasks int                // number of tasks whose needs are not known
 }
 
@@ -92,13 +92,13 @@
 			continue
 		}
 		need := assignment.Need()
-		sums.all = sums.all.Add(need)
+		sums.allNeeds = sums.allNeeds.Add(need)
 		if assignment.Status().IsPlanned() {
 			continue
 		}
-		sums.sent = sums.sent.Add(need)
+		sums.sentNeeds = sums.sentNeeds.Add(need)
 		if match == sameTeam {
-			sums.known = sums.known.Add(need)
+			sums.certainNeeds = sums.certainNeeds.Add(need)
 		}
 	}
 	return sums
@@ -177,7 +177,7 @@
 	switch {
 	case available.Covers(usage.upperBound), available.Sub(usage.sentUpperBound).Covers(need):
 		return StartWithinQuota
-	case available.Sub(usage.known).Covers(need):
+	case available.Sub(usage.certainUsage).Covers(need):
 		return StartUsageUnknown
 	}
 	return StartBeyondQuota
@@ -212,11 +212,11 @@
 		return
 	}
 	need := quota.UsageOf(team, assignment.Need(), 1)
-	usage.sentUpperBound, usage.known = usage.sentUpperBound.Add(need), usage.known.Add(need)
+	usage.sentUpperBound, usage.certainUsage = usage.sentUpperBound.Add(need), usage.certainUsage.Add(need)
 	w.allocations.usage[key] = usage
 }
 
-// checkUsage reports an invariant violation for each team whose known tasks use more than the
+// checkUsage reports an invariant violation for each team whose tasks certainly use more than the
 // recorded allocation of a local shard. An unanswered release is not deducted from the recorded
 // allocation: if it succeeded, it is deducted once the changed record is read, and if it was sent
 // in an earlier epoch, it can no longer succeed, while an owner in between may have used its
@@ -232,9 +232,9 @@
 				continue
 			}
 			allocated, usage := w.Quotas.Recorded(team, shard.ID()), w.usageOf(team, shard.ID())
-			if !allocated.Covers(usage.known) {
+			if !allocated.Covers(usage.certainUsage) {
 				w.Violations.Report(decisionlog.UsageWithinAllocation, "team", team.Name, "shard", shard.ID(), "epoch", shard.Epoch(),
-					"usage_cpu", usage.known.CPU, "usage_gpu", usage.known.GPU, "allocated_cpu", allocated.CPU, "allocated_gpu", allocated.GPU,
+					"usage_cpu", usage.certainUsage.CPU, "usage_gpu", usage.certainUsage.GPU, "allocated_cpu", allocated.CPU, "allocated_gpu", allocated.GPU,
 					"revision", w.Cache.AppliedRevision())
 			}
 		}
--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -105,24 +105,24 @@
 // Acquire returns the record to write in order to increase a shard's allocation by the wanted amount,
 // or by as much of it as is unallocated. With allOrNothing it requires the whole wanted amount. ok is
 // false if nothing can be acquired.
-func (a *Allocations) Acquire(team config.Team, shard string, wanted Amount, allOrNothing bool) (record Record, ok bool) {
+func (a *Allocations) Acquire(team config.Team, shard string, wantedAmount Amount, allOrNothing bool) (record Record, ok bool) {
 	unallocated := a.Unallocated(team)
-	if allOrNothing && !unallocated.Covers(wanted) {
+	if allOrNothing && !unallocated.Covers(wantedAmount) {
 		return Record{}, false
 	}
-	acquired := Amount{min(wanted.CPU, unallocated.CPU), min(wanted.GPU, unallocated.GPU)}.NonNegative()
-	if acquired.IsNegligible() {
+	acquiredAmount := Amount{min(wantedAmount.CPU, unallocated.CPU), min(wantedAmount.GPU, unallocated.GPU)}.NonNegative()
+	if acquiredAmount.IsNegligible() {
 		return Record{}, false
 	}
-	return a.recordWithDelta(team.Name, shard, acquired), true
+	return a.recordWithDelta(team.Name, shard, acquiredAmount), true
 }
 
 // Release returns the record to write in order to reduce a shard's allocation by the released
 // amount. RecordReleaseSent must be called in the same step of the actor in which the write is
 // started: from then on the shard must not use the released amount, since a write without a
 // response may still succeed.
-func (a *Allocations) Release(team config.Team, shard string, released Amount) Record {
-	return a.recordWithDelta(team.Name, shard, Amount{}.Sub(released))
+func (a *Allocations) Release(team config.Team, shard string, releasedAmount Amount) Record {
+	return a.recordWithDelta(team.Name, shard, Amount{}.Sub(releasedAmount))
 }
 
 // recordWithDelta returns a copy of a team's record in which delta is added to a shard's allocation.
@@ -140,9 +140,9 @@
 
 // RecordReleaseSent notes that the write of a release was started, with the known revision of the team's
 // record as its precondition. Available no longer includes the released amount.
-func (a *Allocations) RecordReleaseSent(team, shard string, released Amount) {
+func (a *Allocations) RecordReleaseSent(team, shard string, releasedAmount Amount) {
 	state := a.stateOf(team)
-	state.pendingReleases[shard] = state.pendingReleases[shard].Add(released)
+	state.pendingReleases[shard] = state.pendingReleases[shard].Add(releasedAmount)
 	state.releaseRevision = state.revision
 }
 
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -69,9 +69,9 @@
 	record               modelRecord
 	owner                [shardCount]int8             // the controller that owns the shard according to the store
 	epoch                [shardCount]int8             // according to the store
-	running              [shardCount]int8             // tasks that run on the shard's workers
+	runningTasks         [shardCount]int8             // tasks that run on the shard's workers
 	commandingController [shardCount]int8             // the controller whose commands the shard's workers obey
-	known                [controllerCount]modelRecord // the record that each controller has read
+	knownRecords         [controllerCount]modelRecord // the record that each controller has read
 	releaseRevision      [controllerCount]int8        // the revision that is the precondition of each controller's last release
 	views                [controllerCount][shardCount]shardView
 	inFlight             [maxInFlight]inFlightTxn
@@ -91,7 +91,7 @@
 		m.owner[s], m.epoch[s], m.commandingController[s] = int8(s%controllerCount), 1, int8(s%controllerCount)
 	}
 	for c := range controllerCount {
-		m.known[c] = m.record
+		m.knownRecords[c] = m.record
 		for s := range shardCount {
 			if int(m.owner[s]) == c {
 				m.views[c][s] = shardView{isOwned: true, epoch: 1, isReconciled: true}
@@ -106,10 +106,10 @@
 	allocations := New()
 	state := allocations.stateOf(team.Name)
 	state.record = Record{map[string]Amount{}}
-	state.revision = uint64(m.known[controller].revision)
+	state.revision = uint64(m.knownRecords[controller].revision)
 	state.releaseRevision = uint64(m.releaseRevision[controller])
 	for s, name := range shardNames {
-		if tasks := m.known[controller].byShard[s]; tasks > 0 {
+		if tasks := m.knownRecords[controller].byShard[s]; tasks > 0 {
 			state.record.ByShard[name] = Amount{CPU: float64(tasks)}
 		}
 		if tasks := m.views[controller][s].pendingRelease; tasks > 0 {
@@ -126,7 +126,7 @@
 			continue
 		}
 		txn := inFlightTxn{
-			isActive: true, controller: int8(controller), shard: int8(shard), revision: m.known[controller].revision,
+			isActive: true, controller: int8(controller), shard: int8(shard), revision: m.knownRecords[controller].revision,
 			epoch: m.views[controller][shard].epoch, isRelease: isRelease,
 		}
 		for s, name := range shardNames {
@@ -141,7 +141,7 @@
 // applyRecord makes a controller apply the current record. With reset the controller first discards the
 // records that it knows, as it does before it reads all of them again.
 func (m *model) applyRecord(controller int, reset bool) {
-	if !reset && m.known[controller] == m.record {
+	if !reset && m.knownRecords[controller] == m.record {
 		return
 	}
 	allocations := m.allocations(controller)
@@ -155,7 +155,7 @@
 	for s, name := range shardNames {
 		m.views[controller][s].pendingRelease = int8(state.pendingReleases[name].CPU)
 	}
-	m.known[controller] = m.record
+	m.knownRecords[controller] = m.record
 }
 
 // violation describes the invariant that does not hold in this state. It is empty if all hold.
@@ -163,7 +163,7 @@
 	allocated, running, limit := int8(0), int8(0), int8(team.MaxCPUs)
 	for s := range shardCount {
 		allocated += m.record.byShard[s]
-		running += m.running[s]
+		running += m.runningTasks[s]
 	}
 	switch {
 	case allocated > limit:
@@ -204,8 +204,8 @@
 
 func taskEndStep(shard int) step {
 	return step{name: fmt.Sprint("a task ends in shard ", shard), apply: func(m *model, _ mutation) bool {
-		m.running[shard]--
-		return m.running[shard] >= 0
+		m.runningTasks[shard]--
+		return m.runningTasks[shard] >= 0
 	}}
 }
 
@@ -214,7 +214,7 @@
 	if faults.useBeforeReconciled && !m.views[controller][shard].isReconciled {
 		return 0 // the workers have not sent a heartbeat yet
 	}
-	return m.running[shard]
+	return m.runningTasks[shard]
 }
 
 // canUse reports whether a controller may use a shard's allocation.
@@ -229,7 +229,7 @@
 		needed := float64(m.knownRunning(controller, shard, faults) + 1)
 		ok := m.canUse(controller, shard, faults) && int(m.commandingController[shard]) == controller &&
 			m.allocations(controller).Available(team, shardNames[shard]).CPU >= needed
-		m.running[shard]++
+		m.runningTasks[shard]++
 		return ok
 	}}
 }
@@ -260,7 +260,7 @@
 		if !faults.useWhileReleasing {
 			allocations.RecordReleaseSent(team.Name, shardName, Amount{CPU: 1})
 			m.views[controller][shard].pendingRelease = 1
-			m.releaseRevision[controller] = m.known[controller].revision
+			m.releaseRevision[controller] = m.knownRecords[controller].revision
 		}
 		return true
 	}}
@@ -284,7 +284,7 @@
 	name := fmt.Sprintf("controller %d reconciles shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, faults mutation) bool {
 		view := &m.views[controller][shard]
-		knowsRecord := m.known[controller].revision >= view.recordRevisionAtAcquisition || faults.reconcileBeforeRecord
+		knowsRecord := m.knownRecords[controller].revision >= view.recordRevisionAtAcquisition || faults.reconcileBeforeRecord
 		ok := knowsRecord && view.isOwned && !view.isReconciled && view.epoch == m.epoch[shard]
 		view.isReconciled, m.commandingController[shard] = true, int8(controller)
 		return ok
@@ -316,7 +316,7 @@
 	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ mutation) bool {
 		before := *m
 		m.views[controller], m.releaseRevision[controller] = [shardCount]shardView{}, 0
-		m.known[controller] = m.record // it reads all records again
+		m.knownRecords[controller] = m.record // it reads all records again
 		return *m != before
 	}}
 }
