--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -90,7 +90,7 @@
 }
 
 // Allocable returns how many tasks of a shape fit on the machines of the allowed groups if the
-// buffers are left free.
+// buffers are left free. It returns 0 if the buffers need more than the free capacity.
 func (t *Table) Allocable(shape Resources, allow func(Group) bool, buffers []Buffer) int {
 	fittingTasks := t.Count(shape, allow)
 	remaining := fittingTasks
