--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -151,12 +151,12 @@
 	return ref, first, ok && err == nil
 }
 
-// applyCompletionBatch applies a completion batch. All jobs that the batch lists are done, so it ends
-// those of them that still have a job record.
+// applyCompletionBatch applies a completion batch. All jobs that the batch lists are done, so those
+// that still have a job record are ended.
 func (c *Cache) applyCompletionBatch(key string, value json.RawMessage, revision uint64) error {
 	completions, err := c.CompletionBatches.ApplyBatch(key, value, revision)
 	for _, completion := range completions {
-		c.applyFinal(completion.Ref, jobs.FinalState{Status: jobs.Done, Tasks: completion.Tasks})
+		c.applyFinalState(completion.Ref, jobs.FinalState{Status: jobs.Done, Tasks: completion.Tasks})
 		if job := c.State.Job(completion.Ref); job != nil {
 			c.CompletionBatches.ApplyJobRecord(completion.Ref, job.Revision())
 			c.State.EndJob(job)
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -44,8 +44,8 @@
 	MachineRemoved func(machine *clusterstate.Machine)
 	// WatchEventsApplied is called after the changes that the watch delivered were applied.
 	WatchEventsApplied func()
-	// AwaitHandover reports whether to postpone the acquisition of a shard that another live
-	// controller owns, because that controller was requested to hand the shard over.
+	// AwaitHandover reports whether to postpone the acquisition of a shard because its live owner
+	// was requested to hand it over.
 	AwaitHandover func(shard string, now time.Time) (wait bool)
 	// ControllerFailed reports whether a controller is considered failed although its lease has
 	// not expired.
@@ -56,8 +56,8 @@
 	// shard's owner writes.
 	OwnerRecordWritten func(shard string)
 	// JobCancelled is called when this controller learns that a job was cancelled, before the
-	// job's claims are removed from the cluster state. doneTasks is the number of its tasks that
-	// had finished, and revision is that of the record of the cancellation.
+	// job's claims are removed from the cluster state. doneTasks is the number of the job's tasks
+	// that had finished, and revision is the revision of the record that cancelled the job.
 	JobCancelled func(ref string, doneTasks int, revision uint64)
 	// SetLogLevel is called when the operators have changed the log level.
 	SetLogLevel func(level string)
@@ -103,20 +103,20 @@
 	readBarrier *readbarrier.Queue
 
 	cancelWatch      context.CancelFunc // ends the watch request in flight
-	watchBehindSince time.Time          // zero: not behind; see restartStuckWatch
+	watchBehindSince time.Time          // since when the watch lags behind a known revision; zero: it does not
 
-	finalStates          *lru.Cache[string, jobs.FinalState]
-	finalLookupsInFlight int // see lookUpDependencyFinals
+	finalStates             *lru.Cache[string, jobs.FinalState]
+	finalStateReadsInFlight int // those that lookUpDependencyFinalStates has started
 
 	settings         admin.Settings
 	settingsRevision uint64
 
 	acquisitionsInFlight map[string]bool // by shard
-	acquisitionStopped   bool            // see StopAcquiringShards
+	acquisitionStopped   bool            // set by StopAcquiringShards
 
 	livenessEnabled      atomic.Bool // read by maintainLiveness
 	rewriteLiveness      atomic.Bool // read by maintainLiveness, set by checkLivenessRecord
-	livenessMissingSince time.Time   // see checkLivenessRecord
+	livenessMissingSince time.Time   // since when checkLivenessRecord has missed the record; zero: it is not missing
 
 	versionWriteInFlight bool // a write of the version record is in flight
 	featuresEnabled      bool // hooks.FeaturesEnabled was called
@@ -175,14 +175,14 @@
 // committed before that time were applied, later ones may be missing.
 func (c *Cache) ConsistentAsOf() time.Time { return c.consistentAsOf }
 
-// IsStale reports whether the cache is too old to base decisions on records that other controllers
-// may also have changed.
+// IsStale reports whether the cache is too old for decisions that depend on records which other
+// controllers may have changed.
 func (c *Cache) IsStale(now time.Time) bool {
 	return now.Sub(c.consistentAsOf) > tuning.ControllerLeaseTTL
 }
 
 // MayRenewWorkerLeases reports whether heartbeats of workers may be answered, which renews their
-// leases: see config.MayAnswerHeartbeats.
+// leases. The rule is explained at config.Config.MayAnswerHeartbeats.
 func (c *Cache) MayRenewWorkerLeases(now time.Time) bool {
 	return c.synced && c.cfg.MayAnswerHeartbeats(now, c.consistentAsOf)
 }
@@ -198,7 +198,7 @@
 	c.restartStuckWatch(now)
 	c.checkLivenessRecord(now)
 	c.writeVersionRecord()
-	c.lookUpDependencyFinals(now)
+	c.lookUpDependencyFinalStates(now)
 	c.AcquireShards(now)
 	c.readBarrier.StartIfDue(now)
 }
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -22,20 +22,20 @@
 type partitionScenario struct {
 	leaseSeconds, cancelSeconds float64
 	refusalOffset               time.Duration // when the refusal begins, relative to the controller's reads
-	refusalToOutage             time.Duration
-	cutFromPeers                bool // the refused controller is cut from its peers as well
-	restarts                    bool // it crashes and restarts within a fraction of a second
-	othersRecoverFirst          bool // the outage ends for the other controllers first
-	controller                  string
+	refusalToOutage             time.Duration // from the cancellations to the outage
+	cutFromPeers                bool          // the refused controller is cut from its peers as well
+	restarts                    bool          // the refused controller crashes and restarts within a fraction of a second
+	othersRecoverFirst          bool          // the outage ends for the other controllers first
+	refusedController           string
 	mutateConfig                func(cfg *config.Config)
 }
 
 // partitionRun is one run of a scenario, with the violations found.
 type partitionRun struct {
 	partitionScenario
-	t       *testing.T
-	cluster *fake.Cluster
-	tasks   map[string]int // by job
+	t          *testing.T
+	cluster    *fake.Cluster
+	taskCounts map[string]int // number of tasks, by job
 
 	mu          sync.Mutex
 	cancelledAt map[string]time.Time
@@ -44,13 +44,13 @@
 
 var controllers = []string{"n0", "n1", "n2"}
 
-// findViolations runs the scenario and describes the tasks of cancelled jobs that run or start after
-// the cancellation should have ended, and the jobs with a wrong status.
+// findViolations runs the scenario. It returns descriptions of the tasks of cancelled jobs that run or
+// start later than cancelSeconds after the cancellation, and of the jobs with a wrong status.
 func (s partitionScenario) findViolations(t *testing.T) []string {
 	t.Helper()
 	r := &partitionRun{
 		partitionScenario: s,
-		tasks:             map[string]int{"wk-1": 40, "wk-2": 12, "wk-3": 40},
+		taskCounts:        map[string]int{"wk-1": 40, "wk-2": 12, "wk-3": 40},
 		cancelledAt:       map[string]time.Time{},
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -64,13 +64,13 @@
 		responses := r.cancelJobs()
 		r.checkTaskStarts()
 		if s.restarts {
-			r.cluster.CrashController(s.controller)
+			r.cluster.CrashController(s.refusedController)
 			time.Sleep(300 * time.Millisecond)
-			r.cluster.StartController(s.controller)
+			r.cluster.StartController(s.refusedController)
 		}
 		time.Sleep(s.refusalToOutage)
 		r.cluster.Store.SetOutage(true)
-		for range r.tasks {
+		for range r.taskCounts {
 			if response := <-responses; response.Status != jobs.Cancelled {
 				t.Errorf("response to a cancellation: %+v", response)
 			}
@@ -111,7 +111,7 @@
 }
 
 func (r *partitionRun) submitJobs() {
-	for ref, taskCount := range r.tasks {
+	for ref, taskCount := range r.taskCounts {
 		kind := jobs.Array
 		if ref == "wk-2" {
 			kind = jobs.Gang
@@ -124,19 +124,19 @@
 }
 
 func (r *partitionRun) refuseController() {
-	r.cluster.Store.DelayReads(r.controller, 2*time.Second) // longer than a client's timeout, on which the bound must not depend
+	r.cluster.Store.DelayReads(r.refusedController, 2*time.Second) // longer than a client's timeout: the bound must not depend on that timeout
 	time.Sleep(3*time.Second + r.refusalOffset)
-	r.cluster.Store.RefuseNode(r.controller, true)
+	r.cluster.Store.RefuseNode(r.refusedController, true)
 	if r.cutFromPeers {
-		r.cluster.SetPeerLink(fake.PeerLink{Isolated: r.controller})
+		r.cluster.SetPeerLink(fake.PeerLink{Isolated: r.refusedController})
 	}
 }
 
 // cancelJobs cancels all jobs and returns the channel of the responses. The time that a cancellation
-// may take is counted from when it is recorded, the first moment at which a user may get a response:
-// the response itself waits for the refused controller.
+// may take begins when the cancellation is recorded, because a user may get a response from then on.
+// cancelJobs does not wait for the responses, which are delayed by the refused controller.
 func (r *partitionRun) cancelJobs() <-chan controller.Response {
-	responses := make(chan controller.Response, len(r.tasks))
+	responses := make(chan controller.Response, len(r.taskCounts))
 	for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
 		go func() { responses <- r.cluster.Cancel("n2", ref) }()
 		for !r.cluster.IsCancelled(ref) {
@@ -149,7 +149,7 @@
 }
 
 func (r *partitionRun) checkNoTaskRuns(ref string) {
-	for i := range r.tasks[ref] {
+	for i := range r.taskCounts[ref] {
 		if machines := r.cluster.RunningOn(jobs.TaskName(ref, i)); len(machines) > 0 {
 			r.addViolation("%s/%d is on %v", ref, i, machines)
 		}
@@ -164,20 +164,21 @@
 	})
 }
 
-// recover ends the outage, for the refused controller last if othersRecoverFirst is set.
+// recover ends the refusal and the outage. If othersRecoverFirst is set, the refusal ends 10 s after
+// the outage.
 func (r *partitionRun) recover() {
 	store := r.cluster.Store
-	store.RefuseNode(r.controller, r.othersRecoverFirst)
+	store.RefuseNode(r.refusedController, r.othersRecoverFirst)
 	store.SetOutage(false)
 	time.Sleep(10 * time.Second)
-	store.RefuseNode(r.controller, false)
-	store.DelayReads(r.controller, 0)
+	store.RefuseNode(r.refusedController, false)
+	store.DelayReads(r.refusedController, 0)
 	r.cluster.SetPeerLink(fake.PeerLink{})
 	time.Sleep(20 * time.Second)
 }
 
 func (r *partitionRun) checkStatuses() {
-	for ref := range r.tasks {
+	for ref := range r.taskCounts {
 		for _, node := range controllers {
 			if response := r.cluster.Poll(node, ref); response.Status != jobs.Cancelled {
 				r.addViolation("%s has the status %+v at %s", ref, response, node)
@@ -202,7 +203,7 @@
 					cutFromPeers:       n%2 == 1,
 					restarts:           n%5 == 2,
 					othersRecoverFirst: n%3 == 1,
-					controller:         []string{"n0", "n0", "n1"}[n%3],
+					refusedController:  []string{"n0", "n0", "n1"}[n%3],
 				})
 			}
 		}
@@ -210,8 +211,9 @@
 	return scenarios
 }
 
-// The store refuses one controller, then is down for all of them: see docs/recovery.md, "How long a
-// worker may be kept alive".
+// Cancelled tasks must stop in time even if the store first refuses one controller and then is down for
+// all of them. docs/recovery.md, "How long a worker may be kept alive", explains the bound that ensures
+// it.
 func TestCancelledTasksStopInTimeDuringPartitionAndOutage(t *testing.T) {
 	for _, scenario := range partitionScenarios() {
 		for _, violation := range scenario.findViolations(t) {
@@ -220,20 +222,20 @@
 	}
 }
 
-// The bound on renewing worker leases is necessary, and exact to the second: with each of these
-// mutations some scenario has a violation.
+// The bound on renewing worker leases is necessary, and exact to the second: each of these mutations
+// relaxes it, and then some scenario has a violation.
 func TestCancellationBoundIsNecessary(t *testing.T) {
 	requireViolation := func(mutation string, mutateConfig func(cfg *config.Config)) {
 		t.Helper()
-		for offset := range 30 { // all offsets between one read and the next
+		for offset := range 30 { // all offsets between two successive reads
 			scenario := partitionScenario{
-				leaseSeconds:    25,
-				cancelSeconds:   45,
-				refusalOffset:   time.Duration(offset) * 100 * time.Millisecond,
-				refusalToOutage: 1500 * time.Millisecond,
-				cutFromPeers:    true,
-				controller:      "n0",
-				mutateConfig:    mutateConfig,
+				leaseSeconds:      25,
+				cancelSeconds:     45,
+				refusalOffset:     time.Duration(offset) * 100 * time.Millisecond,
+				refusalToOutage:   1500 * time.Millisecond,
+				cutFromPeers:      true,
+				refusedController: "n0",
+				mutateConfig:      mutateConfig,
 			}
 			if len(scenario.findViolations(t)) > 0 {
 				return
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -27,7 +27,7 @@
 	return len(raw) <= int(tuning.RecordValueFraction*float64(c.cfg.CurrentMaxValueBytes()))
 }
 
-// Commit executes a transaction off the actor and passes its result to done on the actor. On
+// Commit executes a transaction on another goroutine and passes its result to done on the actor. On
 // success the writes are applied to the cache before done is called.
 func (c *Cache) Commit(priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
 	go func() {
@@ -71,8 +71,9 @@
 	return keys
 }
 
-// ChangeSettings stores new settings, provided that version is still the version of the stored ones.
-// It passes the new version to done, or admin.ErrVersionConflict or admin.ErrUnavailable.
+// ChangeSettings stores new settings, provided that version is still the version of the stored
+// settings. It calls done with the new version, or with the error admin.ErrVersionConflict or
+// admin.ErrUnavailable.
 func (c *Cache) ChangeSettings(settings admin.Settings, version uint64, done func(version uint64, err error)) {
 	txn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: jobs.SettingsKey, Revision: version}},
@@ -91,7 +92,8 @@
 	})
 }
 
-// StoreMachineTypes stores the machine types and their boot times, as far as they have changed.
+// StoreMachineTypes stores the records of the machine types and of their boot times, each only if it
+// has changed.
 func (c *Cache) StoreMachineTypes(now time.Time) {
 	value, record, err := c.MachineTypes.TypesToRecord()
 	c.storeRecord(jobs.MachineTypesKey, value, record, err, func() {})
@@ -102,8 +104,8 @@
 }
 
 // storeRecord writes one of the two records about machine types. value is nil if there is nothing to
-// write, and err is the error of encoding value. stored is called after a successful write.
-func (c *Cache) storeRecord(key string, value json.RawMessage, record *machinetype.RecordState, err error, stored func()) {
+// write, and err is the error of encoding value. onStored is called after a successful write.
+func (c *Cache) storeRecord(key string, value json.RawMessage, record *machinetype.RecordState, err error, onStored func()) {
 	if err != nil {
 		c.log.Error("record not written", "key", key, "error", err)
 	}
@@ -118,7 +120,7 @@
 	c.Commit(kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
 		record.WriteInFlight = false
 		if err == nil && result.Succeeded {
-			stored()
+			onStored()
 		}
 	})
 }
--- a/internal/statecache/features.go
+++ b/internal/statecache/features.go
@@ -38,7 +38,7 @@
 			c.versionWriteInFlight = false
 			return
 		}
-		// Tick would repeat a failing write several times a second.
+		// Without this delay, Tick would repeat a failing write several times a second.
 		c.mailbox.SendAfter(tuning.MaxRetryDelay, func() { c.versionWriteInFlight = false })
 	})
 }
--- a/internal/statecache/finals.go
+++ b/internal/statecache/finals.go
@@ -27,7 +27,7 @@
 			var final jobs.FinalState
 			if err == nil && record.Found {
 				if err = json.Unmarshal(record.Row.Value, &final); err == nil {
-					c.applyFinal(ref, final)
+					c.applyFinalState(ref, final)
 				}
 			}
 			done(final, record.Found, err)
@@ -35,8 +35,8 @@
 	}()
 }
 
-// applyFinal applies a durable final state.
-func (c *Cache) applyFinal(ref string, final jobs.FinalState) {
+// applyFinalState applies a durable final state.
+func (c *Cache) applyFinalState(ref string, final jobs.FinalState) {
 	c.finalStates.Add(ref, final)
 	c.State.Dependencies().ApplyFinalState(ref, jobdag.FinalStateOf(final.Status), time.Now())
 }
@@ -50,14 +50,14 @@
 	if _, known := c.CachedFinalState(ref); !known && final.Status == jobs.Cancelled {
 		c.hooks.JobCancelled(ref, final.Tasks, revision)
 	}
-	c.applyFinal(ref, final)
+	c.applyFinalState(ref, final)
 	return nil
 }
 
-// ApplyPeerCancellation applies a cancellation that a peer has read from the store. revision is that
-// of its record, and doneTasks is the number of tasks that were done. Such a cancellation is as
-// reliable as one that the watch delivers, and it arrives even while this controller cannot reach
-// the store.
+// ApplyPeerCancellation applies a cancellation that a peer has read from the store. revision is the
+// revision of the record that cancelled the job, and doneTasks is the number of the job's tasks that
+// were done. Such a cancellation is as reliable as one that the watch delivers, and it arrives even
+// while this controller cannot reach the store.
 func (c *Cache) ApplyPeerCancellation(ref string, doneTasks int, revision uint64) {
 	if _, known := c.CachedFinalState(ref); known || !c.synced || !jobs.ValidRef(ref) {
 		return
@@ -67,17 +67,17 @@
 	c.ApplyDelete(jobs.JobKey(ref), revision)
 }
 
-// lookUpDependencyFinals reads the final states of jobs on which other jobs depend and which ended
+// lookUpDependencyFinalStates reads the final states of jobs on which other jobs depend and which ended
 // before this controller started: a load does not contain final states. The dependent jobs wait
 // until these states are known.
-func (c *Cache) lookUpDependencyFinals(now time.Time) {
-	if !c.synced || c.finalLookupsInFlight >= tuning.MaxConcurrentFinalStateReads {
+func (c *Cache) lookUpDependencyFinalStates(now time.Time) {
+	if !c.synced || c.finalStateReadsInFlight >= tuning.MaxConcurrentFinalStateReads {
 		return
 	}
 	retryBefore := now.Add(-tuning.FinalStateReadRetryInterval)
-	limit := tuning.MaxConcurrentFinalStateReads - c.finalLookupsInFlight
+	limit := tuning.MaxConcurrentFinalStateReads - c.finalStateReadsInFlight
 	for _, ref := range c.State.Dependencies().UnknownJobs(retryBefore, now, limit) {
-		c.finalLookupsInFlight++
-		c.ReadFinalState(ref, func(jobs.FinalState, bool, error) { c.finalLookupsInFlight-- })
+		c.finalStateReadsInFlight++
+		c.ReadFinalState(ref, func(jobs.FinalState, bool, error) { c.finalStateReadsInFlight-- })
 	}
 }
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -11,7 +11,7 @@
 	"cherrywall/internal/tuning"
 )
 
-var errLivenessChanged = errors.New("liveness key changed meanwhile")
+var errLivenessChanged = errors.New("another write has changed the liveness record")
 
 // maintainLiveness renews the lease to which this controller's liveness record is attached,
 // until the context ends.
@@ -43,10 +43,10 @@
 }
 
 // writeLivenessRecord obtains a lease and attaches this controller's liveness record to it. The
-// write has the precondition that the record is unchanged. Without it, an earlier write that got no
-// response could be executed after this one and attach the record to a lease that nobody renews.
-// The store would delete the record together with that lease, and the controller would acquire no
-// more shards.
+// write has the precondition that the record is unchanged. Without that condition, an earlier write
+// that got no response could be executed after this one and attach the record to a lease that nobody
+// renews. The store would delete the record together with that lease, and the controller would
+// acquire no more shards.
 func (c *Cache) writeLivenessRecord(ctx context.Context) (leaseID uint64, err error) {
 	key := c.livenessKey()
 	record, err := c.store.Get(ctx, kvstore.Urgent, key) // its revision is 0 if it does not exist
--- a/internal/statecache/quarantine.go
+++ b/internal/statecache/quarantine.go
@@ -15,10 +15,11 @@
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 	Error    string `json:"error"`
-	Value    string `json:"value"` // the first bytes, at most tuning.MaxQuarantinedRecordBytes
+	Value    string `json:"value"` // only the first tuning.MaxQuarantinedRecordBytes bytes
 }
 
-// updateQuarantine quarantines a record that could not be applied, and releases one that could.
+// updateQuarantine quarantines a record if err says that it could not be applied. Otherwise it removes
+// the record from quarantine.
 func (c *Cache) updateQuarantine(key string, value json.RawMessage, revision uint64, err error) {
 	if err == nil {
 		delete(c.quarantined, key)
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -16,11 +16,11 @@
 	if !ok {
 		return
 	}
-	failed := func(controller string) bool { return c.hooks.ControllerFailed(controller, now) }
-	for _, id := range c.Membership.ShardsToAcquire(now, failed) {
+	hasFailed := func(controller string) bool { return c.hooks.ControllerFailed(controller, now) }
+	for _, id := range c.Membership.ShardsToAcquire(now, hasFailed) {
 		shard := c.Membership.Shard(id)
 		ownerIsLive := c.Membership.OwnerIsLive(shard)
-		ownerFailed := ownerIsLive && failed(shard.Owner())
+		ownerFailed := ownerIsLive && hasFailed(shard.Owner())
 		if ownerIsLive && !ownerFailed && c.hooks.AwaitHandover(id, now) {
 			continue
 		}
@@ -30,8 +30,8 @@
 		conditions := []kvstore.Condition{{Key: c.livenessKey(), Revision: livenessRevision}}
 		if id != c.cfg.Node {
 			// The home of the shard is down or considered failed. If the home's liveness
-			// record has changed since, the home has restarted and should own the shard
-			// itself, so this write must fail.
+			// record is no longer the cached one, the home has restarted and should own the
+			// shard itself, so this write must fail.
 			conditions = append(conditions, kvstore.Condition{Key: jobs.LivenessPrefix + id, Revision: c.Membership.LivenessRevision(id)})
 		}
 		c.acquireShard(id, now, conditions...)
@@ -72,13 +72,13 @@
 	}
 	c.acquisitionsInFlight[id] = true
 	shard := c.Membership.Shard(id)
-	recordUnchanged := kvstore.Condition{Key: jobs.ShardPrefix + id} // revision 0: there is no record
+	recordCondition := kvstore.Condition{Key: jobs.ShardPrefix + id} // revision 0: there is no record
 	if shard != nil {
-		recordUnchanged.Revision = shard.Epoch()
+		recordCondition.Revision = shard.Epoch()
 	}
 	txn := kvstore.Txn{
-		Conditions: append(conditions, recordUnchanged),
-		Writes:     []kvstore.Write{{Key: recordUnchanged.Key, Value: membership.EncodeShard(c.cfg.Node, c.incarnation, shard, now)}},
+		Conditions: append(conditions, recordCondition),
+		Writes:     []kvstore.Write{{Key: recordCondition.Key, Value: membership.EncodeShard(c.cfg.Node, c.incarnation, shard, now)}},
 	}
 	c.Commit(kvstore.Urgent, txn, func(result kvstore.TxnResult, err error) {
 		delete(c.acquisitionsInFlight, id)
@@ -107,10 +107,11 @@
 
 // HasReachedEpoch reports whether all changes up to the acquisition of a shard were applied. The
 // acquisition by this controller is applied as soon as its write succeeds, perhaps before the watch
-// has delivered earlier changes. A heartbeat that was accepted in between could list a task of a
-// range that the previous owner claimed just before. The task would be stopped as unknown. Once the
-// range became known, the worker would count as having sent a heartbeat that does not list the task,
-// so the task would be started on another worker and run twice.
+// has delivered earlier changes. If a heartbeat were accepted before these changes are applied, it
+// could list a task of a range that the previous owner claimed shortly before it lost the shard. The
+// task would be stopped as unknown. Once the range became known, the worker would count as having sent
+// a heartbeat that does not list the task, so the task would be started on another worker and run
+// twice.
 func (c *Cache) HasReachedEpoch(shard *membership.Shard) bool {
 	return c.appliedRevision >= shard.Epoch()
 }
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -22,9 +22,10 @@
 // listing is the result of listing all records, one prefix after the other.
 type listing struct {
 	rows []kvstore.KeyValue
-	// oldest and newest are the lowest and the highest revision at which a prefix was listed: the
-	// records are complete up to oldest, and some are as new as newest.
-	oldest, newest uint64
+	// oldestRevision and newestRevision are the lowest and the highest revision at which a prefix
+	// was listed: the records are complete up to oldestRevision, and some are as new as
+	// newestRevision.
+	oldestRevision, newestRevision uint64
 }
 
 // syncLoop loads the records and watches them for changes until the context ends. It loads them
@@ -52,7 +53,7 @@
 		return err
 	}
 	c.mailbox.Send(func() { c.applyListing(loaded) })
-	return c.watch(ctx, loaded.oldest)
+	return c.watch(ctx, loaded.oldestRevision)
 }
 
 // list lists the records of all loadedPrefixes.
@@ -64,10 +65,10 @@
 			return listing{}, err
 		}
 		// The first revision of a new store is 0, so 0 cannot stand for "none yet".
-		if i == 0 || revision < combined.oldest {
-			combined.oldest = revision
+		if i == 0 || revision < combined.oldestRevision {
+			combined.oldestRevision = revision
 		}
-		combined.newest = max(combined.newest, revision)
+		combined.newestRevision = max(combined.newestRevision, revision)
 		combined.rows = append(combined.rows, rows...)
 	}
 	return combined, nil
@@ -80,9 +81,9 @@
 	for _, row := range loaded.rows {
 		c.ApplyWrite(row.Key, row.Value, row.Revision)
 	}
-	c.appliedRevision, c.loadedRevision = loaded.oldest, loaded.newest
+	c.appliedRevision, c.loadedRevision = loaded.oldestRevision, loaded.newestRevision
 	c.lastContactAt = time.Now()
-	if loaded.oldest >= loaded.newest {
+	if loaded.oldestRevision >= loaded.newestRevision {
 		c.markSynced()
 	}
 	c.hooks.PipelineEvents(nil, true)
@@ -166,9 +167,9 @@
 	}
 }
 
-// restartStuckWatch restarts the watch request if the changes received from it have lagged behind for
-// longer than tuning.WatchStuckAfter, compared with the newest revision that a read has returned. The
-// connection may be dead without having reported an error.
+// restartStuckWatch restarts the watch request if, for longer than tuning.WatchStuckAfter, the cache
+// has lagged behind the newest revision that a read has returned. The connection of the watch may be
+// dead without having reported an error.
 func (c *Cache) restartStuckWatch(now time.Time) {
 	if c.readBarrier.NewestRevision() <= c.appliedRevision {
 		c.watchBehindSince = time.Time{}
@@ -185,9 +186,9 @@
 }
 
 // ReadBarrier calls done on the actor with ok set once the cache contains all changes committed
-// before this call, so that a read of the cache is linearizable. ok is false if that took too long.
-// Several callers share one request to the store; if one of them is urgent, the request is sent
-// sooner instead of waiting for further callers.
+// before this call, so that a read of the cache is linearizable. ok is false if that takes too long
+// or the store cannot be read. Several callers share one request to the store; if one of them is
+// urgent, the request is sent sooner instead of waiting for further callers.
 func (c *Cache) ReadBarrier(urgent bool, done func(ok bool)) {
 	c.readBarrier.Wait(time.Now(), urgent, done)
 }
@@ -209,14 +210,15 @@
 	}()
 }
 
-// readTimestamp returns the moment as of which the result of a read is current: when the request
-// was sent, not when the response was received, since the store may have read its revision
-// immediately and committed changes before the response arrived. Tests replace this function to check
+// readTimestamp returns the moment as of which the result of a read is current: when the request was
+// sent, not when the response was received, since the store may have read its revision immediately
+// and committed further changes before the response arrived. Tests replace this function to check
 // that they would detect the wrong choice.
 var readTimestamp = func(sentAt, _ time.Time) time.Time { return sentAt }
 
-// advanceReadBarrier completes the calls of ReadBarrier whose revision was reached. It sets
-// consistentAsOf before it calls their done functions, since those may depend on it.
+// advanceReadBarrier completes the calls of ReadBarrier that wait for a revision which the cache has
+// reached. It sets consistentAsOf before it calls their done functions, since those may depend on
+// it.
 func (c *Cache) advanceReadBarrier(now time.Time) {
 	consistentAsOf, serve := c.readBarrier.Advance(now, c.appliedRevision, c.synced)
 	if consistentAsOf.After(c.consistentAsOf) {
