--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -8,17 +8,17 @@
 )
 
 // Successor returns the controller that should own a shard: its home if that is live, else the
-// next live one in the order of names. It returns "" if no controller is live.
+// first live controller after the home in the order of names. It returns "" if no controller is live.
 func (t *Table) Successor(id string) string {
 	return t.SuccessorExcluding(id, func(string) bool { return false })
 }
 
 // SuccessorExcluding is like Successor, but treats the excluded controllers as not live.
-func (t *Table) SuccessorExcluding(id string, excluded func(controller string) bool) string {
+func (t *Table) SuccessorExcluding(id string, isExcluded func(controller string) bool) string {
 	home := max(0, slices.Index(t.controllers, id))
 	for i := range t.controllers {
 		candidate := t.controllers[(home+i)%len(t.controllers)]
-		if t.IsLive(candidate, 0) && !excluded(candidate) {
+		if t.IsLive(candidate, 0) && !isExcluded(candidate) {
 			return candidate
 		}
 	}
@@ -35,15 +35,15 @@
 // owner, and its own startup grace period is over. Without that period, when all controllers start
 // together, the first one up would acquire the shard of the next, which would acquire it back half a
 // second later. With each change of owner, what the owner knew about the shard's machines is lost.
-func (t *Table) ShardsToAcquire(now time.Time, failed func(controller string) bool) []string {
+func (t *Table) ShardsToAcquire(now time.Time, hasFailed func(controller string) bool) []string {
 	var ids []string
 	for _, id := range t.controllers {
 		shard := t.shards[id]
 		isLocal := shard != nil && shard.isLocal
-		if isLocal || t.SuccessorExcluding(id, failed) != t.self {
+		if isLocal || t.SuccessorExcluding(id, hasFailed) != t.self {
 			continue
 		}
-		hasWorkingOwner := t.OwnerIsLive(shard) && !failed(shard.owner)
+		hasWorkingOwner := t.OwnerIsLive(shard) && !hasFailed(shard.owner)
 		isHome := id == t.self
 		delay := time.Duration(0)
 		switch {
@@ -67,12 +67,12 @@
 	return t.liveSince.IsZero() || now.Sub(t.liveSince) < tuning.StartupGracePeriod
 }
 
-// returnDelay returns how long the shard's home controller waits after its own start before it acquires
-// the shard from the present owner. The delay is 0 if one crash and the return from it explain the
-// number of recent acquisitions. The first acquisition beyond that number causes the minimum delay, and
-// each further one doubles the delay, up to a limit. Without the delay, a controller that crashed every
-// few seconds would acquire its shard at each start, and two controllers would take turns probing the
-// shard's workers.
+// returnDelay returns how long the shard's home controller waits after its own start before it
+// acquires the shard from the present owner. The delay is 0 up to tuning.MaxUndelayedAcquisitions
+// recent acquisitions, which two crashes of the home and the return in between explain. The first
+// acquisition beyond that number causes the minimum delay, and each further one doubles the delay,
+// up to a limit. Without the delay, a controller that crashed every few seconds would acquire its
+// shard at each start, and two controllers would take turns probing the shard's workers.
 func (s *Shard) returnDelay(now time.Time) time.Duration {
 	recentAcquisitions := 0
 	for _, acquiredMs := range s.acquisitions {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -21,9 +21,10 @@
 	// Acquisitions are the times at which the shard was acquired, the latest last. Each is in Unix
 	// milliseconds by the clock of the controller that acquired the shard.
 	Acquisitions []int64 `json:"takings,omitempty"`
-	// GangWorkersTrustedAfter is the revision after which all owners have respected the marks of gangs
-	// (docs/recovery.md, "Marks"); 0 stands for the revision of this record. Controllers of
-	// versions without marks do not write this field.
+	// GangWorkersTrustedAfter is the revision after which all owners of the shard have started the
+	// tasks of gangs only on the workers in jobs.RangeRecord.GangWorkers (docs/recovery.md,
+	// "Marks"); 0 stands for the revision of this record. Versions of the controller that ignore
+	// GangWorkers do not write this field.
 	GangWorkersTrustedAfter *uint64 `json:"marks,omitempty"`
 }
 
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -11,7 +11,7 @@
 	knownSince              time.Time
 	isReconciled            bool
 	acquisitions            []int64 // see shardRecord
-	gangWorkersTrustedAfter *uint64 // nil: no mark is trusted
+	gangWorkersTrustedAfter *uint64 // see shardRecord; nil: no gang's list of workers is trusted
 	previousEpoch           uint64  // 0: not known
 	transferPrepared        bool
 	transferred             bool
@@ -46,9 +46,10 @@
 // MarkReconciled records that the shard is reconciled; see IsReconciled.
 func (s *Shard) MarkReconciled() { s.isReconciled = true }
 
-// TrustsGangWorkers reports whether the mark of a gang can be relied on. A mark is the list of workers in the
-// gang's range record (jobs.RangeRecord.GangWorkers), and revision is the revision of that record. The
-// mark cannot be relied on if a later owner of the shard may have run a version that ignores marks.
+// TrustsGangWorkers reports whether a gang's tasks can have been started only on the workers that
+// the gang's range record lists (jobs.RangeRecord.GangWorkers). revision is the revision of that
+// record. The list is not trusted if a later owner of the shard may have run a version that ignores
+// such lists.
 func (s *Shard) TrustsGangWorkers(revision uint64) bool {
 	return s.gangWorkersTrustedAfter != nil && revision > *s.gangWorkersTrustedAfter
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -77,8 +77,8 @@
 	t.liveSince = time.Time{}
 }
 
-// ApplyLiveness applies a controller's liveness record of a revision. now is the time at which the
-// record became known. A record no newer than the known one is ignored.
+// ApplyLiveness applies a controller's liveness record, which was written at revision. now is the time
+// at which the record became known. A record no newer than the known one is ignored.
 func (t *Table) ApplyLiveness(controller string, value json.RawMessage, revision uint64, now time.Time) error {
 	if t.liveness[controller].revision >= revision {
 		return nil
@@ -131,8 +131,9 @@
 	return shard != nil && t.IsLive(shard.owner, shard.incarnation)
 }
 
-// ApplyShard applies a shard's ownership record of a revision, which is the shard's epoch, and
-// returns the resulting Shard. It returns nil for a record no newer than the known one.
+// ApplyShard applies a shard's ownership record, which was written at revision, and returns the
+// resulting Shard. The revision is the shard's epoch. ApplyShard returns nil for a record no newer
+// than the known one.
 func (t *Table) ApplyShard(id string, value json.RawMessage, revision uint64, now time.Time) (*Shard, error) {
 	previous := t.shards[id]
 	if previous != nil && previous.epoch >= revision {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// When all controllers start together, none acquires the shard of another before the home has had
-// time to acquire it. A shard that a third controller owns stays with it until its home is back.
+// When all controllers start together, none acquires the shard of another before the shard's home has
+// had time to acquire it. A shard whose owner is live stays with that owner until the home is back.
 func TestNoForeignShardAcquiredInStartupGracePeriod(t *testing.T) {
 	now := time.Now()
 	table := New("n1", 7, []string{"n0", "n1", "n2"})
