--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -11,7 +11,7 @@
 )
 
 // maxAnsweredReadAge bounds how long the result of a read is kept while the cache has not reached
-// the revision that was read. The read's callers have failed long before.
+// the revision that was read. The callers that waited for it have failed long before that age.
 const maxAnsweredReadAge = 10 * tuning.StoreRequestTimeout
 
 // Queue is the queue of callers that wait at the barrier. It is not safe for concurrent use: the actor
@@ -20,14 +20,14 @@
 	startRead func(startedAt time.Time)
 	wake      func()
 
-	waiting        []waiter       // for which no read is in flight yet
-	inFlight       []waiter       // that the read in flight will serve
-	readInFlight   bool           // true also for a periodic read, which has no waiters
-	answered       []answeredRead // reads whose revisions the cache has not reached yet
-	newestRevision uint64
-	lastReadAt     time.Time
-	nextReadAt     time.Time // the time for which the timer is set; zero if it is not set
-	timer          *time.Timer
+	waiting         []waiter       // callers for which no read was started yet
+	inFlightWaiters []waiter       // callers that the read in flight will serve
+	readInFlight    bool           // true also for a periodic read, which has no waiters
+	answeredReads   []answeredRead // reads whose revisions the cache has not reached yet
+	newestRevision  uint64
+	lastReadAt      time.Time
+	nextReadAt      time.Time // the time for which the timer is set; zero if it is not set
+	timer           *time.Timer
 }
 
 // waiter is a caller of Wait.
@@ -54,7 +54,7 @@
 // NewestRevision returns the newest revision of the store that was read, 0 if none was read yet.
 func (q *Queue) NewestRevision() uint64 { return q.newestRevision }
 
-// Wait calls done with true once the cache contains all changes decided before now, or with false if
+// Wait calls done with true once the cache contains all changes committed before now, or with false if
 // that takes longer than tuning.StoreRequestTimeout or the read fails. Callers that are not urgent
 // wait longer before their read starts, so that more callers share it.
 func (q *Queue) Wait(now time.Time, urgent bool, done func(ok bool)) {
@@ -63,8 +63,8 @@
 }
 
 // StartIfDue starts a read if callers wait for one, or if the last read was completed at least
-// tuning.RevisionReadInterval ago. If the last read is too recent, it sets the timer instead. It does
-// nothing while a read is in flight.
+// tuning.RevisionReadInterval ago. If the minimum interval since the last read has not passed, it
+// sets the timer instead. It does nothing while a read is in flight.
 func (q *Queue) StartIfDue(now time.Time) {
 	if q.readInFlight || (len(q.waiting) == 0 && now.Sub(q.lastReadAt) < tuning.RevisionReadInterval) {
 		return
@@ -73,7 +73,7 @@
 	switch {
 	case !now.Before(dueAt):
 		q.readInFlight = true
-		q.inFlight, q.waiting = q.waiting, nil
+		q.inFlightWaiters, q.waiting = q.waiting, nil
 		q.startRead(now)
 	case q.nextReadAt.IsZero() || dueAt.Before(q.nextReadAt):
 		if q.timer != nil {
@@ -98,46 +98,47 @@
 	q.StartIfDue(now)
 }
 
-// CompleteRead takes the result of the read in flight: the store's revision as of startedAt, or an error.
-// Advance and StartIfDue have to be called next.
+// CompleteRead records the result of the read in flight: the store's revision as of startedAt, or an
+// error. Advance and StartIfDue have to be called next.
 func (q *Queue) CompleteRead(now, startedAt time.Time, revision uint64, err error) {
 	q.readInFlight = false
 	q.lastReadAt = now
-	waiters := q.inFlight
-	q.inFlight = nil
+	waiters := q.inFlightWaiters
+	q.inFlightWaiters = nil
 	if err != nil {
 		finish(waiters, false)
 		return
 	}
 	q.newestRevision = max(q.newestRevision, revision)
-	q.answered = append(q.answered, answeredRead{revision: revision, startedAt: startedAt, waiters: waiters})
+	q.answeredReads = append(q.answeredReads, answeredRead{revision: revision, startedAt: startedAt, waiters: waiters})
 }
 
-// Advance serves the waiters of the reads whose revision the cache has reached, and fails the waiters
-// whose deadline has passed. appliedRevision is the revision up to which the cache has applied all
-// changes; synced tells whether the cache is complete.
+// Advance serves the waiters of the reads whose revision the cache has reached. It fails all waiters of
+// any other read once the earliest of their deadlines has passed. appliedRevision is the revision up to
+// which the cache has applied all changes; synced tells whether the cache is complete.
 //
-// The cache contains all changes that were decided before consistentAsOf, which is zero if it has
-// reached the revision of no further read. The caller has to record consistentAsOf first and then call
-// serve, which calls the done functions of the served waiters: these may depend on the recorded time.
+// The cache contains all changes that were committed before consistentAsOf. consistentAsOf is zero
+// if the cache has reached the revision of no read since the last call. The caller has to record
+// consistentAsOf first and then call serve, which calls the done functions of the served waiters:
+// these may depend on the recorded time.
 func (q *Queue) Advance(now time.Time, appliedRevision uint64, synced bool) (consistentAsOf time.Time, serve func()) {
-	var remaining []answeredRead
-	var served []waiter
-	for _, read := range q.answered {
+	var remainingReads []answeredRead
+	var servedWaiters []waiter
+	for _, read := range q.answeredReads {
 		switch {
 		case synced && read.revision <= appliedRevision:
 			if read.startedAt.After(consistentAsOf) {
 				consistentAsOf = read.startedAt
 			}
-			served = append(served, read.waiters...)
+			servedWaiters = append(servedWaiters, read.waiters...)
 		case len(read.waiters) > 0 && now.After(read.waiters[0].deadline):
 			finish(read.waiters, false)
 		case now.Sub(read.startedAt) < maxAnsweredReadAge:
-			remaining = append(remaining, read)
+			remainingReads = append(remainingReads, read)
 		}
 	}
-	q.answered = remaining
-	return consistentAsOf, func() { finish(served, true) }
+	q.answeredReads = remainingReads
+	return consistentAsOf, func() { finish(servedWaiters, true) }
 }
 
 // finish calls the done functions of waiters with ok.
