--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// minRequestBurst (requests) and minWriteBurst (writes) are lower bounds of the bursts, so that
-	// a transaction of several writes can pass even if the budget is small.
+	// minRequestBurst and minWriteBurst are lower bounds of the limiters' bursts, in requests and in
+	// writes. They let a transaction of several writes pass even if the budget is small.
 	minRequestBurst = 1
 	minWriteBurst   = 8
 )
 
 // budget limits the requests and writes of this controller. All controllers share the limits of the
-// service, and some need more than others: each controller takes more than an equal fraction until the
-// service responds that its limits are exceeded. budget is safe for concurrent use.
+// service, and some need more than others. Therefore each controller may use more than an equal
+// fraction until the service responds that its limits are exceeded. budget is safe for concurrent
+// use.
 type budget struct {
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
@@ -88,10 +89,10 @@
 }
 
 // updateLimits sets the rates of the limiters. If all peers have reported their usage recently, the
-// rates are what the peers leave of the service's limits. Otherwise they are the fraction of the limits
-// that this controller learned from being rate limited. Shortly after it was rate limited, the lesser
-// of both is used, since other clients than controllers may use the service as well. The caller must
-// hold the lock.
+// rates are what the peers leave of the service's limits. Otherwise they are the fraction of the
+// limits that this controller learned from being rate limited. Shortly after it was rate limited,
+// the lower of the two rates is used, since other clients than controllers may use the service as
+// well. The caller must hold the lock.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
 	if peers, complete := b.totalPeerUsage(now); complete {
@@ -108,21 +109,22 @@
 }
 
 // totalPeerUsage returns the sum of the rates that the peers have reported within
-// tuning.PeerIdleTimeout; complete is false if there are no peers or one of them has not reported.
+// tuning.PeerIdleTimeout; complete is false if there are no peers, or if one of them has not reported
+// within that time.
 func (b *budget) totalPeerUsage(now time.Time) (total usage, complete bool) {
-	reporting := 1 // this controller
+	reportingControllers := 1 // this controller
 	for _, peer := range b.peerUsage {
 		if now.Sub(peer.recordedAt) < tuning.PeerIdleTimeout {
-			reporting++
+			reportingControllers++
 			total.requests += peer.requests
 			total.writes += peer.writes
 		}
 	}
-	return total, reporting >= b.controllers && b.controllers > 1
+	return total, reportingControllers >= b.controllers && b.controllers > 1
 }
 
 // remainingRate returns the part of one of the service's limits (total) that the peers' usage (used)
-// leaves to this controller, all per second. It is bounded from both sides.
+// leaves to this controller, all per second. The result has a lower and an upper bound.
 func (b *budget) remainingRate(total, used float64) float64 {
 	usable := tuning.BudgetOvercommitFactor * total
 	return min(max(usable-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
@@ -161,10 +163,10 @@
 	b.currentUsage.writes += float64(writes)
 }
 
-// waitForBudget waits until the budget allows a request with the given number of writes, and deducts the
-// request from the budget. Callers of lower priority leave a part of the burst to more urgent ones. It
-// returns ErrUnavailable, which means that the request was not sent, only if ctx ends or would end
-// before the budget allows the request.
+// waitForBudget waits until the budget allows a request with the given number of writes, and deducts
+// the request from the budget. Callers of lower priority leave a part of the burst to more urgent
+// ones. It fails only if ctx ends, or would end, before the budget allows the request. The error is
+// ErrUnavailable, since the request was not sent.
 func (b *budget) waitForBudget(ctx context.Context, priority Priority, writes int) error {
 	b.recordRequest(writes) // before waiting, so that the usage reported to the peers includes requests that wait
 	for b.burstReserved(priority, writes) {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -100,20 +100,20 @@
 // List reads all keys with a prefix, page by page: see Service. It returns the revision of the first
 // page.
 func (c *Client) List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error) {
-	from := ""
+	afterKey := ""
 	for {
-		page, err := c.listPage(ctx, prefix, from)
+		page, err := c.listPage(ctx, prefix, afterKey)
 		if err != nil {
 			return nil, 0, err
 		}
-		if from == "" {
+		if afterKey == "" {
 			revision = page.Revision
 		}
 		rows = append(rows, page.Rows...)
 		if !page.Truncated || len(page.Rows) == 0 {
 			return rows, revision, nil
 		}
-		from = page.Rows[len(page.Rows)-1].Key
+		afterKey = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
@@ -124,16 +124,16 @@
 	Revision  uint64     `json:"epoch"`
 }
 
-// listPage reads the page that begins after the key from, or the first page if from is empty.
-func (c *Client) listPage(ctx context.Context, prefix, from string) (listing, error) {
+// listPage reads the page that begins after the key afterKey, or the first page if afterKey is empty.
+func (c *Client) listPage(ctx context.Context, prefix, afterKey string) (listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StoreRequestTimeout)
 	defer cancel()
 	if err := c.budget.waitForBudget(ctx, Normal, 0); err != nil {
 		return listing{}, err
 	}
 	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.ListPageRows)}}
-	if from != "" {
-		query.Set("from", from)
+	if afterKey != "" {
+		query.Set("from", afterKey)
 	}
 	var page listing
 	status, err := c.callWithRetry(ctx, http.MethodGet, "/kv?"+query.Encode(), nil, &page)
@@ -141,7 +141,7 @@
 }
 
 // Watch waits for changes after a revision: see Service.
-func (c *Client) Watch(ctx context.Context, prefix string, from uint64) ([]Event, uint64, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, afterRevision uint64) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.WatchRequestWait+tuning.WatchTimeoutMargin)
 	defer cancel()
 	if err := c.budget.waitForBudget(ctx, Urgent, 0); err != nil {
@@ -149,7 +149,7 @@
 	}
 	query := url.Values{
 		"starts": {prefix},
-		"from":   {strconv.FormatUint(from, 10)},
+		"from":   {strconv.FormatUint(afterRevision, 10)},
 		"waitMs": {strconv.FormatInt(tuning.WatchRequestWait.Milliseconds(), 10)},
 	}
 	var response struct {
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -9,20 +9,19 @@
 // Service is a consensus-backed key-value store with compare-and-swap transactions, leases and
 // watches. Client implements it, and so do layers that wrap another Service.
 type Service interface {
-	// Commit executes a transaction. It returns an error if the store has not decided the
-	// transaction, or if the decision is not known; conditions that do not hold are reported by the
-	// result, not as an error. If Commit returns an error, the writes were not executed, except
-	// that they may have been executed after ErrOutcomeUnknown.
+	// Commit executes a transaction. Without an error, the store has processed the transaction, and
+	// the result tells whether the conditions held. After ErrOutcomeUnknown the writes may have been
+	// executed, or may still be executed. After any other error they were not executed.
 	Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error)
 	// Get reads one key.
 	Get(ctx context.Context, priority Priority, key string) (GetResult, error)
-	// List reads all keys with a prefix, and the revision as of which the listing began.
+	// List reads all keys with a prefix. revision is the store's revision when the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
-	// Watch waits for changes of keys with a prefix that are later than revision from. It returns
-	// the changes, and the revision up to which it has watched; after a while it returns also
-	// without changes. It returns ErrExpired if changes since from are no longer available: all
-	// records have to be listed again.
-	Watch(ctx context.Context, prefix string, from uint64) (events []Event, revision uint64, err error)
+	// Watch waits for changes of keys with a prefix that were made after afterRevision. It returns
+	// the changes, and the revision up to which it has watched. If there are none for a while, it
+	// returns without changes. It returns ErrExpired if the changes since afterRevision are no
+	// longer available: all records have to be listed again.
+	Watch(ctx context.Context, prefix string, afterRevision uint64) (events []Event, revision uint64, err error)
 	// GrantLease obtains a lease to which keys can be attached. The keys are deleted when the lease
 	// expires.
 	GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error)
@@ -40,8 +39,8 @@
 	Background                 // completed tasks, pipelines, cleanup: requests that can wait
 )
 
-// reservedBurst returns the fraction of the bursts that callers of this priority leave to callers of
-// higher priority.
+// reservedBurst returns the fraction of the rate limiters' bursts that callers of this priority
+// leave to callers of higher priority.
 func (p Priority) reservedBurst() float64 {
 	switch p {
 	case Normal:
@@ -75,7 +74,7 @@
 	Writes     []Write     `json:"writes,omitempty"`
 }
 
-// TxnResult is the result of a transaction that the store has decided.
+// TxnResult is the result of a transaction that the store has processed.
 type TxnResult struct {
 	Succeeded  bool
 	Revision   uint64   // the store's revision after the transaction
