--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -34,8 +34,8 @@
 }
 
 // collectGarbage does one pass over all chunks. Orphans are chunks to which no record points. The pass
-// deletes the orphans that were orphans in the previous pass, too, and remembers the other orphans for
-// the next pass.
+// deletes the orphans that already were orphans in the previous pass, and remembers the other orphans
+// for the next pass.
 func (s *Store) collectGarbage(ctx context.Context) error {
 	rows, _, err := s.Service.List(ctx, jobs.ChunkPrefix)
 	if err != nil {
@@ -79,9 +79,9 @@
 	return sets
 }
 
-// deleteChunks deletes chunks as long as their record has the given revision. It deletes the first
-// chunk first: a write of the record that is still in flight has the precondition that the first chunk
-// exists (see Commit), so the write cannot succeed once any chunk is missing.
+// deleteChunks deletes chunks, provided that their record still has the given revision. It deletes
+// the first chunk first: a write of the record that is still in flight has the precondition that the
+// first chunk exists (see Commit), so the write cannot succeed once any chunk is missing.
 func (s *Store) deleteChunks(ctx context.Context, set *chunkSet, recordRevision uint64) error {
 	for batch := range slices.Chunk(set.chunks, s.maxTxnOps) {
 		txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: set.recordKey, Revision: recordRevision}}}
--- a/internal/chunkedstore/garbage_test.go
+++ b/internal/chunkedstore/garbage_test.go
@@ -59,8 +59,8 @@
 
 const recordKey = "cw/job/wk-1"
 
-// newChunkedRecord creates a store with one record that is stored in several chunks.
-func newChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
+// newStoreWithChunkedRecord creates a store with one record that is stored in several chunks.
+func newStoreWithChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
 	t.Helper()
 	service := &memoryService{rows: map[string]kvstore.KeyValue{}}
 	store := New(service, 7, 100, 2, slog.New(slog.DiscardHandler))
@@ -89,7 +89,7 @@
 }
 
 func TestReadsReturnWholeChunkedRecord(t *testing.T) {
-	store, service, value := newChunkedRecord(t)
+	store, service, value := newStoreWithChunkedRecord(t)
 	if stored := service.rows[recordKey].Value; chunkRefOf(stored) == nil {
 		t.Errorf("the record is stored as %s", stored)
 	}
@@ -107,7 +107,7 @@
 }
 
 func TestOrphanedChunksAreDeletedInSecondPass(t *testing.T) {
-	store, service, _ := newChunkedRecord(t)
+	store, service, _ := newStoreWithChunkedRecord(t)
 	before := service.chunkCount()
 	collectOnce(t, store)
 	collectOnce(t, store)
@@ -127,7 +127,7 @@
 
 // A delayed write must not store a pointer to chunks that were deleted in the meantime.
 func TestDelayedPointerToDeletedChunksIsNotWritten(t *testing.T) {
-	store, service, value := newChunkedRecord(t)
+	store, service, value := newStoreWithChunkedRecord(t)
 	ref, firstRevision, err := store.writeChunks(t.Context(), kvstore.Normal, recordKey, value)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -28,7 +28,8 @@
 // The store lowers its limits to values of 2 KiB, 5 writes a transaction and 35 writes a second while
 // all kinds of records are written, and some existing records exceed the new limits. All writers must
 // continue, and no write may be rejected for its size. Records that are too large for one value are
-// written in chunks, also by controllers that start later and have not seen the records before.
+// written in chunks. Controllers that start later, with empty caches, must be able to read and write
+// these records, too.
 func TestStoreLimitsAreLoweredWhileInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -47,7 +48,7 @@
 		large.Ref = "wk-9001"
 		s.submit(large, 2*time.Second)
 		for i := range 400 {
-			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // in the completion batch of putOldRecords
+			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // done according to the completion batch that putOldRecords writes
 		}
 		large.Ref, large.DependsOn = "wk-9002", append(large.DependsOn, s.refs[len(s.refs)-40:]...)
 		s.submit(large, 2*time.Second)
@@ -103,7 +104,7 @@
 	}
 }
 
-// submitWave submits jobs of several kinds, each of which makes the controllers write other kinds of
+// submitWave submits jobs of several kinds. Each kind makes the controllers write different kinds of
 // records.
 func (s *limitsScenario) submitWave(wave int) {
 	s.t.Helper()
@@ -135,7 +136,8 @@
 	return spec
 }
 
-// drainManyMachines adds so many machines to the settings that their record exceeds one value.
+// drainManyMachines adds so many drained machines to the settings that the record of the settings
+// exceeds one value.
 func (s *limitsScenario) drainManyMachines() {
 	s.t.Helper()
 	err := s.cluster.ChangeSettings("n2", func(settings *admin.Settings) {
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var known chunkValues
+	var knownChunks chunkValues
 	records := rows[:0]
 	for _, row := range rows {
 		ref := chunkRefOf(row.Value)
@@ -44,13 +44,13 @@
 			records = append(records, row)
 			continue
 		}
-		if known == nil && !s.recordCache.Contains(ref.ID) {
+		if knownChunks == nil && !s.recordCache.Contains(ref.ID) {
 			// List all chunks once instead of reading each of them.
-			if known, err = s.listChunks(ctx); err != nil {
+			if knownChunks, err = s.listChunks(ctx); err != nil {
 				return nil, 0, err
 			}
 		}
-		record, found, err := s.assembleRecord(ctx, kvstore.Normal, row, known)
+		record, found, err := s.assembleRecord(ctx, kvstore.Normal, row, knownChunks)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -77,46 +77,46 @@
 // Watch waits for changes after a revision: see kvstore.Service. If a chunked record has changed again
 // since an event, the event may contain the newer value and revision. Changes of chunks are not
 // delivered.
-func (s *Store) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
-	events, revision, err := s.Service.Watch(ctx, prefix, from)
+func (s *Store) Watch(ctx context.Context, prefix string, afterRevision uint64) ([]kvstore.Event, uint64, error) {
+	events, revision, err := s.Service.Watch(ctx, prefix, afterRevision)
 	if err != nil {
 		return nil, 0, err
 	}
-	known := chunkValues{}
-	delivered := events[:0]
+	knownChunks := chunkValues{}
+	deliveredEvents := events[:0]
 	for _, event := range events {
 		switch {
 		case strings.HasPrefix(event.Key, jobs.ChunkPrefix):
-			known[event.Key] = event.Value // written before the record that refers to it
+			knownChunks[event.Key] = event.Value // written before the record that refers to it
 		case strings.HasPrefix(event.DeletedKey, jobs.ChunkPrefix):
 			// Chunks are internal to this package, so their deletion is not delivered.
 		case chunkRefOf(event.Value) == nil:
-			delivered = append(delivered, event)
+			deliveredEvents = append(deliveredEvents, event)
 		default:
 			row := kvstore.KeyValue{Key: event.Key, Value: event.Value, Revision: event.Revision}
-			row, found, err := s.assembleRecord(ctx, kvstore.Urgent, row, known)
+			row, found, err := s.assembleRecord(ctx, kvstore.Urgent, row, knownChunks)
 			if err != nil {
 				return nil, 0, err
 			}
 			if found {
-				delivered = append(delivered, kvstore.Event{Key: row.Key, Value: row.Value, Revision: row.Revision})
+				deliveredEvents = append(deliveredEvents, kvstore.Event{Key: row.Key, Value: row.Value, Revision: row.Revision})
 			}
 		}
 	}
-	return delivered, revision, nil
+	return deliveredEvents, revision, nil
 }
 
-// assembleRecord returns a row with the whole value of the record, given the stored row, which may hold
-// a pointer to chunks. If a chunk is missing, the record has changed since the row was read, and
-// assembleRecord reads the current row. found is false if the record was deleted. known holds chunks
-// that have been read already.
-func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, known chunkValues) (_ kvstore.KeyValue, found bool, err error) {
+// assembleRecord returns a row with the whole value of the record, given the stored row, which may
+// hold a pointer to chunks. If a chunk is missing, the record has changed since the row was read,
+// and assembleRecord reads the current row. found is false if the record was deleted. knownChunks
+// holds chunks that have been read already.
+func (s *Store) assembleRecord(ctx context.Context, priority kvstore.Priority, row kvstore.KeyValue, knownChunks chunkValues) (_ kvstore.KeyValue, found bool, err error) {
 	for range tuning.MaxChunkAssembleAttempts {
 		ref := chunkRefOf(row.Value)
 		if ref == nil {
 			return row, true, nil
 		}
-		value, err := s.readChunks(ctx, priority, row.Key, ref, known)
+		value, err := s.readChunks(ctx, priority, row.Key, ref, knownChunks)
 		if err == nil {
 			row.Value = value
 			return row, true, nil
@@ -133,15 +133,15 @@
 	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s was changed during each attempt to read its chunks", kvstore.ErrUnavailable, row.Key)
 }
 
-// readChunks reads and joins a record's chunks. It uses the record cache and the chunks in known before
-// it reads from the store.
-func (s *Store) readChunks(ctx context.Context, priority kvstore.Priority, key string, ref *chunkRef, known chunkValues) (json.RawMessage, error) {
+// readChunks reads and joins a record's chunks. It uses the record cache and knownChunks before it
+// reads from the store.
+func (s *Store) readChunks(ctx context.Context, priority kvstore.Priority, key string, ref *chunkRef, knownChunks chunkValues) (json.RawMessage, error) {
 	if value, ok := s.recordCache.Get(ref.ID); ok {
 		return value, nil
 	}
 	var value []byte
 	for number := range ref.Count {
-		chunk, err := s.readChunk(ctx, priority, chunkKey(ref.ID, number, key), known)
+		chunk, err := s.readChunk(ctx, priority, chunkKey(ref.ID, number, key), knownChunks)
 		if err != nil {
 			return nil, err
 		}
@@ -151,10 +151,10 @@
 	return value, nil
 }
 
-// readChunk returns one chunk, from known or from the store. It returns errChunkMissing if the chunk
-// does not exist.
-func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, known chunkValues) ([]byte, error) {
-	raw, ok := known[key]
+// readChunk returns one chunk, from knownChunks or from the store. It returns errChunkMissing if the
+// chunk does not exist.
+func (s *Store) readChunk(ctx context.Context, priority kvstore.Priority, key string, knownChunks chunkValues) ([]byte, error) {
+	raw, ok := knownChunks[key]
 	if !ok {
 		chunk, err := s.Service.Get(ctx, priority, key)
 		if err != nil {
--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -3,8 +3,8 @@
 // never changed. Then one conditional write stores a pointer to the chunks under the record's own key.
 // Users of the package see whole records.
 //
-// A pointer whose write is delayed can't refer to chunks that were deleted in the meantime: the write
-// has the precondition that the first chunk exists, and the first chunk is deleted first.
+// Even if the write of a pointer is delayed, the pointer never refers to deleted chunks: the write has
+// the precondition that the first chunk exists, and the first chunk is deleted first.
 package chunkedstore
 
 import (
@@ -34,7 +34,7 @@
 	log             *slog.Logger
 	incarnation     uint64
 	maxValueBytes   int                                 // longer values are stored in chunks
-	maxTxnOps       int                                 // maximum number of writes in a transaction of chunks
+	maxTxnOps       int                                 // maximum number of chunks that a transaction writes or deletes
 	chunkingEnabled atomic.Bool                         // whether large records are written in chunks
 	sequence        atomic.Uint64                       // last number used in an id of chunks
 	recordCache     *lru.Cache[string, json.RawMessage] // records by the id of their chunks
@@ -116,8 +116,8 @@
 	store    *Store
 	priority kvstore.Priority
 
-	writes        []kvstore.Write // the writes queued for the next transaction
-	bytes         int             // upper bound of the size of the queued writes
+	queuedWrites  []kvstore.Write // for the next transaction
+	queuedBytes   int             // upper bound of the size of queuedWrites
 	firstRevision uint64          // the revision of the first chunk, 0 until it is written
 }
 
@@ -140,32 +140,33 @@
 }
 
 // maxRawBytes returns how many bytes of a record fit into one chunk, whose value has at most
-// maxValueBytes. JSON encodes bytes as base64, which takes a third more, in two quotes.
+// maxValueBytes. JSON encodes bytes as base64, which takes a third more space, between
+// quotes.
 func maxRawBytes(maxValueBytes int) int { return (maxValueBytes - 2) / 4 * 3 }
 
 // add queues a write for the next transaction. If the queued writes fill that transaction already, it
 // commits them first.
 func (w *chunkWriter) add(ctx context.Context, write kvstore.Write) error {
-	if len(w.writes) == w.store.maxTxnOps || w.bytes+w.store.maxValueBytes > tuning.MaxTxnBytes {
+	if len(w.queuedWrites) == w.store.maxTxnOps || w.queuedBytes+w.store.maxValueBytes > tuning.MaxTxnBytes {
 		if err := w.flush(ctx); err != nil {
 			return err
 		}
 	}
-	w.writes = append(w.writes, write)
-	w.bytes += w.store.maxValueBytes
+	w.queuedWrites = append(w.queuedWrites, write)
+	w.queuedBytes += w.store.maxValueBytes
 	return nil
 }
 
 // flush commits the queued writes in one transaction.
 func (w *chunkWriter) flush(ctx context.Context) error {
-	result, err := w.store.Service.Commit(ctx, w.priority, kvstore.Txn{Writes: w.writes})
+	result, err := w.store.Service.Commit(ctx, w.priority, kvstore.Txn{Writes: w.queuedWrites})
 	if err != nil {
 		return err
 	}
 	if w.firstRevision == 0 {
 		w.firstRevision = result.Revision
 	}
-	w.writes, w.bytes = nil, 0
+	w.queuedWrites, w.queuedBytes = nil, 0
 	return nil
 }
 
