--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -73,9 +73,9 @@
 }
 
 // ObserveAcquisition records that the controller has acquired a shard: it is alive, and is not
-// suspected before its next heartbeat. Without this rule, a shard would move back and forth between
-// its successor and a home that is cut off from the other controllers but not from the key-value
-// store.
+// suspected until its next heartbeat has arrived. Without this rule, a shard would move back and
+// forth between its successor and a home that is cut off from the other controllers but not from the
+// key-value store.
 func (d *Detector) ObserveAcquisition(controller string) {
 	if peer := d.peers[controller]; peer != nil {
 		peer.isProvenAlive = true
@@ -120,7 +120,7 @@
 }
 
 // HasFailed reports whether a controller is considered failed: this controller suspects it, at least
-// one other controller has sent a heartbeat recently, and all that have done so suspect it too.
+// one further controller has sent a heartbeat recently, and all such controllers suspect it too.
 func (d *Detector) HasFailed(controller string, now time.Time) bool {
 	suspect := d.peers[controller]
 	if suspect == nil || !suspect.isSuspected() {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -24,13 +24,13 @@
 // newClusterWithHistory returns a cluster whose detectors have received heartbeats for 10 s.
 func newClusterWithHistory() *cluster {
 	c := newCluster()
-	c.run(10*time.Second, traffic{fromN2: true, betweenObservers: true})
+	c.run(10*time.Second, traffic{n2HeartbeatsArrive: true, observerHeartbeatsArrive: true})
 	return c
 }
 
 // traffic says which heartbeats arrive.
 type traffic struct {
-	fromN2, betweenObservers bool
+	n2HeartbeatsArrive, observerHeartbeatsArrive bool
 	// n2Jitter is the delay of every second heartbeat of n2.
 	n2Jitter time.Duration
 }
@@ -46,13 +46,13 @@
 			peerName       string
 		}{{c.n0, c.n1, "n1"}, {c.n1, c.n0, "n0"}} {
 			observer.detector.Check(c.now, true)
-			if traffic.betweenObservers && step%5 == 0 {
+			if traffic.observerHeartbeatsArrive && step%5 == 0 {
 				observer.detector.ObserveHeartbeat(observer.peerName, observer.peer.Suspects(), false, c.now)
 			}
-			if traffic.fromN2 && step%10 == 0 {
+			if traffic.n2HeartbeatsArrive && step%10 == 0 {
 				delayedAt = c.now.Add(500*time.Millisecond + traffic.n2Jitter)
 				observer.detector.ObserveHeartbeat("n2", nil, false, c.now)
-			} else if traffic.fromN2 && !delayedAt.IsZero() && !c.now.Before(delayedAt) {
+			} else if traffic.n2HeartbeatsArrive && !delayedAt.IsZero() && !c.now.Before(delayedAt) {
 				observer.detector.ObserveHeartbeat("n2", nil, false, c.now)
 			}
 		}
@@ -74,7 +74,7 @@
 	if c.n0.State("n2", c.now) != Failed || c.n0.State("n1", c.now) != Alive {
 		t.Errorf("n2 %s, n1 %s", c.n0.State("n2", c.now), c.n0.State("n1", c.now))
 	}
-	c.run(time.Second, traffic{fromN2: true, betweenObservers: true})
+	c.run(time.Second, traffic{n2HeartbeatsArrive: true, observerHeartbeatsArrive: true})
 	if c.n0.HasFailed("n2", c.now) || len(c.n0.Suspects()) > 0 {
 		t.Error("still suspected after a heartbeat")
 	}
@@ -140,7 +140,7 @@
 func TestNoSuspicionOfLeavingController(t *testing.T) {
 	c := newClusterWithHistory()
 	c.n0.ObserveHeartbeat("n2", nil, true, c.now)
-	c.run(3*time.Second, traffic{betweenObservers: true})
+	c.run(3*time.Second, traffic{observerHeartbeatsArrive: true})
 	if c.n0.State("n2", c.now) != Left || len(c.n0.Suspects()) > 0 {
 		t.Error("n2 announced its shutdown and is", c.n0.State("n2", c.now))
 	}
@@ -148,7 +148,7 @@
 
 func TestHeartbeatTimeoutGrowsWithJitter(t *testing.T) {
 	c := newCluster()
-	c.run(60*time.Second, traffic{fromN2: true, betweenObservers: true, n2Jitter: 400 * time.Millisecond})
+	c.run(60*time.Second, traffic{n2HeartbeatsArrive: true, observerHeartbeatsArrive: true, n2Jitter: 400 * time.Millisecond})
 	if timeout := c.n0.peers["n2"].heartbeatTimeout(); timeout <= tuning.MinSuspicionTimeout || timeout > tuning.ControllerLeaseTTL {
 		t.Error("the timeout with jitter is", timeout)
 	}
