--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -46,11 +46,11 @@
 	log  *slog.Logger
 	send SendFunc
 
-	// As recipient, by shard.
+	// The transfers in which this controller is the recipient, by shard.
 	requestedAt map[string]time.Time // when this controller first requested the shard from its owner
 	payloads    map[string]*payload  // received from the old owner, or sent by this controller
 
-	// As old owner, by shard.
+	// The transfers in which this controller is the old owner, by shard.
 	outgoing map[string]*outgoingTransfer
 	failedAt map[string]time.Time // when a transfer of the shard last failed
 
@@ -65,8 +65,8 @@
 	return c
 }
 
-// Reset drops all transfers under way, because the records are about to be read again. Shards that
-// are marked as transferred keep this mark, see membership.Table.
+// Reset drops all transfers under way, because the records are about to be read again. It does not
+// change which shards are marked as transferred: membership.Table keeps these marks.
 func (c *Coordinator) Reset() {
 	c.requestedAt = map[string]time.Time{}
 	c.payloads = map[string]*payload{}
@@ -85,7 +85,7 @@
 func (c *Coordinator) Tick(now time.Time) {
 	c.advanceOutgoing(now)
 	c.reacquireUntracked(now)
-	c.requestFromLeaving(now)
+	c.requestFromLeavingOwners(now)
 	c.advanceRequests(now)
 	c.dropExpiredPayloads(now)
 	c.ApplyPayloads(now)
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -136,7 +136,7 @@
 
 // The owner cannot reach the shard's workers and the home controller can. The workers' heartbeats
 // arrive at the home controller, which must not wait for a transfer that would never come.
-func TestNoWaitForOwnerWithoutWorkers(t *testing.T) {
+func TestHomeDoesNotWaitForOwnerThatCannotReachWorkers(t *testing.T) {
 	runFailback(t, func(cluster *fake.Cluster) {
 		cluster.CrashController("n0")
 		cluster.SetPeerLink(fake.PeerLink{IsCut: true})
@@ -158,7 +158,7 @@
 
 // After any failure between the old owner's last response and the recipient's acquisition, one of
 // the two controllers owns the shard and has reconciled it.
-func TestFailureDuringTransfer(t *testing.T) {
+func TestShardIsOwnedAndReconciledAfterFailureDuringTransfer(t *testing.T) {
 	for name, fail := range map[string]func(cluster *fake.Cluster){
 		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropChunks: 1}) },
 		"chunks delayed": func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{Delay: 3 * time.Second}) },
@@ -203,22 +203,22 @@
 	runFailback(t, func(cluster *fake.Cluster) {
 		time.Sleep(3 * time.Second)
 		probesBefore := cluster.ProbeCount()
-		for _, leaving := range controllers {
+		for _, leavingController := range controllers {
 			stoppedAt := time.Now()
-			cluster.StopController(leaving)
+			cluster.StopController(leavingController)
 			if took := time.Since(stoppedAt); took > 3*time.Second {
-				t.Errorf("the shutdown of %s took %v", leaving, took)
+				t.Errorf("the shutdown of %s took %v", leavingController, took)
 			}
 			for _, shard := range controllers {
-				if owner := cluster.OwnerOf(shard); owner == leaving || !isReconciled(cluster, shard) {
-					t.Errorf("without %s shard %s is owned by %s, reconciled %v", leaving, shard, owner, isReconciled(cluster, shard))
+				if owner := cluster.OwnerOf(shard); owner == leavingController || !isReconciled(cluster, shard) {
+					t.Errorf("without %s shard %s is owned by %s, reconciled %v", leavingController, shard, owner, isReconciled(cluster, shard))
 				}
 			}
 			time.Sleep(4 * time.Second)
-			cluster.StartController(leaving)
-			time.Sleep(8 * time.Second) // its shard has changed owners four times in two minutes
-			if owner := cluster.OwnerOf(leaving); owner != leaving {
-				t.Errorf("%s has started again, but %s owns its shard", leaving, owner)
+			cluster.StartController(leavingController)
+			time.Sleep(8 * time.Second) // its shard may return late, after four changes of owner in two minutes
+			if owner := cluster.OwnerOf(leavingController); owner != leavingController {
+				t.Errorf("%s has started again, but %s owns its shard", leavingController, owner)
 			}
 		}
 		if probes := cluster.ProbeCount() - probesBefore; probes > 0 {
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -18,7 +18,7 @@
 	OutcomeSent        Outcome = "given, not taken yet"       // old owner: the recipient has not acquired the shard yet
 	OutcomeTransferred Outcome = "handed over"                // old owner: the recipient has acquired the shard
 	OutcomeReacquired  Outcome = "given in vain, taken again" // old owner: it acquired the shard again because the recipient did not
-	OutcomeRequested   Outcome = "asked for"                  // recipient
+	OutcomeRequested   Outcome = "asked for"                  // recipient: it has requested the shard and waits for the payload
 	OutcomeContinued   Outcome = "went on here"               // new owner: it has applied the payload
 )
 
@@ -27,21 +27,22 @@
 	Shard   string  `json:"share"`
 	To      string  `json:"to"`
 	Outcome Outcome `json:"outcome"`
-	// DurationSeconds is the time since the old owner's last response to the shard's workers or
-	// since the request of the shard, up to now or to the end of the transfer.
+	// DurationSeconds is the time up to now, or up to the end of the transfer. It begins with the
+	// request of the shard or, at the old owner after it has sent the payload, with that owner's
+	// last response to the shard's workers.
 	DurationSeconds float64   `json:"took_s"`
 	EndedAt         time.Time `json:"-"`
-	AgeSeconds      float64   `json:"ago_s"` // since its end
+	AgeSeconds      float64   `json:"ago_s"` // since the end of the transfer
 }
 
 // recordEnded adds a transfer that has ended to the list, and drops the oldest ones beyond
 // tuning.MaxListedNames.
-func (c *Coordinator) recordEnded(shard, to string, outcome Outcome, since, now time.Time) {
+func (c *Coordinator) recordEnded(shard, recipient string, outcome Outcome, startedAt, now time.Time) {
 	c.endedTransfers = append(c.endedTransfers, Transfer{
 		Shard:           shard,
-		To:              to,
+		To:              recipient,
 		Outcome:         outcome,
-		DurationSeconds: now.Sub(since).Seconds(),
+		DurationSeconds: now.Sub(startedAt).Seconds(),
 		EndedAt:         now,
 	})
 	c.endedTransfers = c.endedTransfers[max(0, len(c.endedTransfers)-tuning.MaxListedNames):]
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -25,7 +25,7 @@
 type payload struct {
 	epoch                       uint64
 	totalChunks, receivedChunks int
-	chunks                      [][]peer.MachineSnapshot // nil: not received yet
+	chunks                      [][]peer.MachineSnapshot // by index; nil if not received yet
 	updatedAt                   time.Time
 }
 
@@ -59,33 +59,33 @@
 // should wait for the transfer instead of acquiring the shard without one.
 func (c *Coordinator) ShouldAwaitTransfer(id string, now time.Time) bool {
 	shard := c.Membership.Shard(id)
-	if shard == nil || c.isReadyToAcquire(shard) {
+	if shard == nil || c.hasCompletePayload(shard) {
 		return false
 	}
-	since, wasRequested := c.requestShard(id, now)
+	startedAt, wasRequested := c.requestShard(id, now)
 	if !wasRequested {
 		return true
 	}
-	if now.Sub(since) >= tuning.TransferRequestTimeout {
+	if now.Sub(startedAt) >= tuning.TransferRequestTimeout {
 		return false
 	}
 	// Workers that cannot reach the owner send their heartbeats to this controller. An owner that
 	// cannot reach the shard's workers never reconciles the shard and so never transfers it:
-	// waiting would only prolong the time for which the workers are without an owner.
-	misdirected := float64(c.Sessions.MisdirectedHeartbeats(id, now))
+	// waiting would only prolong the time for which the workers have no owner that they can reach.
+	misdirectedHeartbeats := float64(c.Sessions.MisdirectedHeartbeats(id, now))
 	limit := max(minMisdirectedWorkerLimit, tuning.MisdirectedWorkerFraction*float64(c.State.MachineCountIn(id)))
-	return misdirected <= limit
+	return misdirectedHeartbeats <= limit
 }
 
 // requestShard makes this controller's heartbeats request a shard from its owner. It returns the
 // time of the first request, and whether the shard was requested before this call.
-func (c *Coordinator) requestShard(id string, now time.Time) (since time.Time, wasRequested bool) {
-	since, wasRequested = c.requestedAt[id]
+func (c *Coordinator) requestShard(id string, now time.Time) (startedAt time.Time, wasRequested bool) {
+	startedAt, wasRequested = c.requestedAt[id]
 	if !wasRequested {
-		since = now
+		startedAt = now
 		c.requestedAt[id] = now
 	}
-	return since, wasRequested
+	return startedAt, wasRequested
 }
 
 // RequestedShards returns the shards that this controller's heartbeat requests from other
@@ -93,8 +93,8 @@
 // because the owner stops responding to the workers when it transfers the shard.
 func (c *Coordinator) RequestedShards(now time.Time) []string {
 	var ids []string
-	for id, since := range c.requestedAt {
-		if now.Sub(since) < tuning.TransferRequestTimeout && c.ownedByLivePeer(c.Membership.Shard(id)) {
+	for id, startedAt := range c.requestedAt {
+		if now.Sub(startedAt) < tuning.TransferRequestTimeout && c.ownedByLivePeer(c.Membership.Shard(id)) {
 			ids = append(ids, id)
 		}
 	}
@@ -102,9 +102,9 @@
 	return ids
 }
 
-// requestFromLeaving requests the shards whose owners are shutting down and whose successor is this
-// controller.
-func (c *Coordinator) requestFromLeaving(now time.Time) {
+// requestFromLeavingOwners requests the shards whose owners are shutting down and whose successor is
+// this controller.
+func (c *Coordinator) requestFromLeavingOwners(now time.Time) {
 	isLeaving := c.leavingPredicate(now)
 	for _, shard := range c.Membership.Shards() {
 		if c.ownedByLivePeer(shard) && isLeaving(shard.Owner()) &&
@@ -127,8 +127,8 @@
 
 // HandleChunk stores a chunk of a requested shard. It ignores a chunk if the sender does not own the
 // shard or if the chunk's epoch is not the shard's current one.
-func (c *Coordinator) HandleChunk(from string, chunk *peer.TransferChunk, now time.Time) {
-	if !c.isExpected(from, chunk) {
+func (c *Coordinator) HandleChunk(sender string, chunk *peer.TransferChunk, now time.Time) {
+	if !c.isExpectedChunk(sender, chunk) {
 		return
 	}
 	p := c.payloads[chunk.Shard]
@@ -141,19 +141,19 @@
 	}
 }
 
-// isExpected reports whether a chunk belongs to a requested shard and its current epoch, and comes
+// isExpectedChunk reports whether a chunk belongs to a requested shard and its current epoch, and comes
 // from the shard's owner. A late chunk of an older epoch could describe workers that have received
 // commands since.
-func (c *Coordinator) isExpected(from string, chunk *peer.TransferChunk) bool {
+func (c *Coordinator) isExpectedChunk(sender string, chunk *peer.TransferChunk) bool {
 	if _, requested := c.requestedAt[chunk.Shard]; !requested || chunk.Total > tuning.MaxPendingTransferChunks {
 		return false
 	}
 	shard := c.Membership.Shard(chunk.Shard)
-	return shard != nil && !shard.IsLocal() && shard.Owner() == from && shard.Epoch() == chunk.Epoch
+	return shard != nil && !shard.IsLocal() && shard.Owner() == sender && shard.Epoch() == chunk.Epoch
 }
 
-// isReadyToAcquire reports whether the whole payload of a shard's current epoch was received.
-func (c *Coordinator) isReadyToAcquire(shard *membership.Shard) bool {
+// hasCompletePayload reports whether the whole payload of a shard's current epoch was received.
+func (c *Coordinator) hasCompletePayload(shard *membership.Shard) bool {
 	p := c.payloads[shard.ID()]
 	return p.isComplete() && p.epoch == shard.Epoch()
 }
@@ -161,7 +161,7 @@
 // acquireIfComplete acquires a shard if all its chunks were received.
 func (c *Coordinator) acquireIfComplete(id string, now time.Time) {
 	shard := c.Membership.Shard(id)
-	if shard != nil && !shard.IsLocal() && c.isReadyToAcquire(shard) {
+	if shard != nil && !shard.IsLocal() && c.hasCompletePayload(shard) {
 		c.Cache.AcquireTransferredShard(shard, now)
 	}
 }
@@ -187,8 +187,8 @@
 }
 
 // applyPayload continues a shard from its payload, which lists the tasks on the machines, so that
-// their workers need no probe. Machines that have changed or sent a heartbeat since are left to
-// reconciliation.
+// their workers need no probe. Machines that have changed since the acquisition, or whose workers have
+// sent a heartbeat since then, are left to reconciliation.
 func (c *Coordinator) applyPayload(p *payload, shard *membership.Shard, now time.Time) {
 	restoredWorkers := 0
 	for _, chunk := range p.chunks {
@@ -202,16 +202,16 @@
 		}
 	}
 	c.Reconciler.CompleteRecoveries(now)
-	since, wasRequested := c.requestedAt[shard.ID()]
+	startedAt, wasRequested := c.requestedAt[shard.ID()]
 	if !wasRequested { // this controller reacquired the shard after a failed transfer
-		since = p.updatedAt
+		startedAt = p.updatedAt
 	}
-	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeContinued, since, now)
+	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeContinued, startedAt, now)
 	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restoredWorkers, "reconciled", shard.IsReconciled())
 }
 
 // isUnchanged reports whether a machine belongs to the shard, its record is older than the shard's
-// epoch, and it has neither sent a heartbeat nor been lost since.
+// epoch, and it has neither sent a heartbeat nor been lost in that epoch.
 func isUnchanged(machine *clusterstate.Machine, shard *membership.Shard) bool {
 	return machine != nil && machine.Record().Shard == shard.ID() && machine.Revision() < shard.Epoch() &&
 		!machine.HasReported() && !machine.IsLost()
@@ -232,7 +232,7 @@
 	}
 }
 
-// applySnapshot restores the old owner's state of a machine.
+// applySnapshot restores what the old owner knew about a machine.
 func (c *Coordinator) applySnapshot(machine *clusterstate.Machine, snapshot peer.MachineSnapshot, now time.Time) {
 	c.Sessions.RestoreSession(machine, workersession.SessionState{
 		AgentEpoch:      snapshot.AgentEpoch,
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -7,7 +7,7 @@
 // it in every order: commands that arrive or are lost, heartbeats, transfers that arrive at any time
 // or never, acquisitions that are applied late, watch events that arrive late, controller crashes.
 
-// Locations of the task, as a controller knows it, apart from the workers 0 and 1.
+// A location of the task, as a controller knows it, is the number of a worker, 0 or 1, or one of these.
 const (
 	locationUnknown = -2
 	notRunning      = -1
@@ -18,13 +18,14 @@
 
 // controllerState is what a controller knows of the shard. It may be out of date.
 type controllerState struct {
-	ownedEpoch  uint8 // the epoch under which it considers itself the owner; 0: it does not
-	knownEpoch  uint8 // the latest epoch that it has seen
-	transferred bool
+	ownedEpoch  uint8   // the epoch under which it considers itself the owner; 0: it does not
+	knownEpoch  uint8   // the latest epoch that it has seen
+	transferred bool    // whether it has transferred the shard under ownedEpoch
 	location    int8    // of the task
 	heartbeats  [2]bool // whether each worker has sent one under ownedEpoch
 }
 
+// modelState is the state of the shard, the controllers and the workers.
 type modelState struct {
 	epoch       uint8 // of the shard's record
 	owner       int8
@@ -45,8 +46,8 @@
 	usesAnyPayload        bool // the recipient continues from a payload of any older epoch
 }
 
-// acquired returns the state after a controller's acquisition is applied.
-func (m modelState) acquired(controller int, mutation mutation) modelState {
+// afterAppliedAcquisition returns the state after a controller's acquisition is applied.
+func (m modelState) afterAppliedAcquisition(controller int, mutation mutation) modelState {
 	previousEpoch := m.epoch
 	m.epoch++
 	m.owner = int8(controller)
@@ -82,13 +83,13 @@
 
 // afterWatchEvent returns the state after a controller has learned of the current epoch.
 func (m modelState) afterWatchEvent(controller int) []modelState {
-	known := m.controllers[controller]
-	if known.knownEpoch >= m.epoch {
+	view := m.controllers[controller]
+	if view.knownEpoch >= m.epoch {
 		return nil
 	}
 	state := m
 	state.controllers[controller].knownEpoch = m.epoch
-	if m.owner != int8(controller) || known.ownedEpoch != m.epoch {
+	if m.owner != int8(controller) || view.ownedEpoch != m.epoch {
 		state.controllers[controller] = controllerState{knownEpoch: m.epoch, location: locationUnknown}
 	}
 	return []modelState{state}
@@ -101,9 +102,9 @@
 		return nil
 	}
 	var states []modelState
-	known := m.controllers[controller]
-	if known.knownEpoch == m.epoch && known.ownedEpoch == 0 {
-		states = append(states, m.acquired(controller, mutation))
+	view := m.controllers[controller]
+	if view.knownEpoch == m.epoch && view.ownedEpoch == 0 {
+		states = append(states, m.afterAppliedAcquisition(controller, mutation))
 		if m.pendingAcquisition[controller] == 0 {
 			state := m
 			state.pendingAcquisition[controller] = m.epoch
@@ -111,11 +112,11 @@
 		}
 	}
 	if m.pendingAcquisition[controller] == m.epoch {
-		applied := m.acquired(controller, mutation)
-		applied.pendingAcquisition[controller] = 0
-		responseLost := applied // the controller learns of the acquisition by a later watch event
-		responseLost.controllers[controller] = known
-		states = append(states, applied, responseLost)
+		appliedState := m.afterAppliedAcquisition(controller, mutation)
+		appliedState.pendingAcquisition[controller] = 0
+		lostResponseState := appliedState // the controller learns of the acquisition by a later watch event
+		lostResponseState.controllers[controller] = view
+		states = append(states, appliedState, lostResponseState)
 	}
 	return states
 }
@@ -129,7 +130,7 @@
 		return nil
 	}
 	if owner.transferred && owner.ownedEpoch == m.epoch && m.epoch < maxEpoch {
-		states = append(states, m.acquired(controller, mutation))
+		states = append(states, m.afterAppliedAcquisition(controller, mutation))
 	}
 	if !owner.transferred && owner.location != locationUnknown {
 		state := m
@@ -150,7 +151,7 @@
 	for worker, token := range m.tokens {
 		switch {
 		case owner.ownedEpoch < token: // the worker rejects the command
-		case owner.ownedEpoch > token: // the worker learns of the fencing token
+		case owner.ownedEpoch > token: // the worker learns of the higher fencing token
 			state := m
 			state.tokens[worker] = owner.ownedEpoch
 			states = append(states, state)
@@ -165,8 +166,8 @@
 // knew that the task does not run, it commands the worker to start it, and the command arrives or is
 // lost.
 func (m modelState) afterHeartbeat(controller, worker int) []modelState {
-	received := m
-	owner := &received.controllers[controller]
+	receivedState := m
+	owner := &receivedState.controllers[controller]
 	owner.heartbeats[worker] = true
 	switch {
 	case m.runs[worker]:
@@ -176,13 +177,13 @@
 		owner.location = notRunning
 	}
 	if m.controllers[controller].location != notRunning {
-		return []modelState{received}
+		return []modelState{receivedState}
 	}
-	commandLost := received
-	commandLost.controllers[controller].location = int8(worker)
-	started := commandLost
-	started.runs[worker] = true
-	return []modelState{received, commandLost, started}
+	lostCommandState := receivedState
+	lostCommandState.controllers[controller].location = int8(worker)
+	startedState := lostCommandState
+	startedState.runs[worker] = true
+	return []modelState{receivedState, lostCommandState, startedState}
 }
 
 // afterTaskEnd returns the states after the task was stopped or lost on one of the workers.
@@ -198,10 +199,10 @@
 	return states
 }
 
-// explore visits all states that can be reached within a number of events. It returns the number of
+// explore visits all states that can be reached within maxEvents events. It returns the number of
 // states and the first state in which both workers run the task, or nil if there is none. It stops
 // at such a state.
-func explore(mutation mutation, events int) (visited int, violation *modelState) {
+func explore(mutation mutation, maxEvents int) (stateCount int, violation *modelState) {
 	start := modelState{epoch: 1, owner: 0, tokens: [2]uint8{1, 1}}
 	for controller := range start.controllers {
 		start.controllers[controller] = controllerState{knownEpoch: 1, location: locationUnknown}
@@ -209,7 +210,7 @@
 	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
 	seen := map[modelState]bool{start: true}
 	frontier := []modelState{start}
-	for range events {
+	for range maxEvents {
 		var nextFrontier []modelState
 		for _, state := range frontier {
 			for _, next := range state.next(mutation) {
@@ -232,12 +233,12 @@
 // find a violation if the old owner still responds after a transfer, or if a recipient continues from
 // the payload of an older epoch.
 func TestModelNeverRunsTaskTwice(t *testing.T) {
-	visited, violation := explore(mutation{}, 10)
+	stateCount, violation := explore(mutation{}, 10)
 	if violation != nil {
 		t.Errorf("both workers run the task: %+v", *violation)
 	}
-	if visited < 50_000 {
-		t.Errorf("only %d states were explored", visited)
+	if stateCount < 50_000 {
+		t.Errorf("only %d states were explored", stateCount)
 	}
 	for name, mutation := range map[string]mutation{
 		"responds after transfer": {respondsAfterTransfer: true},
@@ -247,5 +248,5 @@
 			t.Error("violation not found with mutation: " + name)
 		}
 	}
-	t.Log(visited, "states")
+	t.Log(stateCount, "states")
 }
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -20,13 +20,13 @@
 
 // HandleRequests starts the transfer of the shards that another controller requests in its
 // heartbeat. It is called for every such heartbeat.
-func (c *Coordinator) HandleRequests(from string, ids []string, now time.Time) {
+func (c *Coordinator) HandleRequests(sender string, ids []string, now time.Time) {
 	for _, id := range ids {
 		shard := c.Membership.Shard(id)
-		if !c.canTransfer(shard, id, from, now) {
+		if !c.canTransfer(shard, id, sender, now) {
 			continue
 		}
-		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: from, requestedAt: now}
+		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: sender, requestedAt: now}
 		shard.PrepareTransfer() // prevents new releases and moves of the shard's machines
 		c.sendShard(shard, now)
 	}
@@ -90,7 +90,8 @@
 }
 
 // reacquireUntracked acquires again the local shards that are marked as transferred but have no
-// outgoing transfer, because the records were read again meanwhile: see Reset and membership.Table.
+// outgoing transfer. This happens if the records were read again during a transfer: then Reset drops
+// the outgoing transfer, but membership.Table keeps the mark.
 func (c *Coordinator) reacquireUntracked(now time.Time) {
 	for _, shard := range c.Membership.LocalShards() {
 		if shard.IsTransferred() && c.outgoing[shard.ID()] == nil {
@@ -99,7 +100,7 @@
 	}
 }
 
-// sendShard sends the state of a shard to the recipient and ends the responses to the shard's
+// sendShard sends the state of a shard to the recipient and stops responding to the shard's
 // workers. While one of the shard's machines is being released or moved, sendShard does nothing and
 // Tick calls it again: the result is not known yet, so the snapshot could be wrong about the
 // machine. If the shard is too large for a transfer, this controller keeps it.
