--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -82,10 +82,10 @@
 		message.WantsLength(), message.SuspectsLength(), message.CancelledLength()) <= frameBytes
 }
 
-func decodeStrings(length int, at func(int) []byte) []string {
+func decodeStrings(length int, itemAt func(int) []byte) []string {
 	var decoded []string
 	for i := range length {
-		decoded = append(decoded, string(at(i)))
+		decoded = append(decoded, string(itemAt(i)))
 	}
 	return decoded
 }
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -11,8 +11,8 @@
 const (
 	initialBufferBytes = 512
 
-	// maxStoreSilentMs bounds the encoded time since the last response of the store, about 25 days,
-	// so that the time fits the field.
+	// maxStoreSilentMs is the highest encoded value of Heartbeat.StoreSilentFor, about 25 days. It
+	// fits the field, which has 32 bits.
 	maxStoreSilentMs = 1 << 31
 )
 
@@ -28,7 +28,7 @@
 	return append(frame, body...)
 }
 
-// encoder builds tables and returns their offsets in the buffer.
+// encoder builds the tables of a heartbeat. Its methods return the offsets of the tables in the buffer.
 type encoder struct{ *flatbuffers.Builder }
 
 func (e encoder) heartbeat(heartbeat Heartbeat) flatbuffers.UOffsetT {
@@ -44,9 +44,9 @@
 	faultyJobs := e.vector(wire.BeatStartBlamedVector, faultyJobNames)
 	shards := e.vector(wire.BeatStartSharesVector, shardTables)
 	capacities := e.vector(wire.BeatStartCountsVector, capacityTables)
-	requested := e.vector(wire.BeatStartWantsVector, requestedNames)
+	requestedShards := e.vector(wire.BeatStartWantsVector, requestedNames)
 	suspects := e.optionalVector(wire.BeatStartSuspectsVector, suspectNames)
-	cancelled := e.optionalVector(wire.BeatStartCancelledVector, encodeAll(heartbeat.CancelledJobs, e.cancelledJob))
+	cancelledJobs := e.optionalVector(wire.BeatStartCancelledVector, encodeAll(heartbeat.CancelledJobs, e.cancelledJob))
 	node := e.CreateString(heartbeat.Node)
 	wire.BeatStart(e.Builder)
 	wire.BeatAddNode(e.Builder, node)
@@ -58,7 +58,7 @@
 	wire.BeatAddRequests(e.Builder, float32(heartbeat.RequestsPerSecond))
 	wire.BeatAddChanges(e.Builder, float32(heartbeat.WritesPerSecond))
 	wire.BeatAddBlamed(e.Builder, faultyJobs)
-	wire.BeatAddWants(e.Builder, requested)
+	wire.BeatAddWants(e.Builder, requestedShards)
 	wire.BeatAddLeaving(e.Builder, heartbeat.Leaving)
 	if suspects != 0 {
 		wire.BeatAddSuspects(e.Builder, suspects)
@@ -67,8 +67,8 @@
 		wire.BeatAddPiece(e.Builder, chunk)
 	}
 	wire.BeatAddReached(e.Builder, heartbeat.AppliedRevision)
-	if cancelled != 0 {
-		wire.BeatAddCancelled(e.Builder, cancelled)
+	if cancelledJobs != 0 {
+		wire.BeatAddCancelled(e.Builder, cancelledJobs)
 	}
 	return wire.BeatEnd(e.Builder)
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
+func TestTruncatedAndOversizedFramesAreRejected(t *testing.T) {
 	frame := Encode(sampleHeartbeat)
 	for size := range len(frame) {
 		if _, err := ReadFrame(bytes.NewReader(frame[:size])); err == nil {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -26,7 +26,8 @@
 	FaultyJobs []string
 	// RequestedShards are the shards whose transfer to the sender is requested.
 	RequestedShards []string
-	// Leaving announces the sender's shutdown; it transfers its shards to whoever requests them.
+	// Leaving announces the sender's shutdown. From then on the sender transfers its shards to any
+	// controller that requests them.
 	Leaving bool
 	// Suspects are the controllers whose heartbeats to the sender are overdue.
 	Suspects []string
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -17,10 +17,10 @@
 }
 
 // Enqueue queues chunks without waiting, and reports whether there was room for all of them.
-func (o Outbox) Enqueue(to string, chunks []*TransferChunk) bool {
+func (o Outbox) Enqueue(recipient string, chunks []*TransferChunk) bool {
 	for _, chunk := range chunks {
 		select {
-		case o[to] <- chunk:
+		case o[recipient] <- chunk:
 		default:
 			return false
 		}
--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -18,16 +18,16 @@
 	Peers map[string]bool // the names of all other controllers
 }
 
-// PeerHeartbeat returns the Controller's heartbeat with the usage added.
+// PeerHeartbeat returns the Controller's heartbeat with this controller's usage added.
 func (r RateSharing) PeerHeartbeat() (heartbeat Heartbeat, ok bool) {
 	heartbeat, ok = r.Controller.PeerHeartbeat()
 	heartbeat.RequestsPerSecond, heartbeat.WritesPerSecond = r.Meter.Usage()
 	return heartbeat, ok
 }
 
-// HandlePeerHeartbeat records the sender's usage and passes the heartbeat on. Usage of unknown
-// senders and invalid rates are ignored: a rate that is not a number would make this controller's
-// limit not a number, and no further request would pass.
+// HandlePeerHeartbeat records the sender's usage and passes the heartbeat on to the Controller. The
+// usage of unknown senders and invalid rates are ignored: a rate that is not a number would make
+// this controller's limit not a number, and no further request would pass.
 func (r RateSharing) HandlePeerHeartbeat(heartbeat Heartbeat) {
 	isValid := isValidRate(heartbeat.RequestsPerSecond) && isValidRate(heartbeat.WritesPerSecond)
 	if r.Peers[heartbeat.Node] && isValid {
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -10,8 +10,8 @@
 // controller that is to own the shard next.
 type TransferChunk struct {
 	Shard        string
-	Epoch        uint64 // the sender's
-	Index, Total int    // this is number Index, from 0, of Total chunks
+	Epoch        uint64 // under which the sender owns the shard
+	Index, Total int    // the number of this chunk, from 0, and the number of chunks
 	Machines     []MachineSnapshot
 }
 
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -44,7 +44,7 @@
 func receiveHeartbeats(ctx context.Context, conn net.Conn, controller Controller, log *slog.Logger) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends ReadFrame
 	defer stop()
-	defer func() { _ = conn.Close() }() // only read from, so no written data can be lost
+	defer func() { _ = conn.Close() }() // nothing is written to conn, so no data can be lost
 	reader := bufio.NewReader(conn)
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(tuning.PeerIdleTimeout)); err != nil {
@@ -62,8 +62,8 @@
 }
 
 // SendHeartbeats sends heartbeats to another controller until ctx ends, and reconnects whenever the
-// connection fails. It sends a heartbeat every tuning.PeerHeartbeatInterval, and one immediately for
-// each of the chunks, which that heartbeat carries.
+// connection fails. It sends a heartbeat every tuning.PeerHeartbeatInterval. As soon as it receives a
+// chunk from chunks, it sends one that carries the chunk.
 func SendHeartbeats(ctx context.Context, addr string, chunks <-chan *TransferChunk, controller Controller) {
 	dialer := net.Dialer{Timeout: tuning.PeerTimeout}
 	for ctx.Err() == nil {
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// channelController sends the heartbeats that it receives to a channel, as long as that has room.
+// channelController sends the heartbeats that it receives to a channel, as long as the channel has
+// room.
 type channelController struct{ heartbeats chan Heartbeat }
 
 func (c channelController) PeerHeartbeat() (Heartbeat, bool) { return Heartbeat{Node: "n0"}, true }
@@ -31,9 +32,9 @@
 	if !outbox.Enqueue("n1", []*TransferChunk{sampleChunk}) {
 		t.Fatal("no room in an empty outbox")
 	}
-	ended := make(chan struct{})
+	listenReturned := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(listenReturned)
 		Listen(ctx, listener, controller, slog.New(slog.DiscardHandler))
 	}()
 	go SendHeartbeats(ctx, listener.Addr().String(), outbox["n1"], controller)
@@ -48,7 +49,7 @@
 	}
 	stop()
 	select {
-	case <-ended:
+	case <-listenReturned:
 	case <-time.After(10 * time.Second):
 		t.Error("Listen did not return after its context ended")
 	}
