--- a/internal/peerstatus/rank.go
+++ b/internal/peerstatus/rank.go
@@ -22,16 +22,16 @@
 	return capacities
 }
 
-// GangRank returns how many other controllers have a better placement for a gang than this one. own
-// are the capacities of this controller, and need is the demand of one task. The tightest placement
-// that fits the gang without preemption ranks first, so that small gangs leave the large capacities
-// to large gangs.
-func (t *Tracker) GangRank(record *jobs.JobRecord, need capacity.Resources, own []peer.ShapeCapacity, now time.Time) int {
+// GangRank returns how many other controllers have a better placement for a gang than this one.
+// ownCapacities are the capacities of this controller, and need is the demand of one task. The
+// tightest placement that fits the gang without preemption ranks first, so that small gangs leave
+// the large capacities to large gangs.
+func (t *Tracker) GangRank(record *jobs.JobRecord, need capacity.Resources, ownCapacities []peer.ShapeCapacity, now time.Time) int {
 	type candidate struct {
 		controller string
 		cost       int
 	}
-	candidates := []candidate{{t.self, gangPlacementCost(record, need, own)}}
+	candidates := []candidate{{t.self, gangPlacementCost(record, need, ownCapacities)}}
 	for controller, last := range t.latest {
 		if last.isCurrent(now) && last.heartbeat.Synced {
 			candidates = append(candidates, candidate{controller, gangPlacementCost(record, need, last.heartbeat.Capacities)})
@@ -45,9 +45,10 @@
 
 // gangPlacementCost returns the cost of the best placement for a gang among a controller's
 // capacities; a lower cost is better. If some zones fit the gang without preemption, the cost is the
-// number of tasks that fit in the tightest of them. Otherwise it is tuning.RankAfterPreemption plus
-// the number of tasks to be preempted, in one zone or, if the gang need not be in one zone, over all
-// zones. If the gang does not fit at all, the cost is tuning.RankNoRoom.
+// number of tasks that fit in the tightest of them. Otherwise it is tuning.GangCostAfterPreemption
+// plus the number of the gang's tasks that fit only after preemption, in one zone or, if the gang
+// need not be in one zone, over all zones. If the gang does not fit at all, the cost is
+// tuning.GangCostNoCapacity.
 func gangPlacementCost(record *jobs.JobRecord, need capacity.Resources, capacities []peer.ShapeCapacity) int {
 	lowestCost := tuning.GangCostNoCapacity
 	free, preemptible := 0, 0 // over all zones
--- a/internal/peerstatus/rank_test.go
+++ b/internal/peerstatus/rank_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/peer"
 )
 
-func TestGangRankPrefersTightestRoom(t *testing.T) {
+func TestGangRankPrefersTightestPlacement(t *testing.T) {
 	now := time.Now()
 	tracker := New("n0", []string{"n1", "n2"})
 	need := capacity.Resources{CPU: 7, MemGB: 26}
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -104,7 +104,7 @@
 }
 
 // IsFaultyJob reports whether a connected controller attributes the failures of a job's tasks to
-// the job. Each controller judges the tasks of its own machines only.
+// the job itself. Each controller judges the tasks of its own machines only.
 func (t *Tracker) IsFaultyJob(ref string, now time.Time) bool {
 	for _, last := range t.latest {
 		if last.isRecent(now) && slices.Contains(last.heartbeat.FaultyJobs, ref) {
@@ -114,8 +114,8 @@
 	return false
 }
 
-// IsStoreDownForAll reports whether no connected controller reaches the key-value store. There is
-// then no point in sending this controller's users to another controller.
+// IsStoreDownForAll reports whether no other connected controller reaches the key-value store. There
+// is then no point in sending this controller's users to another controller.
 func (t *Tracker) IsStoreDownForAll(now time.Time) bool {
 	for _, last := range t.latest {
 		if last.isRecent(now) && last.heartbeat.Synced && last.storeSilentFor(now) < tuning.HealthGracePeriod {
@@ -127,7 +127,8 @@
 
 // NoPeerReachesStore reports whether the latest heartbeats of all other controllers are current and
 // say that the key-value store has not responded for at least silentFor. In that case no controller
-// has confirmed a cancellation in that time, and this controller knows those confirmed before.
+// has confirmed a cancellation in that time, and this controller knows the cancellations that were
+// confirmed before.
 func (t *Tracker) NoPeerReachesStore(now time.Time, silentFor time.Duration) bool {
 	for _, last := range t.latest {
 		if last.receivedAt.IsZero() || last.age(now) > maxCurrentHeartbeatAge ||
--- a/internal/peerstatus/tracker_test.go
+++ b/internal/peerstatus/tracker_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestNewerOwner(t *testing.T) {
+func TestNewerOwnerNeedsLaterEpoch(t *testing.T) {
 	now := time.Now()
 	tracker := New("n0", []string{"n1", "n2"})
 	tracker.Observe(peer.Heartbeat{Node: "n1", Shards: []peer.Shard{{ID: "n0", Owner: "n1", Epoch: 7}}}, now)
