--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -2,7 +2,7 @@
 //
 // Only the controller that holds the autoscaler lease scales out, so that three controllers do
 // not request machines for the same demand three times. Scaling in is left to the owners of the
-// shards (machinelifecycle): only they know that nothing runs on a machine, and can prevent new
+// shards (package machinelifecycle): only they know that nothing runs on a machine, and can prevent new
 // tasks from starting there. The autoscaler itself releases only machines that failed or whose
 // worker never sent a heartbeat.
 package autoscaler
@@ -59,7 +59,7 @@
 	node        string
 	incarnation uint64
 	objectives  []config.Objective // service-level objectives of the job classes
-	listLag     time.Duration      // the maximum lag of the cloud's machine list, as stated
+	listLag     time.Duration      // the maximum lag of the cloud's machine list, as configured
 
 	store      Store
 	provider   Cloud
@@ -75,14 +75,14 @@
 	listedAt           time.Time // when the machine list was last read
 
 	pending         map[string]*pendingMachine   // by host
-	refusedAt       map[capacity.Group]time.Time // when the cloud last had no capacity
-	unreportedSince map[string]time.Time         // listed as running without a heartbeat, by host
+	refusedAt       map[capacity.Group]time.Time // when the cloud last had no capacity, by group
+	unreportedSince map[string]time.Time         // since when a machine is listed as running without a heartbeat, by host
 	// hasReported holds the machines that have sent a heartbeat, by host. The cloud's list may show
 	// them as booting long afterwards, and they must not count as pending once they are released.
 	hasReported map[string]bool
 
 	bootTimes           forecast.BootTimes
-	expectedBootSeconds map[forecast.TypeZone]float64 // as of this cycle
+	expectedBootSeconds map[forecast.TypeZone]float64 // by machine type and zone, as of this cycle
 }
 
 // pendingMachine is a machine that was requested and has not sent a heartbeat yet.
@@ -92,12 +92,12 @@
 }
 
 // New returns an autoscaler for the given controller process; Run starts it.
-func New(node string, incarnation uint64, cluster *config.Config, store Store, provider Cloud, controller Controller, log *slog.Logger) *Autoscaler {
+func New(node string, incarnation uint64, cfg *config.Config, store Store, provider Cloud, controller Controller, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{
 		node:            node,
 		incarnation:     incarnation,
-		objectives:      cluster.Cluster.Objectives,
-		listLag:         config.Seconds(cluster.Cluster.Cloud.ListLagSeconds),
+		objectives:      cfg.Cluster.Objectives,
+		listLag:         config.Seconds(cfg.Cluster.Cloud.ListLagSeconds),
 		store:           store,
 		provider:        provider,
 		controller:      controller,
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -76,8 +76,9 @@
 		}
 	}
 	withoutMachines := machineCount(requests)
-	// Three machines are live. On-demand machines count if urgent gangs need them. Otherwise spot
-	// machines are requested to take over their work, but no more on-demand machines.
+	// Three machines are live. On-demand machines count as capacity if urgent gangs need them.
+	// Otherwise spot machines are requested to take over the work of the on-demand machines, but no
+	// further on-demand machines are requested.
 	for _, test := range []struct {
 		name          string
 		spot          bool
@@ -129,8 +130,8 @@
 	}
 }
 
-// The cloud accepts at most 50 machines per request. If missing capacity of a group were noticed only
-// one cycle later, a burst would wait 15 s for its machines.
+// The cloud accepts at most 50 machines per request. If the plan replaced refused capacity only in the
+// next cycle, a burst of jobs would wait 15 s for its machines.
 func TestLargeShortfallIsRequestedInOneCycle(t *testing.T) {
 	a := newTestAutoscaler()
 	provider := &limitedCloud{remaining: map[bool]int{true: 30, false: 1000}}
@@ -215,7 +216,7 @@
 	for _, test := range []struct {
 		name             string
 		missing          int // machines that do not boot while the others did; 0 if all are late
-		minimum, maximum int // requested again
+		minimum, maximum int // bounds of the number of machines requested again
 	}{
 		{"all machines late", 0, 0, 0},
 		{"three machines missing", 3, 2, 4},
@@ -225,13 +226,13 @@
 			job := waitingJob(jobs.Array, 160, 1, 300)
 			demand := scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, RecordedMachines: map[string]bool{}}
 			a.controller = fixedDemandController{demand}
-			first := machineCount(a.planScaleOut(demand))
-			for i := range first {
+			initialCount := machineCount(a.planScaleOut(demand))
+			for i := range initialCount {
 				a.pending[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
 			}
 			booted := 0
 			if test.missing > 0 {
-				booted = first - test.missing
+				booted = initialCount - test.missing
 			}
 			live := map[string]capacity.Group{}
 			for i := range booted {
@@ -254,7 +255,7 @@
 }
 
 // A machine that boots in a second and is released at once is still listed as booting. It must not
-// count as pending, which would last for minutes.
+// be added to the pending machines, where it would stay for minutes.
 func TestReleasedMachineInLaggingListIsNotPending(t *testing.T) {
 	a := newTestAutoscaler()
 	a.provider = &limitedCloud{listing: []cloud.Machine{{Host: "i-1", MachineType: "m4", Zone: "a", Status: "booting", AgeS: 3},
--- a/internal/autoscaler/boottimes.go
+++ b/internal/autoscaler/boottimes.go
@@ -15,7 +15,7 @@
 }
 
 // updatePending removes the pending machines that have sent a heartbeat, and learns from their boot
-// times. It also removes those that have exceeded the boot timeout and a grace period.
+// times. It also removes those that are older than the boot timeout plus a grace period.
 func (a *Autoscaler) updatePending(demand scheduler.Demand) {
 	for host, pending := range a.pending {
 		age := time.Since(pending.requestedAt)
@@ -41,7 +41,7 @@
 		pendingAges[typeZone] = append(pendingAges[typeZone], time.Since(pending.requestedAt).Seconds())
 	}
 	a.expectedBootSeconds = map[forecast.TypeZone]float64{}
-	longest := map[string]float64{}
+	longestByType := map[string]float64{}
 	for typeName, machineType := range a.machineTypes {
 		initial := machineType.StartupS
 		if recorded, ok := demand.BootSeconds[typeName]; ok && !a.bootTimes.HasSamples(typeName) {
@@ -50,10 +50,10 @@
 		for _, zone := range machineType.Zones {
 			typeZone := forecast.TypeZone{MachineType: typeName, Zone: zone}
 			a.expectedBootSeconds[typeZone] = a.bootTimes.ExpectedSeconds(typeZone, initial, pendingAges[typeZone], time.Now())
-			longest[typeName] = max(longest[typeName], a.expectedBootSeconds[typeZone])
+			longestByType[typeName] = max(longestByType[typeName], a.expectedBootSeconds[typeZone])
 		}
 	}
-	a.controller.SetBootTimes(longest)
+	a.controller.SetBootTimes(longestByType)
 }
 
 // bootSeconds returns the expected boot time of a group in seconds, or the time that the cloud
@@ -72,14 +72,14 @@
 	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), stated), tuning.MaxBootTimeoutFactor*stated)
 }
 
-// pendingWeight returns the fraction, 0 to 1, with which a pending machine counts. The longer the
-// machine is overdue, the lower is the fraction.
+// pendingWeight returns the fraction, from 0 to 1, as which a pending machine counts in the available
+// capacity. The longer the machine is overdue, the lower is the fraction.
 func (a *Autoscaler) pendingWeight(pending *pendingMachine) float64 {
 	return forecast.PendingWeight(time.Since(pending.requestedAt).Seconds(), a.bootSeconds(pending.group))
 }
 
-// expectedMachines returns the number of pending machines that are likely to boot soon, by group.
-func (a *Autoscaler) expectedMachines() map[capacity.Group]int {
+// expectedMachineCounts returns the number of pending machines that are likely to boot soon, by group.
+func (a *Autoscaler) expectedMachineCounts() map[capacity.Group]int {
 	weights := map[capacity.Group]float64{}
 	for _, pending := range a.pending {
 		weights[pending.group] += a.pendingWeight(pending)
--- a/internal/autoscaler/choose.go
+++ b/internal/autoscaler/choose.go
@@ -57,8 +57,9 @@
 }
 
 // canRequest reports whether a machine of the group may be requested for the job. Spot machines are
-// requested only if the operators allow them, on-demand machines only if the job is not best-effort
-// work, and neither shortly after the cloud had no capacity for the group.
+// requested only if the operators allow them, and on-demand machines only if the job is not best-effort
+// work. After the cloud had no capacity for the group, no machine of the group is requested for
+// tuning.CapacityRefusalBackoff.
 func (a *Autoscaler) canRequest(job scheduler.PendingJob, group capacity.Group, spotAllowed bool) bool {
 	if group.Spot && !spotAllowed || !group.Spot && job.BestEffort {
 		return false
--- a/internal/autoscaler/lease.go
+++ b/internal/autoscaler/lease.go
@@ -11,8 +11,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// ownerKey is the record that names the controller which scales out. It is bound to that
-// controller's lease and disappears with it.
+// ownerKey is the key of the record that names the controller which scales out. The record is attached
+// to that controller's lease and is deleted when the lease expires.
 const ownerKey = jobs.Prefix + "fleet/holder"
 
 // leaseRenewalsPerTTL is the number of renewals of the lease in one time to live.
@@ -27,8 +27,8 @@
 	return a.acquireLease(ctx)
 }
 
-// renewLease renews the lease when that is due. After an error other than the lease's expiry,
-// the lease is kept and renewed again at the next call.
+// renewLease renews the lease when that is due. After an error that does not mean that the lease has
+// expired, the next call tries again to renew it.
 func (a *Autoscaler) renewLease(ctx context.Context) bool {
 	now := time.Now()
 	if now.Sub(a.leaseRenewedAt) < tuning.AutoscalerLeaseTTL/leaseRenewalsPerTTL {
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -23,8 +23,8 @@
 	a.reviewListing(ctx, listing, demand)
 }
 
-// reviewListing releases machines that failed, that do not boot in time, or that run but have sent
-// no heartbeat, and adds unknown booting machines to the pending ones.
+// reviewListing releases machines that failed, that do not boot in time, or that have run for too long
+// without sending a heartbeat, and adds unknown booting machines to the pending ones.
 func (a *Autoscaler) reviewListing(ctx context.Context, listing []cloud.Machine, demand scheduler.Demand) {
 	now := time.Now()
 	var unusable []string
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -15,10 +15,10 @@
 // planner plans the machines to request for a demand, one job after the other.
 type planner struct {
 	*Autoscaler
-	demand         scheduler.Demand
-	machines       []*plannedMachine // pending machines and those that this plan requests
-	requested      map[capacity.Group]int
-	machinesInZone map[string]int
+	demand          scheduler.Demand
+	machines        []*plannedMachine // pending machines and those that this plan requests
+	requestedCounts map[capacity.Group]int
+	machinesInZone  map[string]int
 	// precedingWork is the work of the arrays planned so far and of running array tasks, by class.
 	precedingWork map[string]scheduler.RunningWork
 	// freeGangSlots is the number of gang tasks that fit on the existing machines, by task shape and
@@ -29,9 +29,9 @@
 // plannedMachine is a machine that does not run yet, with the capacity that the jobs planned so far
 // leave free.
 type plannedMachine struct {
-	group     capacity.Group
-	free      capacity.Resources
-	requested bool // by this plan
+	group           capacity.Group
+	free            capacity.Resources
+	requestedByPlan bool // false if the machine was pending already
 }
 
 // place allocates free capacity to up to limit tasks of a shape and returns their number.
@@ -55,12 +55,12 @@
 
 func (a *Autoscaler) newPlanner(demand scheduler.Demand) *planner {
 	p := &planner{
-		Autoscaler:     a,
-		demand:         demand,
-		requested:      map[capacity.Group]int{},
-		machinesInZone: map[string]int{},
-		precedingWork:  maps.Clone(demand.Running),
-		freeGangSlots:  map[capacity.Resources]map[string]int{},
+		Autoscaler:      a,
+		demand:          demand,
+		requestedCounts: map[capacity.Group]int{},
+		machinesInZone:  map[string]int{},
+		precedingWork:   maps.Clone(demand.Running),
+		freeGangSlots:   map[capacity.Resources]map[string]int{},
 	}
 	if p.precedingWork == nil {
 		p.precedingWork = map[string]scheduler.RunningWork{}
@@ -71,7 +71,7 @@
 	for _, group := range demand.LiveMachines {
 		p.machinesInZone[group.Zone]++
 	}
-	for group, count := range a.expectedMachines() {
+	for group, count := range a.expectedMachineCounts() {
 		machineType := a.machineTypes[group.MachineType]
 		for range count {
 			p.machines = append(p.machines, &plannedMachine{group: group, free: machineType.Total()})
@@ -82,56 +82,56 @@
 
 // addJob plans the machines for one job.
 func (p *planner) addJob(job scheduler.PendingJob) {
-	unplaced, spotOnly, zone := job.Tasks, 0, ""
+	unplacedTasks, spotOnly, zone := job.Tasks, 0, ""
 	switch job.Record.Kind {
 	case jobs.Array:
 		shortfall := p.computeArrayShortfall(job)
-		unplaced, spotOnly = shortfall.tasks, shortfall.spotOnly
+		unplacedTasks, spotOnly = shortfall.tasks, shortfall.spotOnly
 	case jobs.Gang:
 		shortfall := p.computeGangShortfall(job)
-		unplaced, zone = shortfall.tasks, shortfall.zone
+		unplacedTasks, zone = shortfall.tasks, shortfall.zone
 	}
-	unplaced, zone = p.placeOnPlanned(job, unplaced, zone)
-	p.requestMachines(job, unplaced, spotOnly, zone)
+	unplacedTasks, zone = p.placeOnPlannedMachines(job, unplacedTasks, zone)
+	p.requestMachines(job, unplacedTasks, spotOnly, zone)
 }
 
-// placeOnPlanned places tasks on machines that do not run yet. It returns the number of tasks
+// placeOnPlannedMachines places tasks on machines that do not run yet. It returns the number of tasks
 // that remain and the zone of the last machine used.
-func (p *planner) placeOnPlanned(job scheduler.PendingJob, unplaced int, zone string) (remaining int, lastZone string) {
+func (p *planner) placeOnPlannedMachines(job scheduler.PendingJob, unplacedTasks int, zone string) (remainingTasks int, lastZone string) {
 	for _, machine := range p.machines {
-		if unplaced <= 0 {
+		if unplacedTasks <= 0 {
 			break
 		}
-		if job.Record.Kind == jobs.Array && !machine.requested {
-			continue // computeArrayShortfall has counted the pending machines
+		if job.Record.Kind == jobs.Array && !machine.requestedByPlan {
+			continue // computeArrayShortfall has already counted the pending machines
 		}
 		if !p.fits(job, machine.group) || job.Record.OneZone && zone != "" && machine.group.Zone != zone {
 			continue
 		}
-		count := machine.place(job.Need, unplaced)
+		count := machine.place(job.Need, unplacedTasks)
 		if count > 0 {
 			zone = machine.group.Zone
 		}
-		unplaced -= count
+		unplacedTasks -= count
 	}
-	return unplaced, zone
+	return unplacedTasks, zone
 }
 
 // requestMachines adds machines to the plan for tasks that fit on no existing, pending or planned
 // machine. The last spotOnly tasks get spot machines only. It stops when no machine can be requested.
-func (p *planner) requestMachines(job scheduler.PendingJob, unplaced, spotOnly int, zone string) {
-	remaining := unplaced + spotOnly
-	for remaining > 0 {
+func (p *planner) requestMachines(job scheduler.PendingJob, unplacedTasks, spotOnly int, zone string) {
+	remainingTasks := unplacedTasks + spotOnly
+	for remainingTasks > 0 {
 		candidate := job
-		candidate.BestEffort = candidate.BestEffort || remaining <= spotOnly
-		group, ok := p.chooseGroup(candidate, p.demand.Settings.Spot, p.machinesInZone, zone, remaining)
+		candidate.BestEffort = candidate.BestEffort || remainingTasks <= spotOnly
+		group, ok := p.chooseGroup(candidate, p.demand.Settings.Spot, p.machinesInZone, zone, remainingTasks)
 		if !ok {
 			return
 		}
-		machine := &plannedMachine{group: group, free: p.machineTypes[group.MachineType].Total(), requested: true}
-		remaining -= machine.place(job.Need, remaining)
+		machine := &plannedMachine{group: group, free: p.machineTypes[group.MachineType].Total(), requestedByPlan: true}
+		remainingTasks -= machine.place(job.Need, remainingTasks)
 		p.machines = append(p.machines, machine)
-		p.requested[group]++
+		p.requestedCounts[group]++
 		if job.Record.OneZone {
 			zone = group.Zone
 		}
@@ -150,7 +150,7 @@
 		countByType[pending.group.MachineType]++
 	}
 	var requests []cloud.ScaleOutRequest
-	for group, count := range p.requested {
+	for group, count := range p.requestedCounts {
 		if limit, ok := p.demand.Settings.MaxMachinesPerType[group.MachineType]; ok {
 			count = min(count, limit-countByType[group.MachineType])
 		}
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -59,7 +59,9 @@
 	}
 	if err != nil {
 		a.log.Info("scale-out failed", "error", err)
-		a.listedAt = time.Time{} // the list shows machines that were started nevertheless
+		// The next cycle reads the machine list, which shows machines that were started despite the
+		// error.
+		a.listedAt = time.Time{}
 		return scaleOutFailed
 	}
 	a.log.Info("machines requested", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot,
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -19,7 +19,7 @@
 
 // computeGangShortfall counts the tasks of a gang for which the existing machines have no capacity, in
 // the zone with the smallest shortfall. It subtracts the slots that the gang uses from
-// p.freeGangSlots. Capacity on pending machines is allocated later, by placeOnPlanned.
+// p.freeGangSlots. Capacity on pending machines is allocated later, by placeOnPlannedMachines.
 func (p *planner) computeGangShortfall(job scheduler.PendingJob) gangShortfall {
 	pendingSlots := map[string]int{}
 	for _, machine := range p.machines {
@@ -35,27 +35,27 @@
 	if zone == "" {
 		return gangShortfall{}
 	}
-	used := min(job.Tasks, freeSlots[zone])
+	usedSlots := min(job.Tasks, freeSlots[zone])
 	if freeSlots != nil {
-		freeSlots[zone] -= used
+		freeSlots[zone] -= usedSlots
 	}
-	return gangShortfall{tasks: job.Tasks - used, zone: zone}
+	return gangShortfall{tasks: job.Tasks - usedSlots, zone: zone}
 }
 
 // useSlotsInAllZones subtracts the slots that a number of tasks use from freeSlots, in any zones. It
 // returns how many tasks find no slot.
-func useSlotsInAllZones(freeSlots map[string]int, tasks int) (unplaced int) {
+func useSlotsInAllZones(freeSlots map[string]int, tasks int) (unplacedTasks int) {
 	for zone, slots := range freeSlots {
-		used := min(tasks, slots)
-		tasks -= used
-		freeSlots[zone] -= used
+		usedSlots := min(tasks, slots)
+		tasks -= usedSlots
+		freeSlots[zone] -= usedSlots
 	}
 	return tasks
 }
 
-// zoneWithLeastShortfall returns the zone in which the fewest tasks of a gang lack capacity. Ties are
-// broken by the most free slots now, then by name. A zone with a shortfall in which no machine can be
-// requested is left out. It returns "" if no zone remains.
+// zoneWithLeastShortfall returns the zone in which the fewest tasks of a gang lack capacity. Ties
+// are broken by the most free slots now, then by name. A zone that has a shortfall is left out if no
+// machine can be requested in it. It returns "" if no zone remains.
 func (p *planner) zoneWithLeastShortfall(job scheduler.PendingJob, freeSlots, pendingSlots map[string]int) string {
 	best, leastShortfall := "", 0
 	for zone := range p.zones() {
@@ -86,8 +86,8 @@
 // they can do in that time, not with the capacity that is free now.
 //
 // Spot machines are also requested for work that on-demand machines do only because they already
-// run, since this work would keep them from being released. No on-demand machine is requested for
-// that part of the shortfall.
+// run, since this work would keep the on-demand machines from being released. No on-demand machine
+// is requested for that part of the shortfall.
 func (p *planner) computeArrayShortfall(job scheduler.PendingJob) arrayShortfall {
 	class := job.Record.Class
 	p.precedingWork[class] = p.precedingWork[class].Add(float64(job.Tasks)*job.Need.CPU, job.RunSeconds, job.Background)
@@ -100,8 +100,8 @@
 	if !job.Record.Spot || !p.demand.Settings.Spot {
 		return arrayShortfall{tasks: tasks}
 	}
-	withSpot := p.tasksWithoutCapacity(job, needed, p.withoutExcessOnDemand(job, available))
-	return arrayShortfall{tasks: tasks, spotOnly: withSpot - tasks}
+	totalTasks := p.tasksWithoutCapacity(job, needed, p.cpuWithoutExcessOnDemand(job, available))
+	return arrayShortfall{tasks: tasks, spotOnly: totalTasks - tasks}
 }
 
 // tasksWithoutCapacity returns the number of an array's tasks for which the available CPUs do not
@@ -131,7 +131,7 @@
 }
 
 // availableCPU returns the number of CPUs that a job's tasks can use on live and pending machines. The
-// CPUs of gangs are subtracted and, for background work, the reserve of the other classes.
+// CPUs that gangs use are subtracted, and for a background job also the reserve of the other classes.
 func (p *planner) availableCPU(job scheduler.PendingJob) float64 {
 	available := -p.demand.GangCPU
 	if job.Background {
@@ -154,16 +154,16 @@
 	return job.Need.CPU * float64(capacity.FitCount(a.machineTypes[group.MachineType].Total(), job.Need))
 }
 
-// withoutExcessOnDemand returns the available CPUs less those of on-demand machines that are not
+// cpuWithoutExcessOnDemand returns the available CPUs less those of on-demand machines that are not
 // needed for urgent gangs.
-func (p *planner) withoutExcessOnDemand(job scheduler.PendingJob, available float64) float64 {
-	onDemand := -p.demand.GangCPU
+func (p *planner) cpuWithoutExcessOnDemand(job scheduler.PendingJob, availableCPU float64) float64 {
+	onDemandCPU := -p.demand.GangCPU
 	for _, group := range p.demand.LiveMachines {
 		if !group.Spot {
-			onDemand += p.usableCPU(job, group)
+			onDemandCPU += p.usableCPU(job, group)
 		}
 	}
-	return available - max(0, onDemand-p.demand.UrgentGangCPU)
+	return availableCPU - max(0, onDemandCPU-p.demand.UrgentGangCPU)
 }
 
 // hasPendingFor reports whether a pending machine can run the job.
@@ -186,8 +186,8 @@
 	longestBoot := 0.0
 	for typeName, machineType := range a.machineTypes {
 		for _, zone := range machineType.Zones {
-			// Late boots do not shorten the budget: a shorter budget would request more and more of
-			// the machines that do not boot.
+			// Late boots do not shorten the budget: with a shorter budget, more and more of the
+			// machines that do not boot would be requested.
 			expected := a.bootSeconds(capacity.Group{MachineType: typeName, Zone: zone})
 			longestBoot = max(longestBoot, min(machineType.StartupS, expected))
 		}
