--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -126,8 +126,8 @@
 // remainingRate returns the part of one of the service's limits (total) that the peers' usage (used)
 // leaves to this controller, all per second. The result has a lower and an upper bound.
 func (b *budget) remainingRate(total, used float64) float64 {
-	usable := tuning.BudgetOvercommitFactor * total
-	return min(max(usable-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
+	usableRate := tuning.BudgetOvercommitFactor * total
+	return min(max(usableRate-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
 }
 
 // recordPeerUsage records the requests and writes per second that another controller reports, and
@@ -188,11 +188,11 @@
 
 // burstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
 func (b *budget) burstReserved(priority Priority, writes int) bool {
-	reserve := priority.reservedBurst()
-	if b.requestLimiter.Tokens() < reserve*float64(b.requestLimiter.Burst()) {
+	reservedFraction := priority.reservedBurstFraction()
+	if b.requestLimiter.Tokens() < reservedFraction*float64(b.requestLimiter.Burst()) {
 		return true
 	}
-	return writes > 0 && b.writeLimiter.Tokens() < reserve*float64(b.writeLimiter.Burst())
+	return writes > 0 && b.writeLimiter.Tokens() < reservedFraction*float64(b.writeLimiter.Burst())
 }
 
 // budgetError returns the error of a request that was not sent because its context ended.
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -48,13 +48,13 @@
 		go func() { _ = server.Serve(network) }()
 		client := New("state:1", 150, 50, 3, network.dial)
 		requestLimit := client.budget.requestLimiter.Limit
-		before := requestLimit()
+		limitBefore := requestLimit()
 		result, err := client.Commit(t.Context(), Urgent, Txn{Writes: []Write{{DeleteKey: "cw/x"}}})
 		if err != nil || !result.Succeeded || result.Revision != 9 || requests != 3 {
 			t.Errorf("%+v after %d requests: %v", result, requests, err)
 		}
-		if requestLimit() >= before || float64(requestLimit()) < 150/3*0.9 {
-			t.Errorf("limit %v, before %v", requestLimit(), before)
+		if requestLimit() >= limitBefore || float64(requestLimit()) < 150/3*0.9 {
+			t.Errorf("limit %v, before %v", requestLimit(), limitBefore)
 		}
 		close(network)
 		client.httpClient.CloseIdleConnections()
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -39,9 +39,9 @@
 	Background                 // completed tasks, pipelines, cleanup: requests that can wait
 )
 
-// reservedBurst returns the fraction of the rate limiters' bursts that callers of this priority
+// reservedBurstFraction returns the fraction of the rate limiters' bursts that callers of this priority
 // leave to callers of higher priority.
-func (p Priority) reservedBurst() float64 {
+func (p Priority) reservedBurstFraction() float64 {
 	switch p {
 	case Normal:
 		return 0.2
