--- a/internal/chunkedstore/garbage_test.go
+++ b/internal/chunkedstore/garbage_test.go
@@ -90,11 +90,11 @@
 
 func TestReadsReturnWholeChunkedRecord(t *testing.T) {
 	store, service, value := newStoreWithChunkedRecord(t)
-	if stored := service.rows[recordKey].Value; chunkRefOf(stored) == nil {
-		t.Errorf("the record is stored as %s", stored)
+	if storedValue := service.rows[recordKey].Value; chunkRefOf(storedValue) == nil {
+		t.Errorf("the record is stored as %s", storedValue)
 	}
-	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // another store, whose cache is empty
-	for _, s := range []*Store{store, reader} {
+	otherStore := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // another store, whose cache is empty
+	for _, s := range []*Store{store, otherStore} {
 		record, err := s.Get(t.Context(), kvstore.Normal, recordKey)
 		if err != nil || !record.Found || string(record.Row.Value) != string(value) {
 			t.Errorf("%s, found %v, %v", record.Row.Value, record.Found, err)
@@ -108,16 +108,16 @@
 
 func TestOrphanedChunksAreDeletedInSecondPass(t *testing.T) {
 	store, service, _ := newStoreWithChunkedRecord(t)
-	before := service.chunkCount()
+	countBefore := service.chunkCount()
 	collectOnce(t, store)
 	collectOnce(t, store)
-	if count := service.chunkCount(); count != before {
-		t.Fatalf("%d of %d chunks left although a record points to them", count, before)
+	if count := service.chunkCount(); count != countBefore {
+		t.Fatalf("%d of %d chunks left although a record points to them", count, countBefore)
 	}
 	commit(t, store, kvstore.Write{DeleteKey: recordKey})
 	collectOnce(t, store)
-	if count := service.chunkCount(); count != before {
-		t.Errorf("%d of %d chunks left after the first pass", count, before)
+	if count := service.chunkCount(); count != countBefore {
+		t.Errorf("%d of %d chunks left after the first pass", count, countBefore)
 	}
 	collectOnce(t, store)
 	if count := service.chunkCount(); count != 0 {
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -41,17 +41,17 @@
 			t.Fatal(err)
 		}
 		s.submitWave(1)
-		large := largeJob("wk-9000")
-		s.submit(large, 2*time.Second)
+		largeSpec := largeJob("wk-9000")
+		s.submit(largeSpec, 2*time.Second)
 		s.lowerLimits()
 		s.submitWave(2)
-		large.Ref = "wk-9001"
-		s.submit(large, 2*time.Second)
+		largeSpec.Ref = "wk-9001"
+		s.submit(largeSpec, 2*time.Second)
 		for i := range 400 {
-			large.DependsOn = append(large.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // done according to the completion batch that putOldRecords writes
+			largeSpec.DependsOn = append(largeSpec.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // done according to the completion batch that putOldRecords writes
 		}
-		large.Ref, large.DependsOn = "wk-9002", append(large.DependsOn, s.refs[len(s.refs)-40:]...)
-		s.submit(large, 2*time.Second)
+		largeSpec.Ref, largeSpec.DependsOn = "wk-9002", append(largeSpec.DependsOn, s.refs[len(s.refs)-40:]...)
+		s.submit(largeSpec, 2*time.Second)
 		s.drainManyMachines()
 		s.startLargePipeline()
 		for _, node := range controllers {
