--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -125,7 +125,7 @@
 	transfer.sentAt = now
 	// This controller continues from the payload if the recipient does not acquire the shard.
 	c.payloads[shard.ID()] = newCompletePayload(shard.Epoch(), chunks, now)
-	queued := c.send(transfer.recipient, chunks)
+	allQueued := c.send(transfer.recipient, chunks)
 	c.log.Info("shard transfer sent", "shard", shard.ID(), "recipient", transfer.recipient,
-		"workers", len(machines), "chunks", len(chunks), "queued", queued)
+		"workers", len(machines), "chunks", len(chunks), "queued", allQueued)
 }
