--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -60,8 +60,8 @@
 		a.pending[host] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now()}
 	}
 	demand.FittingTasks = map[capacity.Resources]map[string]int{job.Need: {"a": 5, "b": 2}}
-	if repeated := a.planScaleOut(demand); len(repeated) != 0 {
-		t.Errorf("requested again: %+v", repeated)
+	if repeatedRequests := a.planScaleOut(demand); len(repeatedRequests) != 0 {
+		t.Errorf("requested again: %+v", repeatedRequests)
 	}
 }
 
@@ -75,7 +75,7 @@
 			t.Errorf("on-demand machine requested: %+v", request)
 		}
 	}
-	withoutMachines := machineCount(requests)
+	countWithoutLive := machineCount(requests)
 	// Three machines are live. On-demand machines count as capacity if urgent gangs need them.
 	// Otherwise spot machines are requested to take over the work of the on-demand machines, but no
 	// further on-demand machines are requested.
@@ -85,23 +85,23 @@
 		urgentGangCPU float64
 		want          int
 	}{
-		{"spot machines", true, 0, withoutMachines - 3},
-		{"on-demand machines for urgent gangs", false, 12, withoutMachines - 3},
-		{"one on-demand machine for urgent gangs", false, 4, withoutMachines - 1},
-		{"excess on-demand machines", false, 0, withoutMachines},
+		{"spot machines", true, 0, countWithoutLive - 3},
+		{"on-demand machines for urgent gangs", false, 12, countWithoutLive - 3},
+		{"one on-demand machine for urgent gangs", false, 4, countWithoutLive - 1},
+		{"excess on-demand machines", false, 0, countWithoutLive},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			live := map[string]capacity.Group{}
+			liveMachines := map[string]capacity.Group{}
 			for _, host := range []string{"i-1", "i-2", "i-3"} {
-				live[host] = capacity.Group{Zone: "a", MachineType: "m4", Spot: test.spot}
+				liveMachines[host] = capacity.Group{Zone: "a", MachineType: "m4", Spot: test.spot}
 			}
-			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: live, UrgentGangCPU: test.urgentGangCPU}
+			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines, UrgentGangCPU: test.urgentGangCPU}
 			if count := machineCount(a.planScaleOut(demand)); count != test.want {
-				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, withoutMachines)
+				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, countWithoutLive)
 			}
 			markSpotUnavailable(a)
-			if count := machineCount(a.planScaleOut(demand)); count != withoutMachines-3 {
-				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, withoutMachines-3)
+			if count := machineCount(a.planScaleOut(demand)); count != countWithoutLive-3 {
+				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, countWithoutLive-3)
 			}
 			clear(a.refusedAt)
 		})
@@ -181,11 +181,11 @@
 func TestRunningBackgroundWorkIsNotDueWithinHorizon(t *testing.T) {
 	job := waitingJob(jobs.Array, 40, 1, 10)
 	job.Record.Spot = true
-	live := map[string]capacity.Group{}
+	liveMachines := map[string]capacity.Group{}
 	for i := range 100 {
-		live[fmt.Sprintf("i-%d", i)] = capacity.Group{Zone: "a", MachineType: "m4"}
+		liveMachines[fmt.Sprintf("i-%d", i)] = capacity.Group{Zone: "a", MachineType: "m4"}
 	}
-	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: live,
+	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines,
 		Running: map[string]scheduler.RunningWork{"guest": {CPU: 390, RemainingSeconds: 300, Background: true}}}
 	if n := machineCount(newTestAutoscaler().planScaleOut(demand)); n > 10 {
 		t.Errorf("%d machines requested for 40 short tasks", n)
@@ -230,18 +230,18 @@
 			for i := range initialCount {
 				a.pending[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
 			}
-			booted := 0
+			bootedCount := 0
 			if test.missing > 0 {
-				booted = initialCount - test.missing
+				bootedCount = initialCount - test.missing
 			}
-			live := map[string]capacity.Group{}
-			for i := range booted {
+			liveMachines := map[string]capacity.Group{}
+			for i := range bootedCount {
 				host := fmt.Sprintf("i-%d", i)
-				live[host] = a.pending[host].group
+				liveMachines[host] = a.pending[host].group
 				a.bootTimes.Observe(forecast.TypeZone{MachineType: "m4", Zone: "a"}, time.Now().Add(-100*time.Second), 20*time.Second)
 				delete(a.pending, host)
 			}
-			demand.LiveMachines = live
+			demand.LiveMachines = liveMachines
 			a.updateBootTimes(demand)
 			count := machineCount(a.planScaleOut(demand))
 			if count < test.minimum {
--- a/internal/autoscaler/boottimes.go
+++ b/internal/autoscaler/boottimes.go
@@ -43,13 +43,13 @@
 	a.expectedBootSeconds = map[forecast.TypeZone]float64{}
 	longestByType := map[string]float64{}
 	for typeName, machineType := range a.machineTypes {
-		initial := machineType.StartupS
-		if recorded, ok := demand.BootSeconds[typeName]; ok && !a.bootTimes.HasSamples(typeName) {
-			initial = recorded // learned by another controller
+		initialSeconds := machineType.StartupS
+		if recordedSeconds, ok := demand.BootSeconds[typeName]; ok && !a.bootTimes.HasSamples(typeName) {
+			initialSeconds = recordedSeconds // learned by another controller
 		}
 		for _, zone := range machineType.Zones {
 			typeZone := forecast.TypeZone{MachineType: typeName, Zone: zone}
-			a.expectedBootSeconds[typeZone] = a.bootTimes.ExpectedSeconds(typeZone, initial, pendingAges[typeZone], time.Now())
+			a.expectedBootSeconds[typeZone] = a.bootTimes.ExpectedSeconds(typeZone, initialSeconds, pendingAges[typeZone], time.Now())
 			longestByType[typeName] = max(longestByType[typeName], a.expectedBootSeconds[typeZone])
 		}
 	}
@@ -68,8 +68,8 @@
 // bootTimeoutSeconds returns the age in seconds at which a machine that is still booting is
 // released. It is higher if other machines of the group boot slowly, too.
 func (a *Autoscaler) bootTimeoutSeconds(group capacity.Group) float64 {
-	stated := a.machineTypes[group.MachineType].StartupS
-	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), stated), tuning.MaxBootTimeoutFactor*stated)
+	statedSeconds := a.machineTypes[group.MachineType].StartupS
+	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), statedSeconds), tuning.MaxBootTimeoutFactor*statedSeconds)
 }
 
 // pendingWeight returns the fraction, from 0 to 1, as which a pending machine counts in the available
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -28,14 +28,14 @@
 func (a *Autoscaler) reviewListing(ctx context.Context, listing []cloud.Machine, demand scheduler.Demand) {
 	now := time.Now()
 	var unusable []string
-	listed := map[string]bool{}
+	listedHosts := map[string]bool{}
 	for _, machine := range listing {
-		listed[machine.Host] = true
+		listedHosts[machine.Host] = true
 		if a.reviewMachine(machine, demand, now) {
 			unusable = append(unusable, machine.Host)
 		}
 	}
-	a.dropUnlisted(listed, demand, now)
+	a.dropUnlisted(listedHosts, demand, now)
 	a.releaseUnusable(ctx, unusable)
 }
 
@@ -70,20 +70,20 @@
 }
 
 // dropUnlisted drops the state of machines that the cloud no longer lists.
-func (a *Autoscaler) dropUnlisted(listed map[string]bool, demand scheduler.Demand, now time.Time) {
+func (a *Autoscaler) dropUnlisted(listedHosts map[string]bool, demand scheduler.Demand, now time.Time) {
 	for host := range a.unreportedSince {
-		if !listed[host] {
+		if !listedHosts[host] {
 			delete(a.unreportedSince, host)
 		}
 	}
 	for host := range a.hasReported {
-		if !listed[host] && !demand.RecordedMachines[host] {
+		if !listedHosts[host] && !demand.RecordedMachines[host] {
 			delete(a.hasReported, host)
 		}
 	}
 	for host, pending := range a.pending {
 		// The machine was preempted or released before it sent a heartbeat.
-		if !listed[host] && now.Sub(pending.requestedAt) > 2*a.listLag+tuning.ListAbsenceMargin {
+		if !listedHosts[host] && now.Sub(pending.requestedAt) > 2*a.listLag+tuning.ListAbsenceMargin {
 			delete(a.pending, host)
 		}
 	}
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -183,15 +183,15 @@
 	if job.Background {
 		return tuning.BackgroundHorizon
 	}
-	longestBoot := 0.0
+	longestBootSeconds := 0.0
 	for typeName, machineType := range a.machineTypes {
 		for _, zone := range machineType.Zones {
 			// Late boots do not shorten the budget: with a shorter budget, more and more of the
 			// machines that do not boot would be requested.
-			expected := a.bootSeconds(capacity.Group{MachineType: typeName, Zone: zone})
-			longestBoot = max(longestBoot, min(machineType.StartupS, expected))
+			expectedSeconds := a.bootSeconds(capacity.Group{MachineType: typeName, Zone: zone})
+			longestBootSeconds = max(longestBootSeconds, min(machineType.StartupS, expectedSeconds))
 		}
 	}
-	target := config.TargetSeconds(a.objectives, job.Record.Class, job.Record.DeadlineSeconds) * tuning.DeadlineTargetFraction
-	return time.Duration((target-longestBoot)*float64(time.Second)) - job.Age
+	targetSeconds := config.TargetSeconds(a.objectives, job.Record.Class, job.Record.DeadlineSeconds) * tuning.DeadlineTargetFraction
+	return time.Duration((targetSeconds-longestBootSeconds)*float64(time.Second)) - job.Age
 }
