--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -60,8 +60,8 @@
 		a.pending[host] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now()}
 	}
 	demand.FittingTasks = map[capacity.Resources]map[string]int{job.Need: {"a": 5, "b": 2}}
-	if repeated := a.planScaleOut(demand); len(repeated) != 0 {
-		t.Errorf("requested again: %+v", repeated)
+	if repeatedRequests := a.planScaleOut(demand); len(repeatedRequests) != 0 {
+		t.Errorf("requested again: %+v", repeatedRequests)
 	}
 }
 
@@ -75,32 +75,33 @@
 			t.Errorf("on-demand machine requested: %+v", request)
 		}
 	}
-	withoutMachines := machineCount(requests)
-	// Three machines are live. On-demand machines count if urgent gangs need them. Otherwise spot
-	// machines are requested to take over their work, but no more on-demand machines.
+	countWithoutLive := machineCount(requests)
+	// Three machines are live. On-demand machines count as capacity if urgent gangs need them.
+	// Otherwise spot machines are requested to take over the work of the on-demand machines, but no
+	// further on-demand machines are requested.
 	for _, test := range []struct {
 		name          string
 		spot          bool
 		urgentGangCPU float64
 		want          int
 	}{
-		{"spot machines", true, 0, withoutMachines - 3},
-		{"on-demand machines for urgent gangs", false, 12, withoutMachines - 3},
-		{"one on-demand machine for urgent gangs", false, 4, withoutMachines - 1},
-		{"excess on-demand machines", false, 0, withoutMachines},
+		{"spot machines", true, 0, countWithoutLive - 3},
+		{"on-demand machines for urgent gangs", false, 12, countWithoutLive - 3},
+		{"one on-demand machine for urgent gangs", false, 4, countWithoutLive - 1},
+		{"excess on-demand machines", false, 0, countWithoutLive},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			live := map[string]capacity.Group{}
+			liveMachines := map[string]capacity.Group{}
 			for _, host := range []string{"i-1", "i-2", "i-3"} {
-				live[host] = capacity.Group{Zone: "a", MachineType: "m4", Spot: test.spot}
+				liveMachines[host] = capacity.Group{Zone: "a", MachineType: "m4", Spot: test.spot}
 			}
-			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: live, UrgentGangCPU: test.urgentGangCPU}
+			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines, UrgentGangCPU: test.urgentGangCPU}
 			if count := machineCount(a.planScaleOut(demand)); count != test.want {
-				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, withoutMachines)
+				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, countWithoutLive)
 			}
 			markSpotUnavailable(a)
-			if count := machineCount(a.planScaleOut(demand)); count != withoutMachines-3 {
-				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, withoutMachines-3)
+			if count := machineCount(a.planScaleOut(demand)); count != countWithoutLive-3 {
+				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, countWithoutLive-3)
 			}
 			clear(a.refusedAt)
 		})
@@ -129,8 +130,8 @@
 	}
 }
 
-// The cloud accepts at most 50 machines per request. If missing capacity of a group were noticed only
-// one cycle later, a burst would wait 15 s for its machines.
+// The cloud accepts at most 50 machines per request. If the plan replaced refused capacity only in the
+// next cycle, a burst of jobs would wait 15 s for its machines.
 func TestLargeShortfallIsRequestedInOneCycle(t *testing.T) {
 	a := newTestAutoscaler()
 	provider := &limitedCloud{remaining: map[bool]int{true: 30, false: 1000}}
@@ -180,11 +181,11 @@
 func TestRunningBackgroundWorkIsNotDueWithinHorizon(t *testing.T) {
 	job := waitingJob(jobs.Array, 40, 1, 10)
 	job.Record.Spot = true
-	live := map[string]capacity.Group{}
+	liveMachines := map[string]capacity.Group{}
 	for i := range 100 {
-		live[fmt.Sprintf("i-%d", i)] = capacity.Group{Zone: "a", MachineType: "m4"}
+		liveMachines[fmt.Sprintf("i-%d", i)] = capacity.Group{Zone: "a", MachineType: "m4"}
 	}
-	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: live,
+	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines,
 		Running: map[string]scheduler.RunningWork{"guest": {CPU: 390, RemainingSeconds: 300, Background: true}}}
 	if n := machineCount(newTestAutoscaler().planScaleOut(demand)); n > 10 {
 		t.Errorf("%d machines requested for 40 short tasks", n)
@@ -215,7 +216,7 @@
 	for _, test := range []struct {
 		name             string
 		missing          int // machines that do not boot while the others did; 0 if all are late
-		minimum, maximum int // requested again
+		minimum, maximum int // bounds of the number of machines requested again
 	}{
 		{"all machines late", 0, 0, 0},
 		{"three machines missing", 3, 2, 4},
@@ -225,22 +226,22 @@
 			job := waitingJob(jobs.Array, 160, 1, 300)
 			demand := scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, RecordedMachines: map[string]bool{}}
 			a.controller = fixedDemandController{demand}
-			first := machineCount(a.planScaleOut(demand))
-			for i := range first {
+			initialCount := machineCount(a.planScaleOut(demand))
+			for i := range initialCount {
 				a.pending[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
 			}
-			booted := 0
+			bootedCount := 0
 			if test.missing > 0 {
-				booted = first - test.missing
+				bootedCount = initialCount - test.missing
 			}
-			live := map[string]capacity.Group{}
-			for i := range booted {
+			liveMachines := map[string]capacity.Group{}
+			for i := range bootedCount {
 				host := fmt.Sprintf("i-%d", i)
-				live[host] = a.pending[host].group
+				liveMachines[host] = a.pending[host].group
 				a.bootTimes.Observe(forecast.TypeZone{MachineType: "m4", Zone: "a"}, time.Now().Add(-100*time.Second), 20*time.Second)
 				delete(a.pending, host)
 			}
-			demand.LiveMachines = live
+			demand.LiveMachines = liveMachines
 			a.updateBootTimes(demand)
 			count := machineCount(a.planScaleOut(demand))
 			if count < test.minimum {
@@ -254,7 +255,7 @@
 }
 
 // A machine that boots in a second and is released at once is still listed as booting. It must not
-// count as pending, which would last for minutes.
+// be added to the pending machines, where it would stay for minutes.
 func TestReleasedMachineInLaggingListIsNotPending(t *testing.T) {
 	a := newTestAutoscaler()
 	a.provider = &limitedCloud{listing: []cloud.Machine{{Host: "i-1", MachineType: "m4", Zone: "a", Status: "booting", AgeS: 3},
--- a/internal/chunkedstore/garbage_test.go
+++ b/internal/chunkedstore/garbage_test.go
@@ -59,8 +59,8 @@
 
 const recordKey = "cw/job/wk-1"
 
-// newChunkedRecord creates a store with one record that is stored in several chunks.
-func newChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
+// newStoreWithChunkedRecord creates a store with one record that is stored in several chunks.
+func newStoreWithChunkedRecord(t *testing.T) (*Store, *memoryService, json.RawMessage) {
 	t.Helper()
 	service := &memoryService{rows: map[string]kvstore.KeyValue{}}
 	store := New(service, 7, 100, 2, slog.New(slog.DiscardHandler))
@@ -89,12 +89,12 @@
 }
 
 func TestReadsReturnWholeChunkedRecord(t *testing.T) {
-	store, service, value := newChunkedRecord(t)
-	if stored := service.rows[recordKey].Value; chunkRefOf(stored) == nil {
-		t.Errorf("the record is stored as %s", stored)
+	store, service, value := newStoreWithChunkedRecord(t)
+	if storedValue := service.rows[recordKey].Value; chunkRefOf(storedValue) == nil {
+		t.Errorf("the record is stored as %s", storedValue)
 	}
-	reader := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // another store, whose cache is empty
-	for _, s := range []*Store{store, reader} {
+	otherStore := New(service, 8, 100, 2, slog.New(slog.DiscardHandler)) // another store, whose cache is empty
+	for _, s := range []*Store{store, otherStore} {
 		record, err := s.Get(t.Context(), kvstore.Normal, recordKey)
 		if err != nil || !record.Found || string(record.Row.Value) != string(value) {
 			t.Errorf("%s, found %v, %v", record.Row.Value, record.Found, err)
@@ -107,17 +107,17 @@
 }
 
 func TestOrphanedChunksAreDeletedInSecondPass(t *testing.T) {
-	store, service, _ := newChunkedRecord(t)
-	before := service.chunkCount()
+	store, service, _ := newStoreWithChunkedRecord(t)
+	countBefore := service.chunkCount()
 	collectOnce(t, store)
 	collectOnce(t, store)
-	if count := service.chunkCount(); count != before {
-		t.Fatalf("%d of %d chunks left although a record points to them", count, before)
+	if count := service.chunkCount(); count != countBefore {
+		t.Fatalf("%d of %d chunks left although a record points to them", count, countBefore)
 	}
 	commit(t, store, kvstore.Write{DeleteKey: recordKey})
 	collectOnce(t, store)
-	if count := service.chunkCount(); count != before {
-		t.Errorf("%d of %d chunks left after the first pass", count, before)
+	if count := service.chunkCount(); count != countBefore {
+		t.Errorf("%d of %d chunks left after the first pass", count, countBefore)
 	}
 	collectOnce(t, store)
 	if count := service.chunkCount(); count != 0 {
@@ -127,7 +127,7 @@
 
 // A delayed write must not store a pointer to chunks that were deleted in the meantime.
 func TestDelayedPointerToDeletedChunksIsNotWritten(t *testing.T) {
-	store, service, value := newChunkedRecord(t)
+	store, service, value := newStoreWithChunkedRecord(t)
 	ref, firstRevision, err := store.writeChunks(t.Context(), kvstore.Normal, recordKey, value)
 	if err != nil {
 		t.Fatal(err)
