--- a/internal/workersession/cancellation_test.go
+++ b/internal/workersession/cancellation_test.go
@@ -15,8 +15,8 @@
 	"cherrywall/internal/workersession"
 )
 
-// clusterViolations runs a scenario on three controllers that exchange peer messages, and some machines. It
-// returns the rules that were violated.
+// clusterViolations runs a scenario on a cluster of machineCount machines and three controllers that exchange
+// peer messages. It returns the rules that were violated.
 func clusterViolations(t *testing.T, machineCount int, scenario func(cluster *fake.Cluster)) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,10 +58,10 @@
 
 // lateStarts records the tasks that start after the cancellation of their job was confirmed.
 type lateStarts struct {
-	mu          sync.Mutex
-	confirmedAt map[string]time.Time // by job
-	started     []string             // tasks that started after the confirmation
-	startsSent  []string             // the tasks in started whose start was also sent after the confirmation
+	mu                   sync.Mutex
+	confirmedAt          map[string]time.Time // by job
+	startedTasks         []string             // descriptions of the tasks that started after the confirmation
+	tasksWithLateCommand []string             // those of the tasks whose start command was also sent after the confirmation
 }
 
 func recordLateStarts(cluster *fake.Cluster) *lateStarts {
@@ -74,16 +74,16 @@
 		if !isConfirmed {
 			return
 		}
-		s.started = append(s.started, fmt.Sprintf("%s on %s after %v", task, host, time.Since(confirmedAt)))
+		s.startedTasks = append(s.startedTasks, fmt.Sprintf("%s on %s after %v", task, host, time.Since(confirmedAt)))
 		if startSentAt.After(confirmedAt) {
-			s.startsSent = append(s.startsSent, task)
+			s.tasksWithLateCommand = append(s.tasksWithLateCommand, task)
 		}
 	})
 	return s
 }
 
-// cancel cancels jobs within a fifth of a second, each at the controller that nodeOf returns, and waits for the
-// confirmations.
+// cancel requests the cancellation of jobs, each at the controller that nodeOf returns, and waits until all
+// cancellations are confirmed. The requests are sent within a fifth of a second.
 func (s *lateStarts) cancel(t *testing.T, cluster *fake.Cluster, nodeOf func(index int) string, refs ...string) {
 	t.Helper()
 	var cancellations sync.WaitGroup
@@ -103,19 +103,19 @@
 	cancellations.Wait()
 }
 
-// Jobs are cancelled while their tasks fetch the image, or while the starts are being sent: no task starts after
-// the cancellation is confirmed.
+// Jobs are cancelled while their tasks fetch the image or while the starts are being sent. No task may start
+// after the cancellation of its job is confirmed.
 func TestNoTaskStartsAfterConfirmedCancellation(t *testing.T) {
-	for _, freeze := range []bool{false, true} {
+	for _, freezesMachines := range []bool{false, true} {
 		for seed := range uint64(6) {
-			t.Run(fmt.Sprint("freeze ", freeze, " seed ", seed), func(t *testing.T) {
-				runScenario(t, 12, func(cluster *fake.Cluster) { cancelDuringStart(t, cluster, freeze, seed) })
+			t.Run(fmt.Sprint("freeze ", freezesMachines, " seed ", seed), func(t *testing.T) {
+				runScenario(t, 12, func(cluster *fake.Cluster) { cancelDuringStart(t, cluster, freezesMachines, seed) })
 			})
 		}
 	}
 }
 
-func cancelDuringStart(t *testing.T, cluster *fake.Cluster, freeze bool, seed uint64) {
+func cancelDuringStart(t *testing.T, cluster *fake.Cluster, freezesMachines bool, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	cluster.SetImageFetchTime(randomDuration(rnd, 1500, 5000))
@@ -131,7 +131,7 @@
 	}
 	time.Sleep(randomDuration(rnd, 0, 3000))
 	starts := recordLateStarts(cluster)
-	if freeze { // some for less than the lease of 10 s, some for longer
+	if freezesMachines { // some machines for less than the lease of 10 s, some for longer
 		for _, host := range cluster.Hosts()[:5] {
 			cluster.FreezeMachine(host, true)
 			time.AfterFunc(randomDuration(rnd, 500, 14000), func() { cluster.FreezeMachine(host, false) })
@@ -140,8 +140,8 @@
 	nodeOf := func(index int) string { return fmt.Sprintf("n%d", (index+int(seed))%3) }
 	starts.cancel(t, cluster, nodeOf, refs...)
 	time.Sleep(25 * time.Second)
-	if len(starts.started) > 0 {
-		t.Error(starts.started)
+	if len(starts.startedTasks) > 0 {
+		t.Error(starts.startedTasks)
 	}
 	for _, ref := range refs {
 		for index := range 9 {
@@ -153,8 +153,8 @@
 	}
 }
 
-// The key-value store refuses the requests of a single owner, which can reach its peers or is isolated from them
-// too. The owner continues to send starts, but none for a job whose cancellation is confirmed.
+// The key-value store refuses all requests of a single shard owner. In half of the scenarios, the owner is also
+// isolated from its peers. The owner continues to send starts, but none of a job whose cancellation is confirmed.
 func TestOwnerCutOffFromStoreSendsNoStartAfterCancellation(t *testing.T) {
 	for _, isolated := range []bool{false, true} {
 		for seed := range uint64(4) {
@@ -165,7 +165,8 @@
 	}
 }
 
-// Without the bound on the age of the known cancellations, such starts are sent.
+// Without the limit on the age of the known cancellations, an owner sends starts of jobs whose cancellation is
+// confirmed.
 func TestMutationStartsWithoutReadBarrierIsDetected(t *testing.T) {
 	defer workersession.StartWithoutReadBarrier()()
 	for seed := range uint64(20) {
@@ -180,7 +181,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 10))
 	runScenario(t, 6, func(cluster *fake.Cluster) {
-		// There are more tasks than resources: the tasks that are claimed ahead start one after the other.
+		// There are more tasks than resources, so tasks that are already claimed start one after the other.
 		submit(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 90, 1), randomDuration(rnd, 6000, 3000))
 		time.Sleep(randomDuration(rnd, 2000, 2000))
 		starts := recordLateStarts(cluster)
@@ -196,20 +197,20 @@
 		for !cluster.IsCancelled("wk-1") {
 			time.Sleep(time.Millisecond)
 		}
-		cluster.Store.SetOutage(true) // before another controller acquires the shard of the refused owner
+		cluster.Store.SetOutage(true) // so that no other controller acquires the shard of the refused owner
 		<-confirmed
 		time.Sleep(15 * time.Second)
 		cluster.Store.SetOutage(false)
 		cluster.Store.RefuseNode("n0", false)
 		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(10 * time.Second)
-		tasks = slices.Clone(starts.startsSent)
+		tasks = slices.Clone(starts.tasksWithLateCommand)
 	})
 	return tasks
 }
 
-// Responses take almost as long as workers wait for them, the heartbeat interval is short, and machines cannot
-// reach a controller for a short time: a start that is in flight must not be treated as lost.
+// Responses take almost as long as workers wait for them, the heartbeat interval is short, and machines repeatedly
+// cannot reach any controller for a few seconds. A start that is in flight must not be treated as lost.
 func TestStartInFlightIsNotTreatedAsLost(t *testing.T) {
 	for seed := range uint64(8) {
 		for _, violation := range violationsWithDelayedResponses(t, seed) {
@@ -218,7 +219,8 @@
 	}
 }
 
-// Workers that are asked shortly after their last heartbeat do not list the tasks whose start is still in flight.
+// A worker that is asked shortly after its last heartbeat does not list a task whose start is still in flight. The
+// mutation concludes that the start was lost.
 func TestMutationTrustingEveryDirectHeartbeatIsDetected(t *testing.T) {
 	defer workersession.TrustEveryDirectHeartbeat()()
 	for seed := range uint64(30) {
@@ -241,7 +243,7 @@
 			spec := fake.JobSpec(fmt.Sprintf("wk-%d", i+1), jobs.Array, 6, 1)
 			cluster.Submit(fmt.Sprintf("n%d", i%3), spec, 12*time.Second)
 			time.Sleep(randomDuration(rnd, 500, 2500))
-			for _, host := range cluster.Hosts() { // responses in flight stay delayed
+			for _, host := range cluster.Hosts() { // responses that are already in flight stay delayed
 				cluster.DelayInbound(host, 0)
 				cluster.BlockOutbound(host, true)
 			}
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -44,8 +44,8 @@
 	return append(commands, m.startCommands(machine)...)
 }
 
-// stopCommands returns the stop commands for the started tasks that are to be stopped. A stop is repeated
-// until the worker reports that it saves a checkpoint, or that the task has ended.
+// stopCommands returns the stop commands for the tasks that are to be stopped and whose start was sent. A stop
+// is repeated until the worker reports that the task saves a checkpoint or has ended.
 func (m *Manager) stopCommands(machine *clusterstate.Machine) []workerapi.Command {
 	var commands []workerapi.Command
 	for assignment := range machine.Assignments() {
@@ -91,8 +91,8 @@
 	return commands
 }
 
-// isCompletionPending reports whether a task is done and its completion is not durable yet. Until it is
-// durable, the worker must keep the task, because only its heartbeats show the completion.
+// isCompletionPending reports whether a task is done and its completion is not durable yet. Until then, the
+// worker must keep the task, because only the worker's heartbeats show the completion.
 func (m *Manager) isCompletionPending(task workerapi.TaskStatus) bool {
 	ref, index, ok := jobs.ParseTaskName(task.Task)
 	if !ok || task.Cause != workerapi.CauseDone {
@@ -142,7 +142,8 @@
 // checkStart is a variable so that mutation tests can replace it.
 var checkStart = (*startgate.Gate).Check
 
-// recordRefusal adds to the decision log why a start is not sent, each time that the reason changes.
+// recordRefusal adds the reason why a start is not sent to the decision log, unless the reason is the same as
+// before.
 func (m *Manager) recordRefusal(assignment *clusterstate.Assignment, refusal startgate.Refusal) {
 	if m.State.RecordStartRefusal(assignment, string(refusal)) {
 		m.record(decisionlog.StartRefused, assignment, string(refusal))
@@ -169,8 +170,8 @@
 }
 
 // reportUnadmittedStarts reports an invariant violation for each start command that the gate has not admitted.
-// It finds them by Status.StartSent, which is set only by MarkStartSent, after the gate has admitted the start.
-// Direct requests contain no start commands.
+// Status.StartSent of the task is not set in this case, because only MarkStartSent sets it, after the gate has
+// admitted the start. Direct requests need no such check, because they contain no start commands.
 func (m *Manager) reportUnadmittedStarts(machine *clusterstate.Machine, commands []workerapi.Command) {
 	for _, command := range commands {
 		if command.Verb != workerapi.VerbStart {
@@ -183,7 +184,8 @@
 	}
 }
 
-// markGangStarted marks a gang as started, and logs it, when the first start of its tasks is sent.
+// markGangStarted marks a gang as started and logs this. It does nothing if a start command of the gang's attempt
+// was already sent.
 func (m *Manager) markGangStarted(job *clusterstate.Job, machine *clusterstate.Machine) {
 	if !m.State.StartGang(job) {
 		return
@@ -204,9 +206,9 @@
 	return assignment.Job().Record().Kind == jobs.Gang
 }
 
-// requestReadBarrier requests a linearizable read when the known cancellations are older than half of
-// tuning.MaxStartKnowledgeAge, before they become too old for starts. It sends the delayed responses when the
-// read has succeeded.
+// requestReadBarrier requests a linearizable read if this controller's knowledge of cancellations is older than
+// half of tuning.MaxStartKnowledgeAge, so that the knowledge does not become too old for sending starts. When the
+// read has succeeded, the delayed responses are sent.
 func (m *Manager) requestReadBarrier(now time.Time) {
 	if m.isReadBarrierPending || now.Sub(m.Cache.ConsistentAsOf()) < tuning.MaxStartKnowledgeAge/2 {
 		return
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -28,14 +28,15 @@
 type directRequestState struct {
 	isQueued    bool
 	isInFlight  bool
-	sentAt      time.Time // of the last request
-	answeredAt  time.Time // of the last answer
+	sentAt      time.Time // when the last request was sent
+	answeredAt  time.Time // when the last answer was received
 	resendUntil time.Time // the stops of cancelled tasks are repeated until this time
 }
 
-// SendCancellations immediately sends the stops of tasks of ended jobs that may not have begun. If the stops
-// waited for the next heartbeat, the tasks could still begin up to a heartbeat interval after the cancellation
-// was confirmed to the user. A worker whose heartbeat is pending gets the stops with the response.
+// SendCancellations immediately sends the stops of the tasks that belong to ended jobs and may not have begun
+// yet. If the stops waited for the next heartbeat, the tasks could still begin up to a heartbeat interval after
+// the cancellation was confirmed to the user. A worker whose heartbeat is pending gets the stops in the response
+// to that heartbeat.
 func (m *Manager) SendCancellations(now time.Time) {
 	for _, machine := range m.State.TakeUrgentStops() {
 		if !m.isOwned(machine) {
@@ -51,8 +52,8 @@
 	}
 }
 
-// respondIfPending answers a worker's pending heartbeat, and reports whether there was one that is answered
-// now. The response may be delayed instead, see respondOrDelay.
+// respondIfPending answers a worker's pending heartbeat and reports whether it did. It returns false if there is
+// no pending heartbeat, or if respondOrDelay delays the response.
 func (m *Manager) respondIfPending(machine *clusterstate.Machine, session *agentSession) bool {
 	if session.pending == nil {
 		return false
@@ -65,7 +66,7 @@
 // their tasks. It does so only while this controller may answer heartbeats: while it refuses them, the heartbeats
 // of all workers are overdue, and all workers would be asked.
 func (m *Manager) queryOverdueWorkers(now time.Time) {
-	if m.workers == nil || !m.Cache.MayRenewWorkerLeases(now) {
+	if m.workerClient == nil || !m.Cache.MayRenewWorkerLeases(now) {
 		return
 	}
 	for _, machine := range m.State.OwnedMachines() {
@@ -79,7 +80,7 @@
 	}
 }
 
-// ReachableByCommand reports whether a worker has answered a direct request within
+// ReachableByCommand reports whether a worker has answered a direct request in the last
 // tuning.DirectAnswerValidity. If such a worker sends no heartbeats, it is running but cannot reach a controller.
 func (m *Manager) ReachableByCommand(machine *clusterstate.Machine, now time.Time) bool {
 	session := m.sessions[machine]
@@ -90,7 +91,7 @@
 // enqueueDirectRequest queues a direct request to a worker, unless one is queued or in flight already or the
 // worker's address is unknown.
 func (m *Manager) enqueueDirectRequest(machine *clusterstate.Machine, session *agentSession) {
-	if m.workers == nil || session.directRequest.isQueued || session.directRequest.isInFlight || machine.Record().Addr == "" {
+	if m.workerClient == nil || session.directRequest.isQueued || session.directRequest.isInFlight || machine.Record().Addr == "" {
 		return
 	}
 	session.directRequest.isQueued = true
@@ -98,8 +99,9 @@
 	m.sendQueuedDirectRequests()
 }
 
-// enqueueDirectRequestAfter repeats the stops of cancelled tasks after a delay, unless the worker's session was
-// dropped meanwhile or directRequestState.resendUntil has passed.
+// enqueueDirectRequestAfter queues a direct request after a delay, to repeat the stops of cancelled tasks. It
+// queues none if the worker's session is dropped during the delay, or if directRequestState.resendUntil has passed
+// after the delay.
 func (m *Manager) enqueueDirectRequestAfter(machine *clusterstate.Machine, session *agentSession, delay time.Duration) {
 	m.mailbox.SendAfter(delay, func() {
 		if m.sessions[machine] != session || !m.State.IsCurrentMachine(machine) {
@@ -136,8 +138,8 @@
 }
 
 // sendDirectRequest sends a worker the stops of its cancelled tasks. If there are none, it sends a request without
-// commands if the worker's heartbeat is overdue, and no request otherwise. The goroutine ends with the mailbox's
-// context at the latest.
+// commands if the worker's heartbeat is overdue, and no request otherwise. The goroutine that sends the request
+// ends at the latest when the context of the mailbox is cancelled.
 func (m *Manager) sendDirectRequest(machine *clusterstate.Machine, session *agentSession) {
 	request := workerapi.CommandRequest{
 		FencingToken: reconciliation.FencingToken(m.State.OwnedShard(machine), machine),
@@ -153,7 +155,7 @@
 	m.directRequests.inFlight++
 	lastHeartbeatAt, addr := machine.LastHeartbeatAt(), machine.Record().Addr
 	go func() {
-		heartbeat, done, err := m.workers.Execute(m.mailbox.Context(), addr, request)
+		heartbeat, executed, err := m.workerClient.Execute(m.mailbox.Context(), addr, request)
 		m.mailbox.Send(func() {
 			m.directRequests.inFlight--
 			session.directRequest.isInFlight = false
@@ -163,7 +165,7 @@
 					m.applyDirectHeartbeat(machine, session, heartbeat, request.FencingToken)
 				}
 			}
-			m.retryDirectRequest(machine, session, heartbeat, err == nil && done)
+			m.retryDirectRequest(machine, session, heartbeat, err == nil && executed)
 			m.sendQueuedDirectRequests()
 		})
 	}()
@@ -175,13 +177,14 @@
 	commands := []workerapi.Command{} // encoded as an empty list, not as null
 	for assignment := range machine.Assignments() {
 		if isCancelled(assignment) && len(commands) < tuning.MaxCommandsPerDirectRequest {
-			commands = append(commands, stopCommand(assignment, 0)) // no grace period, because its checkpoint is not needed
+			commands = append(commands, stopCommand(assignment, 0)) // no grace period, because no checkpoint is needed
 		}
 	}
 	return commands
 }
 
-// isCancelled reports whether a worker may run a task that no longer belongs to a job.
+// isCancelled reports whether a task no longer belongs to a job and must be stopped on a worker to which its start
+// was sent.
 func isCancelled(assignment *clusterstate.Assignment) bool {
 	status := assignment.Status()
 	return status.Stopping && status.StartSent && assignment.Job() == nil
@@ -189,10 +192,11 @@
 
 // retryDirectRequest repeats a direct request if it was not answered, if the worker has not executed its commands,
 // or if a start of a cancelled task may still be in flight to the worker. The repetitions end at
-// directRequestState.resendUntil: a worker drops responses older than tuning.HeartbeatAnswerLifetime.
-func (m *Manager) retryDirectRequest(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, done bool) {
+// directRequestState.resendUntil: no start can reach the worker after that, because a worker drops responses older
+// than tuning.HeartbeatAnswerLifetime.
+func (m *Manager) retryDirectRequest(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, executed bool) {
 	switch {
-	case !done:
+	case !executed:
 		m.enqueueDirectRequestAfter(machine, session, tuning.DirectRequestInterval)
 	case startMayBeInFlight(machine, heartbeat):
 		m.enqueueDirectRequestAfter(machine, session, tuning.DirectRequestRetryDelay)
@@ -200,7 +204,7 @@
 }
 
 // startMayBeInFlight reports whether a worker's heartbeat omits a cancelled task. The start of such a task may
-// still be in flight, so that the task may still start.
+// still be in flight, so the task may still begin.
 func startMayBeInFlight(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) bool {
 	listed := map[string]bool{}
 	for _, task := range heartbeat.Tasks {
@@ -222,19 +226,19 @@
 		responsesExpired(session.directRequest.sentAt.Sub(lastHeartbeatAt))
 }
 
-// responsesExpired reports whether responses to the heartbeats of a worker can no longer reach it.
-// sinceLastHeartbeat is the time from its last heartbeat to the direct request; the worker drops responses older
-// than tuning.HeartbeatAnswerLifetime. With a short heartbeat interval, a heartbeat may be overdue before that
-// time has passed: a start that was still in flight was treated as lost, and its task was started on another
-// worker (rule ran_twice, docs/incidents/2026-12-night-852.md). It is a variable so that a mutation test can
-// replace it.
+// responsesExpired reports whether no response to the heartbeats of a worker can reach the worker any more.
+// sinceLastHeartbeat is the time from the worker's last heartbeat to the direct request; the worker drops responses
+// older than tuning.HeartbeatAnswerLifetime. With a short heartbeat interval, a heartbeat may be overdue before that
+// time has passed. Without this check, a start that was still in flight was then treated as lost, and its task was
+// started on another worker (rule ran_twice, docs/incidents/2026-12-night-852.md). responsesExpired is a variable so
+// that a mutation test can replace it.
 var responsesExpired = func(sinceLastHeartbeat time.Duration) bool {
 	return sinceLastHeartbeat >= tuning.HeartbeatAnswerLifetime
 }
 
 // applyDirectHeartbeat applies the conclusive answer of a worker whose heartbeat is overdue: a task that the
 // answer does not list is not on the worker. If the answer's agent epoch is later than that of the last heartbeat,
-// the worker's lease has expired in between, and the worker has stopped all tasks of the earlier epoch.
+// the worker's lease has expired since that heartbeat, and the worker has stopped all tasks of the earlier epoch.
 func (m *Manager) applyDirectHeartbeat(machine *clusterstate.Machine, session *agentSession, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HeartbeatOverdue() || !machine.HasReported() || session.pending != nil {
 		return
--- a/internal/workersession/export_test.go
+++ b/internal/workersession/export_test.go
@@ -14,19 +14,19 @@
 	return func() { isStale = heartbeatID.notAfter }
 }
 
-// StartWithoutReadBarrier is a mutation: start commands are sent even if the job may have been cancelled
-// meanwhile. The returned function restores the correct code.
+// StartWithoutReadBarrier is a mutation: start commands are sent even if the job may have been cancelled since the
+// last read of the key-value store. The returned function restores the correct code.
 func StartWithoutReadBarrier() (restore func()) {
 	return ignoreRefusal(startgate.CancellationUnknown)
 }
 
-// ignoreRefusal admits the starts that the gate refuses for the reason ignored. The returned function restores
-// the correct code.
-func ignoreRefusal(ignored startgate.Refusal) (restore func()) {
+// ignoreRefusal is a mutation: starts that the gate refuses with ignoredReason are sent. The returned function
+// restores the correct code.
+func ignoreRefusal(ignoredReason startgate.Refusal) (restore func()) {
 	original := checkStart
 	checkStart = func(gate *startgate.Gate, assignment *clusterstate.Assignment, now time.Time) startgate.Refusal {
 		refusal := original(gate, assignment, now)
-		if refusal == ignored {
+		if refusal == ignoredReason {
 			return startgate.Allowed
 		}
 		return refusal
--- a/internal/workersession/faults.go
+++ b/internal/workersession/faults.go
@@ -8,9 +8,9 @@
 	"cherrywall/internal/workerapi"
 )
 
-// taskFailed records the failure of a task, which is attributed to the task's job or to the machine. A machine
-// at fault is quarantined.
-func (m *Manager) taskFailed(machine *clusterstate.Machine, assignment *clusterstate.Assignment) {
+// recordFailure records the failure of a task, which is attributed to the task's job or to the machine. If the
+// machine is at fault, it is quarantined.
+func (m *Manager) recordFailure(machine *clusterstate.Machine, assignment *clusterstate.Assignment) {
 	now, ref := time.Now(), assignment.Job().Ref()
 	var ranFor time.Duration
 	if since := assignment.Status().RunningSince; !since.IsZero() {
@@ -31,8 +31,9 @@
 	m.quarantine(m.Faults.RecordSuccess(ref, machine.Host(), m.faultThresholds())...)
 }
 
-// clearSuspectedJobs looks for jobs that failed on one machine, and that have run on another machine for much
-// longer than they ran before the failure: then the first machine is at fault, not the job.
+// clearSuspectedJobs looks for jobs that failed on one machine and have run on another machine for much longer than
+// they ran before the failure. For each of them it records a success, which shows that the first machine is at
+// fault and not the job.
 func (m *Manager) clearSuspectedJobs(now time.Time) {
 	for ref, minimumRunTime := range m.Faults.UnprovenJobs() {
 		job := m.State.Job(ref)
@@ -68,7 +69,7 @@
 	return faultattribution.Thresholds{MachineFailures: settings.QuarantineFailures, JobFaultMachines: settings.JobFaultMachines}
 }
 
-// quarantine cordons machines that are at fault: tasks fail on them that work on other machines.
+// quarantine cordons machines that are at fault: tasks that work on other machines fail on them.
 func (m *Manager) quarantine(hosts ...string) {
 	for _, host := range hosts {
 		machine := m.State.Machine(host)
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -134,7 +134,7 @@
 // see Cache.HasReachedEpoch.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
-		session.unconfirmedResponses = 0 // its tasks may already start elsewhere, so it may be answered
+		session.unconfirmedResponses = 0 // a lost worker may always be answered: its tasks may already be started elsewhere
 	} else if m.IgnoresToken(machine) {
 		// Each answer renews the worker's lease as far as this controller knows. Without this limit
 		// the lease of a worker that never receives the answers would never expire here, and the
@@ -149,8 +149,8 @@
 	}
 }
 
-// IgnoresToken reports whether a worker was sent the current fencing token tuning.MaxUnseenTokenAnswers times
-// or more, and none of its heartbeats contained the token since.
+// IgnoresToken reports whether a worker was sent the current fencing token at least
+// tuning.MaxUnconfirmedTokenAnswers times, and none of its heartbeats has contained the token since.
 func (m *Manager) IgnoresToken(machine *clusterstate.Machine) bool {
 	session := m.sessions[machine]
 	return session != nil && session.unconfirmedResponses >= tuning.MaxUnconfirmedTokenAnswers
@@ -180,8 +180,8 @@
 	return fencingToken, nil
 }
 
-// redirect refuses a heartbeat of a worker whose shard is not local. The reply names the owner if it is another
-// controller and live.
+// redirect refuses a heartbeat of a worker whose shard is not local. The reply names the shard's owner if the owner
+// is another controller and is live.
 func (m *Manager) redirect(shardID string) *HeartbeatReply {
 	reply := &HeartbeatReply{StatusCode: http.StatusMisdirectedRequest}
 	shard := m.Membership.Shard(shardID)
@@ -192,9 +192,9 @@
 	return reply
 }
 
-// MisdirectedHeartbeats returns how many heartbeats this controller received within tuning.StrayWorkerWindow
-// from workers of a shard that another live controller owns, and drops the entries of older ones. The number is
-// high if the workers can reach this controller but not the owner.
+// MisdirectedHeartbeats returns how many heartbeats this controller received in the last
+// tuning.MisdirectedWorkerWindow from workers of a shard that another live controller owns, and forgets older ones.
+// The number is high if the workers can reach this controller but not the owner.
 func (m *Manager) MisdirectedHeartbeats(shardID string, now time.Time) int {
 	m.misdirectedAt[shardID] = slices.DeleteFunc(m.misdirectedAt[shardID], func(at time.Time) bool {
 		return now.Sub(at) > tuning.MisdirectedWorkerWindow
@@ -204,20 +204,20 @@
 
 // ApplyHeartbeat applies a heartbeat that contains the current fencing token.
 func (m *Manager) ApplyHeartbeat(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, receivedAt time.Time) {
-	isNewSession := heartbeat.AgentEpoch > m.AgentEpoch(machine)
+	isNewAgentEpoch := heartbeat.AgentEpoch > m.AgentEpoch(machine)
 	m.lastHeartbeats[machine.Host()] = idOf(heartbeat)
 	m.reachabilityMonitor.ObserveHeartbeat(time.Now())
 	wasLost := m.State.BeginHeartbeat(machine, receivedAt)
-	changes := m.applyTasks(machine, heartbeat, isNewSession)
-	m.trackCommandDelivery(machine, changes.delivery, isNewSession, receivedAt)
-	isUnchanged := changes.isUnchanged && !wasLost && !isNewSession
+	changes := m.applyTasks(machine, heartbeat, isNewAgentEpoch)
+	m.trackCommandDelivery(machine, changes.delivery, isNewAgentEpoch, receivedAt)
+	isUnchanged := changes.isUnchanged && !wasLost && !isNewAgentEpoch
 	if m.State.EndHeartbeat(machine, len(heartbeat.Tasks) == 0, isUnchanged) {
 		m.Reconciler.WorkerConfirmed(machine, time.Now())
 	}
 }
 
-// ProbeAnswered applies the heartbeat that answers a probe, if fencingToken, which the probe contained, is
-// still the current one and the worker has not reported yet.
+// ProbeAnswered applies the heartbeat with which a worker answered a probe. fencingToken is the token that the probe
+// contained. The heartbeat is ignored if the token is no longer current or if the worker has already reported.
 func (m *Manager) ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HasReported() && m.isCurrentAnswer(machine, heartbeat, fencingToken) {
 		m.ApplyHeartbeat(machine, heartbeat, time.Now())
@@ -239,30 +239,30 @@
 		!idOf(heartbeat).notAfter(m.lastHeartbeats[machine.Host()])
 }
 
-// trackCommandDelivery decides whether a worker receives responses, and logs and marks changes. Signs that it
-// does not are commands without effect on the next heartbeat, and leases that expire repeatedly. Signs that it
-// does are commands that the next heartbeat reflects, and an agent epoch that lasts longer than a lease. (A
-// worker that receives nothing tries one controller after the other, so that with a short lease each heartbeat
-// to its owner has another agent epoch.)
-func (m *Manager) trackCommandDelivery(machine *clusterstate.Machine, delivery commandDelivery, isNewSession bool, now time.Time) {
+// trackCommandDelivery decides whether a worker receives responses, and logs and records each change. The signs that
+// the worker receives nothing are commands that the next heartbeat does not reflect, and leases that expire
+// repeatedly: such a worker tries one controller after the other, so that with a short lease each heartbeat to its
+// owner has another agent epoch. The signs that the worker receives responses are commands that the next heartbeat
+// reflects, and an agent epoch that lasts longer than a lease.
+func (m *Manager) trackCommandDelivery(machine *clusterstate.Machine, delivery commandDelivery, isNewAgentEpoch bool, now time.Time) {
 	session := m.sessionOf(machine)
 	session.unconfirmedResponses = 0
-	leaseExpired := isNewSession && !session.epochStartedAt.IsZero()
-	if isNewSession || session.epochStartedAt.IsZero() {
+	leaseExpired := isNewAgentEpoch && !session.epochStartedAt.IsZero()
+	if isNewAgentEpoch || session.epochStartedAt.IsZero() {
 		session.epochStartedAt = now
 	}
 	outlastedLease := now.Sub(session.epochStartedAt) > m.cfg.WorkerLeaseExpiryDelay()
 	switch {
 	case leaseExpired || delivery == commandsMissed:
-		session.missedCommands++
+		session.inboundLossSigns++
 	case delivery == commandsDelivered || outlastedLease:
-		session.missedCommands = 0
+		session.inboundLossSigns = 0
 	}
 	switch hadNoInbound := machine.HasNoInbound(); {
-	case !hadNoInbound && session.missedCommands >= tuning.InboundLossThreshold:
+	case !hadNoInbound && session.inboundLossSigns >= tuning.InboundLossThreshold:
 		m.log.Info("worker receives no responses", "worker", machine.Host())
 		m.State.SetNoInbound(machine, true, now)
-	case hadNoInbound && session.missedCommands == 0:
+	case hadNoInbound && session.inboundLossSigns == 0:
 		m.log.Info("worker receives responses again", "worker", machine.Host())
 		m.State.SetNoInbound(machine, false, now)
 	}
--- a/internal/workersession/reachability.go
+++ b/internal/workersession/reachability.go
@@ -15,21 +15,21 @@
 	if m.Cache.IsStale(now) {
 		return
 	}
-	reporting := 0
+	reportingWorkers := 0
 	for _, machine := range m.State.OwnedMachines() {
 		if machine.HasReported() && !machine.IsLost() && !machine.IsReleasing() {
-			reporting++
+			reportingWorkers++
 		}
 	}
-	if m.reachabilityMonitor.ShouldProbe(now, reporting, config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)) {
+	if m.reachabilityMonitor.ShouldProbe(now, reportingWorkers, config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)) {
 		m.inspectSample(now)
 	}
 }
 
-// inspectSample asks a random sample of workers, of any shard, for their heartbeat. The goroutines end with the
-// client's timeout, or with the mailbox's context.
+// inspectSample asks a random sample of the workers of all shards for their heartbeats. The goroutines end when the
+// client's timeout has passed or the context of the mailbox is cancelled.
 func (m *Manager) inspectSample(now time.Time) {
-	if m.workers == nil {
+	if m.workerClient == nil {
 		return
 	}
 	addrs := m.sampleWorkerAddrs()
@@ -40,7 +40,7 @@
 	go func() {
 		answers := make(chan bool, len(addrs))
 		for _, addr := range addrs {
-			go func() { answers <- m.workers.Inspect(m.mailbox.Context(), addr) == nil }()
+			go func() { answers <- m.workerClient.Inspect(m.mailbox.Context(), addr) == nil }()
 		}
 		anyAnswered := false
 		for range addrs {
--- a/internal/workersession/registration.go
+++ b/internal/workersession/registration.go
@@ -11,14 +11,14 @@
 
 // registrations holds the workers whose records are being written.
 type registrations struct {
-	hosts map[string]bool
-	count map[shardAndType]int // number of hosts
+	hosts  map[string]bool
+	counts map[shardAndType]int // how many of these workers, by target
 }
 
 type shardAndType struct{ shardID, machineType string }
 
 func newRegistrations() registrations {
-	return registrations{hosts: map[string]bool{}, count: map[shardAndType]int{}}
+	return registrations{hosts: map[string]bool{}, counts: map[shardAndType]int{}}
 }
 
 // register durably assigns an unknown worker to a shard before its heartbeat is answered.
@@ -26,14 +26,15 @@
 	heartbeat := pending.heartbeat
 	shardID := m.leastLoadedShard(heartbeat.Zone, heartbeat.MachineType)
 	shard := m.Membership.Shard(shardID)
-	// The record cannot be written now, or is already being written. The worker will send another heartbeat.
+	// If the record cannot be written now or is already being written, the heartbeat is refused. The worker will
+	// send another one.
 	if m.Cache.IsStale(time.Now()) || m.registrations.hosts[heartbeat.Host] || shard == nil {
 		pending.refuse()
 		return
 	}
 	target := shardAndType{shardID, heartbeat.MachineType}
 	m.registrations.hosts[heartbeat.Host] = true
-	m.registrations.count[target]++
+	m.registrations.counts[target]++
 	key := jobs.WorkerPrefix + heartbeat.Host
 	record := workerapi.Record{
 		Shard:          shardID,
@@ -49,7 +50,7 @@
 	}
 	m.Cache.Commit(kvstore.Normal, txn, func(kvstore.TxnResult, error) {
 		delete(m.registrations.hosts, heartbeat.Host)
-		m.registrations.count[target]--
+		m.registrations.counts[target]--
 		m.finishRegistration(pending)
 	})
 }
@@ -76,7 +77,7 @@
 	for _, shardID := range m.candidateShards(zone) {
 		// Workers that are being registered are counted too, so that many new machines are spread
 		// over the shards.
-		count := m.registrations.count[shardAndType{shardID, machineType}] + m.countWorkers(shardID, machineType)
+		count := m.registrations.counts[shardAndType{shardID, machineType}] + m.countWorkers(shardID, machineType)
 		if leastLoaded == "" || count < leastCount {
 			leastLoaded, leastCount = shardID, count
 		}
@@ -87,16 +88,16 @@
 // candidateShards returns the IDs, sorted, of the shards whose home controller is in a zone, or of all shards if
 // there are none in the zone. A shard has the name of its home controller.
 func (m *Manager) candidateShards(zone string) []string {
-	var local, all []string
+	var zoneShards, allShards []string
 	for _, member := range m.cfg.Members() {
-		all = append(all, member.Node)
+		allShards = append(allShards, member.Node)
 		if member.Zone == zone {
-			local = append(local, member.Node)
+			zoneShards = append(zoneShards, member.Node)
 		}
 	}
-	shardIDs := local
-	if len(local) == 0 {
-		shardIDs = all
+	shardIDs := zoneShards
+	if len(zoneShards) == 0 {
+		shardIDs = allShards
 	}
 	slices.Sort(shardIDs)
 	return shardIDs
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -14,8 +14,8 @@
 // HeartbeatReply is the reply to a heartbeat.
 type HeartbeatReply struct {
 	StatusCode int                         // HTTP status
-	OwnerNode  string                      // the owner of the worker's shard, with http.StatusMisdirectedRequest; may be empty
-	Response   workerapi.HeartbeatResponse // with http.StatusOK
+	OwnerNode  string                      // the owner of the worker's shard, if known; only with http.StatusMisdirectedRequest
+	Response   workerapi.HeartbeatResponse // only with http.StatusOK
 }
 
 // unavailableReply returns a refusal that names no owner.
@@ -30,8 +30,8 @@
 	}
 }
 
-// respondWithToken answers a worker's heartbeat with the fencing token and no command, or refuses it if it may
-// no longer be answered.
+// respondWithToken answers a worker's heartbeat with the fencing token and no command, or refuses the heartbeat if
+// it may no longer be answered.
 func (m *Manager) respondWithToken(pending *pendingHeartbeat, machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
 	fencingToken, refusal := m.authorize(pending, machine, session)
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -10,10 +10,10 @@
 
 // agentSession is the state of the communication with a worker.
 type agentSession struct {
-	pending              *pendingHeartbeat // the heartbeat that was not answered yet, or nil
+	pending              *pendingHeartbeat // the heartbeat that is not answered yet, or nil
 	endedEpoch           uint64            // heartbeats of this and earlier agent epochs are refused
-	unconfirmedResponses int               // responses with the current token since the last heartbeat that contained it
-	missedCommands       int               // see trackCommandDelivery
+	unconfirmedResponses int               // responses with the current token since the last heartbeat that contained the token
+	inboundLossSigns     int               // successive signs that responses do not reach the worker, see trackCommandDelivery
 	directRequest        directRequestState
 	epochStartedAt       time.Time // when the first heartbeat of the current agent epoch was received
 }
@@ -62,7 +62,7 @@
 
 // OwnerChanged handles a change of the owner of a worker's shard: the worker is probed, and heartbeats of ended
 // agent epochs are accepted again, since an owner that was partitioned may have treated the worker as lost while
-// another owner renewed its lease.
+// another owner renewed the worker's lease.
 func (m *Manager) OwnerChanged(machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
 	session.endedEpoch, session.unconfirmedResponses = 0, 0
@@ -97,8 +97,8 @@
 	}
 }
 
-// RestoreSession applies the state of a worker's session from the previous owner's snapshot. A heartbeat of the
-// worker that was received meanwhile stays the last one if it is newer.
+// RestoreSession applies the state of a worker's session from the previous owner's snapshot. If this controller has
+// already received a newer heartbeat of the worker, that one stays the last heartbeat.
 func (m *Manager) RestoreSession(machine *clusterstate.Machine, state SessionState) {
 	id := heartbeatID{state.AgentEpoch, state.Sequence}
 	if !id.notAfter(m.lastHeartbeats[machine.Host()]) {
--- a/internal/workersession/tasks.go
+++ b/internal/workersession/tasks.go
@@ -27,7 +27,7 @@
 
 // applyTasks applies the tasks and the preemption notice of a heartbeat. A listed task is on the worker; a task
 // whose start was sent and that is not listed is not on the worker.
-func (m *Manager) applyTasks(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, isNewSession bool) taskChanges {
+func (m *Manager) applyTasks(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, isNewAgentEpoch bool) taskChanges {
 	now := time.Now()
 	changes := taskChanges{isUnchanged: true}
 	if heartbeat.PreemptionInS != nil && !machine.IsPreempted() {
@@ -36,7 +36,7 @@
 		m.prepareForPreemption(machine, *heartbeat.PreemptionInS)
 		changes.isUnchanged = false
 	}
-	if isNewSession {
+	if isNewAgentEpoch {
 		machine.ResetImages()
 	}
 	listed := map[string]bool{}
@@ -45,7 +45,7 @@
 			listed[task.Task] = true
 		}
 	}
-	m.applyUnlisted(machine, listed, isNewSession, &changes)
+	m.applyUnlisted(machine, listed, isNewAgentEpoch, &changes)
 	return changes
 }
 
@@ -62,7 +62,7 @@
 		assignment, changes.isUnchanged = nil, false
 	}
 	if task.Status == workerapi.StatusEnded {
-		m.taskEnded(machine, assignment, task)
+		m.applyTaskEnd(machine, assignment, task)
 		if assignment != nil {
 			changes.isUnchanged = false
 		}
@@ -77,7 +77,7 @@
 	if status := assignment.Status(); status.StartSent && !status.Reported {
 		changes.delivery = commandsDelivered
 	}
-	if isKnown := m.State.UpdateStatus(assignment, task.Status, now); !isKnown {
+	if isSameStatus := m.State.UpdateStatus(assignment, task.Status, now); !isSameStatus {
 		changes.isUnchanged = false
 	}
 	return true
@@ -85,7 +85,7 @@
 
 // applyUnlisted handles the tasks whose start was sent and that the worker does not list. A task that the worker
 // has listed before, or that is to be stopped, is unplaced; the start of any other task is sent again.
-func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewSession bool, changes *taskChanges) {
+func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewAgentEpoch bool, changes *taskChanges) {
 	for assignment := range machine.Assignments() {
 		status := assignment.Status()
 		if listed[assignment.Name()] || !status.StartSent {
@@ -98,16 +98,16 @@
 			continue
 		}
 		m.record(decisionlog.TaskLeft, assignment, "the worker does not list it: the start never arrived")
-		// The start never arrived, or the worker's agent epoch had ended. It will be sent again.
+		// The start never arrived, or the worker's agent epoch had ended. The start will be sent again.
 		m.State.ClearStartSent(assignment)
-		if changes.delivery == noCommands && !isNewSession {
+		if changes.delivery == noCommands && !isNewAgentEpoch {
 			changes.delivery = commandsMissed
 		}
 	}
 }
 
 // prepareForPreemption stops the tasks of a machine that the cloud will preempt in remainingS seconds. Planned
-// tasks are unplaced, and gangs are stopped. Another task is stopped with a last checkpoint if there is time to
+// tasks are unplaced, and gangs are stopped. Any other task is stopped with a last checkpoint if there is time to
 // save it; otherwise it is stopped at once if it belongs to a service, and continues if it belongs to an array.
 func (m *Manager) prepareForPreemption(machine *clusterstate.Machine, remainingS float64) {
 	for assignment := range machine.Assignments() {
@@ -129,7 +129,7 @@
 	}
 }
 
-// applyCompletions applies the completed tasks of a heartbeat and ignores all others.
+// applyCompletions applies the completions of tasks that a heartbeat reports, and ignores all other tasks.
 func (m *Manager) applyCompletions(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) {
 	for _, task := range heartbeat.Tasks {
 		if task.Status != workerapi.StatusEnded || task.Cause != workerapi.CauseDone {
@@ -139,18 +139,18 @@
 		if assignment != nil && assignment.Attempt() != task.Attempt {
 			assignment = nil
 		}
-		m.taskEnded(machine, assignment, task)
+		m.applyTaskEnd(machine, assignment, task)
 	}
 }
 
-// taskEnded applies the end of a task. assignment is nil if the task is not assigned to the worker.
-func (m *Manager) taskEnded(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus) {
+// applyTaskEnd applies the end of a task. assignment is nil if the task is not assigned to the worker.
+func (m *Manager) applyTaskEnd(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus) {
 	ref, index, ok := jobs.ParseTaskName(task.Task)
 	if !ok {
 		return
 	}
 	if task.Cause == workerapi.CauseDone {
-		m.taskDone(machine, assignment, task, ref, index)
+		m.applyCompletion(machine, assignment, task, ref, index)
 		return
 	}
 	if assignment == nil {
@@ -158,7 +158,7 @@
 	}
 	if assignment.Job() != nil {
 		if task.Cause == workerapi.CauseError {
-			m.taskFailed(machine, assignment)
+			m.recordFailure(machine, assignment)
 		}
 		if task.Cause != workerapi.CauseStopped {
 			m.log.Info("task ended", "task", task.Task, "worker", machine.Host(), "attempt", task.Attempt, "cause", task.Cause)
@@ -168,10 +168,10 @@
 	m.State.Unplace(assignment)
 }
 
-// taskDone applies the completion of a task. assignment is nil if the task is not assigned to the worker. A worker
-// reports a completion until it is acknowledged; only the first report finds the task still assigned, and only
-// this one counts as a success.
-func (m *Manager) taskDone(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus, ref string, index int) {
+// applyCompletion applies the completion of a task. assignment is nil if the task is not assigned to the worker. A worker
+// reports a completion until it is acknowledged. Only the first report finds the task still assigned and counts
+// as a success.
+func (m *Manager) applyCompletion(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus, ref string, index int) {
 	if assignment != nil {
 		m.recordSuccess(ref, machine)
 		if since := assignment.Status().RunningSince; !since.IsZero() && assignment.Job() != nil {
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -34,7 +34,7 @@
 	Inspect(ctx context.Context, addr string) error
 	// Execute sends commands. It returns the worker's current heartbeat, and whether the worker
 	// has executed the commands.
-	Execute(ctx context.Context, addr string, request workerapi.CommandRequest) (heartbeat *workerapi.Heartbeat, done bool, err error)
+	Execute(ctx context.Context, addr string, request workerapi.CommandRequest) (heartbeat *workerapi.Heartbeat, executed bool, err error)
 }
 
 // Dependencies are the components of the same actor that the manager reads and changes.
@@ -55,18 +55,18 @@
 // Manager manages the agent sessions. It has no locks: the actor whose mailbox it was given owns it.
 type Manager struct {
 	Dependencies
-	mailbox  *actor.Mailbox
-	cfg      *config.Config
-	workers  WorkerClient // nil: no request is sent to workers
-	schedule func()       // runs a scheduling cycle, so that its commands go out with a response
-	log      *slog.Logger
+	mailbox      *actor.Mailbox
+	cfg          *config.Config
+	workerClient WorkerClient // if nil, no requests are sent to workers
+	schedule     func()       // runs a scheduling cycle, so that its commands go out with a response
+	log          *slog.Logger
 
-	startedAt           time.Time                               // of this process
+	startedAt           time.Time                               // when this process started
 	sessions            map[*clusterstate.Machine]*agentSession // by worker
 	lastHeartbeats      map[string]heartbeatID                  // by worker
 	deferredHeartbeats  []*pendingHeartbeat                     // see mustDefer
-	misdirectedAt       map[string][]time.Time                  // when heartbeats were redirected, by shard, see MisdirectedHeartbeats
-	removedWorkers      *lru.Cache[string, bool]                // by worker, see RemoveWorker
+	misdirectedAt       map[string][]time.Time                  // by shard, when heartbeats were redirected
+	removedWorkers      *lru.Cache[string, bool]                // host names, see RemoveWorker
 	registrations       registrations
 	reachabilityMonitor reachability.Monitor
 	firstContact        *reconciliation.FirstContact
@@ -76,8 +76,9 @@
 }
 
 // New returns a manager without sessions. schedule runs a scheduling cycle; it is called before a heartbeat is
-// answered, so that the response contains the new decisions. If workers is nil, no requests are sent to workers.
-func New(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies, workers WorkerClient, schedule func(), log *slog.Logger) *Manager {
+// answered, so that the response contains the new decisions. If workerClient is nil, no requests are sent to
+// workers.
+func New(mailbox *actor.Mailbox, cfg *config.Config, deps Dependencies, workerClient WorkerClient, schedule func(), log *slog.Logger) *Manager {
 	removedWorkers, err := lru.New[string, bool](tuning.MaxRememberedRemovedMachines)
 	if err != nil {
 		panic(err) // lru.New fails only if the size is below 1
@@ -86,7 +87,7 @@
 		Dependencies:   deps,
 		mailbox:        mailbox,
 		cfg:            cfg,
-		workers:        workers,
+		workerClient:   workerClient,
 		schedule:       schedule,
 		log:            log,
 		startedAt:      time.Now(),
@@ -97,16 +98,16 @@
 		registrations:  newRegistrations(),
 	}
 	var prober reconciliation.Prober
-	if workers != nil {
-		prober = workers
+	if workerClient != nil {
+		prober = workerClient
 	}
 	m.firstContact = reconciliation.NewFirstContact(mailbox, cfg, deps.Reconciler.Dependencies, prober, m)
 	m.directRequests.limiter = reconciliation.NewContactLimiter(cfg, tuning.DirectRequestCPUFraction)
 	return m
 }
 
-// Reset drops all sessions. It is called when the records are read again. Probes and direct requests in flight
-// still complete.
+// Reset drops all sessions. It is called when the records are read again. Probes and direct requests that are in
+// flight are not aborted.
 func (m *Manager) Reset() {
 	for _, session := range m.sessions {
 		session.refusePending()
@@ -121,8 +122,8 @@
 func (m *Manager) FirstContact() *reconciliation.FirstContact { return m.firstContact }
 
 // RemoveWorker drops a worker that no longer exists. Its name, which is never used again, is kept, so that a
-// heartbeat that arrives late is refused. Such a heartbeat once registered the worker again: it counted as a
-// paid machine, and its shard waited for it.
+// heartbeat that arrives late is refused. Otherwise such a heartbeat would register the worker again: it would count
+// as a paid machine, and its shard would wait for it.
 func (m *Manager) RemoveWorker(machine *clusterstate.Machine) {
 	m.removedWorkers.Add(machine.Host(), true)
 	delete(m.lastHeartbeats, machine.Host())
--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -15,7 +15,7 @@
 // A heartbeat that a network partition had delayed was applied like a new one by the shard's next owner. The
 // owner assigned the task to the worker that had run it before. When the worker's next heartbeat did not list the
 // task, the owner treated it as not running, although another owner in between had started it on another worker
-// (rule ran_twice on five random days of sinai).
+// (rule ran_twice, in five test days with random faults).
 func TestHeartbeatWithOldTokenIsNotApplied(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
@@ -42,9 +42,9 @@
 	}
 }
 
-// A new owner applied the heartbeats of its workers before the watch had delivered the task range that the
-// previous owner had claimed last. The worker counted as confirmed without the range's task, which it still ran,
-// and the task was started a second time.
+// A new owner applied the heartbeat of a worker before the watch had delivered the task range that the previous
+// owner had claimed last. The worker counted as confirmed without a task of the range, although it still ran the
+// task, and the task was started a second time.
 func TestHeartbeatIsNotAppliedBeforeCacheReachesEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
@@ -99,8 +99,8 @@
 	}
 }
 
-// The runs with combined faults detect that a heartbeat which arrives late is applied like a new one: a task runs
-// twice.
+// If a heartbeat that arrives late is applied like a new one, a task runs twice. Runs with combined faults detect
+// this.
 func TestMutationAcceptingStaleHeartbeatsIsDetected(t *testing.T) {
 	defer workersession.AcceptStaleHeartbeats()()
 	if !faultinjection.FindsViolation(t, 60, "ran_twice") {
