--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -14,28 +14,28 @@
 )
 
 // markSurplus marks an on-demand machine as surplus if all its tasks may also run on spot machines
-// and the growth buffers do not need the machine. Without the mark, arrays would continue to use such
-// machines, which would then never become empty and never be released.
+// and the growth buffers do not need the machine. If such machines were not marked, arrays would
+// continue to use them, and the machines would never become empty and never be released.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
 	shardCount := float64(m.Membership.Size())
-	keptTasks := map[string][]int{} // by shard: how many tasks of each buffer fit on the machines that are not surplus
+	bufferTasks := map[string][]int{} // by shard, how many tasks of each buffer fit on the machines that are not surplus
 	for _, machine := range m.usableMachinesByTaskCount() {
-		fitting := keptTasks[machine.Record().Shard]
-		if fitting == nil {
-			fitting = make([]int, len(buffers))
-			keptTasks[machine.Record().Shard] = fitting
+		shardBufferTasks := bufferTasks[machine.Record().Shard]
+		if shardBufferTasks == nil {
+			shardBufferTasks = make([]int, len(buffers))
+			bufferTasks[machine.Record().Shard] = shardBufferTasks
 		}
-		surplus := !machine.Record().Spot && m.State.OnDemandOnlyTasks(machine) == 0
+		isSurplus := !machine.Record().Spot && m.State.OnDemandOnlyTasks(machine) == 0
 		for i, buffer := range buffers {
-			lendable := m.Scheduler.FitCountWithPreemption(machine, buffer)
-			if lendable > 0 && float64(fitting[i]) < buffer.Tasks/shardCount {
-				surplus = false
+			fitCount := m.Scheduler.FitCountWithPreemption(machine, buffer)
+			if fitCount > 0 && float64(shardBufferTasks[i]) < buffer.Tasks/shardCount {
+				isSurplus = false
 			}
-			if !surplus {
-				fitting[i] += lendable
+			if !isSurplus {
+				shardBufferTasks[i] += fitCount
 			}
 		}
-		m.State.SetSurplus(machine, surplus)
+		m.State.SetSurplus(machine, isSurplus)
 	}
 }
 
@@ -60,11 +60,11 @@
 	return machines
 }
 
-// consolidate drains the machine that emptiestMigratable returns, if its tasks fit on machines with a
-// higher CPU use and its minimum charged period is over. Without consolidation a few long tasks on
-// each machine kept all machines of a large cluster half empty for minutes. At most one machine is
-// drained in each tuning.ConsolidationInterval, so that the next decision takes into account where
-// the tasks were placed.
+// consolidate drains the machine that emptiestMigratable returns, if the machine's tasks fit on
+// machines with a higher CPU use and its minimum charged period is over. Without consolidation, a few
+// long tasks on each machine kept all machines of a large cluster half empty for minutes. At most one
+// machine is drained in each tuning.ConsolidationInterval, so that the next decision takes into
+// account where the tasks were placed.
 func (m *Manager) consolidate(now time.Time) {
 	if now.Sub(m.lastConsolidationAt) < tuning.ConsolidationInterval {
 		return
@@ -120,8 +120,8 @@
 		m.State.UsedCPUFraction(machine) > m.State.UsedCPUFraction(source)
 }
 
-// canMigrateTasks reports whether every task of a machine belongs to an array with checkpoints and a
-// migration is worth its cost: the task has run for long enough and has enough run time left.
+// canMigrateTasks reports whether every task of a machine belongs to an array with checkpoints and is
+// worth migrating: the task has run for long enough and has enough run time left.
 func (m *Manager) canMigrateTasks(machine *clusterstate.Machine, now time.Time) bool {
 	for assignment := range machine.Assignments() {
 		if !m.canMigrate(assignment, now) {
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -12,25 +12,25 @@
 	"cherrywall/internal/tuning"
 )
 
-// missedHeartbeatsUntilSuspect is the number of heartbeat intervals without a heartbeat after which
-// the cloud's machine list is read to see whether the machine still exists.
-const missedHeartbeatsUntilSuspect = 3
+// missedHeartbeatsBeforeListing is the number of heartbeat intervals without a heartbeat of a machine
+// after which the cloud's machine list is read to see whether the machine still exists.
+const missedHeartbeatsBeforeListing = 3
 
 // checkMachines checks the next batch of machines for missed heartbeats, lease expiry and drains. It
-// reads the cloud's machine list if a machine of the batch is suspect.
+// reads the cloud's machine list if the cloud may have terminated a machine of the batch.
 func (m *Manager) checkMachines(now time.Time) {
 	if now.Sub(m.lastCheckAt) > tuning.ProcessStallThreshold {
 		m.stallEndedAt = now // this process stalled, so missing heartbeats are no evidence about the workers
 	}
 	m.lastCheckAt = now
 	settings, _ := m.Cache.Settings()
-	hasSuspects := false
+	anyMayBeTerminated := false
 	for _, machine := range m.nextBatch() {
-		hasSuspects = hasSuspects || m.isSuspect(machine, now)
+		anyMayBeTerminated = anyMayBeTerminated || m.mayBeTerminated(machine, now)
 		m.checkMachine(machine, settings.Drain, now)
 	}
 	m.Reconciler.CompleteRecoveries(now)
-	if hasSuspects {
+	if anyMayBeTerminated {
 		m.checkCloudListing(now)
 	}
 }
@@ -53,7 +53,7 @@
 }
 
 // checkMachine updates the state of one machine and releases the machine if needed. drainedHosts are
-// the machines that the operators drain.
+// the names of the machines that the operators drain.
 func (m *Manager) checkMachine(machine *clusterstate.Machine, drainedHosts []string, now time.Time) {
 	m.State.SetSuspected(machine, m.Faults.IsSuspected(machine.Host(), now))
 	m.expireLease(machine, now)
@@ -83,9 +83,9 @@
 	return now.Sub(silentSince) > m.heartbeatDueAfter(machine)
 }
 
-// heartbeatDueAfter returns the time without a heartbeat after which the next one is overdue. It
-// includes the delay of the response to the last heartbeat, which may be longer if the worker has no
-// task.
+// heartbeatDueAfter returns the time without a heartbeat after which the next one is overdue. The time
+// includes the delay of the response to the last heartbeat. This delay may be longer for a worker
+// without tasks.
 func (m *Manager) heartbeatDueAfter(machine *clusterstate.Machine) time.Duration {
 	interval := config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	isEmpty := machine.AssignmentCount() == 0
@@ -115,8 +115,8 @@
 	return y
 }
 
-// expireLease marks a machine as lost when its worker's lease has expired, after which its tasks no
-// longer run.
+// expireLease marks a machine as lost if its worker's lease has expired. The worker's tasks no longer
+// run then.
 func (m *Manager) expireLease(machine *clusterstate.Machine, now time.Time) {
 	if !machine.IsLost() && machine.HasReported() && now.Sub(machine.LastHeartbeatAt()) > m.cfg.WorkerLeaseExpiryDelay() {
 		m.log.Info("worker lease expired", "worker", machine.Host(), "tasks", machine.AssignmentCount())
@@ -133,8 +133,8 @@
 	}
 }
 
-// releaseIfUnreachable releases a machine that was unreachable for too long. It deletes the record
-// of a machine that the cloud has terminated.
+// releaseIfUnreachable releases a machine that has been unreachable for too long. It deletes the
+// record of a machine that the cloud has terminated.
 func (m *Manager) releaseIfUnreachable(machine *clusterstate.Machine, now time.Time) {
 	switch {
 	case machine.IsReleased() && !machine.IsReleasing():
@@ -180,13 +180,13 @@
 	return wasEmpty
 }
 
-// isSuspect reports whether a machine may no longer exist, because several heartbeats are missing or
-// its probe was not answered.
-func (m *Manager) isSuspect(machine *clusterstate.Machine, now time.Time) bool {
+// mayBeTerminated reports whether the cloud may have terminated a machine, because several heartbeats
+// of the machine are missing or it did not answer a probe.
+func (m *Manager) mayBeTerminated(machine *clusterstate.Machine, now time.Time) bool {
 	if m.State.OwnedShard(machine) == nil || machine.IsReleased() || machine.IsLost() && machine.HasReported() {
 		return false
 	}
-	maxSilence := missedHeartbeatsUntilSuspect * config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
+	maxSilence := missedHeartbeatsBeforeListing * config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	return machine.ProbeUnanswered() || m.timeSinceHeartbeat(machine, now) > maxSilence
 }
 
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -46,15 +46,15 @@
 	shardCount := float64(m.Membership.Size())
 	tasks := idle.bufferTasks[machine.Record().Shard]
 	for i, buffer := range idle.buffers {
-		lendable := m.Scheduler.FitCountWithPreemption(machine, buffer)
-		if lendable > 0 && float64(tasks[i]-lendable) < buffer.Tasks/shardCount {
+		fitCount := m.Scheduler.FitCountWithPreemption(machine, buffer)
+		if fitCount > 0 && float64(tasks[i]-fitCount) < buffer.Tasks/shardCount {
 			return true
 		}
 	}
 	return false
 }
 
-// subtractIdleMachine removes a machine that will be released from the idle capacity.
+// subtractIdleMachine subtracts a machine from the idle capacity, because the machine will be released.
 func (m *Manager) subtractIdleMachine(machine *clusterstate.Machine, idle *idleCapacity) {
 	shardID := machine.Record().Shard
 	for i, buffer := range idle.buffers {
@@ -64,7 +64,7 @@
 }
 
 // releaseIdle releases machines that have been idle for their retention time, except those that are
-// within their minimum charged period or that are needed as the operators' spare machines, for
+// within their minimum charged period and those that are needed as the operators' spare machines, for
 // waiting jobs or for the growth buffers.
 func (m *Manager) releaseIdle(now time.Time, buffers []classstats.GrowthBuffer) {
 	settings, _ := m.Cache.Settings()
@@ -104,8 +104,8 @@
 	return !idleSince.IsZero() && now.Sub(idleSince) >= m.idleRetention(machine)
 }
 
-// idleRetention returns how long an idle machine is kept: until it has cost half as much as a new
-// on-demand machine costs while it boots, and at least tuning.MinIdlePeriod. A spot machine is kept
+// idleRetention returns how long an idle machine is kept: until its cost reaches half of what a
+// new on-demand machine costs while booting, and at least for tuning.MinIdlePeriod. A spot machine is kept
 // longer, up to tuning.MaxIdlePeriod, because the next spot machine may be more expensive.
 func (m *Manager) idleRetention(machine *clusterstate.Machine) time.Duration {
 	typeName := machine.Record().MachineType
--- a/internal/machinelifecycle/manager.go
+++ b/internal/machinelifecycle/manager.go
@@ -24,7 +24,7 @@
 )
 
 // Cloud is the part of the cloud's interface that the manager uses. The manager calls it from
-// separate goroutines, never from the actor's.
+// separate goroutines, never from the actor's goroutine.
 type Cloud interface {
 	// Release returns machines to the cloud. It is idempotent.
 	Release(ctx context.Context, hosts []string) error
@@ -46,7 +46,7 @@
 }
 
 // Manager manages the machines of the local shards. It has no locks: all methods are called
-// by the actor that owns it.
+// by the actor that owns the Manager.
 type Manager struct {
 	Dependencies
 	mailbox  *actor.Mailbox
@@ -55,10 +55,10 @@
 	log      *slog.Logger
 
 	checkCursor         int                     // number of owned machines checked in the current pass
-	pendingReleases     []*clusterstate.Machine // marked as releasing, release not yet requested from the cloud
+	pendingReleases     []*clusterstate.Machine // machines marked as releasing whose release is not requested from the cloud yet
 	lastReleaseAt       time.Time               // when the last release request was sent
-	releaseInFlight     bool
-	listInFlight        bool
+	isReleaseInFlight   bool
+	isListInFlight      bool
 	lastListAt          time.Time // when the last machine list was received
 	lastMaintenanceAt   time.Time // when Maintain last ran
 	lastConsolidationAt time.Time // when consolidate last ran
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -24,7 +24,7 @@
 		h.Machines.Release(h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false))
 	}
 	h.Machines.SendReleases()
-	h.RunNext() // the result of the request
+	h.RunNext() // handles the result of the request
 	if h.Cloud.ReleaseCalls != 1 || h.Cloud.ReleasedHosts != 100 || h.Machines.PendingReleases() != 30 {
 		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCalls, h.Cloud.ReleasedHosts, h.Machines.PendingReleases())
 	}
@@ -43,8 +43,9 @@
 	return nil, false, context.DeadlineExceeded
 }
 
-// A machine was being released when its controller ended. It delayed the reconciliation of its shard
-// until it had missed three heartbeats, although the cloud no longer listed it.
+// A machine was being released when the controller that owned it ended. The machine delayed the
+// reconciliation of its shard until it had missed three heartbeats, although the cloud no longer
+// listed it.
 func TestUnansweredProbeChecksCloudListingAtOnce(t *testing.T) {
 	h := harness.New(t, func(h *harness.Harness) {
 		h.Workers, h.Cfg.Cluster.Cloud.ListLagSeconds = unreachableWorkers{}, 8
@@ -56,9 +57,9 @@
 	h.SyncCache(100)
 	h.SetOwner("n1", harness.Self, 6)
 	h.RunNext()
-	h.RunNext() // both probes have failed
+	h.RunNext() // the failures of both probes are handled
 	h.Machines.CheckCloudListing(time.Now())
-	h.RunNext() // the machine list
+	h.RunNext() // handles the machine list
 	unlistedLost, listedLost := h.State.Machine("i-1").IsLost(), h.State.Machine("i-2").IsLost()
 	if !unlistedLost || listedLost {
 		t.Errorf("lost: unlisted machine %v, listed machine %v", unlistedLost, listedLost)
@@ -76,17 +77,17 @@
 		h.AddJob(spec, 0, 5)
 		h.SetOwner("n0", harness.Self, 6)
 		taskRange := h.AddTaskRange("wk-1", "n0", 12, 7)
-		next := 0
-		for i, n := range []int{1, 2, 3} { // tasks on each machine
+		nextTask := 0
+		for i, taskCount := range []int{1, 2, 3} { // tasks on each machine
 			machine := h.AddMachine(fmt.Sprintf("i-%d", i), "n0", "m16", false)
 			h.State.EndHeartbeat(machine, false, false)
-			for range n {
-				h.State.UpdateStatus(h.State.Place(taskRange, next, machine, 1), workerapi.StatusRunning, time.Now())
-				next++
+			for range taskCount {
+				h.State.UpdateStatus(h.State.Place(taskRange, nextTask, machine, 1), workerapi.StatusRunning, time.Now())
+				nextTask++
 			}
 		}
 		isDrained := func(i int) bool { return h.State.Machine(fmt.Sprintf("i-%d", i)).IsCordoned() }
-		time.Sleep(4*time.Minute + 30*time.Second) // of 5 minutes expected run time
+		time.Sleep(4*time.Minute + 30*time.Second) // of the expected run time of 5 minutes
 		h.Machines.MarkSurplus()
 		h.Machines.Consolidate(time.Now())
 		if isDrained(0) {
@@ -96,7 +97,7 @@
 		machine := assignment.Machine()
 		h.State.Unplace(assignment)
 		h.State.UpdateStatus(h.State.Place(taskRange, 0, machine, 2), workerapi.StatusRunning, time.Now())
-		for i := 1; i < next; i++ {
+		for i := 1; i < nextTask; i++ {
 			h.State.UpdateStatus(taskRange.Assignment(i), workerapi.StatusPulling, time.Now())
 			h.State.UpdateStatus(taskRange.Assignment(i), workerapi.StatusRunning, time.Now())
 		}
@@ -110,7 +111,7 @@
 }
 
 // The tasks of a worker are lost when its lease expires, and a later heartbeat of the same
-// session does not restore them.
+// agent epoch does not restore them.
 func TestHeartbeatAfterLeaseExpiryRestoresNoTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
@@ -160,7 +161,7 @@
 				h.Heartbeat("i-1", 1, 5)
 				gang := jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}
 				h.AddJob(gang, 4, 6)
-				if test.cpusUsedElsewhere > 0 { // by another shard
+				if test.cpusUsedElsewhere > 0 { // in another shard
 					h.AddJob(jobs.Spec{Ref: "wk-2", Team: "few", Kind: jobs.Array, Urgency: "high", Tasks: 1, CPU: test.cpusUsedElsewhere}, 0, 6)
 					h.AddTaskRange("wk-2", "n1", 1, 7)
 				}
@@ -176,7 +177,7 @@
 	}
 }
 
-// The owner of a shard changed just after machines of the shard had been released. The records
+// The owner of a shard changed soon after machines of the shard had been released. Their records
 // remained, since the shard's epoch was a precondition of their deletion, and the next owner waited
 // 13 to 36 s for machines that no longer existed.
 func TestReleasedMachineRecordsAreDeletedAfterShardOwnerChange(t *testing.T) {
@@ -189,9 +190,9 @@
 	h.Machines.SendReleases()
 	h.SetOwner("n0", harness.OtherNode, 8)
 	h.Store.AcceptFrom(9)
-	h.RunNext() // the result of the request
+	h.RunNext() // handles the result of the request
 	h.RunNext()
-	h.RunNext() // both transactions
+	h.RunNext() // the results of both transactions are handled
 	if _, remaining := h.State.Sizes(); remaining != 0 || len(h.Store.Transactions()) != 2 {
 		t.Errorf("%d records left after %d transactions", remaining, len(h.Store.Transactions()))
 	}
--- a/internal/machinelifecycle/release.go
+++ b/internal/machinelifecycle/release.go
@@ -27,7 +27,7 @@
 // sendReleases asks the cloud to release the pending machines. It puts many machines into one
 // request, because the cloud accepts only few requests per second.
 func (m *Manager) sendReleases() {
-	if m.releaseInFlight || len(m.pendingReleases) == 0 || time.Since(m.lastReleaseAt) < tuning.MinScaleInRequestGap {
+	if m.isReleaseInFlight || len(m.pendingReleases) == 0 || time.Since(m.lastReleaseAt) < tuning.MinScaleInRequestGap {
 		return
 	}
 	machines := m.takePendingReleases()
@@ -38,14 +38,15 @@
 	for _, machine := range machines {
 		hosts = append(hosts, machine.Host())
 	}
-	m.releaseInFlight, m.lastReleaseAt = true, time.Now()
+	m.isReleaseInFlight, m.lastReleaseAt = true, time.Now()
 	go func() {
 		err := m.provider.Release(m.mailbox.Context(), hosts)
 		m.mailbox.Send(func() { m.finishRelease(machines, hosts, err) })
 	}()
 }
 
-// takePendingReleases removes the machines of the next request from the queue.
+// takePendingReleases removes machines from the queue and returns those to be released with the next
+// request.
 func (m *Manager) takePendingReleases() []*clusterstate.Machine {
 	var machines []*clusterstate.Machine
 	for len(m.pendingReleases) > 0 && len(machines) < tuning.MaxScaleInPerRequest {
@@ -61,7 +62,7 @@
 
 // finishRelease applies the result of a release request.
 func (m *Manager) finishRelease(machines []*clusterstate.Machine, hosts []string, err error) {
-	m.releaseInFlight = false
+	m.isReleaseInFlight = false
 	if err != nil {
 		m.log.Info("machine release failed", "workers", hosts, "error", err)
 	}
@@ -76,7 +77,7 @@
 
 // applyReleaseResult applies the result of a release request to one machine. It reports
 // whether the machine is terminated; after an error the release is attempted again later.
-func (m *Manager) applyReleaseResult(machine *clusterstate.Machine, err error) (terminated bool) {
+func (m *Manager) applyReleaseResult(machine *clusterstate.Machine, err error) (isTerminated bool) {
 	switch {
 	case !m.State.IsCurrentMachine(machine) || err != nil && m.State.OwnedShard(machine) == nil:
 		return false
@@ -102,8 +103,9 @@
 //
 // The shard's epoch is not a precondition: a terminated machine stays terminated, regardless of which
 // controller owns its shard, and its name is never used again. With that precondition the records
-// remained when the owner of the shard changed just after the release, and the next owner waited up
-// to 36 s for machines that no longer existed. For the same reason the write has the normal priority.
+// remained when the owner of the shard changed soon after the release, and the next owner waited up
+// to 36 s for machines that no longer existed. Because an owner may wait, the write has the normal
+// priority.
 func (m *Manager) deleteRecords(machines ...*clusterstate.Machine) {
 	for batch := range slices.Chunk(machines, m.cfg.EffectiveStateLimits().TxnOps) {
 		var txn kvstore.Txn
@@ -121,7 +123,7 @@
 }
 
 // retryDeletion deletes each record in a separate transaction after a delay. In a common transaction,
-// a single record that was written meanwhile would fail the deletion of all others again.
+// one record that was changed would again make the deletion of all others fail.
 func (m *Manager) retryDeletion(machines []*clusterstate.Machine) {
 	for _, machine := range machines {
 		m.mailbox.SendAfter(tuning.MaxRetryDelay, func() {
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -78,8 +78,8 @@
 
 // transferIdleMachines moves empty machines of the local shards to the shard that collects machines
 // for a waiting gang, in one transaction. A machine is moved only if its last heartbeat lists no task
-// and no start is planned on it. No task can then run on the machine, so neither shard has to wait
-// for the other.
+// and no start is planned on it. No task can then run on the machine, so neither shard's owner has to
+// wait for the other.
 func (m *Manager) transferIdleMachines(now time.Time) {
 	// The machines are checked first, since few of them are empty at a time while many jobs may wait.
 	empty := m.transferableMachines()
@@ -123,8 +123,8 @@
 func machinesForGang(record *jobs.JobRecord, empty []*clusterstate.Machine, target gangTarget) []*clusterstate.Machine {
 	var chosen []*clusterstate.Machine
 	for _, machine := range empty {
-		inZone := target.zone == "" || target.zone == machine.Record().Zone
-		if machine.Record().Shard != target.shardID && record.Allows(machine.Group()) && inZone {
+		isInZone := target.zone == "" || target.zone == machine.Record().Zone
+		if machine.Record().Shard != target.shardID && record.Allows(machine.Group()) && isInZone {
 			chosen = append(chosen, machine)
 		}
 	}
--- a/internal/machinelifecycle/utilization.go
+++ b/internal/machinelifecycle/utilization.go
@@ -12,7 +12,7 @@
 	idle, surplus, spot, onDemand, unusable int // number of machines; each is counted in one field
 	used, total                             capacity.Resources
 
-	onDemandCPU, gangCPU, arrayCPU float64 // CPUs of on-demand machines; CPUs used there by gangs and services, and by arrays
+	onDemandCPU, gangCPU, arrayCPU float64 // CPUs of on-demand machines; those used by gangs and services; those used by arrays
 	fetchingCPU                    float64 // CPUs of tasks that fetch their image or wait for their gang
 }
 
