--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -206,12 +206,12 @@
 // startMayBeInFlight reports whether a worker's heartbeat omits a cancelled task. The start of such a task may
 // still be in flight, so the task may still begin.
 func startMayBeInFlight(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat) bool {
-	listed := map[string]bool{}
+	listedTasks := map[string]bool{}
 	for _, task := range heartbeat.Tasks {
-		listed[task.Task] = true
+		listedTasks[task.Task] = true
 	}
 	for assignment := range machine.Assignments() {
-		if isCancelled(assignment) && !listed[assignment.Name()] {
+		if isCancelled(assignment) && !listedTasks[assignment.Name()] {
 			return true
 		}
 	}
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -231,8 +231,8 @@
 	if heartbeat.Host != machine.Host() || !m.isOwned(machine) || machine.IsLost() {
 		return false
 	}
-	current := reconciliation.FencingToken(m.State.OwnedShard(machine), machine)
-	if fencingToken != current || heartbeat.FencingToken != current {
+	currentToken := reconciliation.FencingToken(m.State.OwnedShard(machine), machine)
+	if fencingToken != currentToken || heartbeat.FencingToken != currentToken {
 		return false
 	}
 	return heartbeat.AgentEpoch > m.sessionOf(machine).endedEpoch &&
--- a/internal/workersession/tasks.go
+++ b/internal/workersession/tasks.go
@@ -20,7 +20,7 @@
 type commandDelivery int
 
 const (
-	noCommands        commandDelivery = iota // none were sent
+	noCommands        commandDelivery = iota // no start commands were sent
 	commandsDelivered                        // at least one arrived
 	commandsMissed                           // none arrived
 )
@@ -39,13 +39,13 @@
 	if isNewAgentEpoch {
 		machine.ResetImages()
 	}
-	listed := map[string]bool{}
+	listedTasks := map[string]bool{}
 	for _, task := range heartbeat.Tasks {
 		if m.applyTask(machine, task, now, &changes) {
-			listed[task.Task] = true
+			listedTasks[task.Task] = true
 		}
 	}
-	m.applyUnlisted(machine, listed, isNewAgentEpoch, &changes)
+	m.applyUnlisted(machine, listedTasks, isNewAgentEpoch, &changes)
 	return changes
 }
 
@@ -85,10 +85,10 @@
 
 // applyUnlisted handles the tasks whose start was sent and that the worker does not list. A task that the worker
 // has listed before, or that is to be stopped, is unplaced; the start of any other task is sent again.
-func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listed map[string]bool, isNewAgentEpoch bool, changes *taskChanges) {
+func (m *Manager) applyUnlisted(machine *clusterstate.Machine, listedTasks map[string]bool, isNewAgentEpoch bool, changes *taskChanges) {
 	for assignment := range machine.Assignments() {
 		status := assignment.Status()
-		if listed[assignment.Name()] || !status.StartSent {
+		if listedTasks[assignment.Name()] || !status.StartSent {
 			continue
 		}
 		changes.isUnchanged = false
@@ -168,9 +168,9 @@
 	m.State.Unplace(assignment)
 }
 
-// applyCompletion applies the completion of a task. assignment is nil if the task is not assigned to the worker. A worker
-// reports a completion until it is acknowledged. Only the first report finds the task still assigned and counts
-// as a success.
+// applyCompletion applies the completion of a task. assignment is nil if the task is not assigned to the worker. A
+// worker reports a completion until it is acknowledged. Only the first report finds the task still assigned and
+// counts as a success.
 func (m *Manager) applyCompletion(machine *clusterstate.Machine, assignment *clusterstate.Assignment, task workerapi.TaskStatus, ref string, index int) {
 	if assignment != nil {
 		m.recordSuccess(ref, machine)
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -58,12 +58,12 @@
 	mailbox      *actor.Mailbox
 	cfg          *config.Config
 	workerClient WorkerClient // if nil, no requests are sent to workers
-	schedule     func()       // runs a scheduling cycle, so that its commands go out with a response
+	schedule     func()       // runs a scheduling cycle before a response, which can then contain the new commands
 	log          *slog.Logger
 
 	startedAt           time.Time                               // when this process started
 	sessions            map[*clusterstate.Machine]*agentSession // by worker
-	lastHeartbeats      map[string]heartbeatID                  // by worker
+	lastHeartbeats      map[string]heartbeatID                  // by host name
 	deferredHeartbeats  []*pendingHeartbeat                     // see mustDefer
 	misdirectedAt       map[string][]time.Time                  // by shard, when heartbeats were redirected
 	removedWorkers      *lru.Cache[string, bool]                // host names, see RemoveWorker
@@ -121,7 +121,7 @@
 // FirstContact returns the component that contacts workers for the first time after their shard was acquired.
 func (m *Manager) FirstContact() *reconciliation.FirstContact { return m.firstContact }
 
-// RemoveWorker drops a worker that no longer exists. Its name, which is never used again, is kept, so that a
+// RemoveWorker drops a worker that no longer exists. The worker's name, which is never used again, is kept, so that a
 // heartbeat that arrives late is refused. Otherwise such a heartbeat would register the worker again: it would count
 // as a paid machine, and its shard would wait for it.
 func (m *Manager) RemoveWorker(machine *clusterstate.Machine) {
--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -25,15 +25,15 @@
 	taskRange := h.AddTaskRange("wk-1", "n0", 1, 4)
 	h.SetOwner("n0", harness.Self, 10)
 	h.SyncCache(10)
-	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
-	if reply := h.Heartbeat("i-1", 5, 6, running); reply.StatusCode != 200 || reply.Response.FencingToken != 10 || len(reply.Response.Commands) > 0 {
+	runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
+	if reply := h.Heartbeat("i-1", 5, 6, runningTask); reply.StatusCode != 200 || reply.Response.FencingToken != 10 || len(reply.Response.Commands) > 0 {
 		t.Fatalf("reply to the heartbeat with the old token: %+v", reply)
 	}
 	h.Heartbeat("i-1", 6, 10)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskUnknown {
 		t.Fatalf("the task is in state %d while a worker of the shard is unconfirmed", state)
 	}
-	h.Heartbeat("i-2", 9, 10, running)
+	h.Heartbeat("i-2", 9, 10, runningTask)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskPlaced {
 		t.Errorf("the task is in state %d, not assigned to the worker that runs it", state)
 	}
@@ -51,8 +51,8 @@
 	h.AddMachine("i-1", "n1", "m16", false)
 	h.SyncCache(5)
 	h.SetOwner("n1", harness.Self, 10) // the controller's own write
-	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 4, Status: workerapi.StatusRunning}
-	h.Heartbeat("i-1", 1, 10, running)
+	runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 4, Status: workerapi.StatusRunning}
+	h.Heartbeat("i-1", 1, 10, runningTask)
 	if machine := h.State.Machine("i-1"); machine.HasReported() || machine.AssignmentCount() > 0 {
 		t.Error("the worker was confirmed before the task ranges were known")
 	}
@@ -63,7 +63,7 @@
 	if taskRange.CountTasks(clusterstate.TaskUnknown) != 2 {
 		t.Error("the state of the tasks is known from a heartbeat that arrived before the task range")
 	}
-	h.Heartbeat("i-1", 2, 10, running)
+	h.Heartbeat("i-1", 2, 10, runningTask)
 	if assignment := taskRange.Assignment(0); assignment == nil || assignment.Attempt() != 4 || assignment.Status().Stopping || taskRange.CountTasks(clusterstate.TaskUnknown) != 0 {
 		t.Errorf("the running task after the next heartbeat: %+v", assignment)
 	}
