--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -100,13 +100,13 @@
 	for assignment := range source.Assignments() {
 		tasksByJob[assignment.Job()]++
 	}
-	for job, remaining := range tasksByJob {
+	for job, remainingTasks := range tasksByJob {
 		for _, machine := range m.State.OwnedMachines() {
 			if m.isFullerPeer(machine, source) && job.Record().Allows(machine.Group()) {
-				remaining -= capacity.FitCount(m.State.Free(machine), job.Need()) / len(tasksByJob)
+				remainingTasks -= capacity.FitCount(m.State.Free(machine), job.Need()) / len(tasksByJob)
 			}
 		}
-		if remaining > 0 {
+		if remainingTasks > 0 {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 		return false
 	}
 	elapsed := now.Sub(status.RunningSince)
-	remaining := config.Seconds(m.Scheduler.ExpectedRunSeconds(record)) - elapsed
-	return remaining >= tuning.MinConsolidationRunTime+config.Seconds(2*record.CheckpointSaveSeconds) &&
+	remainingTime := config.Seconds(m.Scheduler.ExpectedRunSeconds(record)) - elapsed
+	return remainingTime >= tuning.MinConsolidationRunTime+config.Seconds(2*record.CheckpointSaveSeconds) &&
 		elapsed >= tuning.MinConsolidationRunTime/2
 }
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -115,8 +115,8 @@
 	return y
 }
 
-// expireLease marks a machine as lost if its worker's lease has expired. The worker's tasks no longer
-// run then.
+// expireLease marks a machine as lost if its worker's lease has expired, because the worker's tasks no
+// longer run then.
 func (m *Manager) expireLease(machine *clusterstate.Machine, now time.Time) {
 	if !machine.IsLost() && machine.HasReported() && now.Sub(machine.LastHeartbeatAt()) > m.cfg.WorkerLeaseExpiryDelay() {
 		m.log.Info("worker lease expired", "worker", machine.Host(), "tasks", machine.AssignmentCount())
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -69,12 +69,12 @@
 func (m *Manager) releaseIdle(now time.Time, buffers []classstats.GrowthBuffer) {
 	settings, _ := m.Cache.Settings()
 	idle := m.countIdleCapacity(buffers)
-	waiting := m.jobsWaitingForMachines()
+	waitingJobs := m.jobsWaitingForMachines()
 	for _, machine := range m.State.OwnedMachines() {
 		if !m.exceedsIdleRetention(machine, now) {
 			continue
 		}
-		if idle.machines[machine.Record().Shard] <= settings.SpareMachines || m.isWithinMinimumCharge(machine, now) || m.isNeededByWaitingJob(machine, waiting) {
+		if idle.machines[machine.Record().Shard] <= settings.SpareMachines || m.isWithinMinimumCharge(machine, now) || m.isNeededByWaitingJob(machine, waitingJobs) {
 			continue
 		}
 		if m.isNeededForGrowth(machine, idle) {
@@ -104,8 +104,8 @@
 	return !idleSince.IsZero() && now.Sub(idleSince) >= m.idleRetention(machine)
 }
 
-// idleRetention returns how long an idle machine is kept: until its cost reaches half of what a
-// new on-demand machine costs while booting, and at least for tuning.MinIdlePeriod. A spot machine is kept
+// idleRetention returns how long an idle machine is kept: until its cost reaches half of what a new
+// on-demand machine costs while booting, and at least for tuning.MinIdlePeriod. A spot machine is kept
 // longer, up to tuning.MaxIdlePeriod, because the next spot machine may be more expensive.
 func (m *Manager) idleRetention(machine *clusterstate.Machine) time.Duration {
 	typeName := machine.Record().MachineType
@@ -128,7 +128,7 @@
 // jobsWaitingForMachines returns the gangs and services that have tasks to place, except faulty jobs,
 // jobs that wait for dependencies, and jobs that wait for their team's quota.
 func (m *Manager) jobsWaitingForMachines() []*clusterstate.Job {
-	var waiting []*clusterstate.Job
+	var waitingJobs []*clusterstate.Job
 	allowance := m.Scheduler.NewQuotaAllowance()
 	for job := range m.State.Jobs() {
 		if job.HasEnded() || job.Record().Kind == jobs.Array || m.Faults.IsJobFaulty(job.Ref()) {
@@ -137,16 +137,16 @@
 		// Tasks that wait for their team's quota do not count, since they cannot use a machine.
 		// The waiting tasks of a single team at its limit once kept a third of all machines idle.
 		if !job.IsBlocked() && (job.HasReadyTasks() || len(job.Record().Unclaimed) > 0 && allowance.Take(job) > 0) {
-			waiting = append(waiting, job)
+			waitingJobs = append(waitingJobs, job)
 		}
 	}
-	return waiting
+	return waitingJobs
 }
 
 // isNeededByWaitingJob reports whether a task of a waiting job fits on the machine. If the machine
-// were released while the other machines of a gang boot, another one would have to be requested.
-func (m *Manager) isNeededByWaitingJob(machine *clusterstate.Machine, waiting []*clusterstate.Job) bool {
-	return slices.ContainsFunc(waiting, func(job *clusterstate.Job) bool {
+// were released while the other machines of a gang boot, a new machine would have to be requested.
+func (m *Manager) isNeededByWaitingJob(machine *clusterstate.Machine, waitingJobs []*clusterstate.Job) bool {
+	return slices.ContainsFunc(waitingJobs, func(job *clusterstate.Job) bool {
 		return job.Record().Allows(machine.Group()) && capacity.FitCount(m.State.Free(machine), job.Need()) > 0
 	})
 }
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -122,8 +122,8 @@
 		h.SyncCache(5)
 		h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 1, CPU: 1}, 0, 6)
 		taskRange := h.AddTaskRange("wk-1", "n0", 1, 7)
-		running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 9, Status: workerapi.StatusRunning}
-		h.Heartbeat("i-1", 1, 5, running)
+		runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 9, Status: workerapi.StatusRunning}
+		h.Heartbeat("i-1", 1, 5, runningTask)
 		if taskRange.Assignment(0) == nil {
 			t.Fatal("no assignment for the reported task")
 		}
@@ -133,7 +133,7 @@
 		if !machine.IsLost() || taskRange.Assignment(0) != nil {
 			t.Fatal("the task is still assigned after its worker's lease expired")
 		}
-		if response := h.Heartbeat("i-1", 2, 5, running); response.StatusCode != 503 || taskRange.Assignment(0) != nil {
+		if response := h.Heartbeat("i-1", 2, 5, runningTask); response.StatusCode != 503 || taskRange.Assignment(0) != nil {
 			t.Errorf("response to the late heartbeat: %+v", response)
 		}
 	})
@@ -193,8 +193,8 @@
 	h.RunNext() // handles the result of the request
 	h.RunNext()
 	h.RunNext() // the results of both transactions are handled
-	if _, remaining := h.State.Sizes(); remaining != 0 || len(h.Store.Transactions()) != 2 {
-		t.Errorf("%d records left after %d transactions", remaining, len(h.Store.Transactions()))
+	if _, remainingRecords := h.State.Sizes(); remainingRecords != 0 || len(h.Store.Transactions()) != 2 {
+		t.Errorf("%d records left after %d transactions", remainingRecords, len(h.Store.Transactions()))
 	}
 	for _, txn := range h.Store.Transactions() {
 		for _, condition := range txn.Conditions {
--- a/internal/machinelifecycle/release.go
+++ b/internal/machinelifecycle/release.go
@@ -66,13 +66,13 @@
 	if err != nil {
 		m.log.Info("machine release failed", "workers", hosts, "error", err)
 	}
-	var terminated []*clusterstate.Machine
+	var terminatedMachines []*clusterstate.Machine
 	for _, machine := range machines {
 		if m.applyReleaseResult(machine, err) {
-			terminated = append(terminated, machine)
+			terminatedMachines = append(terminatedMachines, machine)
 		}
 	}
-	m.deleteRecords(terminated...)
+	m.deleteRecords(terminatedMachines...)
 }
 
 // applyReleaseResult applies the result of a release request to one machine. It reports
@@ -105,7 +105,7 @@
 // controller owns its shard, and its name is never used again. With that precondition the records
 // remained when the owner of the shard changed soon after the release, and the next owner waited up
 // to 36 s for machines that no longer existed. Because an owner may wait, the write has the normal
-// priority.
+// priority and not the lowest.
 func (m *Manager) deleteRecords(machines ...*clusterstate.Machine) {
 	for batch := range slices.Chunk(machines, m.cfg.EffectiveStateLimits().TxnOps) {
 		var txn kvstore.Txn
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -16,11 +16,11 @@
 // in ("" for any).
 type gangTarget struct{ shardID, zone string }
 
-// shardForGang chooses the shard that collects machines for a gang that no shard can place alone. It
-// is the shard whose machines would fit the most tasks of the gang if they were empty. Only stored
-// records are counted, so that all controllers choose the same shard. ok is false if all tasks would
-// fit in that shard already, if the gang has not waited for tuning.GangConsolidationDelay, or if the
-// job is not an unclaimed gang.
+// shardForGang chooses the shard that collects machines for a gang that no shard can place alone: the
+// shard on whose machines the most tasks of the gang would fit if the machines were empty. Only stored
+// records are counted, so that all controllers choose the same shard. ok is false if all tasks of the
+// gang would fit in that shard already, if the gang has not yet waited for
+// tuning.GangConsolidationDelay, or if the job is not an unclaimed gang.
 func (m *Manager) shardForGang(job *clusterstate.Job, now time.Time) (target gangTarget, ok bool) {
 	record := job.Record()
 	isUnclaimedGang := record.Kind == jobs.Gang && record.UnclaimedCount() == record.Tasks
@@ -50,13 +50,13 @@
 			tasksByZone[zone] += tasks
 		}
 	}
-	best := ""
+	bestZone := ""
 	for zone, tasks := range tasksByZone {
-		if best == "" || tasks > tasksByZone[best] || tasks == tasksByZone[best] && zone < best {
-			best = zone
+		if bestZone == "" || tasks > tasksByZone[bestZone] || tasks == tasksByZone[bestZone] && zone < bestZone {
+			bestZone = zone
 		}
 	}
-	return best
+	return bestZone
 }
 
 // fittingTaskCount returns the number of a gang's tasks that fit in a shard. If onlyZone is not "",
@@ -82,8 +82,8 @@
 // wait for the other.
 func (m *Manager) transferIdleMachines(now time.Time) {
 	// The machines are checked first, since few of them are empty at a time while many jobs may wait.
-	empty := m.transferableMachines()
-	if len(empty) == 0 {
+	emptyMachines := m.transferableMachines()
+	if len(emptyMachines) == 0 {
 		return
 	}
 	for job := range m.State.Jobs() {
@@ -96,9 +96,9 @@
 		if !ok || shard == nil {
 			continue
 		}
-		chosen := machinesForGang(record, empty, target)
-		if len(chosen) > 0 {
-			m.moveToShard(chosen[:min(len(chosen), m.cfg.EffectiveStateLimits().TxnOps)], shard)
+		chosenMachines := machinesForGang(record, emptyMachines, target)
+		if len(chosenMachines) > 0 {
+			m.moveToShard(chosenMachines[:min(len(chosenMachines), m.cfg.EffectiveStateLimits().TxnOps)], shard)
 			return
 		}
 	}
@@ -106,30 +106,30 @@
 
 // transferableMachines returns the empty machines that may leave their shard.
 func (m *Manager) transferableMachines() []*clusterstate.Machine {
-	var empty []*clusterstate.Machine
+	var emptyMachines []*clusterstate.Machine
 	for _, machine := range m.State.OwnedMachines() {
 		if machine.AssignmentCount() != 0 || !machine.ReportedEmpty() || machine.IsMoving() || !m.State.IsUsable(machine) {
 			continue
 		}
 		if shard := m.State.OwnedShard(machine); shard.IsReconciled() && !shard.IsTransferring() {
-			empty = append(empty, machine)
+			emptyMachines = append(emptyMachines, machine)
 		}
 	}
-	return empty
+	return emptyMachines
 }
 
 // machinesForGang returns the empty machines that the gang can use and that are not in the target
 // shard yet. Machines whose records have been unchanged for longest are first.
-func machinesForGang(record *jobs.JobRecord, empty []*clusterstate.Machine, target gangTarget) []*clusterstate.Machine {
-	var chosen []*clusterstate.Machine
-	for _, machine := range empty {
+func machinesForGang(record *jobs.JobRecord, emptyMachines []*clusterstate.Machine, target gangTarget) []*clusterstate.Machine {
+	var chosenMachines []*clusterstate.Machine
+	for _, machine := range emptyMachines {
 		isInZone := target.zone == "" || target.zone == machine.Record().Zone
 		if machine.Record().Shard != target.shardID && record.Allows(machine.Group()) && isInZone {
-			chosen = append(chosen, machine)
+			chosenMachines = append(chosenMachines, machine)
 		}
 	}
-	slices.SortFunc(chosen, func(x, y *clusterstate.Machine) int { return cmp.Compare(x.Revision(), y.Revision()) })
-	return chosen
+	slices.SortFunc(chosenMachines, func(x, y *clusterstate.Machine) int { return cmp.Compare(x.Revision(), y.Revision()) })
+	return chosenMachines
 }
 
 // moveToShard writes the target shard into the machines' records. The preconditions are that the
@@ -163,14 +163,14 @@
 
 // retryMove repeats a move whose result is unknown, for the machines that are still moving.
 func (m *Manager) retryMove(machines []*clusterstate.Machine, targetID string) {
-	var remaining []*clusterstate.Machine
+	var remainingMachines []*clusterstate.Machine
 	for _, machine := range machines {
 		if m.State.IsCurrentMachine(machine) && machine.IsMoving() && m.State.OwnedShard(machine) != nil {
-			remaining = append(remaining, machine)
+			remainingMachines = append(remainingMachines, machine)
 		}
 	}
-	if target := m.Membership.Shard(targetID); target != nil && len(remaining) > 0 {
-		m.moveToShard(remaining, target)
+	if target := m.Membership.Shard(targetID); target != nil && len(remainingMachines) > 0 {
+		m.moveToShard(remainingMachines, target)
 	}
 }
 
--- a/internal/machinelifecycle/utilization.go
+++ b/internal/machinelifecycle/utilization.go
@@ -7,7 +7,7 @@
 	"cherrywall/internal/workerapi"
 )
 
-// utilization contains totals of the use of a shard's machines.
+// utilization contains totals over the machines of a shard.
 type utilization struct {
 	idle, surplus, spot, onDemand, unusable int // number of machines; each is counted in one field
 	used, total                             capacity.Resources
