--- a/internal/workerapi/command_client.go
+++ b/internal/workerapi/command_client.go
@@ -77,8 +77,8 @@
 }
 
 // Execute sends commands to a worker. It returns the worker's current heartbeat, and whether the worker has
-// executed the commands. The worker does not execute them if it is in another agent epoch or has seen a higher
-// fencing token. If Execute returns an error, it is unknown whether the commands were executed.
+// executed the commands. A worker that is in another agent epoch or has seen a higher fencing token does not
+// execute them. If Execute returns an error, it is unknown whether the commands were executed.
 func (c *CommandClient) Execute(ctx context.Context, addr string, request CommandRequest) (heartbeat *Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.FirstContactTimeout)
 	defer cancel()
@@ -152,7 +152,7 @@
 
 // encodeRequest returns an HTTP request in its wire form. body is JSON, or nil for a request without a body.
 func encodeRequest(method, addr, path string, body []byte) []byte {
-	const headersSize = 256
+	const headersSize = 256 // bytes; longer headers only cost another allocation
 	request := make([]byte, 0, headersSize+len(body))
 	request = append(request, method+" "+path+" HTTP/1.1\r\nHost: "+addr+"\r\nConnection: close\r\n"...)
 	if body != nil {
--- a/internal/workerapi/command_client_test.go
+++ b/internal/workerapi/command_client_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// newTestClient returns a client whose requests respond answers over in-memory connections.
+// newTestClient returns a client that reaches a test server over in-memory connections. The server answers each
+// request with the result of respond.
 func newTestClient(t *testing.T, respond func(body string) (status int, heartbeat string)) *CommandClient {
 	t.Helper()
 	return NewCommandClient(func(context.Context, string, string) (net.Conn, error) {
@@ -28,7 +29,7 @@
 	})
 }
 
-// singleConnListener is a listener with a single connection.
+// singleConnListener is a listener that accepts a single connection.
 type singleConnListener struct {
 	conn net.Conn
 	done chan struct{}
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -24,7 +24,7 @@
 // Unwrap returns the error in the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Errors in a field, apart from a wrong type.
+// The errors in a field, except for a field of the wrong type.
 var (
 	errMissing          = errors.New("missing")
 	errMissingOrTooLong = errors.New("missing or too long")
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// objectReader reads the fields of a JSON object. A field that is missing or null reads as the zero value. err
-// describes the first field of a wrong type.
+// objectReader reads the fields of a JSON object. The value of a field that is missing or null is the zero value.
+// err describes the first field of the wrong type.
 type objectReader struct {
 	object *fastjson.Object
 	err    *FieldError
@@ -149,7 +149,7 @@
 	return value
 }
 
-func (r *objectReader) wrongType(name string, value *fastjson.Value) {
+func (r *objectReader) recordWrongType(name string, value *fastjson.Value) {
 	if r.err == nil {
 		r.err = &FieldError{name, fmt.Errorf("wrong type %s", value.Type())}
 	}
@@ -163,7 +163,7 @@
 	}
 	field, err := convert(value)
 	if err != nil {
-		r.wrongType(name, value)
+		r.recordWrongType(name, value)
 	}
 	return field
 }
@@ -186,7 +186,7 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// taskState reads a task state. It does not allocate for the protocol's constants, which nearly all states are.
+// taskState reads a task state. Nearly all states are constants of the protocol, for which it allocates no memory.
 func (r *objectReader) taskState(name string) TaskState {
 	text := r.bytes(name)
 	switch TaskState(text) { // the compiler does not copy the bytes for the comparison
@@ -204,7 +204,7 @@
 	return TaskState(text)
 }
 
-// exitCause reads an exit cause. It does not allocate for CauseDone, with which most tasks end.
+// exitCause reads an exit cause. It allocates no memory for CauseDone, which is the most frequent cause.
 func (r *objectReader) exitCause(name string) ExitCause {
 	text := r.bytes(name)
 	if ExitCause(text) == CauseDone { // the compiler does not copy the bytes for the comparison
@@ -213,8 +213,8 @@
 	return ExitCause(text)
 }
 
-// seconds reads a finite number. It returns nil if the field is missing or null. Any other value is
-// a wrong type.
+// seconds reads a finite number. It returns nil if the field is missing or null. Any other value is of the wrong
+// type.
 func (r *objectReader) seconds(name string) *float64 {
 	value := r.get(name)
 	if value == nil {
@@ -222,7 +222,7 @@
 	}
 	seconds, err := value.Float64()
 	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) {
-		r.wrongType(name, value)
+		r.recordWrongType(name, value)
 		return nil
 	}
 	return &seconds
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -53,7 +53,7 @@
 // HeartbeatResponse answers a heartbeat and renews the worker's lease.
 type HeartbeatResponse struct {
 	// FencingToken is the epoch of the worker's shard, or the revision of the worker's record if the
-	// revision is newer.
+	// revision is higher.
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
 }
@@ -69,7 +69,7 @@
 )
 
 // Command is a command to a worker for one attempt of a task. It is safe to repeat a command, with one
-// exception: a start command that follows the acknowledgement starts the attempt again.
+// exception: a start command for an attempt whose end was acknowledged starts the attempt again.
 type Command struct {
 	Verb         Verb     `json:"verb"`
 	Task         string   `json:"shift"`
@@ -92,6 +92,6 @@
 	MachineType string `json:"build"`
 	Zone        string `json:"zone"`
 	Spot        bool   `json:"spot"`
-	// RegisteredAtMS is the time of day of the worker's first heartbeat, in Unix milliseconds.
+	// RegisteredAtMS is the time of the worker's first heartbeat, in Unix milliseconds.
 	RegisteredAtMS int64 `json:"at"`
 }
