--- a/internal/diagnostics/fleet.go
+++ b/internal/diagnostics/fleet.go
@@ -7,10 +7,11 @@
 type upgradeView struct {
 	// GateOpen reports whether jobs with dependencies are accepted.
 	GateOpen bool `json:"open"`
-	// WaitsFor are the controllers that have recorded no version or an older one.
+	// WaitsFor are the controllers that have recorded no version or a version older than this
+	// controller's.
 	WaitsFor    []string      `json:"waits_for"`
 	Controllers []versionView `json:"controllers"`
-	// Limits are the limits of the key-value store that writes observe, by name.
+	// Limits are the limits of the key-value store that are in force, by name.
 	Limits map[string]float64 `json:"limits"`
 }
 
--- a/internal/diagnostics/jobs.go
+++ b/internal/diagnostics/jobs.go
@@ -72,7 +72,8 @@
 }
 
 // describeWait sets WaitSeconds and WaitReason of a job that waits. For a job that does not wait,
-// both fields stay empty. A job that is cancelled because of a dependency gets only a reason.
+// both fields keep their zero values. For a job that is cancelled because of a dependency, it sets
+// only WaitReason.
 func (r *Reporter) describeWait(view *JobView, job *clusterstate.Job, now time.Time) {
 	switch {
 	case job.IsCancelledByDependency():
--- a/internal/diagnostics/members.go
+++ b/internal/diagnostics/members.go
@@ -8,8 +8,8 @@
 )
 
 // memberState is the state of a controller as this controller sees it: one of the constants below,
-// failuredetector.Suspected or failuredetector.Failed. The values are output of the administration
-// API and must not change.
+// failuredetector.Suspected or failuredetector.Failed. The administration API shows the values, so they
+// must not change.
 type memberState string
 
 const (
@@ -79,8 +79,9 @@
 	return state == failuredetector.Suspected || state == failuredetector.Failed
 }
 
-// livenessState returns the state of a controller that is not suspected: whether it is shutting down,
-// whether its lease is valid, and whether its heartbeats arrive.
+// livenessState returns the state of a controller that is neither suspected nor failed. The state
+// depends on whether the controller's lease is valid, whether its heartbeats arrive, and whether it is
+// shutting down.
 func livenessState(isLive, sendsHeartbeats, isLeaving bool) memberState {
 	switch {
 	case isLeaving:
--- a/internal/diagnostics/problems.go
+++ b/internal/diagnostics/problems.go
@@ -28,7 +28,7 @@
 	JobProblem        ProblemKind = "job"
 )
 
-// Reasons of problems, as operators read them in the administration API and in the log.
+// The reasons for problems, as operators read them in the administration API and in the log.
 const (
 	reasonNoInbound        = "its heartbeats arrive, but responses and commands do not reach it"
 	reasonStoreUnreachable = "the state service does not answer it"
@@ -48,9 +48,9 @@
 			problems = append(problems, Problem{ControllerProblem, node, duration.Seconds(), reason})
 		}
 	}
-	slices.SortFunc(problems, compareByDuration)
-	waiting := r.waitingJobProblems(now)
-	return append(problems, waiting[:min(len(waiting), tuning.MaxListedNames)]...)
+	slices.SortFunc(problems, compareLongestFirst)
+	waitingJobs := r.waitingJobProblems(now)
+	return append(problems, waitingJobs[:min(len(waitingJobs), tuning.MaxListedNames)]...)
 }
 
 func (r *Reporter) appendMachineProblems(problems []Problem, now time.Time) []Problem {
@@ -66,23 +66,23 @@
 	return problems
 }
 
-// waitingJobProblems lists the jobs that wait for another reason than unfinished dependencies, sorted
-// by descending waiting time.
+// waitingJobProblems lists the jobs that have waited for at least tuning.MinReportedJobWait and do not
+// wait for dependencies, sorted by descending waiting time.
 func (r *Reporter) waitingJobProblems(now time.Time) []Problem {
-	var waiting []Problem
+	var waitingJobs []Problem
 	for job := range r.deps.State.Jobs() {
 		if job.HasEnded() || job.IsCancelledByDependency() || job.IsBlocked() || job.Age(now) < tuning.MinReportedJobWait {
 			continue
 		}
 		if reason := r.waitReason(job); reason != "" {
-			waiting = append(waiting, Problem{JobProblem, job.Ref(), job.Age(now).Seconds(), reason})
+			waitingJobs = append(waitingJobs, Problem{JobProblem, job.Ref(), job.Age(now).Seconds(), reason})
 		}
 	}
-	slices.SortFunc(waiting, compareByDuration)
-	return waiting
+	slices.SortFunc(waitingJobs, compareLongestFirst)
+	return waitingJobs
 }
 
-func compareByDuration(x, y Problem) int {
+func compareLongestFirst(x, y Problem) int {
 	return cmp.Or(cmp.Compare(y.DurationSeconds, x.DurationSeconds), cmp.Compare(x.Name, y.Name))
 }
 
@@ -112,7 +112,7 @@
 	return 0, ""
 }
 
-// LogProblems logs the lasting problems, at most once in tuning.ProblemLogInterval.
+// LogProblems logs the lasting problems, unless it has done so in the last tuning.ProblemLogInterval.
 func (r *Reporter) LogProblems(now time.Time) {
 	if now.Sub(r.problemsLoggedAt) < tuning.ProblemLogInterval {
 		return
--- a/internal/diagnostics/workers.go
+++ b/internal/diagnostics/workers.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// machineState is the state of a machine as operators see it. The values are output of the
-// administration API and must not change.
+// machineState is the state of a machine as operators see it. The administration API shows the values,
+// so they must not change.
 type machineState string
 
 const (
