--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -41,10 +41,10 @@
 
 // settingsResponse is the response to a request for the settings.
 type settingsResponse struct {
-	Defaults Settings          `json:"defaults"`
-	Settings Settings          `json:"settings"`
-	Units    map[string]string `json:"units"`
-	Version  uint64            `json:"version"`
+	Defaults     Settings          `json:"defaults"`
+	Settings     Settings          `json:"settings"`
+	Descriptions map[string]string `json:"units"`
+	Version      uint64            `json:"version"`
 }
 
 // settingsChangeResponse is the response to a change of the settings.
@@ -83,7 +83,7 @@
 		WriteError(w, http.StatusServiceUnavailable, reasonNotSynced)
 		return
 	}
-	WriteJSON(w, http.StatusOK, settingsResponse{Defaults: DefaultSettings(), Settings: settings, Units: SettingDescriptions, Version: version})
+	WriteJSON(w, http.StatusOK, settingsResponse{Defaults: DefaultSettings(), Settings: settings, Descriptions: SettingDescriptions, Version: version})
 }
 
 // settingsChangeRequest is the body of a request to change the settings.
@@ -120,12 +120,12 @@
 		WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	current, version, ok := controller.Settings()
+	currentSettings, version, ok := controller.Settings()
 	if !ok {
 		WriteError(w, http.StatusServiceUnavailable, reasonNotSynced)
 		return
 	}
-	settings, err := MergeSettings(current, change.Settings)
+	settings, err := MergeSettings(currentSettings, change.Settings)
 	if err != nil {
 		WriteError(w, http.StatusBadRequest, err.Error())
 		return
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,7 +32,7 @@
 
 func (c *fakeController) View(string) (any, bool) { return []string{}, true }
 
-// putSettings sends a request to change the settings to a controller and returns the response.
+// putSettings sends a controller a request to change the settings, and returns the response.
 func putSettings(controller Controller, body string) *httptest.ResponseRecorder {
 	router := httprouter.New()
 	RegisterRoutes(router, controller)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Clients rely on the names of these fields in responses, and on their order.
+// Clients rely on the names and the order of the fields in responses.
 func TestSettingsResponsesKeepFieldsInOrder(t *testing.T) {
 	controller := &fakeController{settings: DefaultSettings(), version: 4}
 	router := httprouter.New()
--- a/internal/admin/merge.go
+++ b/internal/admin/merge.go
@@ -19,10 +19,10 @@
 // keep the settings record within the size limit of a value in the key-value store.
 const (
 	maxGrowthFactor   = 10
-	maxFailures       = 1000
-	minFaultMachines  = 2 // if a job fails on one machine only, the machine may be at fault
-	maxListEntries    = 50
-	maxHostNameLength = 100
+	maxFailures       = 1000 // failed tasks of a machine, or machines on which a job fails
+	minFaultMachines  = 2    // if a job fails on one machine only, the machine may be at fault
+	maxListEntries    = 50   // entries of a list or map
+	maxHostNameLength = 100  // bytes
 )
 
 // ValidationError describes an invalid field of the settings, or of a request to change them.
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -26,7 +26,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	}
 	w.WriteHeader(code)
-	_, _ = w.Write(raw) // a client that has disconnected repeats its request
+	_, _ = w.Write(raw) // the error is ignored: a client that has disconnected repeats its request
 }
 
 // WriteError responds to a request with an error text, encoded as JSON.
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -5,8 +5,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Settings are the settings that operators can change at run time. SettingUnits explains each of them
-// to operators.
+// Settings are the settings that operators can change at run time. SettingDescriptions explains each
+// of them to operators.
 type Settings struct {
 	// GrowthFactor multiplies the growth buffers that are computed from the arrivals of jobs.
 	GrowthFactor float64 `json:"growth_factor"`
