--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -16,11 +16,12 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Controller is the part of the controller that handles requests. Its methods do not wait for the
-// response. They send it to the reply channel later, which must have buffer space for it.
+// Controller is the part of the controller that handles requests. A method with a reply channel does
+// not wait for the response. It sends the response to the channel later, so the channel must have
+// buffer space for one response.
 type Controller interface {
-	// Submit submits a job. For an invalid job, invalid is the reason and spec is nil.
-	Submit(ref string, spec *jobs.Spec, invalid error, reply chan controller.Response)
+	// Submit submits a job. For an invalid job, specErr is the reason and spec is nil.
+	Submit(ref string, spec *jobs.Spec, specErr error, reply chan controller.Response)
 	// Poll returns the status of a job.
 	Poll(ref string, reply chan controller.Response)
 	// Cancel cancels a job.
--- a/internal/httpapi/handler_test.go
+++ b/internal/httpapi/handler_test.go
@@ -34,7 +34,7 @@
 }
 func (unavailableController) Healthy() bool { return false }
 
-func TestResponses(t *testing.T) {
+func TestResponseStatusAndBody(t *testing.T) {
 	handler := NewHandler(unavailableController{}, admin.NewMetrics())
 	heartbeat := `{"host":"i-1","build":"m","valley":"a","watch":1,"tick":1,"baton":0,"shifts":[]}`
 	for _, test := range []struct {
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -54,18 +54,18 @@
 	if !ok {
 		return
 	}
-	spec, invalid := jobs.ParseSpec(body)
+	spec, specErr := jobs.ParseSpec(body)
 	ref := ""
-	if invalid == nil {
+	if specErr == nil {
 		ref = spec.Ref
 	} else if ref, ok = jobs.ParseRef(body); !ok {
-		admin.WriteError(w, http.StatusBadRequest, invalid.Error())
+		admin.WriteError(w, http.StatusBadRequest, specErr.Error())
 		return
 	}
 	// An invalid job with a valid reference is also passed to the controller: if a job with that
 	// reference exists, the response is its status.
 	reply := make(chan controller.Response, 1)
-	h.backend.Submit(ref, spec, invalid, reply)
+	h.backend.Submit(ref, spec, specErr, reply)
 	h.awaitResponse(w, r, kindSubmit, reply)
 }
 
@@ -84,8 +84,8 @@
 	h.forwardByRef(w, r, params, kindCancel, h.backend.Cancel)
 }
 
-// forwardByRef forwards a request for the job named in the path to the controller, by calling call, and
-// sends the response to the client.
+// forwardByRef passes the reference of the job in the path to call, a method of the controller, and
+// sends the controller's response to the client.
 func (h *handler) forwardByRef(w http.ResponseWriter, r *http.Request, params httprouter.Params, kind requestKind, call func(ref string, reply chan controller.Response)) {
 	ref := params.ByName("id")
 	if !jobs.ValidRef(ref) {
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -108,7 +108,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/schema+json")
-	_, _ = w.Write(schema) // a client that has disconnected repeats its request
+	_, _ = w.Write(schema) // the error is ignored: a client that has disconnected repeats its request
 }
 
 func (h *pipelineHandler) create(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
--- a/internal/httpapi/workers.go
+++ b/internal/httpapi/workers.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// writeHeartbeatReply sends the reply to a heartbeat: the response with commands, the node that owns the
-// worker's shard if it is another one, or an error.
+// writeHeartbeatReply sends the reply to a heartbeat: the response with commands, the name of the other
+// node that owns the worker's shard, or an error.
 func writeHeartbeatReply(w http.ResponseWriter, reply workersession.HeartbeatReply) {
 	switch {
 	case reply.StatusCode == http.StatusOK:
@@ -42,6 +42,6 @@
 	case reply.OwnerNode != "":
 		admin.WriteJSON(w, reply.StatusCode, map[string]string{"herald": reply.OwnerNode})
 	default:
-		admin.WriteError(w, reply.StatusCode, "this controller cannot renew the worker's lease now")
+		admin.WriteError(w, reply.StatusCode, "not entitled")
 	}
 }
