--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -22,9 +22,9 @@
 
 // Client calls a deployment's controllers. It is not safe for concurrent use.
 type Client struct {
-	addresses  []string
-	httpClient *http.Client
-	current    int // modulo len(addresses), the index of the address to call first: the last one that responded
+	addresses    []string
+	httpClient   *http.Client
+	addressIndex int // index, modulo len(addresses), of the address to call first, which is the last one that responded
 }
 
 // New returns a client for the given listen addresses (host:port) of controllers.
@@ -62,7 +62,7 @@
 	for attempt := 0; ; attempt++ { // each attempt calls all controllers once
 		retryAfter := tuning.MinRetryDelay
 		for range c.addresses {
-			address := c.addresses[c.current%len(c.addresses)]
+			address := c.addresses[c.addressIndex%len(c.addresses)]
 			response, err := c.callController(ctx, address, method, path, body)
 			switch {
 			case err != nil:
@@ -76,7 +76,7 @@
 			if ctx.Err() != nil {
 				return 0, ctx.Err()
 			}
-			c.current++
+			c.addressIndex++
 		}
 		delay := min(max(retryAfter, time.Duration(attempt)*tuning.MinRetryDelay), tuning.MaxCLIRetryDelay)
 		if time.Now().Add(delay).After(deadline) {
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,6 +1,6 @@
 // Package decisionlog keeps the latest decisions of a controller in memory: what the controller sent,
-// released, acquired or confirmed, on which knowledge the decision was based, and why it was allowed.
-// Operators read the decisions through the administration API. They are also logged when an invariant
+// released, acquired or confirmed, the knowledge on which the decision was based, and why it was
+// allowed. Operators read the decisions through the administration API. They are also logged when an invariant
 // is violated.
 package decisionlog
 
@@ -12,7 +12,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Action is the kind of a decision. The values are output of the administration API and must not change.
+// Action is the kind of a decision. The administration API shows the values, so they must not change.
 type Action string
 
 // The actions that are recorded.
@@ -33,7 +33,7 @@
 type Decision struct {
 	At      time.Time `json:"at"`
 	Action  Action    `json:"action"`
-	Subject string    `json:"subject"` // a task, job, machine or team
+	Subject string    `json:"subject"` // the name of a task, job, machine or team
 	Attempt uint64    `json:"attempt,omitempty"`
 	Worker  string    `json:"worker,omitempty"`
 	Shard   string    `json:"shard,omitempty"`
@@ -76,9 +76,9 @@
 
 // Latest returns the latest decisions, at most limit, sorted from the oldest to the newest.
 func (l *Log) Latest(limit int) []Decision {
-	kept := min(l.count, uint64(len(l.entries)), uint64(max(0, limit)))
-	latest := make([]Decision, 0, kept)
-	for i := l.count - kept; i < l.count; i++ {
+	keptCount := min(l.count, uint64(len(l.entries)), uint64(max(0, limit)))
+	latest := make([]Decision, 0, keptCount)
+	for i := l.count - keptCount; i < l.count; i++ {
 		latest = append(latest, l.entries[i%uint64(len(l.entries))])
 	}
 	return latest
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// The encoded field names are output of the administration API and must not change.
+// The administration API shows the encoded field names, so they must not change.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
 		encodedform.Form{Name: "decision", Value: decisionlog.Decision{}, WriteOnly: true},
--- a/internal/decisionlog/invariants.go
+++ b/internal/decisionlog/invariants.go
@@ -6,8 +6,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// Invariant is the name of a condition that always holds, whatever fails outside of the program. The
-// values are part of metric names and must not change.
+// Invariant is the name of a condition that must always hold, whatever fails outside of the program.
+// The values are part of metric names and must not change.
 type Invariant string
 
 // The invariants that are checked at run time.
