--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -15,7 +15,7 @@
 // A heartbeat that a network partition had delayed was applied like a new one by the shard's next owner. The
 // owner assigned the task to the worker that had run it before. When the worker's next heartbeat did not list the
 // task, the owner treated it as not running, although another owner in between had started it on another worker
-// (rule ran_twice on five random days of sinai).
+// (rule ran_twice, in five test days with random faults).
 func TestHeartbeatWithOldTokenIsNotApplied(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
@@ -25,15 +25,15 @@
 	taskRange := h.AddTaskRange("wk-1", "n0", 1, 4)
 	h.SetOwner("n0", harness.Self, 10)
 	h.SyncCache(10)
-	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
-	if reply := h.Heartbeat("i-1", 5, 6, running); reply.StatusCode != 200 || reply.Response.FencingToken != 10 || len(reply.Response.Commands) > 0 {
+	runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
+	if reply := h.Heartbeat("i-1", 5, 6, runningTask); reply.StatusCode != 200 || reply.Response.FencingToken != 10 || len(reply.Response.Commands) > 0 {
 		t.Fatalf("reply to the heartbeat with the old token: %+v", reply)
 	}
 	h.Heartbeat("i-1", 6, 10)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskUnknown {
 		t.Fatalf("the task is in state %d while a worker of the shard is unconfirmed", state)
 	}
-	h.Heartbeat("i-2", 9, 10, running)
+	h.Heartbeat("i-2", 9, 10, runningTask)
 	if state := taskRange.TaskState(0); state != clusterstate.TaskPlaced {
 		t.Errorf("the task is in state %d, not assigned to the worker that runs it", state)
 	}
@@ -42,17 +42,17 @@
 	}
 }
 
-// A new owner applied the heartbeats of its workers before the watch had delivered the task range that the
-// previous owner had claimed last. The worker counted as confirmed without the range's task, which it still ran,
-// and the task was started a second time.
+// A new owner applied the heartbeat of a worker before the watch had delivered the task range that the previous
+// owner had claimed last. The worker counted as confirmed without a task of the range, although it still ran the
+// task, and the task was started a second time.
 func TestHeartbeatIsNotAppliedBeforeCacheReachesEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
 	h.AddMachine("i-1", "n1", "m16", false)
 	h.SyncCache(5)
 	h.SetOwner("n1", harness.Self, 10) // the controller's own write
-	running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 4, Status: workerapi.StatusRunning}
-	h.Heartbeat("i-1", 1, 10, running)
+	runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 4, Status: workerapi.StatusRunning}
+	h.Heartbeat("i-1", 1, 10, runningTask)
 	if machine := h.State.Machine("i-1"); machine.HasReported() || machine.AssignmentCount() > 0 {
 		t.Error("the worker was confirmed before the task ranges were known")
 	}
@@ -63,7 +63,7 @@
 	if taskRange.CountTasks(clusterstate.TaskUnknown) != 2 {
 		t.Error("the state of the tasks is known from a heartbeat that arrived before the task range")
 	}
-	h.Heartbeat("i-1", 2, 10, running)
+	h.Heartbeat("i-1", 2, 10, runningTask)
 	if assignment := taskRange.Assignment(0); assignment == nil || assignment.Attempt() != 4 || assignment.Status().Stopping || taskRange.CountTasks(clusterstate.TaskUnknown) != 0 {
 		t.Errorf("the running task after the next heartbeat: %+v", assignment)
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// The runs with combined faults detect that a heartbeat which arrives late is applied like a new one: a task runs
-// twice.
+// If a heartbeat that arrives late is applied like a new one, a task runs twice. Runs with combined faults detect
+// this.
 func TestMutationAcceptingStaleHeartbeatsIsDetected(t *testing.T) {
 	defer workersession.AcceptStaleHeartbeats()()
 	if !faultinjection.FindsViolation(t, 60, "ran_twice") {
