--- a/internal/jobs/final.go
+++ b/internal/jobs/final.go
@@ -12,7 +12,7 @@
 const (
 	// Queued means that none of the job's tasks has started.
 	Queued Status = "queued"
-	// Running means that tasks of the job have started.
+	// Running means that at least one of the job's tasks has started.
 	Running Status = "running"
 	// Done is the final state of a job whose tasks are all done.
 	Done Status = "done"
@@ -23,7 +23,7 @@
 // FinalState is the durable record of how a job ended.
 type FinalState struct {
 	Status Status // Done or Cancelled
-	Tasks  int    // number of tasks that are done; 0 if an early version wrote the record without it
+	Tasks  int    // number of tasks that are done; 0 in records of early versions, which lack the number
 }
 
 type finalStateJSON struct {
@@ -36,8 +36,8 @@
 	return json.Marshal(finalStateJSON{string(f.Status), f.Tasks})
 }
 
-// UnmarshalJSON decodes a stored final state. Early versions stored only the status, as a string; the
-// number of tasks is 0 then.
+// UnmarshalJSON decodes a stored final state. Early versions stored only the status, as a string; for
+// such a state, the number of tasks is 0.
 func (f *FinalState) UnmarshalJSON(raw []byte) error {
 	if json.Unmarshal(raw, &f.Status) == nil {
 		return nil
@@ -54,7 +54,7 @@
 func FormatBatchEntry(ref string, tasks int) string { return TaskName(ref, tasks) }
 
 // ParseBatchEntry decodes an entry of a completion batch. Early versions wrote only the job's
-// reference; tasks is 0 then.
+// reference; for such an entry, tasks is 0.
 func ParseBatchEntry(entry string) (ref string, tasks int) {
 	if ref, tasks, ok := ParseTaskName(entry); ok {
 		return ref, tasks
--- a/internal/jobs/final_test.go
+++ b/internal/jobs/final_test.go
@@ -14,8 +14,8 @@
 			t.Errorf("%s: %+v, %v", raw, decoded, err)
 		}
 		encoded, err := json.Marshal(decoded)
-		var again FinalState
-		if err != nil || json.Unmarshal(encoded, &again) != nil || again != decoded {
+		var redecoded FinalState
+		if err != nil || json.Unmarshal(encoded, &redecoded) != nil || redecoded != decoded {
 			t.Errorf("%s decoded and encoded: %s, %v", raw, encoded, err)
 		}
 	}
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -7,7 +7,7 @@
 
 // Keys in the key-value store.
 const (
-	// Prefix is the common prefix of all keys. Controllers watch it.
+	// Prefix is the common prefix of all keys. Controllers watch all keys that begin with it.
 	Prefix = "cw/"
 	// JobPrefix is the prefix of the keys cw/job/<job>, each of which holds a JobRecord.
 	JobPrefix = "cw/job/"
@@ -40,13 +40,13 @@
 	// VersionPrefix is the prefix of the keys cw/version/<controller>, each of which holds the
 	// program version that a controller runs (package featuregate).
 	VersionPrefix = "cw/version/"
-	// ChunkPrefix is the prefix of the keys of the chunks into which records are split that are too
-	// large for one value (package chunkedstore).
+	// ChunkPrefix is the prefix of the keys of chunks. A record that is too large for one value is
+	// split into chunks (package chunkedstore).
 	ChunkPrefix = "cw/part/"
 	// OpaquePrefix is the prefix of the keys of records that controllers store but don't interpret.
-	// It lies under Prefix because a watch is not notified of revisions under other prefixes: a
-	// read that waits until the cache has reached such a revision would be blocked until the watch
-	// request ends.
+	// It lies under Prefix because the controllers' watch does not report revisions under other
+	// prefixes: a read that waits until the cache has reached such a revision would be blocked
+	// until the watch request ends.
 	OpaquePrefix = "cw/x/"
 )
 
@@ -63,7 +63,7 @@
 func TaskName(ref string, i int) string { return ref + "/" + strconv.Itoa(i) }
 
 // ParseTaskName splits a task's name into the job's reference and the task's number. ok is false if the
-// name has no slash or its number is not a whole number of at least 0.
+// name has no slash, or if the text after the slash is not a whole number of at least 0.
 func ParseTaskName(name string) (ref string, i int, ok bool) {
 	ref, number, found := strings.Cut(name, "/")
 	if !found {
--- a/internal/jobs/parse.go
+++ b/internal/jobs/parse.go
@@ -12,7 +12,7 @@
 
 // ValidationError reports that a submission or a record is invalid.
 type ValidationError struct {
-	// Field is the JSON name of the invalid field, or "body" if the whole is invalid.
+	// Field is the JSON name of the invalid field, or "body" if the body as a whole is invalid.
 	Field  string
 	Reason string
 	// Err is the error that caused this one, nil if there is none. Reason includes its text.
@@ -43,11 +43,11 @@
 // ParseSpec decodes and validates a submission. Every error is a *ValidationError. If the submission
 // can be decoded but a value is invalid, ParseSpec returns the Spec together with the error.
 func ParseSpec(body []byte) (*Spec, error) {
-	known, err := knownFields(body)
+	specFields, err := knownFields(body)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := json.Marshal(known)
+	raw, err := json.Marshal(specFields)
 	if err != nil {
 		return nil, newBodyError(err)
 	}
@@ -87,25 +87,25 @@
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, newValidationError("body", "not a JSON object")
 	}
-	known := map[string]json.RawMessage{}
+	specFields := map[string]json.RawMessage{}
 	for _, name := range requiredFields {
 		raw, ok := fields[name]
 		if !ok || string(raw) == "null" {
 			return nil, newValidationError(name, "missing")
 		}
-		known[name] = raw
+		specFields[name] = raw
 	}
 	for _, name := range optionalFields {
 		if raw, ok := fields[name]; ok {
-			known[name] = raw
+			specFields[name] = raw
 		}
 	}
-	return known, nil
+	return specFields, nil
 }
 
-// ParseRef returns the job reference in the body of a submission that may be invalid otherwise: a
-// repeated submission of an accepted job is answered with status 200, whatever else its body
-// contains. ok is false if the body contains no valid reference.
+// ParseRef returns the job reference in the body of a submission. The rest of the body may be
+// invalid, since a repeated submission of an accepted job is answered with status 200, whatever else
+// its body contains. ok is false if the body contains no valid reference.
 func ParseRef(body []byte) (ref string, ok bool) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["ref"], &ref) != nil {
@@ -119,13 +119,13 @@
 // ValidRef reports whether a job reference has the form that the protocol requires.
 func ValidRef(ref string) bool { return refPattern.MatchString(ref) }
 
-// NumberedRef returns a job reference in the form that the protocol requires, made of a prefix and the
-// last 18 decimal digits of a number.
+// NumberedRef returns a job reference in the form that the protocol requires. It consists of a prefix
+// and the last 18 decimal digits of a number, padded with zeros.
 func NumberedRef(prefix string, n uint64) string {
 	return fmt.Sprintf("%s-%018d", prefix, n%1_000_000_000_000_000_000)
 }
 
-// removeDuplicates keeps only the first occurrence of each name. It reuses the slice.
+// removeDuplicates keeps only the first occurrence of each name. It modifies the slice in place.
 func removeDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(names, func(name string) bool {
--- a/internal/jobs/parse_test.go
+++ b/internal/jobs/parse_test.go
@@ -39,7 +39,7 @@
 	return strings.Replace(submission, "{", "{"+field+",", 1)
 }
 
-func TestInvalidSubmissionNamesField(t *testing.T) {
+func TestErrorNamesInvalidSubmissionField(t *testing.T) {
 	if _, err := ParseSpec([]byte(validSubmission)); err != nil {
 		t.Fatal(err)
 	}
@@ -66,27 +66,27 @@
 // invalidValues returns, by field, the values that must be rejected. An empty string stands for a
 // missing field.
 func invalidValues() map[string][]string {
-	number := []string{`-1`, `-0.001`, `"8"`, `"NaN"`, `true`, `[]`, `{}`, `1e999`, `-1e999`}
-	text := []string{`""`, `1`, `true`, `[]`, `{}`}
-	flag := []string{`1`, `0`, `"true"`, `"no"`, `[]`, `{}`}
+	invalidNumbers := []string{`-1`, `-0.001`, `"8"`, `"NaN"`, `true`, `[]`, `{}`, `1e999`, `-1e999`}
+	invalidTexts := []string{`""`, `1`, `true`, `[]`, `{}`}
+	invalidFlags := []string{`1`, `0`, `"true"`, `"no"`, `[]`, `{}`}
 	values := map[string][]string{
 		"ref":       {`""`, `"wk"`, `"wk-"`, `"WK-1"`, `"wk-1/0"`, `" wk-1"`, `"wk-1234567890123456789"`, `1`, `true`, `[]`, `{}`},
-		"lot":       text,
-		"crew":      text,
-		"kit":       text,
-		"shape":     append([]string{`"party"`, `"Group"`, `"sweep "`}, text...),
-		"urgency":   append([]string{`"urgent"`, `"HIGH"`}, text...),
-		"shifts":    append([]string{`0`, `1.5`, `100001`, `18446744073709551616`}, number...),
-		"vcpus":     number,
-		"cards":     number,
-		"ramGb":     number,
-		"imageGb":   number,
-		"guessS":    number,
-		"waypointS": number,
-		"stashS":    number,
-		"oneZone":   flag,
-		"spread":    flag,
-		"loaners":   flag,
+		"lot":       invalidTexts,
+		"crew":      invalidTexts,
+		"kit":       invalidTexts,
+		"shape":     append([]string{`"party"`, `"Group"`, `"sweep "`}, invalidTexts...),
+		"urgency":   append([]string{`"urgent"`, `"HIGH"`}, invalidTexts...),
+		"shifts":    append([]string{`0`, `1.5`, `100001`, `18446744073709551616`}, invalidNumbers...),
+		"vcpus":     invalidNumbers,
+		"cards":     invalidNumbers,
+		"ramGb":     invalidNumbers,
+		"imageGb":   invalidNumbers,
+		"guessS":    invalidNumbers,
+		"waypointS": invalidNumbers,
+		"stashS":    invalidNumbers,
+		"oneZone":   invalidFlags,
+		"spread":    invalidFlags,
+		"loaners":   invalidFlags,
 		"builds":    {`[]`, `[""]`, `["g8",null]`, `[1]`, `"g8"`, `{}`, `true`, `1`},
 		"valley":    {`""`, `1`, `true`, `[]`, `{}`},
 		"dueS":      {`0`, `-5`, `"900"`, `true`, `[]`, `1e999`},
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestOptionalSubmissionFields(t *testing.T) {
+func TestOptionalSubmissionFieldsMayBeNullOrMissing(t *testing.T) {
 	for _, name := range []string{"builds", "valley", "dueS", "awaits"} {
 		fields := submissionFields(t)
 		fields[name] = json.RawMessage("null")
@@ -165,9 +165,9 @@
 	}
 }
 
-// The dependencies of a submission are missing, empty or a list of valid job references, of which
-// duplicates are removed. For anything else the error names the field.
-func TestParseDependencies(t *testing.T) {
+// The dependencies of a submission may be missing, empty or a list of valid job references. Duplicates
+// are removed. For any other value the error names the field.
+func TestDependenciesAreValidatedAndDeduplicated(t *testing.T) {
 	for awaits, want := range map[string]string{`null`: "[]", `[]`: "[]", `["wk-1"]`: "[wk-1]", `["wk-1","wk-2","wk-1"]`: "[wk-1 wk-2]",
 		`[null]`: "", `["wk-1/2"]`: "", `{"a":1}`: "", `"wk-1"`: "", `[1]`: "", `["OWN"]`: ""} {
 		ownRef, _ := ParseRef([]byte(validSubmission))
@@ -230,9 +230,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := ParseSpec(raw)
-		if err != nil || fmt.Sprintf("%+v", dereferencedSpec(again)) != fmt.Sprintf("%+v", dereferencedSpec(spec)) {
-			t.Fatalf("%s: decoded %+v, after encoding and decoding %+v, error %v", body, spec, again, err)
+		redecoded, err := ParseSpec(raw)
+		if err != nil || fmt.Sprintf("%+v", dereferencedSpec(redecoded)) != fmt.Sprintf("%+v", dereferencedSpec(spec)) {
+			t.Fatalf("%s: decoded %+v, after encoding and decoding %+v, error %v", body, spec, redecoded, err)
 		}
 		if ref, ok := ParseRef(body); !ok || ref != spec.Ref {
 			t.Fatalf("reference %q", ref)
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -9,25 +9,25 @@
 // JobRecord is the durable state of an unfinished job.
 type JobRecord struct {
 	Spec
-	// AcceptedAtMS is the time of day (Unix ms) at which the job was accepted. It determines the
-	// order of arrival.
+	// AcceptedAtMS is the wall-clock time (Unix ms) at which the job was accepted. It determines
+	// the job's place in the order of arrival.
 	AcceptedAtMS int64 `json:"at"`
 	// AcceptedBy is the controller that accepted the job.
 	AcceptedBy string `json:"by"`
 	// Unclaimed are the tasks that no shard has claimed, in ascending order.
 	Unclaimed []TaskInterval `json:"free"`
-	// Completed is the number of tasks in ranges that were completed and whose records were
-	// deleted. Ranges are deleted before the job ends because a job may be claimed in more ranges
-	// than one transaction can name.
+	// Completed is the number of tasks in completed ranges whose records are already deleted. They
+	// are deleted before the job ends because a job may have more range records than one
+	// transaction can name.
 	Completed int `json:"d,omitempty"`
-	// WholeClaim is the claim of the whole job by one shard, nil if there is none. Unclaimed is
-	// empty if it is set. Small jobs are claimed this way because it saves a range record.
+	// WholeClaim is the claim of the whole job by one shard, nil if there is none. If it is set,
+	// Unclaimed is empty. Small jobs are claimed this way because it saves a range record.
 	WholeClaim *WholeJobClaim `json:"own,omitempty"`
-	// ExcludedFromBatches is set while the job is being cancelled: its end is written only to its
-	// own record, never to a completion batch.
+	// ExcludedFromBatches is set when the cancellation of the job begins. From then on no
+	// completion batch may list the job: the end of the job is recorded only under its own key.
 	ExcludedFromBatches bool `json:"sole,omitempty"`
-	// DependenciesDoneAtMS is the time of day (Unix ms) at which the last dependency of the job was
-	// done. It is written with the first claim, when DependsOn is cleared.
+	// DependenciesDoneAtMS is the wall-clock time (Unix ms) at which the last dependency of the job
+	// was done. It is written with the first claim, when DependsOn is cleared.
 	DependenciesDoneAtMS int64 `json:"rd,omitempty"`
 	// ClaimedPerZone is the number of claimed tasks by zone, for jobs with Spread. Each range of
 	// such a job is bound to a zone, so that shards need not know each other's tasks.
@@ -55,8 +55,9 @@
 	GangWorkers []string `json:"on,omitempty"`
 }
 
-// Validate returns a *ValidationError if the record is inconsistent: it was damaged, or written by a
-// version that this one does not understand. No decision may be based on such a record.
+// Validate returns a *ValidationError if the record is inconsistent because it was damaged, or because
+// a program version wrote it whose records this version does not understand. No decision may be based
+// on such a record.
 func (r *JobRecord) Validate() error {
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
 		return newValidationError("shifts", "%d", r.Tasks)
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// WithDependenciesDone returns the record without dependencies, the last of which was done at doneAt.
-// A record that has no dependencies is returned unchanged.
+// WithDependenciesDone returns the record with its dependencies removed, and with doneAt as the time at
+// which the last of them was done. A record that has no dependencies is returned unchanged.
 func (r JobRecord) WithDependenciesDone(doneAt time.Time) JobRecord {
 	if len(r.DependsOn) > 0 {
 		r.DependsOn, r.DependenciesDoneAtMS = nil, doneAt.UnixMilli()
@@ -101,8 +102,8 @@
 	return r
 }
 
-// RunnableSinceMS returns the time of day (Unix ms) from which on the job could have run according to
-// its record: when it was accepted or, if that is later, when its last dependency was done.
+// RunnableSinceMS returns the wall-clock time (Unix ms) since which the job could have run according
+// to its record: when it was accepted or, if that is later, when its last dependency was done.
 func (r *JobRecord) RunnableSinceMS() int64 { return max(r.AcceptedAtMS, r.DependenciesDoneAtMS) }
 
 // UnclaimedCount returns the number of unclaimed tasks.
@@ -132,8 +133,8 @@
 	return TaskInterval{First: first.First, Count: count}, rest
 }
 
-// ReturnUnclaimed returns the intervals and the returned one in ascending order, with adjacent
-// intervals merged. The slice unclaimed is not changed.
+// ReturnUnclaimed adds a returned interval to the unclaimed ones. The result is in ascending order, with
+// adjacent intervals merged. The slice unclaimed is not changed.
 func ReturnUnclaimed(unclaimed []TaskInterval, returned TaskInterval) []TaskInterval {
 	intervals := append(slices.Clone(unclaimed), returned)
 	slices.SortFunc(intervals, func(a, b TaskInterval) int { return a.First - b.First })
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -19,7 +19,7 @@
 	Service Kind = "daemon"
 )
 
-// MaxTasks is the largest number of tasks of a job that the protocol allows.
+// MaxTasks is the largest number of tasks that the protocol allows for a job.
 const MaxTasks = 100_000
 
 // Priority is a job's rank. Jobs with a higher priority are scheduled first.
@@ -34,7 +34,7 @@
 // HighestPriority returns the priority of the most urgent jobs.
 func HighestPriority() Priority { return PriorityCount - 1 }
 
-// PriorityName returns the protocol's name of a priority, which must be 0 to HighestPriority.
+// PriorityName returns the protocol's name of a priority. The priority must be from 0 to HighestPriority.
 func PriorityName(p Priority) string { return priorityNames[p] }
 
 // Spec is a job as a user submits it.
@@ -46,11 +46,11 @@
 	Kind         Kind     `json:"shape"`
 	Urgency      string   `json:"urgency"`
 	Tasks        int      `json:"shifts"`
-	CPU          float64  `json:"vcpus"`   // of each task
-	GPU          float64  `json:"cards"`   // of each task
-	MemGB        float64  `json:"ramGb"`   // of each task
-	MachineTypes []string `json:"builds"`  // nil: any type
-	Zone         *string  `json:"valley"`  // nil: any zone
+	CPU          float64  `json:"vcpus"`   // CPUs for each task
+	GPU          float64  `json:"cards"`   // GPUs for each task
+	MemGB        float64  `json:"ramGb"`   // memory for each task
+	MachineTypes []string `json:"builds"`  // nil allows any type
+	Zone         *string  `json:"valley"`  // nil allows any zone
 	OneZone      bool     `json:"oneZone"` // all tasks must run in the same zone
 	Spread       bool     `json:"spread"`  // at most half of the tasks, rounded up, may run in one zone
 	Spot         bool     `json:"loaners"` // the job may run on spot machines
@@ -58,12 +58,12 @@
 	ImageGB      float64  `json:"imageGb"`
 	// EstimatedRunSeconds is the user's estimate of a task's run time.
 	EstimatedRunSeconds float64 `json:"guessS"`
-	// CheckpointIntervalSeconds is the time between two checkpoints of a task; 0: tasks save no
-	// checkpoints.
+	// CheckpointIntervalSeconds is the time between two checkpoints of a task; 0 means that tasks
+	// save no checkpoints.
 	CheckpointIntervalSeconds float64 `json:"waypointS"`
 	// CheckpointSaveSeconds is how long it takes a task to save a checkpoint.
 	CheckpointSaveSeconds float64 `json:"stashS"`
-	// DeadlineSeconds is the time from the job's acceptance to its deadline; nil: no deadline.
+	// DeadlineSeconds is the time from the job's acceptance to its deadline; nil means no deadline.
 	DeadlineSeconds *float64 `json:"dueS"`
 	// DependsOn are the jobs that must be done before any task of this job starts, without
 	// duplicates.
@@ -73,7 +73,7 @@
 // Priority returns the job's priority, -1 if its urgency is unknown.
 func (s *Spec) Priority() Priority { return Priority(slices.Index(priorityNames[:], s.Urgency)) }
 
-// Need returns the resources that each task takes of its machine.
+// Need returns the resources that each task takes on its machine.
 func (s *Spec) Need() capacity.Resources {
 	return capacity.Resources{CPU: s.CPU, GPU: s.GPU, MemGB: s.MemGB}
 }
@@ -87,7 +87,7 @@
 // ClassLimits are the limits on what a job of a class may request. For MaxTasks and MaxRunSeconds,
 // 0 means no limit.
 type ClassLimits struct {
-	MaxRetries int `json:"retries"` // of a job in a pipeline file
+	MaxRetries int `json:"retries"` // limits the retries of jobs in pipeline files; 0 allows none
 	MaxTasks   int `json:"tasks"`
 	// MaxRunSeconds limits the user's estimate of a task's run time.
 	MaxRunSeconds float64 `json:"run_s"`
