--- a/internal/jobdag/deadlines.go
+++ b/internal/jobdag/deadlines.go
@@ -23,17 +23,17 @@
 func noDeadlines() Deadlines { return Deadlines{DueMS: NoDeadline, LastUsefulMS: NoDeadline} }
 
 // OwnDeadlines returns a job's own deadlines, without those inherited from its dependents. They are
-// relative to the job's acceptance, however long the job waits for its dependencies. multiple returns
-// the largest multiple of the deadline that still counts towards the objectives of a class; a value
-// below 1 is taken as 1.
-func OwnDeadlines(record *jobs.JobRecord, multiple func(class string) float64) Deadlines {
+// relative to the job's acceptance, however long the job waits for its dependencies. deadlineMultiple
+// returns the largest multiple of the deadline that still counts towards the objectives of a class; a
+// value below 1 is taken as 1.
+func OwnDeadlines(record *jobs.JobRecord, deadlineMultiple func(class string) float64) Deadlines {
 	if record.DeadlineSeconds == nil {
 		return noDeadlines()
 	}
 	dueS := *record.DeadlineSeconds
 	return Deadlines{
 		DueMS:        addSeconds(record.AcceptedAtMS, dueS),
-		LastUsefulMS: addSeconds(record.AcceptedAtMS, dueS*max(1, multiple(record.Class))),
+		LastUsefulMS: addSeconds(record.AcceptedAtMS, dueS*max(1, deadlineMultiple(record.Class))),
 	}
 }
 
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -19,10 +19,12 @@
 type Config struct {
 	// UnfinishedRecord returns an unfinished job's record, nil if none is known.
 	UnfinishedRecord func(ref string) *jobs.JobRecord
-	// ExpectedRunSeconds returns the expected time in seconds from when a job may run to its end.
+	// ExpectedRunSeconds returns the expected time in seconds from when a job becomes runnable until
+	// it ends.
 	ExpectedRunSeconds func(record *jobs.JobRecord) float64
-	// DeadlineMultiple returns the multiple of its deadline up to which a job of a class should be
-	// done. It returns 1 if no objective allows a larger multiple.
+	// DeadlineMultiple returns the largest multiple of the deadline at which the end of a job still
+	// counts towards the objectives of its class. It returns 1 if no objective allows a larger
+	// multiple.
 	DeadlineMultiple func(class string) float64
 	// OnChange is called for a job when it is linked to dependencies or dependents, when it is no
 	// longer blocked, when it can never run any more, and when its inherited priority or deadlines
@@ -38,32 +40,32 @@
 	// cancelledByDependency are the unfinished jobs that can never run because a dependency, direct
 	// or indirect, is cancelled.
 	cancelledByDependency map[string]bool
-	// unknown are the dependencies for which neither a record nor a final state is known.
-	unknown map[string]*Node
+	// unknownNodes are the dependencies for which neither a record nor a final state is known.
+	unknownNodes map[string]*Node
 	// requestedAt is when UnknownJobs last returned each unknown job.
 	requestedAt map[string]time.Time
-	// cachedFinalState returns the final state of a job from a cache outside the index.
-	cachedFinalState func(ref string) FinalState
+	// lookUpFinalState returns the final state of a job from a cache outside the index.
+	lookUpFinalState func(ref string) FinalState
 }
 
 // New returns an empty index.
 func New(cfg Config) *Index {
-	x := &Index{cfg: cfg, cachedFinalState: func(string) FinalState { return Unfinished }}
+	x := &Index{cfg: cfg, lookUpFinalState: func(string) FinalState { return Unfinished }}
 	x.Reset()
 	return x
 }
 
 // SetFinalStateLookup sets the function by which the index looks up the final state of a job that has no
 // node yet, such as a job that had no dependents when it ended.
-func (x *Index) SetFinalStateLookup(finalState func(ref string) FinalState) {
-	x.cachedFinalState = finalState
+func (x *Index) SetFinalStateLookup(lookUp func(ref string) FinalState) {
+	x.lookUpFinalState = lookUp
 }
 
 // Reset removes all jobs. It is called before all records are read anew.
 func (x *Index) Reset() {
 	x.nodes = map[string]*Node{}
 	x.cancelledByDependency = map[string]bool{}
-	x.unknown = map[string]*Node{}
+	x.unknownNodes = map[string]*Node{}
 	x.requestedAt = map[string]time.Time{}
 }
 
@@ -77,7 +79,7 @@
 	n := &Node{
 		ref:        ref,
 		record:     x.cfg.UnfinishedRecord(ref),
-		finalState: x.cachedFinalState(ref),
+		finalState: x.lookUpFinalState(ref),
 		dependents: map[*Node]bool{},
 		deadlines:  noDeadlines(),
 	}
@@ -86,13 +88,13 @@
 	return n
 }
 
-// updateSets adds a job to the sets unknown and cancelledByDependency or removes it from them.
+// updateSets adds a job to unknownNodes and cancelledByDependency, or removes it from them.
 func (x *Index) updateSets(n *Node) {
 	isIndexed := x.nodes[n.ref] == n
 	if isIndexed && n.isUnknown() {
-		x.unknown[n.ref] = n
+		x.unknownNodes[n.ref] = n
 	} else {
-		delete(x.unknown, n.ref)
+		delete(x.unknownNodes, n.ref)
 		delete(x.requestedAt, n.ref)
 	}
 	if isIndexed && n.cancelledByDependency && n.record != nil {
@@ -111,20 +113,20 @@
 	}
 	n = x.ensureNode(record.Ref)
 	n.record = record
-	linked := false
+	wasLinked := false
 	switch {
 	case len(record.DependsOn) == 0:
-		// The writer has removed the dependencies after it had seen all of them done.
+		// A writer removes the dependencies from a record only after it has seen all of them done.
 		x.unlink(n)
 		n.cancelledByDependency = false
 	case len(n.dependencies) == 0:
-		linked = true
+		wasLinked = true
 		x.link(n, record.DependsOn)
 	}
 	switch {
 	case record.DependenciesDoneAtMS != 0:
 		n.readyAt = time.UnixMilli(record.DependenciesDoneAtMS)
-	case linked && n.openDependencies == 0:
+	case wasLinked && n.openDependencies == 0:
 		n.readyAt = now
 	}
 	x.updateSets(n)
@@ -132,7 +134,7 @@
 	if n.cancelledByDependency {
 		x.cancelDependents(n)
 	}
-	if linked {
+	if wasLinked {
 		x.reportLinks(n)
 	}
 }
@@ -181,8 +183,8 @@
 	x.removeIfUnused(n)
 }
 
-// completeDependency counts one of a job's dependencies as done. The job is ready at now if it was the
-// last one.
+// completeDependency counts one of a job's dependencies as done. If no other dependency is open, the job
+// is ready at now.
 func (x *Index) completeDependency(n *Node, now time.Time) {
 	if n.record == nil || n.openDependencies == 0 {
 		return
@@ -227,8 +229,8 @@
 	}
 }
 
-// cancelByDependency marks a job and all jobs that depend on it, directly or indirectly, as unable to
-// ever run.
+// cancelByDependency marks a job and all jobs that depend on it, directly or indirectly, as jobs that
+// can never run.
 func (x *Index) cancelByDependency(n *Node) {
 	if n.cancelledByDependency || n.record == nil {
 		return
@@ -254,7 +256,7 @@
 	if n.record == nil {
 		return
 	}
-	priority, deadlines := x.inherited(n)
+	priority, deadlines := x.computeInherited(n)
 	expectedRunSeconds := x.cfg.ExpectedRunSeconds(n.record)
 	if priority == n.priority && deadlines == n.deadlines && expectedRunSeconds == n.expectedRunSeconds {
 		return
@@ -269,9 +271,10 @@
 	}
 }
 
-// inherited returns the highest priority and the earliest deadlines among a job and its dependents. The
-// deadlines of a dependent are reduced by its expected run time, since it starts after the job is done.
-func (x *Index) inherited(n *Node) (jobs.Priority, Deadlines) {
+// computeInherited returns the highest priority and the earliest deadlines among a job and its
+// dependents. The deadlines of a dependent are reduced by its expected run time, since it starts after
+// the job is done.
+func (x *Index) computeInherited(n *Node) (jobs.Priority, Deadlines) {
 	priority, deadlines := n.record.Priority(), OwnDeadlines(n.record, x.cfg.DeadlineMultiple)
 	for dependent := range n.dependents {
 		if dependent.record == nil || dependent.cancelledByDependency {
@@ -283,8 +286,8 @@
 	return priority, deadlines
 }
 
-// RefreshExpectedRuns recomputes the inherited deadlines for jobs whose expected run time has changed by
-// more than runTimeChangeThreshold.
+// RefreshExpectedRuns finds the jobs whose expected run time has changed by more than
+// runTimeChangeThreshold, and recomputes the deadlines that their dependencies inherit.
 func (x *Index) RefreshExpectedRuns() {
 	for _, n := range x.nodes {
 		if n.record == nil || len(n.dependencies) == 0 {
@@ -297,12 +300,12 @@
 	}
 }
 
-// UnknownJobs returns up to limit dependencies whose final states the caller has to look up: neither a
-// record nor a final state is known, and UnknownJobs has not returned them after since. It records now
-// as the time at which they were returned.
+// UnknownJobs returns up to limit dependencies whose final states the caller has to look up, since
+// neither a record nor a final state is known. It leaves out those that it has already returned after
+// the time since. now is recorded as the time at which the others were returned.
 func (x *Index) UnknownJobs(since, now time.Time, limit int) []string {
 	var refs []string
-	for ref := range x.unknown {
+	for ref := range x.unknownNodes {
 		if len(refs) == limit {
 			break
 		}
--- a/internal/jobdag/jobdag_test.go
+++ b/internal/jobdag/jobdag_test.go
@@ -49,8 +49,8 @@
 }
 
 // The dependencies of a pipeline's last job inherit its priority and its deadline, which is reduced by
-// the run times along the longest path. They inherit them from when the last job is added until it can
-// never run any more.
+// the run times along the longest path. They inherit both from when the last job is added until that
+// job can never run any more.
 func TestInheritedDeadlinesFollowLongestPath(t *testing.T) {
 	x := newTestIndex()
 	x.add("trim", "idle", 15, 0)
@@ -112,8 +112,8 @@
 				x.end(ref, Done)
 			}
 		}
-		if len(x.nodes)+len(x.cancelledByDependency)+len(x.unknown)+len(x.requestedAt) > 0 {
-			t.Fatalf("%d nodes are left, %d cancelled, %d unknown", len(x.nodes), len(x.cancelledByDependency), len(x.unknown))
+		if len(x.nodes)+len(x.cancelledByDependency)+len(x.unknownNodes)+len(x.requestedAt) > 0 {
+			t.Fatalf("%d nodes are left, %d cancelled, %d unknown", len(x.nodes), len(x.cancelledByDependency), len(x.unknownNodes))
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	return dependsOn
 }
 
-// endRandomJob picks one of the given jobs. If it is unfinished, the job ends as done if it is not
-// blocked, else as cancelled with a probability of 1/3.
+// endRandomJob picks one of the given jobs. An unfinished job ends as done if it is not blocked; if it
+// is blocked, it ends as cancelled with a probability of 1/3.
 func (x *testIndex) endRandomJob(rnd *rand.Rand, refs []string) {
 	ref := refs[rnd.IntN(len(refs))]
 	if x.records[ref] != nil && !x.Node(ref).IsBlocked() {
@@ -156,14 +156,14 @@
 	return g.x.finalStates[ref] == Unfinished && slices.ContainsFunc(g.records[ref].DependsOn, g.isCancelled)
 }
 
-func (g naiveGraph) inherited(ref string) (dueMS int64, priority jobs.Priority) {
+func (g naiveGraph) computeInherited(ref string) (dueMS int64, priority jobs.Priority) {
 	dueMS = OwnDeadlines(g.records[ref], func(string) float64 { return 1 }).DueMS
 	priority = g.records[ref].Priority()
 	for dependent, record := range g.x.records {
 		if !slices.Contains(record.DependsOn, ref) || g.isCancelled(dependent) {
 			continue
 		}
-		dependentDueMS, dependentPriority := g.inherited(dependent)
+		dependentDueMS, dependentPriority := g.computeInherited(dependent)
 		priority = max(priority, dependentPriority)
 		if dependentDueMS != NoDeadline {
 			dueMS = min(dueMS, dependentDueMS-int64(record.EstimatedRunSeconds*1000))
@@ -178,21 +178,21 @@
 	for ref, record := range x.records {
 		n := x.Node(ref)
 		cancelled := naive.isCancelled(ref)
-		blocked := slices.ContainsFunc(record.DependsOn, func(ref string) bool { return x.finalStates[ref] != Done })
-		if n.IsCancelledByDependency() != cancelled || n.IsBlocked() != blocked {
+		isBlocked := slices.ContainsFunc(record.DependsOn, func(ref string) bool { return x.finalStates[ref] != Done })
+		if n.IsCancelledByDependency() != cancelled || n.IsBlocked() != isBlocked {
 			t.Fatalf("%s with dependencies %v: cancelled %v, blocked %v", ref, record.DependsOn, n.IsCancelledByDependency(), n.IsBlocked())
 		}
 		if cancelled || n == nil {
 			continue
 		}
-		if dueMS, p := naive.inherited(ref); n.Deadlines().DueMS != dueMS || n.Priority(0) != p {
+		if dueMS, p := naive.computeInherited(ref); n.Deadlines().DueMS != dueMS || n.Priority(0) != p {
 			t.Fatalf("%s: due %d, priority %d; should be due %d, priority %d", ref, n.Deadlines().DueMS, n.Priority(0), dueMS, p)
 		}
 	}
 }
 
 // One job has a thousand dependencies and a thousand dependents.
-func TestThousandDependenciesAndDependents(t *testing.T) {
+func TestJobWithThousandDependenciesAndDependents(t *testing.T) {
 	x := newTestIndex()
 	var refs []string
 	for i := range 1000 {
@@ -222,9 +222,9 @@
 	}
 }
 
-// A dependency whose final state is unknown is returned for a lookup, but not again at once, and blocks
-// its dependents until the final state is known.
-func TestUnknownFinalStateBlocks(t *testing.T) {
+// UnknownJobs returns a dependency whose final state is unknown, but does not return it a second time
+// at once. The dependency blocks its dependents until the final state is known.
+func TestUnknownFinalStateBlocksDependents(t *testing.T) {
 	x := newTestIndex()
 	now := time.UnixMilli(100_000)
 	x.add("wk-2", "idle", 1, 0, "wk-1")
@@ -251,14 +251,14 @@
 	for range b.N {
 		x := newTestIndex()
 		records := pipelineRecords()
-		before := heapBytes()
+		bytesBefore := heapBytes()
 		startedAt := time.Now()
 		for _, record := range records {
 			x.records[record.Ref] = record
 			x.ApplyRecord(record, startedAt)
 		}
 		b.ReportMetric(float64(time.Since(startedAt).Nanoseconds())/10_001, "ns/record")
-		b.ReportMetric(float64(heapBytes()-before)/10_001, "B/job")
+		b.ReportMetric(float64(heapBytes()-bytesBefore)/10_001, "B/job")
 		startedAt = time.Now()
 		for _, record := range records[:10_000] {
 			x.end(record.Ref, Done)
@@ -281,11 +281,11 @@
 		}
 		records = append(records, record)
 	}
-	wide := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wide", Urgency: "high", EstimatedRunSeconds: 3}}
+	wideRecord := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wide", Urgency: "high", EstimatedRunSeconds: 3}}
 	for i := range 1000 {
-		wide.DependsOn = append(wide.DependsOn, fmt.Sprintf("wk-%d", 10*i+9))
+		wideRecord.DependsOn = append(wideRecord.DependsOn, fmt.Sprintf("wk-%d", 10*i+9))
 	}
-	return append(records, wide)
+	return append(records, wideRecord)
 }
 
 // heapBytes returns the bytes in use on the heap after a garbage collection.
--- a/internal/jobdag/node.go
+++ b/internal/jobdag/node.go
@@ -20,12 +20,13 @@
 	cancelledByDependency bool
 	priority              jobs.Priority
 	deadlines             Deadlines
-	// expectedRunSeconds is the expected time in seconds from when the job may run to its end.
+	// expectedRunSeconds is the expected time in seconds from when the job becomes runnable until
+	// it ends.
 	expectedRunSeconds float64
 	readyAt            time.Time
 }
 
-// isUnknown reports whether neither the record nor the final state of the job is known.
+// isUnknown reports whether both the record and the final state of the job are unknown.
 func (n *Node) isUnknown() bool { return n.record == nil && n.finalState == Unfinished }
 
 // IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run.
@@ -59,8 +60,8 @@
 	return len(n.dependents)
 }
 
-// ExpectedRunSeconds returns the expected time in seconds from when the job may run to its end, 0 if it
-// was not computed.
+// ExpectedRunSeconds returns the expected time in seconds from when the job becomes runnable until it
+// ends, or 0 if that time was not computed.
 func (n *Node) ExpectedRunSeconds() float64 {
 	if n == nil {
 		return 0
