--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -18,8 +18,8 @@
 // Index holds the completion batches that a controller knows. It is updated from their records and
 // writes none itself. It is not safe for concurrent use: one actor owns it.
 type Index struct {
-	batches map[string]*batch // by key
-	done    map[string]Job    // by job reference
+	batches  map[string]*batch // by key
+	doneJobs map[string]Job    // by job reference
 }
 
 // Job is a job that a completion batch lists as done.
@@ -34,7 +34,7 @@
 // Batch is a completion batch to which jobs can be added.
 type Batch struct {
 	Key      string
-	Entries  []string // in the form of jobs.BatchEntry; the caller may append to it
+	Entries  []string // made by jobs.FormatBatchEntry; the caller may append to the slice
 	Revision uint64   // 0 if the batch does not exist yet
 }
 
@@ -49,7 +49,7 @@
 }
 
 type batch struct {
-	entries  []string // in the form of jobs.BatchEntry
+	entries  []string // made by jobs.FormatBatchEntry, or by an early version without numbers of tasks
 	revision uint64
 	isFull   bool
 }
@@ -62,13 +62,13 @@
 }
 
 // Reset removes all batches and jobs. It is called before all records are read anew.
-func (x *Index) Reset() { x.batches, x.done = map[string]*batch{}, map[string]Job{} }
+func (x *Index) Reset() { x.batches, x.doneJobs = map[string]*batch{}, map[string]Job{} }
 
 // ApplyBatch applies the record of a batch at a revision. It returns the jobs in the batch that no batch
-// listed before. A record that is not newer than the known one is ignored. The error is that of decoding
-// the record.
+// listed before. A record that is not newer than the known one is ignored. ApplyBatch returns an error if
+// the record cannot be decoded.
 func (x *Index) ApplyBatch(key string, value json.RawMessage, revision uint64) ([]Job, error) {
-	if known := x.batches[key]; known != nil && known.revision >= revision {
+	if knownBatch := x.batches[key]; knownBatch != nil && knownBatch.revision >= revision {
 		return nil, nil
 	}
 	var entries []string
@@ -76,44 +76,44 @@
 		return nil, fmt.Errorf("completion batch %s: %w", key, err)
 	}
 	x.batches[key] = &batch{entries: entries, revision: revision}
-	var added []Job
+	var addedJobs []Job
 	for _, entry := range entries {
 		ref, tasks := jobs.ParseBatchEntry(entry)
-		if _, known := x.done[ref]; !known {
-			x.done[ref] = Job{Ref: ref, Tasks: tasks}
-			added = append(added, x.done[ref])
+		if _, known := x.doneJobs[ref]; !known {
+			x.doneJobs[ref] = Job{Ref: ref, Tasks: tasks}
+			addedJobs = append(addedJobs, x.doneJobs[ref])
 		}
 	}
-	return added, nil
+	return addedJobs, nil
 }
 
 // RemoveBatch applies the deletion of a batch at a revision. A batch is deleted after a final state has
 // been written for each of its jobs. A deletion older than the known record is ignored.
 func (x *Index) RemoveBatch(key string, revision uint64) {
-	removed := x.batches[key]
-	if removed == nil || removed.revision > revision {
+	removedBatch := x.batches[key]
+	if removedBatch == nil || removedBatch.revision > revision {
 		return
 	}
 	delete(x.batches, key)
-	for _, entry := range removed.entries {
+	for _, entry := range removedBatch.entries {
 		ref, _ := jobs.ParseBatchEntry(entry)
-		delete(x.done, ref)
+		delete(x.doneJobs, ref)
 	}
 }
 
 // FinalState returns the final state of a job. ok is false if no batch lists the job.
 func (x *Index) FinalState(ref string) (final jobs.FinalState, ok bool) {
-	job, ok := x.done[ref]
+	job, ok := x.doneJobs[ref]
 	return jobs.FinalState{Status: jobs.Done, Tasks: job.Tasks}, ok
 }
 
 // ApplyJobRecord notes the revision of a job's own record and reports whether a batch lists the job. A
 // listed job is done, whatever its own record says, and that record has to be cleaned up.
 func (x *Index) ApplyJobRecord(ref string, revision uint64) bool {
-	job, ok := x.done[ref]
+	job, ok := x.doneJobs[ref]
 	if ok {
 		job.RecordRevision = max(job.RecordRevision, revision)
-		x.done[ref] = job
+		x.doneJobs[ref] = job
 	}
 	return ok
 }
@@ -121,50 +121,50 @@
 // ApplyJobRecordDeletion notes that a job's own record was deleted at a revision. A deletion older than the
 // known record is ignored.
 func (x *Index) ApplyJobRecordDeletion(ref string, revision uint64) {
-	if job, ok := x.done[ref]; ok && job.RecordRevision <= revision {
+	if job, ok := x.doneJobs[ref]; ok && job.RecordRevision <= revision {
 		job.RecordRevision = 0
-		x.done[ref] = job
+		x.doneJobs[ref] = job
 	}
 }
 
 // JobCount returns the number of jobs that the batches list.
-func (x *Index) JobCount() int { return len(x.done) }
+func (x *Index) JobCount() int { return len(x.doneJobs) }
 
 // OpenBatch returns the newest batch of a shard if jobs can be added to it. Otherwise it returns an empty
 // batch with the next number, which does not exist in the store yet.
 func (x *Index) OpenBatch(shard string) Batch {
 	prefix := jobs.CompletionBatchPrefix + shard + "/"
-	newest, newestKey := 0, ""
+	newestNumber, newestKey := 0, ""
 	for key := range x.batches {
 		number, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
-		if err == nil && strings.HasPrefix(key, prefix) && number >= newest {
-			newest, newestKey = number, key
+		if err == nil && strings.HasPrefix(key, prefix) && number >= newestNumber {
+			newestNumber, newestKey = number, key
 		}
 	}
 	if newestBatch := x.batches[newestKey]; newestBatch != nil && !newestBatch.isFull && len(newestBatch.entries) < tuning.MaxCompletionBatchJobs {
 		return Batch{Key: newestKey, Entries: slices.Clone(newestBatch.entries), Revision: newestBatch.revision}
 	}
-	return Batch{Key: prefix + strconv.Itoa(newest+1)}
+	return Batch{Key: prefix + strconv.Itoa(newestNumber+1)}
 }
 
 // MarkFull marks a batch to which no job can be added because its value would become too large.
 func (x *Index) MarkFull(key string) {
-	if full := x.batches[key]; full != nil {
-		full.isFull = true
+	if fullBatch := x.batches[key]; fullBatch != nil {
+		fullBatch.isFull = true
 	}
 }
 
-// NextCleanup returns the next step, with at most maxJobs jobs, in cleaning up the first batch, in the
-// order of keys, that belongs to a shard for which isEligible returns true. ok is false if there is no
-// such batch.
+// NextCleanup returns the next step, with at most maxJobs jobs, in cleaning up a batch. It chooses the
+// batch with the lowest key among those of the shards for which isEligible returns true. ok is false if
+// there is no such batch.
 func (x *Index) NextCleanup(maxJobs int, isEligible func(shard string) bool) (cleanup Cleanup, ok bool) {
 	for _, key := range slices.Sorted(maps.Keys(x.batches)) {
 		shard, _, _ := strings.Cut(strings.TrimPrefix(key, jobs.CompletionBatchPrefix), "/")
 		if !isEligible(shard) {
 			continue
 		}
-		next := x.batches[key]
-		return Cleanup{Key: key, Shard: shard, Revision: next.revision, Pending: x.pendingJobs(next, maxJobs)}, true
+		nextBatch := x.batches[key]
+		return Cleanup{Key: key, Shard: shard, Revision: nextBatch.revision, Pending: x.pendingJobs(nextBatch, maxJobs)}, true
 	}
 	return Cleanup{}, false
 }
@@ -174,7 +174,7 @@
 	var pending []Job
 	for _, entry := range source.entries {
 		ref, _ := jobs.ParseBatchEntry(entry)
-		if job := x.done[ref]; job.RecordRevision != 0 && len(pending) < maxJobs {
+		if job := x.doneJobs[ref]; job.RecordRevision != 0 && len(pending) < maxJobs {
 			pending = append(pending, job)
 		}
 	}
--- a/internal/completionbatch/index_test.go
+++ b/internal/completionbatch/index_test.go
@@ -26,19 +26,19 @@
 	if first.Key != jobs.CompletionBatchPrefix+"n0/1" || first.Entries != nil || first.Revision != 0 {
 		t.Fatalf("first batch: %+v", first)
 	}
-	added, err := index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2"), 10)
-	if err != nil || len(added) != 2 || added[0].Tasks != 3 {
-		t.Fatalf("added %+v, %v", added, err)
+	addedJobs, err := index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2"), 10)
+	if err != nil || len(addedJobs) != 2 || addedJobs[0].Tasks != 3 {
+		t.Fatalf("added %+v, %v", addedJobs, err)
 	}
-	added, _ = index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2", "wk-3/1"), 11)
-	if len(added) != 1 || added[0].Ref != "wk-3" {
-		t.Errorf("added by the second write: %+v", added)
+	addedJobs, _ = index.ApplyBatch(first.Key, encodeEntries(t, "wk-1/3", "wk-2", "wk-3/1"), 11)
+	if len(addedJobs) != 1 || addedJobs[0].Ref != "wk-3" {
+		t.Errorf("added by the second write: %+v", addedJobs)
 	}
 	if final, ok := index.FinalState("wk-1"); !ok || final.Tasks != 3 || final.Status != jobs.Done {
 		t.Errorf("final state %+v, %v", final, ok)
 	}
 	if !index.ApplyJobRecord("wk-1", 4) || index.ApplyJobRecord("wk-9", 4) {
-		t.Error("JobRecordSeen does not report exactly the jobs in batches")
+		t.Error("ApplyJobRecord does not report exactly the jobs in batches")
 	}
 	cleanup, ok := index.NextCleanup(5, anyShard)
 	if !ok || cleanup.Shard != "n0" || cleanup.Revision != 11 || len(cleanup.Pending) != 1 || cleanup.Pending[0].RecordRevision != 4 {
