--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -52,7 +52,7 @@
 func (g *Gate) Reset() { g.records = map[string]versionRecord{} }
 
 // ApplyRecord applies the version record of a controller at a revision. A record that is not newer than
-// the known one is ignored. The error is that of decoding the record.
+// the known one is ignored. ApplyRecord returns an error if the record cannot be decoded.
 func (g *Gate) ApplyRecord(controller string, value json.RawMessage, revision uint64) error {
 	if g.records[controller].revision >= revision {
 		return nil
@@ -67,7 +67,7 @@
 
 // RecordDue reports whether this controller must still record its version. revision is the revision of
 // its existing record, 0 if there is none.
-func (g *Gate) RecordDue() (revision uint64, due bool) {
+func (g *Gate) RecordDue() (revision uint64, isDue bool) {
 	record := g.records[g.self]
 	return record.revision, record.Version < Version
 }
@@ -78,17 +78,17 @@
 // PendingControllers returns the controllers that have recorded no version or a version older than this
 // program's, in ascending order of their names.
 func (g *Gate) PendingControllers() []string {
-	var pending []string
+	var pendingControllers []string
 	for _, controller := range g.controllers {
 		if g.records[controller].Version < Version {
-			pending = append(pending, controller)
+			pendingControllers = append(pendingControllers, controller)
 		}
 	}
-	return pending
+	return pendingControllers
 }
 
 // VersionOf returns the version that a controller has recorded. A controller without a record is taken
-// to run the last version that wrote none.
+// to run the last version that wrote no version record.
 func (g *Gate) VersionOf(controller string) int {
 	return max(unrecordedVersion, g.records[controller].Version)
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -22,11 +22,11 @@
 		if err := g.ApplyRecord(step.node, []byte(step.value), uint64(10+i)); err != nil {
 			t.Fatal(err)
 		}
-		if pending := g.PendingControllers(); !slices.Equal(pending, step.pending) || g.IsOpen() != (step.pending == nil) {
-			t.Errorf("after %s of %s: %v, open %v", step.value, step.node, pending, g.IsOpen())
+		if pendingControllers := g.PendingControllers(); !slices.Equal(pendingControllers, step.pending) || g.IsOpen() != (step.pending == nil) {
+			t.Errorf("after %s of %s: %v, open %v", step.value, step.node, pendingControllers, g.IsOpen())
 		}
 	}
-	if _, due := g.RecordDue(); due || g.VersionOf("n0") != Version || g.VersionOf("x1") != 1 {
+	if _, isDue := g.RecordDue(); isDue || g.VersionOf("n0") != Version || g.VersionOf("x1") != 1 {
 		t.Error("the version record is still due, or a version is wrong")
 	}
 	if g.ApplyRecord("n0", []byte(`{"v":1}`), 3) != nil || !g.IsOpen() {
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -69,8 +69,8 @@
 		for i := range 5 {
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
-		// The recorded machines never come back. The last of them counts as running for as long as any
-		// controller may have renewed its lease.
+		// The recorded machines never come back. Each of them counts as running for as long as a
+		// controller may have renewed its lease. Wait until that time has passed for all of them.
 		time.Sleep(90 * time.Second)
 		jobCount := 0
 		for key := range records {
@@ -122,28 +122,28 @@
 	if err := json.Unmarshal(raw, &frames); err != nil {
 		t.Fatal(err)
 	}
-	machines, capacities := 0, 0
+	machineCount, capacityCount := 0, 0
 	for _, frame := range frames {
 		heartbeat, err := peer.ReadFrame(bytes.NewReader(frame))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if heartbeat.TransferChunk != nil {
-			machines += len(heartbeat.TransferChunk.Machines)
+			machineCount += len(heartbeat.TransferChunk.Machines)
 		}
-		capacities += len(heartbeat.Capacities)
+		capacityCount += len(heartbeat.Capacities)
 		if !bytes.Equal(peer.Encode(heartbeat), frame) {
 			t.Errorf("the frame of %s is encoded differently", heartbeat.Node)
 		}
 	}
-	if machines < 2 || capacities < 3 {
-		t.Errorf("the fixture has too few entries: %d machines, %d capacities", machines, capacities)
+	if machineCount < 2 || capacityCount < 3 {
+		t.Errorf("the fixture has too few entries: %d machines, %d capacities", machineCount, capacityCount)
 	}
 }
 
-// The record types of the production version, which must not follow changes of the current types. The
-// production version drops unknown fields when it rewrites a record, so a test with these types finds
-// the fields that it would lose.
+// These are the record types of the production version. They must not follow changes of the current
+// types. The production version drops unknown fields when it rewrites a record, so a test with these
+// types finds the fields that the production version would lose.
 type (
 	productionInterval struct {
 		First int `json:"f"`
@@ -248,7 +248,7 @@
 	return false, nil
 }
 
-func TestFrozenRecordTypesAreThoseOfProduction(t *testing.T) {
+func TestProductionRecordTypesFitStoredRecords(t *testing.T) {
 	knownCount := 0
 	for key, value := range productionRecords(t) {
 		known, err := checkProductionRoundTrip(key, value)
@@ -303,25 +303,25 @@
 			cluster.AddMachine([]string{"a", "b"}[i%2], false)
 		}
 		time.Sleep(5 * time.Second)
-		checked := runJobsBeforeUpgrade(t, cluster)
-		dependent := fake.JobSpec("wk-900", jobs.Array, 2, 1)
-		dependent.DependsOn = []string{"wk-101"}
-		if response := cluster.Submit("n1", dependent, time.Second); response.Code != 503 || !strings.Contains(response.Error, "n3") {
+		checkedCount := runJobsBeforeUpgrade(t, cluster)
+		dependentSpec := fake.JobSpec("wk-900", jobs.Array, 2, 1)
+		dependentSpec.DependsOn = []string{"wk-101"}
+		if response := cluster.Submit("n1", dependentSpec, time.Second); response.Code != 503 || !strings.Contains(response.Error, "n3") {
 			t.Errorf("while one controller has not recorded the new version: %+v", response)
 		}
-		large := fake.JobSpec("wk-901", jobs.Array, 2, 1)
-		large.Class = strings.Repeat("c", 20<<10)
-		if response := cluster.Submit("n1", large, time.Second); response.Code != 503 {
+		largeSpec := fake.JobSpec("wk-901", jobs.Array, 2, 1)
+		largeSpec.Class = strings.Repeat("c", 20<<10)
+		if response := cluster.Submit("n1", largeSpec, time.Second); response.Code != 503 {
 			t.Errorf("record larger than one value: %+v", response)
 		}
-		checked += checkStoredRecords(t, cluster)
-		if checked < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
-			t.Errorf("%d records were checked; chunks: %v", checked, cluster.Store.Keys(jobs.ChunkPrefix))
+		checkedCount += checkStoredRecords(t, cluster)
+		if checkedCount < 500 || len(cluster.Store.Keys(jobs.ChunkPrefix)) > 0 {
+			t.Errorf("%d records were checked; chunks: %v", checkedCount, cluster.Store.Keys(jobs.ChunkPrefix))
 		}
 		cluster.StartController("n3")
 		time.Sleep(3 * time.Second)
 		cluster.CrashController("n3") // its version record is enough to open the gate
-		for _, spec := range []jobs.Spec{dependent, large} {
+		for _, spec := range []jobs.Spec{dependentSpec, largeSpec} {
 			if response := cluster.Submit("n2", spec, time.Second); response.Code != 201 {
 				t.Errorf("%s after all controllers have recorded the new version: %+v", spec.Ref, response)
 			}
@@ -334,7 +334,7 @@
 
 // runJobsBeforeUpgrade submits jobs, cancels some of them, restarts a controller, and checks the stored
 // records after each step. It returns how many records were checked.
-func runJobsBeforeUpgrade(t *testing.T, cluster *fake.Cluster) (checked int) {
+func runJobsBeforeUpgrade(t *testing.T, cluster *fake.Cluster) (checkedCount int) {
 	t.Helper()
 	for i := range 40 {
 		spec := fake.JobSpec(fmt.Sprintf("wk-%d", 100+i), []jobs.Kind{jobs.Array, jobs.Gang}[i%2], 1+i%7, 1)
@@ -350,8 +350,8 @@
 			cluster.StartController("n0")
 			time.Sleep(2 * time.Second)
 		}
-		checked += checkStoredRecords(t, cluster)
+		checkedCount += checkStoredRecords(t, cluster)
 		time.Sleep(300 * time.Millisecond)
 	}
-	return checked
+	return checkedCount
 }
