--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -17,14 +17,14 @@
 	"cherrywall/internal/tuning"
 )
 
-// learnedBootTimesLifetimeCycles is how long learned boot times may be recorded, in demand check intervals
-// of the autoscaler.
-const learnedBootTimesLifetimeCycles = 3
+// maxLearnedBootTimesAgeIntervals is the age above which learned boot times are no longer recorded, in
+// demand check intervals of the autoscaler.
+const maxLearnedBootTimesAgeIntervals = 3
 
 // Catalog is the catalog of machine types. It is not safe for concurrent use: one actor owns it.
 type Catalog struct {
-	byName    map[string]cloud.MachineType
-	fromCloud []cloud.MachineType // as last read from the cloud, nil before the first read; takes precedence over the record
+	byName     map[string]cloud.MachineType
+	cloudTypes []cloud.MachineType // as last read from the cloud, nil before the first read; takes precedence over the record
 
 	typesRecord   RecordState
 	recordedTypes []cloud.MachineType
@@ -48,7 +48,7 @@
 
 // SetFromCloud sets the machine types that were read from the cloud.
 func (c *Catalog) SetFromCloud(types []cloud.MachineType) {
-	c.fromCloud = types
+	c.cloudTypes = types
 	c.merge(types)
 }
 
@@ -84,11 +84,11 @@
 
 // LongestBootSeconds returns the expected boot time of the slowest machine type in seconds.
 func (c *Catalog) LongestBootSeconds() float64 {
-	longest := 0.0
+	longestSeconds := 0.0
 	for typeName := range c.byName {
-		longest = max(longest, c.BootSeconds(typeName))
+		longestSeconds = max(longestSeconds, c.BootSeconds(typeName))
 	}
-	return longest
+	return longestSeconds
 }
 
 // RecordedBootTimes returns the recorded boot times in seconds by machine type, nil if there are none.
@@ -101,7 +101,7 @@
 // Without the record, a controller that starts while the cloud is unavailable could neither
 // validate submissions nor place a task.
 func (c *Catalog) TypesToRecord() (value json.RawMessage, record *RecordState, err error) {
-	types := slices.Clone(c.fromCloud)
+	types := slices.Clone(c.cloudTypes)
 	slices.SortFunc(types, func(x, y cloud.MachineType) int { return strings.Compare(x.Name, y.Name) })
 	isRecorded := slices.EqualFunc(types, c.recordedTypes, equalExceptPrices)
 	if isRecorded || len(types) == 0 || c.typesRecord.WriteInFlight {
@@ -122,9 +122,10 @@
 }
 
 // ApplyTypesRecord applies the record of the machine types at a revision. A record that is not newer than
-// the last one is ignored. changed reports whether the catalog now uses the recorded types, which it
-// does only until it has types from the cloud. The error is that of decoding the record.
-func (c *Catalog) ApplyTypesRecord(value json.RawMessage, revision uint64) (changed bool, err error) {
+// the last one is ignored. used reports whether the catalog now uses the recorded types, which it
+// does only until it has types from the cloud. ApplyTypesRecord returns an error if the record cannot be
+// decoded.
+func (c *Catalog) ApplyTypesRecord(value json.RawMessage, revision uint64) (used bool, err error) {
 	if revision <= c.typesRecord.Revision {
 		return false, nil
 	}
@@ -133,15 +134,15 @@
 		return false, fmt.Errorf("decode machine types: %w", err)
 	}
 	c.recordedTypes, c.typesRecord.Revision = types, revision
-	if c.fromCloud != nil {
+	if c.cloudTypes != nil {
 		return false, nil
 	}
 	c.merge(types)
 	return true, nil
 }
 
-// SetLearnedBootTimes sets the boot times, in seconds by machine type, that the autoscaler of this controller
-// has learned up to now.
+// SetLearnedBootTimes sets the boot times, in seconds by machine type, that the autoscaler of this
+// controller has learned up to the time now.
 func (c *Catalog) SetLearnedBootTimes(bootSeconds map[string]float64, now time.Time) {
 	c.learnedBootTimes, c.learnedAt = bootSeconds, now
 }
@@ -153,7 +154,7 @@
 func (c *Catalog) BootTimesToRecord(now time.Time) (value json.RawMessage, record *RecordState, err error) {
 	// A controller that has lost the autoscaler lease learns no new boot times. It must not overwrite
 	// the record of the controller that holds the lease.
-	isOutdated := now.Sub(c.learnedAt) > learnedBootTimesLifetimeCycles*tuning.DemandCheckInterval
+	isOutdated := now.Sub(c.learnedAt) > maxLearnedBootTimesAgeIntervals*tuning.DemandCheckInterval
 	if !c.bootTimesChanged() || c.bootTimesRecord.WriteInFlight || isOutdated {
 		return nil, nil, nil
 	}
@@ -167,8 +168,8 @@
 // tuning.BootTimeChangeFraction.
 func (c *Catalog) bootTimesChanged() bool {
 	for typeName, seconds := range c.learnedBootTimes {
-		known := c.BootSeconds(typeName)
-		if math.Abs(seconds-known) > tuning.BootTimeChangeFraction*known {
+		expected := c.BootSeconds(typeName)
+		if math.Abs(seconds-expected) > tuning.BootTimeChangeFraction*expected {
 			return true
 		}
 	}
@@ -176,7 +177,7 @@
 }
 
 // ApplyBootTimesRecord applies the record of the boot times at a revision. A record that is not newer
-// than the last one is ignored. The error is that of decoding the record.
+// than the last one is ignored. ApplyBootTimesRecord returns an error if the record cannot be decoded.
 func (c *Catalog) ApplyBootTimesRecord(value json.RawMessage, revision uint64) error {
 	if revision <= c.bootTimesRecord.Revision {
 		return nil
--- a/internal/machinetype/catalog_test.go
+++ b/internal/machinetype/catalog_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestTypesRecordReplacesUnavailableCloud(t *testing.T) {
-	offered := []cloud.MachineType{{Name: "m16", CPU: 16, MemGB: 64, HourlyPrice: 1, StartupS: 35}}
+	offeredTypes := []cloud.MachineType{{Name: "m16", CPU: 16, MemGB: 64, HourlyPrice: 1, StartupS: 35}}
 	c := New()
-	c.SetFromCloud(offered)
+	c.SetFromCloud(offeredTypes)
 	value, record, err := c.TypesToRecord()
 	if err != nil || value == nil {
 		t.Fatalf("nothing to record: %v", err)
@@ -24,19 +24,19 @@
 	if _, err := c.ApplyTypesRecord(value, 5); err != nil {
 		t.Fatal(err)
 	}
-	offered[0].HourlyPrice = 2 // prices change all the time
-	c.SetFromCloud(offered)
+	offeredTypes[0].HourlyPrice = 2 // prices change all the time
+	c.SetFromCloud(offeredTypes)
 	if value, _, _ := c.TypesToRecord(); value != nil {
 		t.Errorf("a change of prices alone was recorded: %s", value)
 	}
-	other := New()
-	if used, err := other.ApplyTypesRecord(value, 5); err != nil || !used {
+	otherCatalog := New()
+	if used, err := otherCatalog.ApplyTypesRecord(value, 5); err != nil || !used {
 		t.Fatalf("the record is not used without types from the cloud: %v", err)
 	}
-	if resources, ok := other.Capacity("m16"); !ok || resources.CPU != 16 {
+	if resources, ok := otherCatalog.Capacity("m16"); !ok || resources.CPU != 16 {
 		t.Errorf("capacity %+v, known %v", resources, ok)
 	}
-	if _, err := other.ApplyTypesRecord(json.RawMessage(`{}`), 6); err == nil {
+	if _, err := otherCatalog.ApplyTypesRecord(json.RawMessage(`{}`), 6); err == nil {
 		t.Error("an invalid record was applied")
 	}
 }
