--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -40,8 +40,8 @@
 		growth, variance := stats.expectedArrivals(now, bootSeconds)
 		for _, job := range running {
 			if job.Class == class {
-				ending, endingVariance := job.expectedCompletions(bootSeconds)
-				growth -= ending
+				endingTasks, endingVariance := job.expectedCompletions(bootSeconds)
+				growth -= endingTasks
 				variance += endingVariance
 			}
 		}
@@ -61,8 +61,8 @@
 			sumOfSquares += float64(arrival.tasks * arrival.tasks)
 		}
 	}
-	observed := min(now.Sub(c.arrivals[0].arrivedAt), tuning.ArrivalWindow)
-	bootFraction := bootSeconds / max(observed.Seconds(), bootSeconds)
+	observedTime := min(now.Sub(c.arrivals[0].arrivedAt), tuning.ArrivalWindow)
+	bootFraction := bootSeconds / max(observedTime.Seconds(), bootSeconds)
 	return sum * bootFraction, sumOfSquares * bootFraction
 }
 
@@ -80,7 +80,7 @@
 }
 
 // ExpectedLoads returns the expected loads by class, for the classes of arrays that have a service-level
-// objective. hasNoObjective reports that a job has no such objective.
+// objective. hasNoObjective reports whether a job has no such objective.
 func (s *Stats) ExpectedLoads(now time.Time, objectives []config.Objective, hasNoObjective func(job *jobs.JobRecord) bool) map[string]ExpectedLoad {
 	loads := map[string]ExpectedLoad{}
 	for class, stats := range s.byClass {
@@ -93,9 +93,9 @@
 			arrivals[i] = forecast.Arrival{ArrivedAt: arrival.arrivedAt, CPUSeconds: arrival.cpuSeconds * s.estimateCorrection(class)}
 		}
 		runSeconds := s.ExpectedTaskSeconds(job)
-		target := config.TargetSeconds(objectives, job.Class, job.DeadlineSeconds) * tuning.DeadlineTargetFraction
-		horizon := max(target-runSeconds, runSeconds)
-		loads[class] = ExpectedLoad{Record: job, PeakCPU: forecast.ExpectedLoad(arrivals, now, tuning.ArrivalWindow, horizon)}
+		targetSeconds := config.TargetSeconds(objectives, job.Class, job.DeadlineSeconds) * tuning.DeadlineTargetFraction
+		horizonSeconds := max(targetSeconds-runSeconds, runSeconds)
+		loads[class] = ExpectedLoad{Record: job, PeakCPU: forecast.ExpectedLoad(arrivals, now, tuning.ArrivalWindow, horizonSeconds)}
 	}
 	return loads
 }
--- a/internal/classstats/stats.go
+++ b/internal/classstats/stats.go
@@ -1,6 +1,6 @@
 // Package classstats maintains statistics for each class of jobs: the arrivals, their sizes, and the
-// ratio of actual run times to the users' estimates. The statistics determine the size of the buffers
-// that are kept free for future jobs.
+// ratio of actual run times to the users' estimates. The statistics determine the size of the
+// capacity buffers that are kept free for future jobs.
 package classstats
 
 import (
@@ -42,7 +42,7 @@
 }
 
 // RecordArrival records the arrival of a job that this controller did not know before.
-// runnableSinceMS is the time of day (Unix milliseconds) from which on the job could run, 0 if unknown.
+// runnableSinceMS is the wall-clock time (Unix ms) since which the job could run, 0 if unknown.
 func (s *Stats) RecordArrival(job *jobs.JobRecord, runnableSinceMS int64, now time.Time) {
 	stats := s.statsOf(job.Class)
 	stats.lastJob = job
@@ -69,8 +69,8 @@
 	}
 }
 
-// RecordRunTime adjusts the correction of a class's estimates by the run time of a finished task in
-// seconds. The users' estimates of a class are often biased for a whole day.
+// RecordRunTime records that a task of a job has finished after runSeconds, and adjusts the correction of
+// the estimates of the job's class. The users' estimates of a class are often biased for a whole day.
 func (s *Stats) RecordRunTime(job *jobs.JobRecord, runSeconds float64) {
 	if job.EstimatedRunSeconds <= 0 || runSeconds <= 0 {
 		return
@@ -81,7 +81,8 @@
 	stats.sampleCount++
 }
 
-// ExpectedTaskSeconds returns the run time of a task in seconds by the corrected estimate.
+// ExpectedTaskSeconds returns the expected run time of a job's tasks in seconds: the user's estimate with
+// the correction for the class.
 func (s *Stats) ExpectedTaskSeconds(job *jobs.JobRecord) float64 {
 	return job.EstimatedRunSeconds * s.estimateCorrection(job.Class)
 }
@@ -90,8 +91,8 @@
 // can start, if machines are free. It covers fetching the image, the job's slowest task, and the
 // heartbeats and record writes at the end of the job.
 func (s *Stats) ExpectedJobSeconds(job *jobs.JobRecord) float64 {
-	slowest := 1 + tuning.RunTimeSpread*(1-1/float64(max(job.Tasks, 1)))
-	return s.ExpectedTaskSeconds(job)*slowest + tuning.JobOverheadSeconds
+	slowestTaskFactor := 1 + tuning.RunTimeSpread*(1-1/float64(max(job.Tasks, 1)))
+	return s.ExpectedTaskSeconds(job)*slowestTaskFactor + tuning.JobOverheadSeconds
 }
 
 // estimateCorrection returns the factor by which the users' estimates of a class are multiplied, within
@@ -101,7 +102,8 @@
 }
 
 // isInactive reports whether no more jobs of a class are expected because the time since the last arrival
-// is much longer than usual. Inactive classes have no buffers, so that an idle cluster is scaled in.
+// is much longer than the mean time between arrivals. Inactive classes have no buffers, so that an idle
+// cluster is scaled in.
 func (c *classStats) isInactive(now time.Time) bool {
 	if len(c.arrivals) == 0 {
 		return true
--- a/internal/classstats/stats_test.go
+++ b/internal/classstats/stats_test.go
@@ -7,8 +7,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Guards against a growth buffer for all arrivals during a boot, without subtracting the jobs that end
-// during that time. That buffer was 77 machines too large on a large deployment.
+// Guards against a growth buffer that counts all arrivals during a boot without subtracting the jobs that
+// end during the boot. Such a buffer was 77 machines too large on a large deployment.
 func TestGrowthBufferSubtractsEndingJobs(t *testing.T) {
 	stats, now := New(), time.Now()
 	spec := jobs.Spec{Class: "c", Kind: jobs.Gang, Urgency: "high", Tasks: 8, CPU: 7, EstimatedRunSeconds: 70}
@@ -20,7 +20,7 @@
 	}
 	withoutRunning := stats.GrowthBuffers(now, 35, 1, nil)[0].Tasks
 	withRunning := stats.GrowthBuffers(now, 35, 1, running)[0].Tasks
-	// 8 tasks arrive every 3 s: 93 during a boot. Meanwhile 80 tasks of the 20 running jobs end.
+	// 8 tasks arrive every 3 s: 93 during a boot. During the same time, 80 tasks of the 20 running jobs end.
 	if withoutRunning < 93 || withRunning > withoutRunning-40 || withRunning < 20 {
 		t.Errorf("buffer of %v tasks without and %v with ending jobs", withoutRunning, withRunning)
 	}
