--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -29,7 +29,7 @@
 	listPageSize = 500
 )
 
-// noCapacityReason is the text in the field error of a response that stands for ErrNoCapacity.
+// noCapacityReason is the value of the field "error" by which a response reports ErrNoCapacity.
 const noCapacityReason = "no capacity"
 
 // DialFunc opens a connection, like net.Dialer.DialContext.
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -19,7 +19,7 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), 1000, (&net.Dialer{}).DialContext)
 }
 
-func TestScaleOut(t *testing.T) {
+func TestScaleOutReturnsHostsOrError(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		status    int
