--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -15,8 +15,8 @@
 	messages chan func()
 }
 
-// New returns an empty mailbox of an actor that ends when ctx ends. Functions that are sent after that are
-// not called.
+// New returns an empty mailbox of an actor that ends when ctx ends. Functions that are sent after the end
+// of ctx are not called.
 func New(ctx context.Context) *Mailbox {
 	return &Mailbox{ctx: ctx, messages: make(chan func(), tuning.MailboxCapacity)}
 }
