--- a/internal/cronschedule/schedule.go
+++ b/internal/cronschedule/schedule.go
@@ -32,7 +32,7 @@
 // elapsed time instead: "every ten minutes" is due every ten minutes, also in the hour that occurs twice.
 type Schedule struct {
 	zone             *time.Location
-	spec             cron.SpecSchedule // nextIn sets its location for each use
+	spec             cron.SpecSchedule // its location is not used; nextIn sets one in a copy
 	matchesEveryHour bool
 }
 
@@ -78,7 +78,7 @@
 		return s.nextIn(s.zone, after.In(s.zone))
 	}
 	// Search in wall clock time, as if the zone never changed its clocks. In the zone itself, the cron library
-	// would skip times that do not exist, and would return times that occur twice both times.
+	// would skip times that do not exist, and would return both occurrences of times that occur twice.
 	wallClock := toWallClock(after.In(s.zone))
 	for {
 		wallClock = s.nextIn(time.UTC, wallClock)
@@ -88,7 +88,7 @@
 		if next := s.firstInstant(wallClock); next.After(after) {
 			return next
 		}
-		// The wall clock shows this time a second time. The first occurrence has passed, so continue the search.
+		// This time occurs twice, and its first occurrence is not later than after, so continue the search.
 	}
 }
 
@@ -127,8 +127,9 @@
 	return instant
 }
 
-// Due returns the time that is due and the first time of the schedule after now. next is the planned time, which
-// has passed. If several times were missed, for example during an outage, only the last of them is due.
+// Due returns the time that is due and the first time of the schedule after now. next is the earliest time of the
+// schedule that was not handled yet; it must not be after now. If several times were missed, for example during
+// an outage, only the last of them is due.
 func (s *Schedule) Due(next, now time.Time) (dueAt, nextAt time.Time) {
 	dueAt = next
 	for range maxMissedTimes {
--- a/internal/cronschedule/schedule_test.go
+++ b/internal/cronschedule/schedule_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestParseRejects(t *testing.T) {
+func TestParseRejectsInvalidSchedules(t *testing.T) {
 	for expression, zone := range map[string]string{
 		"* * * *":    "UTC",
 		"0 0 30 2 *": "UTC",
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestParseErrors(t *testing.T) {
+func TestParseReturnsDocumentedErrors(t *testing.T) {
 	for _, c := range []struct {
 		expression, zone string
 		want             error
