--- a/internal/forecast/boottimes.go
+++ b/internal/forecast/boottimes.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// minSamples is the number of recent boots that are always kept. A change of the boot time
-	// shows once half of them are new.
+	// minSamples is the number of recent boots that are always kept. The median shows a change of
+	// the boot time once half of them took place after the change.
 	minSamples = 9
 	// maxSamples is the maximum number of boots that are kept.
 	maxSamples = 512
-	// batchWindow is the time between requests whose boots count as one batch. When hundreds
-	// of machines are requested together, the slowest machines boot last, and more than minSamples
-	// machines are still pending then.
+	// batchWindow is the maximum time between two requests whose boots count as one batch. All boots
+	// of the latest batch are kept: when hundreds of machines are requested together, the slowest
+	// boot last, and while more than minSamples of them are still pending, the last minSamples boots
+	// alone would give too long a boot time.
 	batchWindow = 2 * time.Minute
-	// priorWeight is the number of boots as which the initial estimate counts.
+	// priorWeight is the number of observed boots that have the same weight as the initial estimate.
 	priorWeight = 2
-	// minZoneSamples is the number of boots in a zone from which only the boots in this zone are
-	// used instead of those in all zones.
+	// minZoneSamples is the minimum number of boots in a zone for which only the boots in this zone
+	// are used, instead of the boots in all zones.
 	minZoneSamples = 4
-	// lateFactor times the median boot time is the age from which a pending machine counts as late.
+	// lateFactor is the multiple of the boot time above which a pending machine counts as late.
 	lateFactor = 1.5
-	// lostFactor times the expected boot time is the age from which a pending machine has the
-	// weight 0, see PendingWeight.
+	// lostFactor is the multiple of the expected boot time from which on PendingWeight gives a
+	// pending machine the weight 0.
 	lostFactor = 4
 )
 
@@ -65,19 +66,19 @@
 	}
 }
 
-// HasSamples reports whether the boot of a machine of this type was observed.
+// HasSamples reports whether the boot of any machine of this type was observed.
 func (b *BootTimes) HasSamples(machineType string) bool { return len(b.samples[machineType]) > 0 }
 
 // ExpectedSeconds returns the expected boot time in seconds. It is the median of the recent boots
-// and of the initial estimate in seconds. Recent boots are those of machines requested
-// at most two minutes before the latest one, and always the last nine boots.
+// and of initialSeconds, the initial estimate. The recent boots are the last nine boots and all
+// boots of machines that were requested at most two minutes before the latest one.
 //
-// Pending machines that are already late, given by their ages in seconds, count as boots that take
-// at least that long. So the expected time grows with these ages if most machines are late, but not
-// if a few machines never boot while others do. Only pending machines that were requested no
-// earlier than the recent boots count: a few machines that were lost long ago say nothing about
-// those requested now.
-func (b *BootTimes) ExpectedSeconds(typeZone TypeZone, initial float64, pendingAges []float64, now time.Time) float64 {
+// pendingAges are the ages of the pending machines in seconds. A pending machine that is already
+// late counts as a boot that takes as long as its age. So the expected time grows with these ages if
+// most machines are late, but not if a few machines never boot while others do. Only pending machines
+// that were requested no earlier than the machines of the recent boots count: a few machines that
+// were lost long ago say nothing about those requested now.
+func (b *BootTimes) ExpectedSeconds(typeZone TypeZone, initialSeconds float64, pendingAges []float64, now time.Time) float64 {
 	samples := b.samples[typeZone.MachineType]
 	if zoneSamples := b.samples[typeZone.zoneKey()]; len(zoneSamples) >= minZoneSamples {
 		samples = zoneSamples
@@ -86,17 +87,17 @@
 	oldestRequestAge := math.Inf(1) // age of the oldest request among the samples
 	for i, sample := range samples {
 		seconds = append(seconds, sample.seconds)
-		if age := now.Sub(sample.requestedAt).Seconds(); i == 0 || age > oldestRequestAge {
-			oldestRequestAge = age
+		if ageSeconds := now.Sub(sample.requestedAt).Seconds(); i == 0 || ageSeconds > oldestRequestAge {
+			oldestRequestAge = ageSeconds
 		}
 	}
 	for range priorWeight {
-		seconds = append(seconds, initial)
+		seconds = append(seconds, initialSeconds)
 	}
 	medianBootSeconds := median(seconds)
-	for _, age := range pendingAges {
-		if age > lateFactor*medianBootSeconds && age <= oldestRequestAge {
-			seconds = append(seconds, age)
+	for _, ageSeconds := range pendingAges {
+		if ageSeconds > lateFactor*medianBootSeconds && ageSeconds <= oldestRequestAge {
+			seconds = append(seconds, ageSeconds)
 		}
 	}
 	return median(seconds)
@@ -109,9 +110,9 @@
 	return values[len(values)/2]
 }
 
-// PendingWeight returns the fraction, from 1 to 0, as which a pending machine of the given age
-// counts. The longer the machine is overdue, the less it counts. Both times are in seconds.
-func PendingWeight(age, expectedBoot float64) float64 {
-	relativeAge := age / max(expectedBoot, 1)
+// PendingWeight returns the weight, from 0 to 1, with which a pending machine of the given age
+// counts. The longer the machine is overdue, the less it counts.
+func PendingWeight(ageSeconds, expectedSeconds float64) float64 {
+	relativeAge := ageSeconds / max(expectedSeconds, 1)
 	return min(1, max(0, (lostFactor-relativeAge)/(lostFactor-lateFactor)))
 }
--- a/internal/forecast/boottimes_test.go
+++ b/internal/forecast/boottimes_test.go
@@ -36,28 +36,30 @@
 	}
 }
 
-// Guards against a fault in which all machines were late and each was requested again and again.
+// Guards against a fault in which all machines booted late, and each of them was requested again and
+// again.
 func TestExpectedBootTimeGrowsOnlyIfMostMachinesAreLate(t *testing.T) {
 	var bootTimes BootTimes
 	typeZone := TypeZone{"m", "a"}
 	for range 9 {
 		bootTimes.Observe(typeZone, time.Now().Add(-101*time.Second), 30*time.Second)
 	}
-	late := make([]float64, 30)
-	for i := range late {
-		late[i] = 100
+	lateAges := make([]float64, 30)
+	for i := range lateAges {
+		lateAges[i] = 100
 	}
-	if expected := bootTimes.ExpectedSeconds(typeZone, 30, late, time.Now()); PendingWeight(100, expected) != 1 {
+	if expected := bootTimes.ExpectedSeconds(typeZone, 30, lateAges, time.Now()); PendingWeight(100, expected) != 1 {
 		t.Errorf("all machines are late, expected boot time %v s, and they do not count fully", expected)
 	}
 	// Four machines do not boot, while others that were requested with them did.
-	if expected := bootTimes.ExpectedSeconds(typeZone, 30, late[:4], time.Now()); PendingWeight(100, expected) > 0.3 || PendingWeight(130, expected) != 0 {
+	if expected := bootTimes.ExpectedSeconds(typeZone, 30, lateAges[:4], time.Now()); PendingWeight(100, expected) > 0.3 || PendingWeight(130, expected) != 0 {
 		t.Errorf("expected boot time %v s; a missing machine still counts %v", expected, PendingWeight(100, expected))
 	}
 }
 
-// Of 700 machines requested at once the slowest machines boot last, and dozens are still pending
-// then. In this case the boot time was once estimated at three times its value.
+// When 700 machines are requested at once, the slowest boot last, and dozens are still pending after
+// most have booted. Guards against a fault in which the boot time was then estimated at three times
+// its value.
 func TestSlowestOfManyMachinesDoNotDominate(t *testing.T) {
 	var bootTimes BootTimes
 	typeZone := TypeZone{"m", "a"}
--- a/internal/forecast/load.go
+++ b/internal/forecast/load.go
@@ -15,11 +15,11 @@
 }
 
 // ExpectedLoad returns the number of CPUs that a class of jobs is likely to use at once: the mean
-// of the arrivals within the window plus one standard deviation. The work of each job is regarded
-// as spread over the horizon, which is the time in seconds that the job may take. So the deviation
+// load of the jobs that arrived within the window, plus one standard deviation. The work of each job
+// is regarded as spread over the horizon, which is the time that the job may take. So the deviation
 // is greater for a class of a few large, urgent jobs than for one of many small jobs with late
 // deadlines.
-func ExpectedLoad(arrivals []Arrival, now time.Time, window time.Duration, horizon float64) float64 {
+func ExpectedLoad(arrivals []Arrival, now time.Time, window time.Duration, horizonSeconds float64) float64 {
 	var first time.Time
 	sum, sumOfSquares := 0.0, 0.0
 	for _, arrival := range arrivals {
@@ -32,10 +32,10 @@
 		sum += arrival.CPUSeconds
 		sumOfSquares += arrival.CPUSeconds * arrival.CPUSeconds
 	}
-	if first.IsZero() || horizon <= 0 {
+	if first.IsZero() || horizonSeconds <= 0 {
 		return 0
 	}
-	// A class observed for less than its horizon says nothing about its rate yet.
-	observed := max(now.Sub(first).Seconds(), horizon)
-	return sum/observed + math.Sqrt(sumOfSquares/(horizon*observed))
+	// Arrivals that were observed for less than the horizon say nothing about their rate yet.
+	observedSeconds := max(now.Sub(first).Seconds(), horizonSeconds)
+	return sum/observedSeconds + math.Sqrt(sumOfSquares/(horizonSeconds*observedSeconds))
 }
