--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxBackoffShift limits how often the pause of a faulty job is doubled, before the upper bound of
-// the pause is applied.
+// maxBackoffShift is the maximum number of times that the pause of a faulty job is doubled, so that
+// the result does not overflow before it is limited to tuning.MaxJobBackoff.
 const maxBackoffShift = 10
 
 // Thresholds are the operators' settings.
@@ -31,7 +31,7 @@
 }
 
 type jobEvidence struct {
-	// hasSucceeded is set once a task of the job was done, or ran far longer than the failed tasks.
+	// hasSucceeded is set once a task of the job was done, or ran far longer than the job's failed tasks.
 	hasSucceeded bool
 	// failuresByMachine and failureCount are reset when the job is found at fault.
 	failuresByMachine map[string]int
@@ -42,7 +42,7 @@
 }
 
 type machineEvidence struct {
-	failuresByJob  map[string]int // since a task was last done on the machine
+	failuresByJob  map[string]int // failures since a task was last done on the machine, by job
 	suspectedUntil time.Time      // the machine gets no tasks until then
 	isFaulty       bool
 }
@@ -80,7 +80,7 @@
 }
 
 // RecordFailure records that a job's task failed on a machine after it had run for runTime. It
-// returns whether this shows that the job or the machine is at fault.
+// returns whether the failure shows that the job or the machine is at fault.
 func (a *Attributor) RecordFailure(ref, host string, runTime time.Duration, now time.Time, thresholds Thresholds) Attribution {
 	job, machine := a.jobEvidenceOf(ref), a.machineEvidenceOf(host)
 	machine.failuresByJob[ref]++
@@ -127,7 +127,8 @@
 }
 
 // countTrustedMachines returns the number of machines that are evidence against a job: the job
-// failed on them, they are not faulty, and at most one credible job failed on them.
+// failed on them, they are not faulty, and the credible evidence against each of them comes from at
+// most one job.
 func (a *Attributor) countTrustedMachines(job *jobEvidence) int {
 	count := 0
 	for host := range job.failuresByMachine {
@@ -141,7 +142,7 @@
 
 // evidenceSummary is the sum of the credible evidence against a machine.
 type evidenceSummary struct {
-	jobs          int // number of jobs that failed on the machine
+	jobs          int // number of jobs whose failures on the machine are credible evidence
 	failures      int // number of failures of these jobs
 	succeededJobs int // number of these jobs that have succeeded somewhere
 }
@@ -152,8 +153,9 @@
 }
 
 // credibleEvidence sums up the credible evidence against a machine. It consists of the failures of
-// jobs that have succeeded somewhere, and of jobs that have failed only on this machine. A job that
-// has not succeeded is no evidence if it has also failed on other machines or was paused.
+// jobs that have succeeded somewhere, and of the failures of jobs that have failed only on this
+// machine. A job that has not succeeded is no evidence if it has also failed on other machines or was
+// paused.
 func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
 	var evidence evidenceSummary
 	for ref, failures := range machine.failuresByJob {
@@ -189,7 +191,7 @@
 
 // RecordSuccess records that a job's task was done, or runs well, on a machine. It returns the
 // machines that are found at fault for the job's earlier failures due to this success.
-func (a *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (faulty []string) {
+func (a *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (faultyHosts []string) {
 	if machine := a.machines[host]; machine != nil {
 		clear(machine.failuresByJob)
 		machine.suspectedUntil = time.Time{}
@@ -204,16 +206,16 @@
 		return nil
 	}
 	job.hasSucceeded = true
-	for other := range job.failuresByMachine {
-		if machine := a.machines[other]; machine != nil && a.markMachineIfFaulty(machine, thresholds) {
-			faulty = append(faulty, other)
+	for otherHost := range job.failuresByMachine {
+		if machine := a.machines[otherHost]; machine != nil && a.markMachineIfFaulty(machine, thresholds) {
+			faultyHosts = append(faultyHosts, otherHost)
 		}
 	}
-	return faulty
+	return faultyHosts
 }
 
-// UnprovenJobs returns the jobs that failed and were not observed to succeed. The value is the time
-// for which a task must run to prove that the job works.
+// UnprovenJobs returns the jobs that failed and were not observed to succeed. The value for
+// each job is the time for which a task must run to prove that the job works.
 func (a *Attributor) UnprovenJobs() map[string]time.Duration {
 	unproven := map[string]time.Duration{}
 	for ref, job := range a.jobs {
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -12,7 +12,7 @@
 // and a faulty job was paused only after it had caused the quarantine of several machines.
 func TestFaultyJobsDoNotMakeHealthyMachinesFaulty(t *testing.T) {
 	attributor, now := New(), time.Now()
-	paused := map[string]bool{}
+	pausedJobs := map[string]bool{}
 	for round := range 12 {
 		host := fmt.Sprintf("i-%d", round%6)
 		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
@@ -20,14 +20,14 @@
 			if attribution.MachineFaulty {
 				t.Errorf("%s found faulty because of faulty jobs", host)
 			}
-			paused[ref] = paused[ref] || attribution.JobPause > 0
+			pausedJobs[ref] = pausedJobs[ref] || attribution.JobPause > 0
 		}
 		if attributor.RecordSuccess("wk-9", host, thresholds) != nil {
 			t.Error("a machine that works was found faulty")
 		}
 	}
-	if len(paused) != 3 || !paused["wk-1"] || !paused["wk-2"] || !paused["wk-3"] {
-		t.Errorf("paused: %v", paused)
+	if len(pausedJobs) != 3 || !pausedJobs["wk-1"] || !pausedJobs["wk-2"] || !pausedJobs["wk-3"] {
+		t.Errorf("paused: %v", pausedJobs)
 	}
 }
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a fault in which many machines became faulty at once: a healthy job that ran on
-// three of them first was found at fault, although other jobs failed there as well.
+// Guards against a wrong attribution when many machines become faulty at once: a healthy job that ran
+// first on three of them was found at fault, although other jobs failed there as well.
 func TestSeveralFaultyMachinesDoNotPauseJob(t *testing.T) {
 	attributor, now := New(), time.Now()
 	for h := range 4 {
@@ -68,22 +68,22 @@
 
 func TestFaultyJobPausesGrowUntilSuccess(t *testing.T) {
 	attributor, now := New(), time.Now()
-	failOnNineMachines := func() (longest time.Duration) {
+	failOnNineMachines := func() (longestPause time.Duration) {
 		for h := range 9 {
 			attribution := attributor.RecordFailure("wk-1", fmt.Sprintf("i-%d", h), time.Second, now, thresholds)
 			if attribution.JobPause > 0 {
-				longest = attribution.JobPause
+				longestPause = attribution.JobPause
 			}
 		}
-		return longest
+		return longestPause
 	}
-	first := failOnNineMachines()
-	if first == 0 || !attributor.IsPaused("wk-1", now) || !attributor.IsJobFaulty("wk-1") {
-		t.Fatalf("first pause %v", first)
+	firstPause := failOnNineMachines()
+	if firstPause == 0 || !attributor.IsPaused("wk-1", now) || !attributor.IsJobFaulty("wk-1") {
+		t.Fatalf("first pause %v", firstPause)
 	}
-	now = now.Add(first)
-	if second := failOnNineMachines(); second <= first {
-		t.Errorf("second pause %v after %v", second, first)
+	now = now.Add(firstPause)
+	if secondPause := failOnNineMachines(); secondPause <= firstPause {
+		t.Errorf("second pause %v after %v", secondPause, firstPause)
 	}
 	attributor.RecordSuccess("wk-1", "i-1", thresholds)
 	if attributor.IsPaused("wk-1", now) || attributor.IsJobFaulty("wk-1") {
