--- a/internal/tracing/tracer.go
+++ b/internal/tracing/tracer.go
@@ -1,6 +1,6 @@
 // Package tracing creates traces of runs of pipeline files. A trace has a span for the run; its
 // descendants are the spans of the stages, of their jobs, and of the attempts of each job. A span
-// is created when it has ended.
+// is created when what it describes has ended.
 package tracing
 
 import (
@@ -47,7 +47,8 @@
 	return &Tracer{tracer}, provider.Shutdown, nil
 }
 
-// deterministicIDs takes the ids of a span from the context in which the span is started, see emit.
+// deterministicIDs takes the ids of a span from the context in which the span is started. emit stores
+// them there.
 type deterministicIDs struct{}
 
 type spanContextKey struct{}
@@ -65,12 +66,12 @@
 }
 
 // spanContextOf returns the ids of a span of a run.
-func spanContextOf(run, span string) trace.SpanContext {
+func spanContextOf(runID, span string) trace.SpanContext {
 	var traceID trace.TraceID
 	var spanID trace.SpanID
-	binary.BigEndian.PutUint64(traceID[:8], xxhash.Sum64String(run))
-	binary.BigEndian.PutUint64(traceID[8:], xxhash.Sum64String(run+"#"))
-	binary.BigEndian.PutUint64(spanID[:], xxhash.Sum64String(run+"/"+span))
+	binary.BigEndian.PutUint64(traceID[:8], xxhash.Sum64String(runID))
+	binary.BigEndian.PutUint64(traceID[8:], xxhash.Sum64String(runID+"#"))
+	binary.BigEndian.PutUint64(spanID[:], xxhash.Sum64String(runID+"/"+span))
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
@@ -79,84 +80,84 @@
 
 // span is a span that has ended.
 type span struct {
-	id, parent string // unique within the run; the span of the run itself has id and parent equal
+	id, parent string // unique within the run; in the span of the run itself both are the same
 	name       string
 	interval
 	failure    string // reason of the failure, "" if the span did not fail
 	attributes []attribute.KeyValue
 }
 
-// emit passes a span to the exporter. Its ids are derived from those of the run and the span.
-func (t *Tracer) emit(run string, s span) {
+// emit passes a span to the exporter. The exported ids are derived from the ids of the run and the span.
+func (t *Tracer) emit(runID string, s span) {
 	ctx := context.Background()
 	if s.parent != s.id {
-		ctx = trace.ContextWithRemoteSpanContext(ctx, spanContextOf(run, s.parent))
+		ctx = trace.ContextWithRemoteSpanContext(ctx, spanContextOf(runID, s.parent))
 	}
-	ctx = context.WithValue(ctx, spanContextKey{}, spanContextOf(run, s.id))
-	_, started := t.tracer.Start(ctx, s.name, trace.WithTimestamp(s.start), trace.WithAttributes(s.attributes...))
+	ctx = context.WithValue(ctx, spanContextKey{}, spanContextOf(runID, s.id))
+	_, otelSpan := t.tracer.Start(ctx, s.name, trace.WithTimestamp(s.start), trace.WithAttributes(s.attributes...))
 	if s.failure != "" {
-		started.SetStatus(codes.Error, s.failure)
+		otelSpan.SetStatus(codes.Error, s.failure)
 	}
-	started.End(trace.WithTimestamp(s.end))
+	otelSpan.End(trace.WithTimestamp(s.end))
 }
 
 // StartTimes contains the times at which the jobs, attempts and stages of a run started, as far as
 // the run's current leader has observed them.
 type StartTimes struct {
-	job, attempt map[int]time.Time // by job
-	stage        map[int]interval
+	jobs, attempts map[int]time.Time // starts of the jobs and of their current attempts, by the index of the job in the plan
+	stages         map[int]interval  // by the index of the stage in the plan
 }
 
 // NewStartTimes returns the start times of a leader that has observed nothing yet.
 func NewStartTimes() StartTimes {
-	return StartTimes{job: map[int]time.Time{}, attempt: map[int]time.Time{}, stage: map[int]interval{}}
+	return StartTimes{jobs: map[int]time.Time{}, attempts: map[int]time.Time{}, stages: map[int]interval{}}
 }
 
 // RecordStep creates the spans of the attempts and jobs that have ended in a step, which changed
 // the job states from before to after. It also updates startTimes.
-func (t *Tracer) RecordStep(run string, startTimes *StartTimes, plan *pipeline.Plan, before, after []pipelineexec.JobState, now time.Time) {
+func (t *Tracer) RecordStep(runID string, startTimes *StartTimes, plan *pipeline.Plan, before, after []pipelineexec.JobState, now time.Time) {
 	for job := range after {
 		if before[job] != after[job] {
-			t.recordJobChange(run, startTimes, plan, job, before[job], after[job], now)
+			t.recordJobChange(runID, startTimes, plan, job, before[job], after[job], now)
 		}
 	}
 }
 
-func (t *Tracer) recordJobChange(run string, startTimes *StartTimes, plan *pipeline.Plan, job int, before, after pipelineexec.JobState, now time.Time) {
+func (t *Tracer) recordJobChange(runID string, startTimes *StartTimes, plan *pipeline.Plan, job int, before, after pipelineexec.JobState, now time.Time) {
 	inProgress := after.Status == pipelineexec.Active || after.Status == pipelineexec.Stopping
-	if inProgress && startTimes.job[job].IsZero() {
-		startTimes.job[job] = now
+	if inProgress && startTimes.jobs[job].IsZero() {
+		startTimes.jobs[job] = now
 	}
-	if attemptStart := startTimes.attempt[job]; inProgress && (attemptStart.IsZero() || after.Attempt != before.Attempt) {
+	if attemptStart := startTimes.attempts[job]; inProgress && (attemptStart.IsZero() || after.Attempt != before.Attempt) {
 		if !attemptStart.IsZero() {
-			t.emitAttempt(run, job, before, interval{attemptStart, now}, string(before.Cause))
+			t.emitAttempt(runID, job, before, interval{attemptStart, now}, string(before.Cause))
 		}
-		startTimes.attempt[job] = now
+		startTimes.attempts[job] = now
 	}
-	if !after.Status.IsFinal() || before.Status.IsFinal() || startTimes.job[job].IsZero() {
+	if !after.Status.IsFinal() || before.Status.IsFinal() || startTimes.jobs[job].IsZero() {
 		return
 	}
 	failure := ""
 	if after.Status == pipelineexec.Failed {
 		failure = string(after.Cause)
 	}
-	t.emitAttempt(run, job, after, interval{startTimes.attempt[job], now}, failure)
-	t.emitJob(run, job, &plan.Jobs[job], after.Status, interval{startTimes.job[job], now}, failure)
-	startTimes.extendStage(plan.Jobs[job].Stage, startTimes.job[job], now)
+	t.emitAttempt(runID, job, after, interval{startTimes.attempts[job], now}, failure)
+	t.emitJob(runID, job, &plan.Jobs[job], after.Status, interval{startTimes.jobs[job], now}, failure)
+	startTimes.extendStage(plan.Jobs[job].Stage, startTimes.jobs[job], now)
 }
 
 // extendStage extends the interval of a stage so that it includes the interval of one of its jobs.
 func (s *StartTimes) extendStage(stage int, start, end time.Time) {
-	period, known := s.stage[stage]
+	period, known := s.stages[stage]
 	if !known || start.Before(period.start) {
 		period.start = start
 	}
 	period.end = end
-	s.stage[stage] = period
+	s.stages[stage] = period
 }
 
-func (t *Tracer) emitAttempt(run string, job int, state pipelineexec.JobState, period interval, failure string) {
-	t.emit(run, span{
+func (t *Tracer) emitAttempt(runID string, job int, state pipelineexec.JobState, period interval, failure string) {
+	t.emit(runID, span{
 		id:       fmt.Sprintf("%s/%d", jobSpanID(job), state.Attempt),
 		parent:   jobSpanID(job),
 		name:     "try",
@@ -164,13 +165,13 @@
 		failure:  failure,
 		attributes: []attribute.KeyValue{
 			attribute.Int("try", state.Attempt),
-			attribute.String("submission", pipelineexec.JobRef(run, job, state)),
+			attribute.String("submission", pipelineexec.JobRef(runID, job, state)),
 		},
 	})
 }
 
-func (t *Tracer) emitJob(run string, index int, job *pipeline.Job, status pipelineexec.Status, period interval, failure string) {
-	t.emit(run, span{
+func (t *Tracer) emitJob(runID string, index int, job *pipeline.Job, status pipelineexec.Status, period interval, failure string) {
+	t.emit(runID, span{
 		id:       jobSpanID(index),
 		parent:   stageSpanID(job.Stage),
 		name:     job.Name,
@@ -189,20 +190,20 @@
 
 // RecordEnd creates the spans of the stages and of the run itself. It is called once, by the leader
 // that has written the run's final record.
-func (t *Tracer) RecordEnd(run, name string, status pipelineexec.RunStatus, startTimes *StartTimes, plan *pipeline.Plan, start, end time.Time) {
-	for stage, period := range startTimes.stage {
-		t.emit(run, span{id: stageSpanID(stage), parent: runSpanID, name: plan.Stages[stage], interval: period})
+func (t *Tracer) RecordEnd(runID, name string, status pipelineexec.RunStatus, startTimes *StartTimes, plan *pipeline.Plan, start, end time.Time) {
+	for stage, period := range startTimes.stages {
+		t.emit(runID, span{id: stageSpanID(stage), parent: runSpanID, name: plan.Stages[stage], interval: period})
 	}
 	failure := ""
 	if status == pipelineexec.RunFailed {
 		failure = string(status)
 	}
-	t.emit(run, span{
+	t.emit(runID, span{
 		id:         runSpanID,
 		parent:     runSpanID,
 		name:       name,
 		interval:   interval{start, end},
 		failure:    failure,
-		attributes: []attribute.KeyValue{attribute.String("run", run), attribute.String("status", string(status))},
+		attributes: []attribute.KeyValue{attribute.String("run", runID), attribute.String("status", string(status))},
 	})
 }
--- a/internal/tracing/tracer_test.go
+++ b/internal/tracing/tracer_test.go
@@ -34,7 +34,7 @@
 		{{waiting, waiting}, {active, waiting}, {retried, waiting}},
 		{{retried, waiting}, {retried, waiting}, {retrySucceeded, waiting}, {retrySucceeded, active}, {retrySucceeded, succeeded}},
 	}
-	at := func(seconds int) time.Time { return time.UnixMilli(int64(1000 * seconds)) }
+	atSecond := func(seconds int) time.Time { return time.UnixMilli(int64(1000 * seconds)) }
 	for leader, steps := range stepsByLeader {
 		tracer, shutdown, err := NewTracer(&output, "n0")
 		if err != nil {
@@ -42,13 +42,13 @@
 		}
 		startTimes := NewStartTimes()
 		if leader == 1 { // this leader regards the job in progress as started when it began to lead the run
-			startTimes.job[0], startTimes.attempt[0] = at(20), at(20)
+			startTimes.jobs[0], startTimes.attempts[0] = atSecond(20), atSecond(20)
 		}
 		for k := 1; k < len(steps); k++ {
-			tracer.RecordStep("run-1", &startTimes, plan, steps[k-1], steps[k], at(10*leader+k))
+			tracer.RecordStep("run-1", &startTimes, plan, steps[k-1], steps[k], atSecond(10*leader+k))
 		}
 		if leader == 1 {
-			tracer.RecordEnd("run-1", "test", pipelineexec.RunSucceeded, &startTimes, plan, at(0), at(30))
+			tracer.RecordEnd("run-1", "test", pipelineexec.RunSucceeded, &startTimes, plan, atSecond(0), atSecond(30))
 		}
 		if err := shutdown(context.Background()); err != nil {
 			t.Fatal(err)
