--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -20,7 +20,7 @@
 // nothing is known yet: a response is still pending.
 type Observation struct {
 	IsUnknown    bool // according to the latest information, the controller does not have the job
-	IsUnfinished bool // the controller has the job, and it has not ended
+	IsUnfinished bool // the controller has the job, and the job has not ended
 	IsDone       bool
 	IsCancelled  bool
 	IsFaulty     bool  // the job fails on several machines on which other jobs succeed
@@ -88,7 +88,7 @@
 		state.Status, state.Cause = Stopping, CauseRunCancelled
 	case observed.IsUnfinished && observed.IsFaulty:
 		state.Status, state.Cause = Stopping, pipeline.CauseScriptFailure
-	case observed.IsUnfinished && timedOut(job, nowMS-observed.AcceptedAtMS):
+	case observed.IsUnfinished && hasTimedOut(job, nowMS-observed.AcceptedAtMS):
 		state.Status, state.Cause = Stopping, pipeline.CauseTimeout
 	case observed.IsUnknown && !observed.IsUnfinished:
 		return Action{Job: index, Submit: true, RequiresGroup: job.ResourceGroup != ""}, true
@@ -102,7 +102,7 @@
 	return e.CancelMode == CancelNow || e.CancelMode == CancelDrain && job.Interruptible
 }
 
-func timedOut(job *pipeline.Job, elapsedMS int64) bool {
+func hasTimedOut(job *pipeline.Job, elapsedMS int64) bool {
 	return job.TimeoutSeconds > 0 && float64(elapsedMS) > job.TimeoutSeconds*1000
 }
 
@@ -140,15 +140,15 @@
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	dependencies := e.summarizeDependencies(job)
 	switch {
-	case dependencies.unfinished:
+	case dependencies.hasUnfinished:
 	case job.When == pipeline.Always:
 		state.Status = Active
 	case job.When == pipeline.OnFailure:
 		state.Status = Skipped
-		if dependencies.failed {
+		if dependencies.hasFailed {
 			state.Status = Active
 		}
-	case dependencies.failed || dependencies.missing:
+	case dependencies.hasFailed || dependencies.hasMissing:
 		state.Status = Skipped
 	case job.When == pipeline.Manual:
 		state.Status = Manual
@@ -172,9 +172,9 @@
 
 // dependencySummary summarizes the jobs that a job depends on.
 type dependencySummary struct {
-	unfinished bool // a dependency has not ended
-	failed     bool // a dependency whose failure is not allowed has failed or was cancelled
-	missing    bool // a dependency named in the job's needs was skipped, or is optional and may wait for a user for ever
+	hasUnfinished bool // a dependency has not ended
+	hasFailed     bool // a dependency whose failure is not allowed has failed or was cancelled
+	hasMissing    bool // a dependency named in the job's needs was skipped, or is optional and waits for a user, perhaps for ever
 }
 
 func (e *Execution) summarizeDependencies(job *pipeline.Job) dependencySummary {
@@ -194,44 +194,44 @@
 }
 
 func (e *Execution) addDependency(summary *dependencySummary, job *pipeline.Job, dependency int) {
-	status, failureAllowed := e.JobStates[dependency].Status, e.Plan.Jobs[dependency].AllowFailure
+	status, isFailureAllowed := e.JobStates[dependency].Status, e.Plan.Jobs[dependency].AllowFailure
 	switch {
-	case status == Manual && failureAllowed: // an optional job, which a user may never start
-		summary.missing = summary.missing || !job.WaitsForEarlierStages
+	case status == Manual && isFailureAllowed: // an optional job, which a user may never start
+		summary.hasMissing = summary.hasMissing || !job.WaitsForEarlierStages
 	case !status.IsFinal():
-		summary.unfinished = true
+		summary.hasUnfinished = true
 	case status == Failed || status == Cancelled:
-		summary.failed = summary.failed || !failureAllowed
+		summary.hasFailed = summary.hasFailed || !isFailureAllowed
 	case status == Skipped:
-		summary.missing = summary.missing || !job.WaitsForEarlierStages
+		summary.hasMissing = summary.hasMissing || !job.WaitsForEarlierStages
 	}
 }
 
 // Status returns the run's status and whether it is final. It ignores jobs that wait for a user and whose
 // failure is allowed: they are optional, and no other job waits for them.
-func (e *Execution) Status() (status RunStatus, final bool) {
-	count := map[Status]int{}
-	failed := false
+func (e *Execution) Status() (status RunStatus, isFinal bool) {
+	counts := map[Status]int{}
+	hasFailed := false
 	for i, state := range e.JobStates {
-		failureAllowed := e.Plan.Jobs[i].AllowFailure
-		if state.Status == Manual && failureAllowed {
+		isFailureAllowed := e.Plan.Jobs[i].AllowFailure
+		if state.Status == Manual && isFailureAllowed {
 			continue
 		}
-		count[state.Status]++
-		failed = failed || state.Status == Failed && !failureAllowed
+		counts[state.Status]++
+		hasFailed = hasFailed || state.Status == Failed && !isFailureAllowed
 	}
-	inProgress := count[Delayed] + count[Active] + count[Stopping]
-	unfinished := count[Waiting] + inProgress
+	inProgressCount := counts[Delayed] + counts[Active] + counts[Stopping]
+	unfinishedCount := counts[Waiting] + inProgressCount
 	switch {
-	case e.CancelMode != NotCancelled && unfinished+count[Manual] > 0:
+	case e.CancelMode != NotCancelled && unfinishedCount+counts[Manual] > 0:
 		return RunStopping, false
-	case inProgress == 0 && count[Manual] > 0:
+	case inProgressCount == 0 && counts[Manual] > 0:
 		return RunManual, false
-	case unfinished > 0:
+	case unfinishedCount > 0:
 		return RunRunning, false
-	case count[Cancelled] > 0:
+	case counts[Cancelled] > 0:
 		return RunCancelled, true
-	case failed:
+	case hasFailed:
 		return RunFailed, true
 	}
 	return RunSucceeded, true
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -114,7 +114,7 @@
 	h.actionLog = nil
 }
 
-// expectStatuses checks the recorded statuses of all jobs.
+// expectStatuses checks the statuses of all jobs, given by the letters that are recorded.
 func (h *harness) expectStatuses(want string) {
 	h.t.Helper()
 	if got := EncodeProgress(h.execution.JobStates).Status; got != want {
@@ -125,12 +125,12 @@
 // expectRunStatus checks the status of the run and whether it is final.
 func (h *harness) expectRunStatus(wantStatus RunStatus, wantFinal bool) {
 	h.t.Helper()
-	if status, final := h.execution.Status(); status != wantStatus || final != wantFinal {
-		h.t.Errorf("run %s, final %v; want %s, %v", status, final, wantStatus, wantFinal)
+	if status, isFinal := h.execution.Status(); status != wantStatus || isFinal != wantFinal {
+		h.t.Errorf("run %s, final %v; want %s, %v", status, isFinal, wantStatus, wantFinal)
 	}
 }
 
-func TestStagesAndNeeds(t *testing.T) {
+func TestStagesAndNeedsDetermineStartOrder(t *testing.T) {
 	h := newHarness(t, `
 a: {stage: one}
 b: {stage: one}
@@ -205,7 +205,7 @@
 	h.expectRunStatus(RunFailed, true)
 }
 
-func TestCauseOutsideRetryWhenIsNotRetried(t *testing.T) {
+func TestFailureWithOtherCauseIsNotRetried(t *testing.T) {
 	h := newHarness(t, retryFile)
 	h.step()
 	h.complete("soft")
@@ -214,7 +214,7 @@
 	h.expectLog("-work +undo")
 }
 
-func TestManualAndDelayedJobs(t *testing.T) {
+func TestManualJobsWaitForUserAndDelayedJobsForTime(t *testing.T) {
 	h := newHarness(t, `
 a: {stage: one, when: delayed, start_in: 5s}
 gate: {stage: two, when: manual, allow_failure: false}
@@ -264,8 +264,8 @@
 	h := newHarness(t, cancellationFile)
 	h.step()
 	h.execution.CancelMode = CancelNow
-	slow := h.unfinishedObservation("slow")
-	slow.IsUnfinished, slow.IsDone = false, true
+	slowJob := h.unfinishedObservation("slow")
+	slowJob.IsUnfinished, slowJob.IsDone = false, true
 	h.actionLog = nil
 	h.step()
 	h.expectLog("-quick")
@@ -298,14 +298,14 @@
 		event()
 		takeOver(h)
 	}
-	status, final := h.execution.Status()
-	if !final {
+	status, isFinal := h.execution.Status()
+	if !isFinal {
 		t.Error("the status of the run is not final")
 	}
 	return strings.Join(h.actionLog, " ") + " " + string(status)
 }
 
-// loadRecord continues the run with the job states from a record of the current ones.
+// loadRecord encodes the current job states as a record, and continues the run with the decoded states.
 func loadRecord(t *testing.T, h *harness) {
 	t.Helper()
 	states, err := EncodeProgress(h.execution.JobStates).JobStates(len(h.execution.JobStates))
@@ -337,13 +337,13 @@
 // the former leader crashed.
 func TestRecordIsSufficientForFailover(t *testing.T) {
 	uninterrupted := runWithFailovers(t, func(*harness) {})
-	current := runWithFailovers(t, func(h *harness) { loadRecord(t, h) })
-	if uninterrupted != "+a +b +d -a +a +c +e success" || current != uninterrupted {
-		t.Errorf("uninterrupted: %s\nwith failovers: %s", uninterrupted, current)
+	withCurrentRecord := runWithFailovers(t, func(h *harness) { loadRecord(t, h) })
+	if uninterrupted != "+a +b +d -a +a +c +e success" || withCurrentRecord != uninterrupted {
+		t.Errorf("uninterrupted: %s\nwith failovers: %s", uninterrupted, withCurrentRecord)
 	}
 	// Jobs that the controller already has are not submitted a second time.
-	oldest := runWithFailovers(t, loadOldestRecord)
-	if submissions := strings.Count(oldest, "+"); submissions != 6 || !strings.HasSuffix(oldest, string(RunSucceeded)) {
-		t.Errorf("with the oldest record: %s", oldest)
+	withOldestRecord := runWithFailovers(t, loadOldestRecord)
+	if submissions := strings.Count(withOldestRecord, "+"); submissions != 6 || !strings.HasSuffix(withOldestRecord, string(RunSucceeded)) {
+		t.Errorf("with the oldest record: %s", withOldestRecord)
 	}
 }
--- a/internal/pipelineexec/progress.go
+++ b/internal/pipelineexec/progress.go
@@ -14,10 +14,10 @@
 // JobState is the state of a job of a run.
 type JobState struct {
 	Status          Status
-	Attempt         int                   // from 0
-	Salt            int                   // how many ids of the attempt were already used by jobs of other users, see JobRef
-	DelayedUntilMS  int64                 // Unix ms, for Delayed
-	Cause           pipeline.FailureCause // for Stopping and Failed
+	Attempt         int                   // number of the current attempt, from 0
+	Salt            int                   // number of ids of the attempt that jobs of other users already had; an argument of JobRef
+	DelayedUntilMS  int64                 // Unix ms; 0 if the job was never Delayed
+	Cause           pipeline.FailureCause // why the job is being cancelled, was cancelled or failed
 	ManuallyStarted bool
 }
 
@@ -30,8 +30,9 @@
 	return states
 }
 
-// Progress is the recorded form of job states. Status contains one letter for each job, see Status. The other
-// fields contain the values that differ from zero, by the index of the job in the plan.
+// Progress is the recorded form of job states. Its field Status contains the letter of each job's status. The
+// maps contain the values that differ from zero, by the index of the job in the plan. ManuallyStarted lists the
+// indexes of the jobs that a user has started.
 type Progress struct {
 	Status          string                        `json:"st"`
 	Attempts        map[int]int                   `json:"try,omitempty"`
@@ -99,7 +100,7 @@
 // JobRef returns the id under which the current attempt of a job is submitted. The id depends only on the
 // arguments. Successive leaders of the run therefore submit the attempt under the same id, so that a repeated
 // step does not run the job twice. The protocol prescribes the prefix and the form of the id.
-func JobRef(run string, job int, state JobState) string {
-	attempt := run + "/" + strconv.Itoa(job) + "/" + strconv.Itoa(state.Attempt) + "/" + strconv.Itoa(state.Salt)
+func JobRef(runID string, job int, state JobState) string {
+	attempt := runID + "/" + strconv.Itoa(job) + "/" + strconv.Itoa(state.Attempt) + "/" + strconv.Itoa(state.Salt)
 	return jobs.NumberedRef("pl", xxhash.Sum64String(attempt))
 }
--- a/internal/pipelineexec/status.go
+++ b/internal/pipelineexec/status.go
@@ -11,7 +11,7 @@
 	Manual   Status = 'm' // waits until a user starts it
 	Delayed  Status = 'd' // waits until JobState.DelayedUntilMS
 	Active   Status = 'a' // submitted to the controller, or to be submitted
-	Stopping Status = 'x' // being cancelled, see JobState.Cause
+	Stopping Status = 'x' // being cancelled for the reason in JobState.Cause
 )
 
 // The final statuses.
