--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// jobCopy is one of the copies of a job that its key parallel asks for.
+// jobCopy is one of the copies of a job that the job's key parallel defines.
 type jobCopy struct {
 	name      string
 	variables map[string]string // in addition to the variables of the job
@@ -35,11 +35,11 @@
 		c.addProblem(valueOf(node, "parallel"), "%s.parallel: %d copies, more than the limit of %d", name, len(copies), maxParallel)
 		return
 	}
-	for _, current := range copies {
+	for _, singleCopy := range copies {
 		copyVariables := maps.Clone(variables)
-		maps.Copy(copyVariables, current.variables)
+		maps.Copy(copyVariables, singleCopy.variables)
 		problemsBefore := len(c.problems)
-		c.compileCopy(name, current.name, node, copyVariables)
+		c.compileCopy(name, singleCopy.name, node, copyVariables)
 		if len(c.problems) > problemsBefore {
 			return // the other copies have the same problems
 		}
@@ -72,7 +72,7 @@
 	}
 	var copies []jobCopy
 	for i, row := range p.Matrix {
-		for _, combination := range combinations(row, p.keys[i]) {
+		for _, combination := range combinations(row, p.rowVariables[i]) {
 			combination.name = name + ": [" + strings.TrimPrefix(combination.name, ", ") + "]"
 			copies = append(copies, combination)
 		}
@@ -97,23 +97,23 @@
 // if there are more than maxParallel combinations, combinations returns only a few copies more than
 // maxParallel, which the caller rejects.
 func combinations(row map[string]oneOrMore, variables []string) []jobCopy {
-	partial := []jobCopy{{variables: map[string]string{}}}
+	partialCombinations := []jobCopy{{variables: map[string]string{}}}
 	for _, variable := range variables {
-		var extended []jobCopy
-		for _, combination := range partial {
+		var extendedCombinations []jobCopy
+		for _, combination := range partialCombinations {
 			for _, value := range row[variable] {
-				if len(extended) > maxParallel {
+				if len(extendedCombinations) > maxParallel {
 					break
 				}
-				extended = append(extended, combination.with(variable, value))
+				extendedCombinations = append(extendedCombinations, combination.withVariable(variable, value))
 			}
 		}
-		partial = extended
+		partialCombinations = extendedCombinations
 	}
-	return partial
+	return partialCombinations
 }
 
-func (j jobCopy) with(variable, value string) jobCopy {
+func (j jobCopy) withVariable(variable, value string) jobCopy {
 	variables := maps.Clone(j.variables)
 	variables[variable] = value
 	return jobCopy{name: j.name + ", " + value, variables: variables}
@@ -143,7 +143,7 @@
 		c.addProblem(c.nameNodes[jobName], "%s: two copies have the name %q", jobName, copyName)
 	}
 	index := len(c.plan.Jobs)
-	c.copies[jobName] = append(c.copies[jobName], index)
+	c.copyIndexes[jobName] = append(c.copyIndexes[jobName], index)
 	if j.keys.Needs != nil {
 		c.unresolvedNeeds = append(c.unresolvedNeeds, unresolvedNeeds{job: index, needs: j.keys.Needs})
 	}
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -11,7 +11,7 @@
 var jobKinds = map[string]jobs.Kind{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang}
 
 // compileSpec makes the spec that is submitted to the cluster. It reports fields that are missing or out of
-// range, limits of the job's class that are exceeded, and the reason why the cluster cannot run the job.
+// range, exceeded limits of the job's class, and the reason why the cluster cannot run the job if that is so.
 func (j *jobCompiler) compileSpec() {
 	keys, spec := &j.keys.Cluster, &j.job.Spec
 	*spec = newSpec(&j.keys)
@@ -26,7 +26,7 @@
 	if len(j.problems) > problemsBefore {
 		return
 	}
-	if j.limits != nil {
+	if j.classLimits != nil {
 		j.checkClassLimits()
 	}
 	if j.validate == nil || len(j.problems) > problemsBefore {
@@ -106,15 +106,15 @@
 	}
 }
 
-// isNonNegative reports whether a number is 0 or above. It is false for NaN, which a comparison with < 0
-// would accept.
+// isNonNegative reports whether a number is 0 or above. It returns false for NaN, for which number < 0 would
+// be false as well.
 func isNonNegative(number float64) bool { return number >= 0 }
 
 // checkClassLimits checks a job against the operators' limits of its class.
 func (j *jobCompiler) checkClassLimits() {
 	spec := &j.job.Spec
-	limits, limited := j.limits(spec.Class)
-	if !limited {
+	limits, hasLimits := j.classLimits(spec.Class)
+	if !hasLimits {
 		return
 	}
 	if j.job.Retries > limits.MaxRetries {
--- a/internal/pipeline/decode.go
+++ b/internal/pipeline/decode.go
@@ -22,15 +22,15 @@
 
 // decodeMapping decodes a mapping into the struct to which destination points. It decodes key by key, so
 // that the problems of all keys are reported and not only the first one. prefix precedes the keys in the
-// texts of problems. unknown is called for each key that the struct has no field for.
-func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, destination any, unknown func(key, value *yaml.Node)) {
+// texts of problems. handleUnknownKey is called for each key that the struct has no field for.
+func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, destination any, handleUnknownKey func(key, value *yaml.Node)) {
 	target := reflect.ValueOf(destination).Elem()
 	fields := fieldsByKey(target.Type())
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], resolveAlias(node.Content[i+1])
 		index, known := fields[key.Value]
 		if !known {
-			unknown(key, value)
+			handleUnknownKey(key, value)
 			continue
 		}
 		if value.Kind == yaml.ScalarNode && value.Tag == "!!null" {
--- a/internal/pipeline/duration.go
+++ b/internal/pipeline/duration.go
@@ -11,7 +11,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// duration is a length of time, written as 90s, 1h 30m or "2 days".
+// duration is a length of time, which is written in a form such as "90s", "1h 30m" or "2 days".
 type duration time.Duration
 
 // durationPattern matches one number and its unit at the beginning of the text that is not yet parsed.
@@ -35,7 +35,7 @@
 // above 0 and at most tuning.MaxPipelineDuration.
 func (d *duration) UnmarshalYAML(node *yaml.Node) error {
 	const wrongForm = "must be a duration such as 90s or 1h 30m"
-	rest, sum := node.Value, 0.0
+	rest, nanoseconds := node.Value, 0.0
 	if node.Kind != yaml.ScalarNode || strings.TrimSpace(rest) == "" {
 		return newPositionError(node, wrongForm)
 	}
@@ -52,12 +52,12 @@
 		if _, err := fmt.Sscan(match[1], &number); err != nil {
 			return newPositionError(node, wrongForm)
 		}
-		sum += number * float64(unit)
+		nanoseconds += number * float64(unit)
 		rest = rest[len(match[0]):]
 	}
-	if sum <= 0 || sum > float64(tuning.MaxPipelineDuration) {
+	if nanoseconds <= 0 || nanoseconds > float64(tuning.MaxPipelineDuration) {
 		return newPositionError(node, "must be above 0 and at most 60 days")
 	}
-	*d = duration(sum)
+	*d = duration(nanoseconds)
 	return nil
 }
--- a/internal/pipeline/keys.go
+++ b/internal/pipeline/keys.go
@@ -65,7 +65,7 @@
 	DeadlineS   float64  `json:"deadline_s,omitempty" jsonschema:"minimum=0,description=Seconds from its submission in which it should be done."`
 }
 
-// scalar is the text of a string, number or boolean. It may also be written as a mapping with the key value.
+// scalar is the text of a string, number or boolean. It may also be written as a mapping with the key "value".
 type scalar string
 
 func (s *scalar) UnmarshalYAML(node *yaml.Node) error {
@@ -73,7 +73,7 @@
 	case yaml.ScalarNode:
 		*s = scalar(node.Value)
 		return nil
-	case yaml.MappingNode: // with the key value, and a description for human readers
+	case yaml.MappingNode: // has the key "value", and may have a description for human readers
 		if value := valueOf(node, "value"); value != nil {
 			return s.UnmarshalYAML(value)
 		}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// image is the name of an image, written as a string or as a mapping with the key name.
+// image is the name of an image, written as a string or as a mapping with the key "name".
 type image string
 
 func (i *image) UnmarshalYAML(node *yaml.Node) error {
@@ -116,8 +116,8 @@
 	return newPositionError(node, "must be a name, or a mapping with name")
 }
 
-// retry defines how often a job is retried, and after which causes of failure. It may be written as a number,
-// which is Max.
+// retry defines how often a job is retried, and after which causes of failure. It may also be written as a
+// single number, the value of Max.
 type retry struct {
 	node *yaml.Node // where problems are reported
 	Max  int        `json:"max"`
@@ -148,16 +148,16 @@
 	case "when":
 		return value.Decode(&r.When)
 	case "exit_codes":
-		return nil // ignored with a notice, see compileRetry: tasks have no exit codes in cherrywall
+		return nil // ignored, since tasks have no exit codes in cherrywall; compileRetry adds a notice
 	}
 	return newPositionError(value, "unknown; max and when are known")
 }
 
 // parallel defines the copies of a job, as a number or as a matrix of variables.
 type parallel struct {
-	N      int                    `json:"n,omitempty"`
-	Matrix []map[string]oneOrMore `json:"matrix,omitempty"`
-	keys   [][]string             // the variables of each row of the matrix, in the order of the file
+	N            int                    `json:"n,omitempty"`
+	Matrix       []map[string]oneOrMore `json:"matrix,omitempty"`
+	rowVariables [][]string             // the variables of each row of the matrix, in the order of the file
 }
 
 func (p *parallel) UnmarshalYAML(node *yaml.Node) error {
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	p.Matrix, p.keys = append(p.Matrix, variables), append(p.keys, keys)
+	p.Matrix, p.rowVariables = append(p.Matrix, variables), append(p.rowVariables, keys)
 	return nil
 }
 
@@ -249,7 +249,7 @@
 	case "optional":
 		return value.Decode(&n.Optional)
 	case "artifacts":
-		return nil // ignored with a notice, see resolveNeeds
+		return nil // ignored; resolveNeeds adds a notice
 	}
 	return newPositionError(value, key+": unknown key; job and optional are known")
 }
@@ -259,7 +259,7 @@
 
 func (a *allowFailure) UnmarshalYAML(node *yaml.Node) error {
 	a.isSet = true
-	if node.Kind == yaml.MappingNode { // exit codes, ignored with a notice, see compileAllowFailure
+	if node.Kind == yaml.MappingNode { // the exit codes are ignored; compileAllowFailure adds a notice
 		return nil
 	}
 	if node.Decode(&a.isAllowed) != nil {
--- a/internal/pipeline/needs.go
+++ b/internal/pipeline/needs.go
@@ -24,7 +24,7 @@
 // findNeededJobs returns the indexes of the jobs that an entry of needs names: all copies of a job, or the one
 // copy with that name. If there is none, it reports a problem, unless the entry is optional.
 func (c *compiler) findNeededJobs(job *Job, entry need) []int {
-	if copies := c.copies[entry.Job]; copies != nil {
+	if copies := c.copyIndexes[entry.Job]; copies != nil {
 		return copies
 	}
 	if i := slices.IndexFunc(c.plan.Jobs, func(other Job) bool { return other.Name == entry.Job }); i >= 0 {
@@ -57,7 +57,7 @@
 
 const (
 	unvisited visitState = iota
-	onPath               // on the current path of the search: a job that needs it closes a cycle
+	onPath               // on the current path of the search; if the last job of the path needs it, there is a cycle
 	visited
 )
 
@@ -93,7 +93,7 @@
 	s.states[job] = visited
 }
 
-// report reports the cycle that consists of the path from a job to the current one.
+// report reports the cycle that consists of the current path from the given job to its end.
 func (s *cycleSearch) report(job int) {
 	var names []string
 	for _, i := range s.path[slices.Index(s.path, job):] {
--- a/internal/pipeline/node.go
+++ b/internal/pipeline/node.go
@@ -83,27 +83,27 @@
 	if node.Tag == "!reference" {
 		return nil, newPositionError(node, "!reference is not supported; use extends or an anchor instead")
 	}
-	copied := *node
-	copied.Content, copied.Anchor, copied.Alias = nil, "", nil
+	copiedNode := *node
+	copiedNode.Content, copiedNode.Anchor, copiedNode.Alias = nil, "", nil
 	if node.Kind == yaml.MappingNode {
-		if err := c.copyMapping(node, &copied, depth); err != nil {
+		if err := c.copyMapping(node, &copiedNode, depth); err != nil {
 			return nil, err
 		}
-		return &copied, nil
+		return &copiedNode, nil
 	}
 	for _, child := range node.Content {
 		copiedChild, err := c.copyTree(child, depth+1)
 		if err != nil {
 			return nil, err
 		}
-		copied.Content = append(copied.Content, copiedChild)
+		copiedNode.Content = append(copiedNode.Content, copiedChild)
 	}
-	return &copied, nil
+	return &copiedNode, nil
 }
 
 // copyMapping copies the keys and values of a mapping. It then adds the keys of merged mappings that the
 // mapping itself does not have.
-func (c *treeCopier) copyMapping(node, copied *yaml.Node, depth int) error {
+func (c *treeCopier) copyMapping(node, copiedNode *yaml.Node, depth int) error {
 	var merged []*yaml.Node
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		value, err := c.copyTree(node.Content[i+1], depth+1)
@@ -113,7 +113,7 @@
 		switch {
 		case node.Content[i].Tag != "!!merge":
 			key := *node.Content[i]
-			copied.Content = append(copied.Content, &key, value)
+			copiedNode.Content = append(copiedNode.Content, &key, value)
 		case value.Kind == yaml.SequenceNode:
 			merged = append(merged, value.Content...)
 		default:
@@ -125,8 +125,8 @@
 			return newPositionError(mapping, "<<: must be a mapping or a list of mappings")
 		}
 		for i := 0; i+1 < len(mapping.Content); i += 2 {
-			if valueOf(copied, mapping.Content[i].Value) == nil {
-				copied.Content = append(copied.Content, mapping.Content[i], mapping.Content[i+1])
+			if valueOf(copiedNode, mapping.Content[i].Value) == nil {
+				copiedNode.Content = append(copiedNode.Content, mapping.Content[i], mapping.Content[i+1])
 			}
 		}
 	}
--- a/internal/pipeline/parse.go
+++ b/internal/pipeline/parse.go
@@ -15,8 +15,8 @@
 
 // Limits of the GitLab format.
 const (
-	maxParallel = 200 // copies of a job
-	maxExtends  = 11  // levels of extends
+	maxParallel = 200 // maximum number of copies of a job
+	maxExtends  = 11  // maximum number of levels of extends
 )
 
 // The stages that every file has before and after the stages that it lists.
@@ -28,7 +28,7 @@
 // defaultStages are the stages of a file that lists none.
 var defaultStages = []string{"build", "test", "deploy"}
 
-// ignoredKeys are keys of the GitLab format that do not affect which jobs cherrywall runs and when it runs
+// ignoredKeys are keys of the GitLab format that affect neither which jobs cherrywall runs nor when it runs
 // them. They are accepted with a notice.
 var ignoredKeys = []string{"script", "before_script", "after_script", "artifacts", "cache", "services", "environment", "coverage", "release",
 	"pages", "secrets", "id_tokens", "tags", "hooks", "identity", "inherit", "dependencies", "dast_configuration", "spec", "workflow",
@@ -52,8 +52,8 @@
 type ValidateSpec func(spec *jobs.Spec) error
 
 // Parse parses a file and returns its plan. The error is of type Problems and contains all errors of the
-// file. The notices are about keys that have no effect; they may be returned together with an error. limits
-// and validate may be nil: then the limits of classes are not checked, or the specs are not validated.
+// file. The notices are about keys that have no effect; they may be returned together with an error. If
+// limits is nil, the limits of classes are not checked; if validate is nil, the specs are not validated.
 func Parse(raw []byte, limits ClassLimits, validate ValidateSpec) (plan *Plan, notices Problems, err error) {
 	if len(raw) > tuning.MaxPipelineFileBytes {
 		return nil, nil, Problems{{1, 1, fmt.Sprintf("the file has %d bytes, more than the limit of %d", len(raw), tuning.MaxPipelineFileBytes)}}
@@ -82,8 +82,8 @@
 type compiler struct {
 	problemCollector
 	treeCopier
-	limits   ClassLimits
-	validate ValidateSpec
+	classLimits ClassLimits
+	validate    ValidateSpec
 
 	file          file
 	variables     map[string]string
@@ -93,7 +93,7 @@
 	extendedNodes map[string]*yaml.Node // the results of extendedNode, by job name
 
 	plan            Plan
-	copies          map[string][]int // indexes in the plan of each job's copies, by the job's name in the file
+	copyIndexes     map[string][]int // indexes in the plan of each job's copies, by the job's name in the file
 	unresolvedNeeds []unresolvedNeeds
 }
 
@@ -105,13 +105,13 @@
 
 func newCompiler(limits ClassLimits, validate ValidateSpec) *compiler {
 	return &compiler{
-		limits:        limits,
+		classLimits:   limits,
 		validate:      validate,
 		variables:     map[string]string{},
 		jobNodes:      map[string]*yaml.Node{},
 		nameNodes:     map[string]*yaml.Node{},
 		extendedNodes: map[string]*yaml.Node{},
-		copies:        map[string][]int{},
+		copyIndexes:   map[string][]int{},
 	}
 }
 
@@ -163,8 +163,8 @@
 func (c *compiler) decodeDefault(root *yaml.Node) {
 	c.defaultNode = valueOf(root, "default")
 	if c.defaultNode != nil {
-		var checked defaults
-		c.decodeMapping(c.defaultNode, "default.", &checked, func(key, _ *yaml.Node) { c.reportUnknownKey(key, "default.") })
+		var discarded defaults
+		c.decodeMapping(c.defaultNode, "default.", &discarded, func(key, _ *yaml.Node) { c.reportUnknownKey(key, "default.") })
 	}
 }
 
@@ -175,8 +175,8 @@
 	}
 	userStages := slices.DeleteFunc(slices.Clone(stages), func(stage string) bool { return stage == firstStage || stage == lastStage })
 	c.plan.Stages = slices.Concat([]string{firstStage}, userStages, []string{lastStage})
-	distinct := slices.Compact(slices.Sorted(slices.Values(c.plan.Stages)))
-	if len(c.plan.Stages) != len(distinct) {
+	distinctStages := slices.Compact(slices.Sorted(slices.Values(c.plan.Stages)))
+	if len(c.plan.Stages) != len(distinctStages) {
 		c.addProblem(valueOf(root, "stages"), "stages: a stage is listed twice")
 	}
 }
@@ -191,7 +191,7 @@
 // reportIgnoredOrUnsupportedKey adds a notice for a key of the GitLab format that has no effect, and a problem
 // for one that is not supported. It returns false, and reports nothing, for any other key.
 func (c *compiler) reportIgnoredOrUnsupportedKey(key *yaml.Node, prefix string) bool {
-	if alternative, unsupported := unsupportedKeys[key.Value]; unsupported {
+	if alternative, isUnsupported := unsupportedKeys[key.Value]; isUnsupported {
 		c.addProblem(key, "%s%s: not supported; %s", prefix, key.Value, alternative)
 		return true
 	}
--- a/internal/pipeline/parse_test.go
+++ b/internal/pipeline/parse_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestClassLimitsAndValidation(t *testing.T) {
+func TestClassLimitAndValidationProblemsAreReported(t *testing.T) {
 	limits := func(class string) (jobs.ClassLimits, bool) {
 		return jobs.ClassLimits{MaxRetries: 1, MaxTasks: 30, MaxRunSeconds: 60}, class == "dusk"
 	}
--- a/internal/pipeline/plan.go
+++ b/internal/pipeline/plan.go
@@ -15,19 +15,20 @@
 type Job struct {
 	Name  string `json:"name"`
 	Stage int    `json:"stage"` // index in the plan's stages
-	// Needs are the indexes of the jobs that have to end before this one starts. If Staged is true,
-	// Needs is empty and all jobs of the earlier stages have to end instead.
+	// Needs are the indexes of the jobs that have to end before this one starts. If
+	// WaitsForEarlierStages is true, Needs is empty and all jobs of the earlier stages have to end
+	// instead.
 	Needs                 []int     `json:"needs,omitempty"`
 	WaitsForEarlierStages bool      `json:"staged,omitempty"`
-	Spec                  jobs.Spec `json:"spec"` // without its Ref: each attempt is submitted under a Ref of its own
-	// Retries is how often the job is retried at most. It is retried only after the causes in RetryOn.
+	Spec                  jobs.Spec `json:"spec"` // its Ref is empty, since each attempt is submitted under a Ref of its own
+	// Retries is the maximum number of retries. The job is retried only after the causes in RetryOn.
 	Retries        int            `json:"retries,omitempty"`
 	RetryOn        []FailureCause `json:"retry_on,omitempty"`
-	TimeoutSeconds float64        `json:"timeout_s,omitempty"` // seconds, 0: none
+	TimeoutSeconds float64        `json:"timeout_s,omitempty"` // counted from the acceptance of an attempt; 0 means no timeout
 	When           When           `json:"when"`
-	StartInSeconds float64        `json:"start_in_s,omitempty"` // seconds
+	StartInSeconds float64        `json:"start_in_s,omitempty"` // delay of the start if When is Delayed
 	AllowFailure   bool           `json:"allow_failure,omitempty"`
-	ResourceGroup  string         `json:"group,omitempty"` // resource group
+	ResourceGroup  string         `json:"group,omitempty"`
 	Interruptible  bool           `json:"interruptible,omitempty"`
 	Line           int            `json:"line"` // line of the job's name in the file
 }
--- a/internal/pipeline/problem.go
+++ b/internal/pipeline/problem.go
@@ -33,7 +33,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted returns the problems in the order of the file, without duplicates. It changes the order of ps.
+// sorted returns the problems in the order of the file, without duplicates. It modifies ps in place.
 func (ps Problems) sorted() Problems {
 	slices.SortStableFunc(ps, func(x, y Problem) int {
 		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Column, y.Column))
--- a/internal/pipeline/suggest.go
+++ b/internal/pipeline/suggest.go
@@ -11,13 +11,15 @@
 // suggested for it.
 const maxSuggestedDistance = 2
 
-// suggestKey returns the suggestion of a key of a struct type for an unknown key, see suggest.
+// suggestKey returns a text that suggests a key of a struct type for an unknown key, in the form that suggest
+// returns.
 func suggestKey(key string, structType reflect.Type) string {
 	return suggest(key, maps.Keys(fieldsByKey(structType)), "%s")
 }
 
-// suggest returns text to append to a problem's text, which suggests the known name closest to an unknown name.
-// format formats the known name. suggest returns "" if no known name is within maxSuggestedDistance.
+// suggest returns a text that suggests the known name closest to an unknown name. The caller appends the text to
+// that of a problem. format formats the known name. suggest returns "" if no known name is within
+// maxSuggestedDistance.
 func suggest(name string, known iter.Seq[string], format string) string {
 	closest, closestDistance := "", maxSuggestedDistance+1
 	for candidate := range known {
@@ -32,7 +34,8 @@
 	return fmt.Sprintf("; "+format+" is meant?", closest)
 }
 
-// editDistance returns the Levenshtein distance: the number of bytes that have to be changed, inserted or removed.
+// editDistance returns the Levenshtein distance: the minimum number of bytes that have to be changed, inserted or
+// removed to turn a into b.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
