--- a/internal/pipelinerun/commit.go
+++ b/internal/pipelinerun/commit.go
@@ -21,9 +21,9 @@
 }
 
 // writeRunRecord writes a run's record with an epoch of its home shard. The preconditions are that
-// nobody else has changed the record and that the shard still has this epoch. written is called on
-// success.
-func (l *Leader) writeRunRecord(run *runState, epoch uint64, record runRecord, written func()) {
+// nobody else has changed the record and that the shard still has this epoch. onWritten is called
+// on success.
+func (l *Leader) writeRunRecord(run *runState, epoch uint64, record runRecord, onWritten func()) {
 	record.Epoch = epoch
 	txn := kvstore.Txn{
 		Conditions: []kvstore.Condition{run.recordUnchangedCondition(), run.shardEpochCondition(epoch)},
@@ -34,13 +34,13 @@
 			run.record, run.revision = record, revision
 		}
 		run.writtenAt = time.Now()
-		written()
+		onWritten()
 	})
 }
 
-// commitRunTxn executes a transaction of a run. committed is called with the revision of the
-// transaction if its conditions held; otherwise the run is paused.
-func (l *Leader) commitRunTxn(run *runState, txn kvstore.Txn, committed func(revision uint64)) {
+// commitRunTxn executes a transaction of a run. If it succeeds, onCommitted is called with its
+// revision; if it fails or its conditions do not hold, the run is paused.
+func (l *Leader) commitRunTxn(run *runState, txn kvstore.Txn, onCommitted func(revision uint64)) {
 	run.writeInFlight = true
 	l.commit(kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
 		run.writeInFlight = false
@@ -50,14 +50,14 @@
 		case !result.Succeeded: // the watch is about to deliver the conflicting change
 			run.pausedUntil = time.Now().Add(tuning.RunWriteRetryDelay)
 		default:
-			committed(result.Revision)
+			onCommitted(result.Revision)
 		}
 	})
 }
 
-// commitAfterWrites executes a transaction after other writes. These need no conditions, since
-// their keys are new and no record refers to them yet. They are divided into as many transactions
-// as the limits of the store require. If one of these fails, the transaction is not executed; the
+// commitAfterWrites executes the transaction txn after other writes. The writes need no conditions,
+// since their keys are new and no record refers to them yet. They are divided into as many
+// transactions as the limits of the store require. If one of these fails, txn is not executed; the
 // records written before the failure stay and are never read.
 func (l *Leader) commitAfterWrites(writes []kvstore.Write, priority kvstore.Priority, txn kvstore.Txn, done func(result kvstore.TxnResult, err error)) {
 	batchSize := min(len(writes), l.cfg.EffectiveStateLimits().TxnOps, max(1, tuning.MaxTxnBytes/l.cfg.MaxValueBytes()))
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -27,10 +27,10 @@
 	countWrites := func() int {
 		return c.Store.WriteCountOf(jobs.OpaquePrefix, jobs.JobPrefix, jobs.FinalPrefix, jobs.RangePrefix, jobs.CompletionBatchPrefix)
 	}
-	before := countWrites()
+	countBefore := countWrites()
 	c.create("n1", "run-9", diamond)
 	leaderNode := c.leadingController("run-9")
-	for deadline := time.Now().Add(40 * time.Second); countWrites()-before <= step && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(40 * time.Second); countWrites()-countBefore <= step && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	c.CrashController(leaderNode)
@@ -52,13 +52,13 @@
 }
 
 // cancellationTiming contains the times at which a run is cancelled, its leader crashes and its
-// last job ends, in ms after a common start.
+// last job ends. The times are numbers of milliseconds after a common start.
 type cancellationTiming struct{ cancel, crash, end time.Duration }
 
-// A run is cancelled while a stage drains, its leader crashes, and the last job ends, all within a
-// second and in every order. All controllers must report the same final state, and nothing may
+// A run is cancelled while its first stage is in progress, its leader crashes, and the last job ends,
+// all within a second and in various orders. All controllers must report the same final state, and nothing may
 // start after the cancellation was answered.
-func TestCancellationLeaderCrashAndLastCompletionTogether(t *testing.T) {
+func TestCancellationDuringLeaderCrashAndLastCompletion(t *testing.T) {
 	for i, timing := range []cancellationTiming{{0, 0, 0}, {0, 500, 900}, {900, 500, 0}, {500, 0, 900}, {500, 900, 0}, {0, 100, 0}} {
 		mode := []pipelineexec.CancelMode{pipelineexec.CancelDrain, pipelineexec.CancelNow}[i%2]
 		t.Run(fmt.Sprint(timing), func(t *testing.T) {
@@ -76,12 +76,12 @@
 `
 	c.create("n0", "run-3", file)
 	leaderNode := c.leadingController("run-3")
-	other := "n1"
-	if leaderNode == other {
-		other = "n2"
+	otherNode := "n1"
+	if leaderNode == otherNode {
+		otherNode = "n2"
 	}
 	time.Sleep(3*time.Second + timing.end*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
-	leader, answered := c.leader(other), make(chan bool)
+	leader, answered := c.leader(otherNode), make(chan bool)
 	go func() {
 		time.Sleep(timing.cancel * time.Millisecond)
 		for leader.Cancel("run-3", mode).Code != 200 {
@@ -92,10 +92,10 @@
 	time.Sleep(timing.crash * time.Millisecond)
 	c.CrashController(leaderNode)
 	<-answered
-	before := len(c.StartCounts())
-	run := c.awaitFinished(other, "run-3", 60*time.Second)
-	if started := len(c.StartCounts()); started != before {
-		t.Errorf("%d tasks started after the cancellation was answered", started-before)
+	countBefore := len(c.StartCounts())
+	run := c.awaitFinished(otherNode, "run-3", 60*time.Second)
+	if startCount := len(c.StartCounts()); startCount != countBefore {
+		t.Errorf("%d tasks started after the cancellation was answered", startCount-countBefore)
 	}
 	c.StartController(leaderNode)
 	time.Sleep(10 * time.Second)
@@ -121,8 +121,8 @@
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-2", diamond)
 		leaderNode := c.leadingController("run-2")
-		other := otherController[leaderNode]
-		record, err := c.Nodes[other].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
+		otherNode := otherController[leaderNode]
+		record, err := c.Nodes[otherNode].Conn.Get(t.Context(), kvstore.Normal, jobs.OpaquePrefix+"run/run-2")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 			spec := parsePlan(t, diamond).Jobs[3].Spec
 			spec.Ref = ref
 			reply := make(chan controller.Response, 1)
-			c.Nodes[other].Controller.SubmitIf(&spec, kvstore.Condition{Key: record.Row.Key, Revision: record.Row.Revision}, reply)
+			c.Nodes[otherNode].Controller.SubmitIf(&spec, kvstore.Condition{Key: record.Row.Key, Revision: record.Row.Revision}, reply)
 			return (<-reply).Code
 		}
 		if code := submit("pl-1"); code != 201 {
@@ -144,36 +144,36 @@
 		if code := submit("pl-2"); code != 409 {
 			t.Errorf("under the record of the crashed leader: %d", code)
 		}
-		c.awaitFinished(other, "run-2", 60*time.Second)
+		c.awaitFinished(otherNode, "run-2", 60*time.Second)
 	})
 }
 
-// A controller that was partitioned from the store still believes that it leads a run which another
-// controller leads by now. It must not be able to undo the steps of the new leader.
+// A controller that was partitioned from the store still believes that it leads a run, although another
+// controller now leads the run. The former leader must not be able to undo the steps of the new one.
 func TestPartitionedLeaderCannotUndoSuccessor(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-4", diamond)
 		leaderNode := c.leadingController("run-4")
-		other := otherController[leaderNode]
+		otherNode := otherController[leaderNode]
 		c.Store.RefuseNode(leaderNode, true)
-		time.Sleep(8 * time.Second) // by now its shard has another owner
+		time.Sleep(8 * time.Second) // after this time its shard has another owner
 		if c.OwnerOf(leaderNode) == leaderNode {
 			t.Fatal("no controller has acquired its shard")
 		}
-		if response := c.leader(other).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
+		if response := c.leader(otherNode).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
 			t.Fatalf("the cancellation of the run was answered %+v", response)
 		}
 		c.Store.RefuseNode(leaderNode, false)
-		before := len(c.StartCounts())
-		run := c.awaitFinished(other, "run-4", 60*time.Second)
-		if started := len(c.StartCounts()); run.Status != pipelineexec.RunCancelled || started != before {
-			t.Errorf("%s, %d tasks started after the cancellation", run.Status, started-before)
+		countBefore := len(c.StartCounts())
+		run := c.awaitFinished(otherNode, "run-4", 60*time.Second)
+		if startCount := len(c.StartCounts()); run.Status != pipelineexec.RunCancelled || startCount != countBefore {
+			t.Errorf("%s, %d tasks started after the cancellation", run.Status, startCount-countBefore)
 		}
 	})
 }
 
-// The store is down while the jobs of a run are submitted and end.
-func TestStoreOutageDuringRun(t *testing.T) {
+// A run succeeds although the store is down for 12 seconds while its jobs are submitted or end.
+func TestRunSucceedsDespiteStoreOutage(t *testing.T) {
 	for _, after := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
 		runScenario(t, func(_ *testing.T, c *testCluster) {
 			c.create("n0", "run-6", diamond)
--- a/internal/pipelinerun/groups.go
+++ b/internal/pipelinerun/groups.go
@@ -10,17 +10,17 @@
 }
 
 // acquireGroup reports whether a job owns its group. If the group is free or its owner has
-// finished, acquireGroup starts to acquire it and returns false; a later call returns true if that
-// succeeded.
+// finished, acquireGroup starts to acquire the group and returns false; a later call returns true if
+// the acquisition succeeded.
 func (l *Leader) acquireGroup(run *runState, job int) bool {
 	key := groupKey(run.execution.Plan.Jobs[job].ResourceGroup)
-	group, taken := l.resourceGroups[key]
-	if taken && group.Run == run.id && group.Job == job {
+	group, isTaken := l.resourceGroups[key]
+	if isTaken && group.Run == run.id && group.Job == job {
 		return true
 	}
 	// A run whose record is unknown has finished: the record of a run is written before the record
 	// of a group that the run owns.
-	isOwnerInProgress := taken && l.runs[group.Run] != nil && !l.groupOwnerFinished(group)
+	isOwnerInProgress := isTaken && l.runs[group.Run] != nil && !l.isGroupOwnerFinished(group)
 	if isOwnerInProgress {
 		return false
 	}
@@ -35,14 +35,14 @@
 	return false
 }
 
-// groupOwnerFinished reports whether a group's owner belongs to a run that this controller leads,
+// isGroupOwnerFinished reports whether a group's owner belongs to a run that this controller leads,
 // and has finished.
-func (l *Leader) groupOwnerFinished(group resourceGroup) bool {
+func (l *Leader) isGroupOwnerFinished(group resourceGroup) bool {
 	run := l.runs[group.Run]
-	return run != nil && run.epoch != 0 && run.jobIsFinal(group.Job)
+	return run != nil && run.epoch != 0 && run.isJobFinal(group.Job)
 }
 
-func (r *runState) jobIsFinal(job int) bool {
+func (r *runState) isJobFinal(job int) bool {
 	return r.execution != nil && r.execution.JobStates[job].Status.IsFinal()
 }
 
@@ -50,7 +50,7 @@
 // one group at a time, since a run has at most one write in flight.
 func (l *Leader) releaseGroups(run *runState) {
 	for key, group := range l.resourceGroups {
-		isReleasable := group.Run == run.id && run.jobIsFinal(group.Job)
+		isReleasable := group.Run == run.id && run.isJobFinal(group.Job)
 		if !isReleasable || run.writeInFlight {
 			continue
 		}
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -86,8 +86,8 @@
 }
 
 // firstAttemptRef returns the id of the first attempt of a run's job.
-func firstAttemptRef(run string, job int) string {
-	return pipelineexec.JobRef(run, job, pipelineexec.JobState{})
+func firstAttemptRef(runID string, job int) string {
+	return pipelineexec.JobRef(runID, job, pipelineexec.JobState{})
 }
 
 func (c *testCluster) leader(node string) *pipelinerun.Leader { return c.Nodes[node].PipelineLeader }
--- a/internal/pipelinerun/inbox.go
+++ b/internal/pipelinerun/inbox.go
@@ -10,17 +10,17 @@
 // cause a deadlock: the controller's actor would wait for the leader while the leader waits for the
 // controller's response.
 type inbox struct {
-	mu     sync.Mutex
-	events []kvstore.Event
-	reload bool          // events were missed: list all records again
-	notify chan struct{} // receives a message when events are added
+	mu          sync.Mutex
+	events      []kvstore.Event
+	needsReload bool          // set if events were missed, so that all records have to be listed again
+	notify      chan struct{} // receives a value when events are added
 }
 
 func newInbox() inbox { return inbox{notify: make(chan struct{}, 1)} }
 
-func (b *inbox) put(events []kvstore.Event, reload bool) {
+func (b *inbox) put(events []kvstore.Event, needsReload bool) {
 	b.mu.Lock()
-	b.events, b.reload = append(b.events, events...), b.reload || reload
+	b.events, b.needsReload = append(b.events, events...), b.needsReload || needsReload
 	b.mu.Unlock()
 	select {
 	case b.notify <- struct{}{}:
@@ -28,10 +28,10 @@
 	}
 }
 
-func (b *inbox) take() (events []kvstore.Event, reload bool) {
+func (b *inbox) take() (events []kvstore.Event, needsReload bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	events, reload = b.events, b.reload
-	b.events, b.reload = nil, false
-	return events, reload
+	events, needsReload = b.events, b.needsReload
+	b.events, b.needsReload = nil, false
+	return events, needsReload
 }
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -15,15 +15,15 @@
 // no call is in flight, it reports that the controller has no such job.
 func (l *Leader) observe(run *runState, job int, local controller.LocalState) pipelineexec.Observation {
 	ref := run.jobRef(job)
-	_, cached := local.Jobs[ref]
-	observation, answered := run.observations[ref]
-	if cached || !answered && !l.callsInFlight[ref] {
+	_, isCached := local.Jobs[ref]
+	observation, isAnswered := run.observations[ref]
+	if isCached || !isAnswered && !l.callsInFlight[ref] {
 		if localObservation, known := l.observeFromCache(run, job, ref, local); known {
 			delete(run.observations, ref)
 			return localObservation
 		}
 	}
-	if answered {
+	if isAnswered {
 		return observation
 	}
 	return pipelineexec.Observation{IsUnknown: !l.callsInFlight[ref]}
@@ -34,8 +34,8 @@
 // current step is not in the local state yet. It is looked up immediately, so that a new leader
 // catches up in one tick instead of one tick for each stage.
 func (l *Leader) observeFromCache(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
-	localJob, cached := local.Jobs[ref]
-	if !cached {
+	localJob, isCached := local.Jobs[ref]
+	if !isCached {
 		current, _ := l.controller.LocalState([]string{ref})
 		localJob = current.Jobs[ref]
 		if local.Jobs != nil {
@@ -55,50 +55,50 @@
 	return observation, known && run.matchesSpec(job, localJob)
 }
 
-// findSubmittedJobs finds out which jobs of a cancelled run an earlier leader has submitted.
-// actions are the result of a step that ignored the cancellation: the jobs that it would submit are
-// the candidates, and the controller is polled for each of them. When all polls are answered, the
-// jobs that were not submitted become waiting again, and the cancellation takes effect.
+// findSubmittedJobs finds out which jobs of a cancelled run were submitted by an earlier leader.
+// actions are the result of a step that ignored the cancellation: the jobs that the step would
+// submit are the candidates, and the controller is polled for each of them. When all polls are
+// answered, the jobs that were not submitted become waiting again, and the cancellation takes effect.
 func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
-	remaining := false
+	hasRemaining := false
 	for _, action := range actions {
-		if !action.Submit || run.notSubmitted[action.Job] {
-			continue // the steps after this search repeat the cancellations
+		if !action.Submit || run.unsubmittedJobs[action.Job] {
+			continue // cancellations are left to the steps after this search, which return them again
 		}
-		remaining = true
+		hasRemaining = true
 		ref := run.jobRef(action.Job)
 		if !l.callsInFlight[ref] && len(l.callsInFlight) < tuning.MaxConcurrentRunRequests {
-			l.findSubmittedJob(run, action.Job, ref)
+			l.pollSubmission(run, action.Job, ref)
 		}
 	}
-	if remaining {
+	if hasRemaining {
 		return
 	}
 	states := run.execution.JobStates
 	for job := range states {
-		if run.notSubmitted[job] && states[job].Status == pipelineexec.Active {
+		if run.unsubmittedJobs[job] && states[job].Status == pipelineexec.Active {
 			states[job].Status = pipelineexec.Waiting
 		}
 	}
-	run.findingSubmitted, run.notSubmitted, run.execution.CancelMode = false, nil, run.record.CancelMode
+	run.isFindingSubmitted, run.unsubmittedJobs, run.execution.CancelMode = false, nil, run.record.CancelMode
 }
 
-func (l *Leader) findSubmittedJob(run *runState, job int, ref string) {
+func (l *Leader) pollSubmission(run *runState, job int, ref string) {
 	reply := make(chan controller.Response, 1)
 	l.controller.Poll(ref, reply)
 	l.awaitResponse(run, ref, reply, func(response controller.Response) {
 		switch {
 		case response.Code != http.StatusNotFound:
 			run.applyResponse(ref, response)
-		case run.findingSubmitted && run.jobRef(job) == ref:
-			run.notSubmitted[job] = true
+		case run.isFindingSubmitted && run.jobRef(job) == ref:
+			run.unsubmittedJobs[job] = true
 		}
 	})
 }
 
 // submitJob submits a job's current attempt, on the precondition that the run's record still has
 // the revision that is known to this controller. Without this precondition a job could start after
-// the run was cancelled, or through a former leader.
+// the run was cancelled, or be started by a former leader.
 func (l *Leader) submitJob(run *runState, job int) {
 	state := run.execution.JobStates[job]
 	ref := run.jobRef(job)
--- a/internal/pipelinerun/jobs_test.go
+++ b/internal/pipelinerun/jobs_test.go
@@ -14,7 +14,7 @@
 
 // A job that times out is retried as often as the file says. If another user's job already has the
 // id of an attempt, the attempt gets another id, and the other user's job is left alone.
-func TestTimeoutRetryAndTakenJobID(t *testing.T) {
+func TestTimedOutJobIsRetriedAndTakenJobIDIsReplaced(t *testing.T) {
 	const file = fileHeader + `
 long: {stage: one, timeout: 6s, retry: 1, cluster: {estimate_s: 60}}
 fine: {stage: one}
@@ -47,14 +47,14 @@
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-1", file)
 		leaderNode := c.leadingController("run-1")
-		other := otherController[leaderNode]
+		otherNode := otherController[leaderNode]
 		time.Sleep(5 * time.Second)
 		for attempt := range 2 {
 			if run := c.leader(leaderNode).Get("run-1").Run; run.Jobs[0].Attempt != attempt || run.Jobs[0].Status != "running" {
 				t.Fatalf("before the report: %+v", run.Jobs[0])
 			}
 			ref := pipelineexec.JobRef("run-1", 0, pipelineexec.JobState{Attempt: attempt})
-			heartbeat, err := peer.Decode(peer.Encode(peer.Heartbeat{Node: other, Synced: true, FaultyJobs: []string{ref}})[4:])
+			heartbeat, err := peer.Decode(peer.Encode(peer.Heartbeat{Node: otherNode, Synced: true, FaultyJobs: []string{ref}})[4:])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -69,7 +69,7 @@
 
 // The jobs of a resource group run one at a time, even if they belong to different runs that are
 // led by different controllers. A manual job starts when a user starts it.
-func TestResourceGroupsAndManualJobs(t *testing.T) {
+func TestResourceGroupsRunOneJobAtATimeAndManualJobsWait(t *testing.T) {
 	const file = fileHeader + `
 push: {stage: one, resource_group: lamps}
 gate: {stage: two, when: manual, allow_failure: false}
@@ -101,18 +101,18 @@
 func checkOneJobOfGroupRuns(t *testing.T, c *testCluster, runs []string) {
 	t.Helper()
 	for deadline := time.Now().Add(25 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		running := 0
+		runningCount := 0
 		for _, id := range runs {
-			running += len(c.RunningOn(jobs.TaskName(firstAttemptRef(id, 0), 0)))
+			runningCount += len(c.RunningOn(jobs.TaskName(firstAttemptRef(id, 0), 0)))
 		}
-		if running > 1 {
-			t.Fatalf("%d jobs of a group run", running)
+		if runningCount > 1 {
+			t.Fatalf("%d jobs of a group run", runningCount)
 		}
 	}
 }
 
-// A run that is requested again with the same id and file is created once; another file is
-// rejected.
+// A run that is requested again with the same id and file is created only once. A request with the same
+// id and another file is rejected.
 func TestCreateIsIdempotent(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-8", diamond)
@@ -139,10 +139,10 @@
 }
 
 // recordPlacements records the machines on which the tasks of a plan run now.
-func (history *runHistory) recordPlacements(c *testCluster, plan *pipeline.Plan, run string) {
+func (history *runHistory) recordPlacements(c *testCluster, plan *pipeline.Plan, runID string) {
 	for i, job := range plan.Jobs {
 		for k := range job.Spec.Tasks {
-			task := jobs.TaskName(firstAttemptRef(run, i), k)
+			task := jobs.TaskName(firstAttemptRef(runID, i), k)
 			if machines := c.RunningOn(task); len(machines) > 0 {
 				history.machines[task] = fmt.Sprint(machines)
 			}
@@ -152,9 +152,9 @@
 }
 
 // recordResults records how the jobs of a plan ended, and how often their tasks were started.
-func (history *runHistory) recordResults(c *testCluster, plan *pipeline.Plan, run string) {
+func (history *runHistory) recordResults(c *testCluster, plan *pipeline.Plan, runID string) {
 	for i := range plan.Jobs {
-		response := c.Poll("n0", firstAttemptRef(run, i))
+		response := c.Poll("n0", firstAttemptRef(runID, i))
 		history.results = append(history.results, fmt.Sprint(response.Status, response.DoneTasks))
 	}
 	history.starts = c.StartCounts()
@@ -165,16 +165,16 @@
 func TestPipelineRunsLikeSingleSubmissions(t *testing.T) {
 	const id = "run-5"
 	plan := parsePlan(t, diamond)
-	pipelined, acceptedAt := runDiamond(t, plan, id)
-	single := submitIndividually(t, plan, id, acceptedAt)
-	if len(pipelined.machines) != 7 || fmt.Sprint(pipelined.machines) != fmt.Sprint(single.machines) {
-		t.Errorf("machines as a pipeline: %v\nas single submissions: %v", pipelined.machines, single.machines)
+	pipelineHistory, acceptedAt := runDiamond(t, plan, id)
+	singleHistory := submitIndividually(t, plan, id, acceptedAt)
+	if len(pipelineHistory.machines) != 7 || fmt.Sprint(pipelineHistory.machines) != fmt.Sprint(singleHistory.machines) {
+		t.Errorf("machines as a pipeline: %v\nas single submissions: %v", pipelineHistory.machines, singleHistory.machines)
 	}
-	if fmt.Sprint(pipelined.results) != fmt.Sprint(single.results) || pipelined.results[3] != "done1" {
-		t.Errorf("results as a pipeline %v, as single submissions %v", pipelined.results, single.results)
+	if fmt.Sprint(pipelineHistory.results) != fmt.Sprint(singleHistory.results) || pipelineHistory.results[3] != "done1" {
+		t.Errorf("results as a pipeline %v, as single submissions %v", pipelineHistory.results, singleHistory.results)
 	}
-	if len(pipelined.starts) != 7 || fmt.Sprint(pipelined.starts) != fmt.Sprint(single.starts) {
-		t.Errorf("starts as a pipeline %v, as single submissions %v", pipelined.starts, single.starts)
+	if len(pipelineHistory.starts) != 7 || fmt.Sprint(pipelineHistory.starts) != fmt.Sprint(singleHistory.starts) {
+		t.Errorf("starts as a pipeline %v, as single submissions %v", pipelineHistory.starts, singleHistory.starts)
 	}
 }
 
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -1,6 +1,7 @@
-// Package pipelinerun leads runs of pipeline files: it submits their jobs to the controller when
+// Package pipelinerun executes runs of pipeline files: it submits their jobs to the controller when
 // the dependencies allow it, stores their progress in durable records, and answers users' requests.
-// A run is led by the owner of its home shard; any controller accepts requests.
+// Each run belongs to a shard, its home shard. The controller that owns this shard leads the run:
+// only this controller advances it. Any controller accepts requests.
 package pipelinerun
 
 import (
@@ -30,9 +31,9 @@
 // changes of the run records. Its methods may block until the controller's actor has answered.
 type Controller interface {
 	// Subscribe makes the controller pass the changes of records below jobs.OpaquePrefix to notify.
-	// reload is set if some changes were missed, so that all records have to be listed again.
+	// needsReload is set if some changes were missed, so that all records have to be listed again.
 	// notify must not block for long.
-	Subscribe(notify func(events []kvstore.Event, reload bool))
+	Subscribe(notify func(events []kvstore.Event, needsReload bool))
 	// SubmitIf submits a job under a precondition.
 	SubmitIf(spec *jobs.Spec, precondition kvstore.Condition, reply chan<- controller.Response)
 	// Poll asks for the status of a job.
@@ -45,7 +46,7 @@
 }
 
 // Leader is the actor that leads the runs whose home shards this controller owns, and answers
-// requests on all runs. Exported methods may be called from any goroutine; the state is read and
+// requests for all runs. Exported methods may be called from any goroutine; the state is read and
 // written only on the actor's goroutine.
 type Leader struct {
 	mailbox    *actor.Mailbox
@@ -57,23 +58,23 @@
 	metrics    *leaderMetrics
 
 	inbox          inbox
-	synced         bool // all records were listed once
-	loading        bool // a listing is in flight
-	reloadRequests int  // how often events were missed; used to detect this during a listing
-	pendingEvents  []kvstore.Event
+	isSynced       bool            // set once all records have been listed for the first time
+	isLoading      bool            // set while a listing is in flight
+	reloadRequests int             // how often events were missed; a change during a listing makes the listing obsolete
+	pendingEvents  []kvstore.Event // received, but not applied yet
 
-	runs           map[string]*runState      // unfinished, by id
-	resourceGroups map[string]resourceGroup  // by key
-	schedules      map[string]*scheduleState // by key
-	finalRuns      *lru.Cache[string, runRecord]
-	callsInFlight  map[string]bool // submissions, cancellations and polls, by job id
+	runs           map[string]*runState          // unfinished, by id
+	resourceGroups map[string]resourceGroup      // by key
+	schedules      map[string]*scheduleState     // by key
+	finalRuns      *lru.Cache[string, runRecord] // of finished runs, by id
+	callsInFlight  map[string]bool               // submissions, cancellations and polls, by job id
 }
 
 // New returns a leader that works from the call of Start until ctx ends.
 func New(ctx context.Context, cfg *config.Config, store Store, controller Controller, tracer *tracing.Tracer, log *slog.Logger) *Leader {
 	finalRuns, err := lru.New[string, runRecord](tuning.MaxCachedEndedRuns)
 	if err != nil {
-		panic(err) // only a size below 1 can fail
+		panic(err) // lru.New fails only for a size below 1
 	}
 	return &Leader{
 		mailbox:        actor.New(ctx),
@@ -105,8 +106,8 @@
 		select {
 		case <-l.mailbox.Context().Done():
 			return
-		case do := <-l.mailbox.Messages():
-			do()
+		case message := <-l.mailbox.Messages():
+			message()
 		case <-l.inbox.notify:
 			l.handleEvents(l.inbox.take())
 		case <-ticker.C:
@@ -117,7 +118,7 @@
 
 // tick starts the runs of due schedules, and advances every run that this controller leads.
 func (l *Leader) tick(now time.Time) {
-	if !l.synced || len(l.runs)+len(l.schedules) == 0 {
+	if !l.isSynced || len(l.runs)+len(l.schedules) == 0 {
 		return
 	}
 	var refs []string
--- a/internal/pipelinerun/load_test.go
+++ b/internal/pipelinerun/load_test.go
@@ -12,62 +12,62 @@
 
 // A run with 500 jobs in one file succeeds, and small runs take at most 3.5 writes to the store
 // each.
-func TestManyJobsAndManyRuns(t *testing.T) {
+func TestLargeRunSucceedsAndSmallRunsNeedFewWrites(t *testing.T) {
 	var file strings.Builder
 	file.WriteString(fileHeader)
 	for i := range 500 {
 		fmt.Fprintf(&file, "street-%d: {stage: one, cluster: {cpus: 0.2, memory_gb: 0.1}}\n", i)
 	}
 	runScenario(t, func(t *testing.T, c *testCluster) {
-		before := c.Store.WriteCountOf(jobs.OpaquePrefix)
+		countBefore := c.Store.WriteCountOf(jobs.OpaquePrefix)
 		c.create("n0", "run-1", file.String())
 		if run := c.awaitSuccess("n1", "run-1", 6*time.Minute); run.Ended != 500 {
 			t.Errorf("%s, %d jobs ended", run.Status, run.Ended)
 		}
-		t.Logf("500 jobs: %d writes, not counting those of the jobs themselves", c.Store.WriteCountOf(jobs.OpaquePrefix)-before)
+		t.Logf("500 jobs: %d writes, not counting those of the jobs themselves", c.Store.WriteCountOf(jobs.OpaquePrefix)-countBefore)
 
-		before = c.Store.WriteCountOf(jobs.OpaquePrefix)
+		countBefore = c.Store.WriteCountOf(jobs.OpaquePrefix)
 		for i := range 40 {
 			c.create(controllers[i%3], fmt.Sprintf("run-%d", 100+i), diamond)
 		}
 		for i := range 40 {
 			c.awaitFinished("n2", fmt.Sprintf("run-%d", 100+i), 4*time.Minute)
 		}
-		if perRun := float64(c.Store.WriteCountOf(jobs.OpaquePrefix)-before) / 40; perRun > 3.5 {
+		if perRun := float64(c.Store.WriteCountOf(jobs.OpaquePrefix)-countBefore) / 40; perRun > 3.5 {
 			t.Errorf("%.2f writes for each run", perRun)
 		}
 	})
 }
 
 // Runs of ten jobs, created at a rate of 200 a minute, take less than a quarter of the 50 writes a
-// second that the store of the smaller deployment allows. Meanwhile a user's own requests are
-// answered within 300 ms.
-func TestTwoHundredRunsAMinute(t *testing.T) {
+// second that the store of the smaller deployment allows. During that time, a user's own
+// requests are answered within 300 ms.
+func TestTwoHundredRunsAMinuteStayWithinWriteBudget(t *testing.T) {
 	const runCount = 60
 	file := fileHeader + "a: {stage: one, parallel: 4, cluster: {cpus: 0.2, memory_gb: 0.1}}\nb: {stage: two, parallel: 5, cluster: {cpus: 0.2, memory_gb: 0.1}}\nc: {stage: three}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
-		before := c.Store.WriteCountOf(jobs.OpaquePrefix)
-		longest := time.Duration(0)
+		countBefore := c.Store.WriteCountOf(jobs.OpaquePrefix)
+		longestRequest := time.Duration(0)
 		for i := range runCount {
 			c.create(controllers[i%3], fmt.Sprintf("run-%d", i+1), file)
 			if i%20 == 10 {
-				longest = max(longest, c.measureUserRequests(fmt.Sprintf("wk-%d", i)))
+				longestRequest = max(longestRequest, c.measureUserRequests(fmt.Sprintf("wk-%d", i)))
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
 		for i := range runCount {
 			c.awaitSuccess("n2", fmt.Sprintf("run-%d", i+1), 10*time.Minute)
 		}
-		writes := c.Store.WriteCountOf(jobs.OpaquePrefix) - before
-		t.Logf("%.2f writes for each run of 10 jobs, users waited for at most %v", float64(writes)/runCount, longest)
-		if float64(writes) > 50*runCount*0.3/4 || longest > 300*time.Millisecond {
-			t.Errorf("%d writes for %d runs, a user waited for %v", writes, runCount, longest)
+		writes := c.Store.WriteCountOf(jobs.OpaquePrefix) - countBefore
+		t.Logf("%.2f writes for each run of 10 jobs, users waited for at most %v", float64(writes)/runCount, longestRequest)
+		if float64(writes) > 50*runCount*0.3/4 || longestRequest > 300*time.Millisecond {
+			t.Errorf("%d writes for %d runs, a user waited for %v", writes, runCount, longestRequest)
 		}
 		c.checkStartedOnce()
 	})
 }
 
-// measureUserRequests submits and polls a job, and returns the longer of both times.
+// measureUserRequests submits and polls a job, and returns the time of the slower of the two requests.
 func (c *testCluster) measureUserRequests(ref string) time.Duration {
 	c.t.Helper()
 	start := time.Now()
@@ -85,9 +85,9 @@
 
 // Measures what a pipeline adds to the time between the end of one job and the start of the next.
 // Ten jobs in a row run as a pipeline, and then as ten single submissions. Each of the single
-// submissions is sent as soon as a poll, repeated ten times a second, reports the end of the job
-// before.
-func TestDelayBetweenJobs(t *testing.T) {
+// submissions is sent as soon as a poll, repeated ten times a second, reports the end of the
+// previous job.
+func TestPipelineAddsLittleDelayBetweenJobs(t *testing.T) {
 	file := fileHeader
 	for i := range 10 {
 		needs := ""
@@ -96,7 +96,7 @@
 		}
 		file += fmt.Sprintf("j%d: {stage: one, needs: [%s]}\n", i, needs)
 	}
-	var pipelined, single time.Duration
+	var pipelineTime, singleTime time.Duration
 	runSingleController(t, func(_ *testing.T, c *testCluster) {
 		start := time.Now()
 		c.create("n0", "run-1", file)
@@ -104,7 +104,7 @@
 		for response := leader.Get("run-1"); response.Run == nil || !response.Run.IsFinished; response = leader.Get("run-1") {
 			time.Sleep(100 * time.Millisecond)
 		}
-		pipelined = time.Since(start)
+		pipelineTime = time.Since(start)
 	})
 	runSingleController(t, func(t *testing.T, c *testCluster) {
 		start := time.Now()
@@ -116,11 +116,11 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		single = time.Since(start)
+		singleTime = time.Since(start)
 	})
-	added := (pipelined - single) / 10
-	t.Logf("ten jobs in a row: %v as a pipeline, %v as single submissions: difference of %v for each step", pipelined, single, added)
-	if added > 400*time.Millisecond {
-		t.Errorf("each step takes %v more than with single submissions", added)
+	addedPerStep := (pipelineTime - singleTime) / 10
+	t.Logf("ten jobs in a row: %v as a pipeline, %v as single submissions: difference of %v for each step", pipelineTime, singleTime, addedPerStep)
+	if addedPerStep > 400*time.Millisecond {
+		t.Errorf("each step takes %v more than with single submissions", addedPerStep)
 	}
 }
--- a/internal/pipelinerun/plan.go
+++ b/internal/pipelinerun/plan.go
@@ -37,10 +37,10 @@
 	record.HomeShard, record.Epoch = l.chooseHomeShard()
 	maxValueBytes := l.cfg.TargetValueBytes()
 	chunksID := fmt.Sprintf("%s-%x", owner, rand.Uint64())
-	inline := rawBytesInBase64(maxValueBytes - len(kvstore.MustEncode(record)) - tuning.RunProgressReserveBytes)
-	inline = min(len(compressed), max(0, inline))
-	record.Plan = compressed[:inline]
-	for rest := compressed[inline:]; len(rest) > 0; record.PlanChunks++ {
+	inlineBytes := rawBytesInBase64(maxValueBytes - len(kvstore.MustEncode(record)) - tuning.RunProgressReserveBytes)
+	inlineBytes = min(len(compressed), max(0, inlineBytes))
+	record.Plan = compressed[:inlineBytes]
+	for rest := compressed[inlineBytes:]; len(rest) > 0; record.PlanChunks++ {
 		size := min(len(rest), rawBytesInBase64(maxValueBytes)-2) // without the two quotes
 		chunks = append(chunks, kvstore.Write{Key: planKey(chunksID, record.PlanChunks), Value: kvstore.MustEncode(rest[:size])})
 		rest, record.PlanChunksID = rest[size:], chunksID
@@ -50,7 +50,7 @@
 
 // rawBytesInBase64 returns how many bytes fit into a base64 string of the given size: the encoding
 // makes them a third longer.
-func rawBytesInBase64(jsonBytes int) int { return jsonBytes * 3 / 4 }
+func rawBytesInBase64(base64Bytes int) int { return base64Bytes * 3 / 4 }
 
 // chooseHomeShard chooses the shard whose owner leads a new run. It prefers a shard that this
 // controller owns, since the run then begins without another write of its record. Among these it
@@ -128,12 +128,12 @@
 	run.execution = &pipelineexec.Execution{Plan: plan, JobStates: states, CancelMode: run.record.CancelMode}
 	// An earlier leader may have submitted jobs that are still waiting according to the record. In
 	// a cancelled run the next step would treat them as not started, and they would continue to run
-	// after the end of the run. Therefore they are found first, see findSubmittedJobs.
+	// after the end of the run. Therefore findSubmittedJobs finds them first.
 	if run.epoch != 0 && run.record.CancelMode != pipelineexec.NotCancelled {
-		run.findingSubmitted = true
-		run.notSubmitted, run.execution.CancelMode = map[int]bool{}, pipelineexec.NotCancelled
+		run.isFindingSubmitted = true
+		run.unsubmittedJobs, run.execution.CancelMode = map[int]bool{}, pipelineexec.NotCancelled
 	} else {
-		run.findingSubmitted = false
+		run.isFindingSubmitted = false
 	}
 }
 
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefixes of the records' keys in the key-value store. The state cache passes changes of these
-// records on without decoding them.
+// Prefixes of the records' keys in the key-value store. The controller passes changes of these
+// records on to the leader without decoding them.
 const (
 	keyPrefix      = jobs.OpaquePrefix
 	runPrefix      = keyPrefix + "run/"
@@ -43,19 +43,19 @@
 // runRecord is the record of an unfinished or finished run.
 type runRecord struct {
 	Name         string `json:"name"`
-	Digest       string `json:"digest"` // of the file, to recognise a repeated request
+	Digest       string `json:"digest"` // digest of the file, by which a repeated request is recognised
 	AcceptedAtMS int64  `json:"at"`     // Unix ms
-	// Plan is the compressed plan, or its beginning: PlanChunks further records contain the rest.
-	// The parsed plan is stored instead of the file, so that a version of the program that parses
-	// files differently continues the run with the same plan.
+	// Plan is the compressed plan or, if it does not fit into this record, the beginning of it; the
+	// rest is in PlanChunks further records. The parsed plan is stored instead of the file, so that a
+	// version of the program that parses files differently continues the run with the same plan.
 	Plan         []byte                  `json:"plan"`
 	PlanChunks   int                     `json:"parts,omitempty"`
-	PlanChunksID string                  `json:"plan_id,omitempty"` // unique; begins with the id of the run or schedule
+	PlanChunksID string                  `json:"plan_id,omitempty"` // unique; part of the keys of the chunks; begins with the id of the run or schedule
 	Progress     pipelineexec.Progress   `json:"p"`
 	CancelMode   pipelineexec.CancelMode `json:"cancel,omitempty"`
 	// HomeShard is the shard whose owner leads the run. Epoch is the shard's epoch in which its
-	// owner last wrote this record. It is 0 if the run was accepted by a controller that does not
-	// own the shard, until the owner writes the record.
+	// owner last wrote this record. If the run was accepted by a controller that does not own the
+	// shard, Epoch is 0 until the owner writes the record.
 	HomeShard string `json:"home"`
 	Epoch     uint64 `json:"tenure,omitempty"`
 	// Status and EndedAtMS (Unix ms) are set when the run has finished.
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -62,7 +62,7 @@
 		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + record.HomeShard, Revision: record.Epoch})
 	}
 	return l.ask(func(reply func(Response)) {
-		if !l.synced {
+		if !l.isSynced {
 			reply(unavailableResponse("state not read yet"))
 			return
 		}
@@ -113,34 +113,34 @@
 // run's record from the store: another controller may already have returned a newer state to a user
 // than this controller has cached.
 func (l *Leader) lookUpRun(id string, done runReplyFunc) {
-	if record, finished := l.finalRuns.Get(id); finished {
+	if record, isFinished := l.finalRuns.Get(id); isFinished {
 		l.replyFinished(id, record, done)
 		return
 	}
 	go func() {
 		ctx := l.mailbox.Context()
 		record, err := l.store.Get(ctx, kvstore.Normal, finalKey(id))
-		finished := record.Found
-		if err == nil && !finished {
+		isFinished := record.Found
+		if err == nil && !isFinished {
 			record, err = l.store.Get(ctx, kvstore.Normal, runKey(id))
 		}
 		l.mailbox.Send(func() {
 			switch {
-			case err != nil || !l.synced:
+			case err != nil || !l.isSynced:
 				done(unavailableResponse("state service unavailable"), "")
 			case !record.Found:
 				l.replyNotFound(id, done)
 			default:
-				l.replyRecord(id, record.Row, finished, done)
+				l.replyRecord(id, record.Row, isFinished, done)
 			}
 		})
 	}()
 }
 
-// replyNotFound answers a request for a run of which no record was found. The run may nevertheless
+// replyNotFound answers a request for a run for which no record was found. The run may nevertheless
 // exist, if it finished between the reads of its two records.
 func (l *Leader) replyNotFound(id string, done runReplyFunc) {
-	if record, finished := l.finalRuns.Get(id); finished {
+	if record, isFinished := l.finalRuns.Get(id); isFinished {
 		l.replyFinished(id, record, done)
 		return
 	}
@@ -152,13 +152,13 @@
 }
 
 // replyRecord answers a request for a run with the record that was read from the store.
-func (l *Leader) replyRecord(id string, row kvstore.KeyValue, finished bool, done runReplyFunc) {
+func (l *Leader) replyRecord(id string, row kvstore.KeyValue, isFinished bool, done runReplyFunc) {
 	var record runRecord
 	if json.Unmarshal(row.Value, &record) != nil {
 		done(unavailableResponse("the run's record cannot be decoded"), "")
 		return
 	}
-	if finished {
+	if isFinished {
 		l.finalRuns.Add(id, record)
 		l.replyFinished(id, record, done)
 		return
@@ -212,15 +212,15 @@
 	})
 }
 
-// List returns the unfinished runs and the runs that finished last, without their jobs. ok is false
-// while the runs were not read from the store yet.
+// List returns the unfinished runs and the most recently finished runs, without their jobs. ok is
+// false until the runs have been read from the store.
 func (l *Leader) List() (runs []*RunView, ok bool) {
 	type answer struct {
 		runs   []*RunView
 		synced bool
 	}
 	all, _ := actor.Ask(l.mailbox, func() answer {
-		a := answer{synced: l.synced}
+		a := answer{synced: l.isSynced}
 		for _, run := range l.runs {
 			a.runs = append(a.runs, l.unfinishedRunSummary(run))
 		}
@@ -250,7 +250,7 @@
 // the cancellation is durable and no further job of the run is submitted. The response has the
 // run's state, which is final only when all jobs have ended.
 func (l *Leader) Cancel(id string, mode pipelineexec.CancelMode) Response {
-	return l.changeRun(id, func(record *runRecord, _ *pipelineexec.Execution) (changed bool, failure Response) {
+	return l.changeRun(id, func(record *runRecord, _ *pipelineexec.Execution) (isChanged bool, failure Response) {
 		if record.CancelMode == pipelineexec.CancelNow || record.CancelMode == mode {
 			return false, Response{}
 		}
@@ -263,7 +263,7 @@
 // the code 404 for an unknown job, and the code 409 for a job that is not waiting for a user to
 // start it.
 func (l *Leader) StartManualJob(id, name string) Response {
-	return l.changeRun(id, func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response) {
+	return l.changeRun(id, func(record *runRecord, execution *pipelineexec.Execution) (isChanged bool, failure Response) {
 		planJobs := execution.Plan.Jobs
 		index := slices.IndexFunc(planJobs, func(job pipeline.Job) bool { return job.Name == name })
 		if index < 0 {
@@ -277,19 +277,19 @@
 		if planJobs[index].When != pipeline.Manual || !isUnstarted {
 			return false, errorResponse(http.StatusConflict, "the job is "+state.Status.String()+" and does not wait for a manual start")
 		}
-		recorded, err := record.Progress.JobStates(len(execution.JobStates))
+		recordedStates, err := record.Progress.JobStates(len(execution.JobStates))
 		if err != nil {
 			return false, unavailableResponse("the run's record cannot be decoded")
 		}
-		recorded[index].ManuallyStarted = true
-		record.Progress = pipelineexec.EncodeProgress(recorded)
+		recordedStates[index].ManuallyStarted = true
+		record.Progress = pipelineexec.EncodeProgress(recordedStates)
 		return true, Response{}
 	})
 }
 
-// recordUpdateFunc changes a run's record. changed is false if the record already is as requested.
-// failure has an error if the request is refused.
-type recordUpdateFunc func(record *runRecord, execution *pipelineexec.Execution) (changed bool, failure Response)
+// recordUpdateFunc changes a run's record. isChanged is false if the record already is as requested.
+// failure contains an error if the request is refused.
+type recordUpdateFunc func(record *runRecord, execution *pipelineexec.Execution) (isChanged bool, failure Response)
 
 // changeRun changes a run's record, regardless of which controller leads the run. It responds with
 // the run's state once the change is durable.
@@ -319,11 +319,11 @@
 		return
 	}
 	record := run.record
-	changed, failure := change(&record, run.execution)
+	isChanged, failure := change(&record, run.execution)
 	switch {
 	case failure.Error != "":
 		reply(failure)
-	case !changed:
+	case !isChanged:
 		replyState()
 	default:
 		l.commitChange(run, record, func(result kvstore.TxnResult, err error) {
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -21,17 +21,17 @@
 	// epoch is the home shard's epoch in which this controller leads the run, or 0 if it does not
 	// lead the run.
 	epoch         uint64
-	execution     *pipelineexec.Execution // nil until the plan was read
+	execution     *pipelineexec.Execution // nil until the plan has been read
 	writeInFlight bool                    // also set while the plan is read
 	pausedUntil   time.Time               // no step is done before this time
 	writtenAt     time.Time               // when this controller last wrote the record as the leader
 
 	observations map[string]pipelineexec.Observation // from the controller's responses, by job id
-	// findingSubmitted is set while the leader of a cancelled run finds out which jobs an earlier
-	// leader has submitted. notSubmitted contains the jobs that turned out not to be submitted. See
-	// findSubmittedJobs.
-	findingSubmitted bool
-	notSubmitted     map[int]bool
+	// isFindingSubmitted is set while findSubmittedJobs finds out which jobs of a cancelled run were
+	// submitted by an earlier leader. unsubmittedJobs contains the jobs that it has found not to be
+	// submitted.
+	isFindingSubmitted bool
+	unsubmittedJobs    map[int]bool
 
 	startTimes   tracing.StartTimes
 	tracedStates []pipelineexec.JobState // the states that were last passed to the tracer
@@ -58,20 +58,20 @@
 	return refs
 }
 
-// unrecordedChanges compares the job states with the record. mustRecord is true if the next leader
-// could not find out one of the changes, so that the record has to be written before any action.
-// Otherwise changedJobs is the number of jobs with changes, which the next leader would find out by
-// asking the controller.
+// unrecordedChanges compares the job states with the record. mustRecord is true if there is a change
+// that the next leader could not find out, so that the record has to be written before any action.
+// Otherwise changedJobs is the number of jobs with changes; the next leader would find out these
+// changes by asking the controller.
 func (r *runState) unrecordedChanges() (mustRecord bool, changedJobs int) {
-	recorded, err := r.record.Progress.JobStates(len(r.execution.JobStates))
+	recordedStates, err := r.record.Progress.JobStates(len(r.execution.JobStates))
 	if err != nil {
 		return true, 0
 	}
 	for job, state := range r.execution.JobStates {
-		if state == recorded[job] {
+		if state == recordedStates[job] {
 			continue
 		}
-		if mustRecordChange(recorded[job], state) {
+		if mustRecordChange(recordedStates[job], state) {
 			return true, 0
 		}
 		changedJobs++
@@ -163,11 +163,11 @@
 	actions := execution.Step(now.UnixMilli(), func(job int) pipelineexec.Observation { return l.observe(run, job, local) })
 	l.tracer.RecordStep(run.id, &run.startTimes, execution.Plan, run.tracedStates, execution.JobStates, now)
 	copy(run.tracedStates, execution.JobStates)
-	if run.findingSubmitted {
+	if run.isFindingSubmitted {
 		l.findSubmittedJobs(run, actions)
 		return
 	}
-	if status, final := execution.Status(); final {
+	if status, isFinal := execution.Status(); isFinal {
 		l.finishRun(run, status, now)
 		return
 	}
--- a/internal/pipelinerun/schedule_test.go
+++ b/internal/pipelinerun/schedule_test.go
@@ -19,7 +19,7 @@
 
 // A schedule starts one run for each of its times, whichever controller leads it. For the times
 // that were missed while the store was down it starts only one run.
-func TestScheduleDuringOutageAndFailover(t *testing.T) {
+func TestScheduleStartsOneRunPerTimeDespiteOutageAndFailover(t *testing.T) {
 	const file = fileHeader + "a: {stage: one}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) { // the simulated time starts on 2000-01-01 at 00:00:08 UTC
 		// prevents a scale-out
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -58,21 +58,21 @@
 		if !isLedHere || !schedule.mayStartRun(now) {
 			continue
 		}
-		times, err := cronschedule.Parse(schedule.Cron, schedule.Zone)
+		cronSchedule, err := cronschedule.Parse(schedule.Cron, schedule.Zone)
 		if err != nil {
 			l.log.Error("schedule cannot be read", "schedule", schedule.Name, "error", err)
 			schedule.pausedUntil = now.Add(unreadableRecordRetryDelay)
 			continue
 		}
-		l.startScheduledRun(key, schedule, times, epoch, now)
+		l.startScheduledRun(key, schedule, cronSchedule, epoch, now)
 	}
 }
 
 // startScheduledRun starts a run of a schedule. If several times were missed, for example in an
 // outage, one run is started for the last of them. The run's id depends only on the schedule and
 // that time, so that a repeated transaction does not start a second run.
-func (l *Leader) startScheduledRun(key string, schedule *scheduleState, times *cronschedule.Schedule, epoch uint64, now time.Time) {
-	dueAt, nextAt := times.Due(time.UnixMilli(schedule.NextAtMS), now)
+func (l *Leader) startScheduledRun(key string, schedule *scheduleState, cronSchedule *cronschedule.Schedule, epoch uint64, now time.Time) {
+	dueAt, nextAt := cronSchedule.Due(time.UnixMilli(schedule.NextAtMS), now)
 	id := jobs.NumberedRef("run", xxhash.Sum64String(schedule.Name+"@"+dueAt.UTC().Format(time.RFC3339)))
 	record := schedule.Template
 	record.AcceptedAtMS, record.Epoch = now.UnixMilli(), epoch
@@ -111,7 +111,7 @@
 	if !scheduleNamePattern.MatchString(name) {
 		return ScheduleView{}, errorResponse(http.StatusBadRequest, "name: must be 1 to 64 letters, digits, dots, dashes and underscores")
 	}
-	times, err := cronschedule.Parse(expression, zone)
+	cronSchedule, err := cronschedule.Parse(expression, zone)
 	if err != nil {
 		return ScheduleView{}, errorResponse(http.StatusBadRequest, err.Error())
 	}
@@ -120,7 +120,7 @@
 		return ScheduleView{}, errorResponse(http.StatusBadRequest, err.Error())
 	}
 	template.Epoch = 0
-	record := scheduleRecord{Name: name, Cron: expression, Zone: zone, NextAtMS: times.Next(time.Now()).UnixMilli(), Template: template}
+	record := scheduleRecord{Name: name, Cron: expression, Zone: zone, NextAtMS: cronSchedule.Next(time.Now()).UnixMilli(), Template: template}
 	view := record.view()
 	view.Jobs = len(plan.Jobs)
 	return view, l.ask(func(reply func(Response)) {
@@ -149,7 +149,7 @@
 // commitSchedule writes a schedule's record after the chunks of its plan, on the precondition that
 // the stored record has the given revision.
 func (l *Leader) commitSchedule(key string, revision uint64, chunks []kvstore.Write, write kvstore.Write, reply func(Response)) {
-	if !l.synced {
+	if !l.isSynced {
 		reply(unavailableResponse("state not read yet"))
 		return
 	}
@@ -168,15 +168,15 @@
 	})
 }
 
-// Schedules returns all schedules, sorted by name. ok is false while the schedules were not read
-// from the store yet.
+// Schedules returns all schedules, sorted by name. ok is false until the schedules have been
+// read from the store.
 func (l *Leader) Schedules() (schedules []ScheduleView, ok bool) {
 	type answer struct {
 		schedules []ScheduleView
 		synced    bool
 	}
 	all, _ := actor.Ask(l.mailbox, func() answer {
-		a := answer{schedules: []ScheduleView{}, synced: l.synced}
+		a := answer{schedules: []ScheduleView{}, synced: l.isSynced}
 		for _, schedule := range l.schedules {
 			a.schedules = append(a.schedules, schedule.view())
 		}
--- a/internal/pipelinerun/sync.go
+++ b/internal/pipelinerun/sync.go
@@ -11,24 +11,24 @@
 	"cherrywall/internal/tuning"
 )
 
-// loadedPrefixes are the prefixes whose records loadRecords lists, in this order. A group whose run
-// is not known counts as free, see acquireGroup. A run that starts between the listings becomes
-// known by its event.
+// loadedPrefixes are the prefixes whose records loadRecords lists, in this order. acquireGroup treats
+// a group whose run is not known as free. A run that starts between the listings of the runs and of
+// the groups is not in the listing, but becomes known by its event.
 var loadedPrefixes = []string{runPrefix, groupPrefix, schedulePrefix}
 
-// handleEvents applies events of the controller's watch. While a load is in flight, the events are
-// kept until it has finished. reload is set if events were missed, so that all records have to be
-// listed again.
-func (l *Leader) handleEvents(events []kvstore.Event, reload bool) {
-	if reload {
+// handleEvents applies events of the controller's watch. While the records are being loaded, the
+// events are kept until loading has finished. needsReload is set if events were missed, so that all
+// records have to be listed again.
+func (l *Leader) handleEvents(events []kvstore.Event, needsReload bool) {
+	if needsReload {
 		l.reloadRequests++
-		if !l.loading {
-			l.loading = true
+		if !l.isLoading {
+			l.isLoading = true
 			go l.loadRecords(l.mailbox.Context())
 		}
 	}
 	l.pendingEvents = append(l.pendingEvents, events...)
-	if l.loading {
+	if l.isLoading {
 		return // the listing may be older than these events
 	}
 	l.applyPendingEvents()
@@ -46,7 +46,7 @@
 }
 
 // loadRecords lists all unfinished runs, groups and schedules, and retries until it succeeds or the
-// context ends. It lists them again if events were missed in the meantime.
+// context ends. It lists them again if events were missed during the listing.
 func (l *Leader) loadRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		reloadRequests, _ := actor.Ask(l.mailbox, func() int { return l.reloadRequests })
@@ -57,29 +57,29 @@
 			}
 			continue
 		}
-		applied, _ := actor.Ask(l.mailbox, func() bool {
+		isApplied, _ := actor.Ask(l.mailbox, func() bool {
 			if l.reloadRequests != reloadRequests {
 				return false
 			}
 			l.applyListing(rows)
 			return true
 		})
-		if applied {
+		if isApplied {
 			return
 		}
 	}
 }
 
 func (l *Leader) listRecords(ctx context.Context) ([]kvstore.KeyValue, error) {
-	var all []kvstore.KeyValue
+	var allRows []kvstore.KeyValue
 	for _, prefix := range loadedPrefixes {
 		rows, _, err := l.store.List(ctx, prefix)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, rows...)
+		allRows = append(allRows, rows...)
 	}
-	return all, nil
+	return allRows, nil
 }
 
 func (l *Leader) applyListing(rows []kvstore.KeyValue) {
@@ -90,7 +90,7 @@
 		l.applyWrite(row.Key, row.Value, row.Revision)
 	}
 	l.applyPendingEvents()
-	l.synced, l.loading = true, false
+	l.isSynced, l.isLoading = true, false
 }
 
 // applyWrite applies a record that was written at a revision. A record that cannot be decoded is
@@ -141,8 +141,8 @@
 }
 
 // applyRunRecord applies an unfinished run's record. If this controller leads the run, its progress
-// in memory is newer than that in any record. Only users' requests are taken from the record then,
-// since any controller may have written them.
+// in memory is newer than that in any record. In this case, only users' requests are taken from
+// the record, since any controller may have written them.
 func (l *Leader) applyRunRecord(id string, record runRecord, revision uint64) {
 	run := l.runs[id]
 	if run == nil {
@@ -158,7 +158,7 @@
 	case run.epoch == 0:
 		run.execution = nil // restored from the record when needed
 	default:
-		if !run.findingSubmitted {
+		if !run.isFindingSubmitted {
 			run.execution.CancelMode = record.CancelMode
 		}
 		for _, job := range record.Progress.ManuallyStarted {
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -13,7 +13,7 @@
 	HomeShard    string                 `json:"share,omitempty"`
 	Stages       []string               `json:"stages,omitempty"`
 	Jobs         []JobView              `json:"jobs,omitempty"`
-	// Numbers of jobs that wait, are in progress and have ended.
+	// The numbers of jobs that are waiting, that are in progress, and that have ended.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
 	Ended   int `json:"ended"`
@@ -27,7 +27,7 @@
 	Reason       string                  `json:"why,omitempty"`
 	Attempt      int                     `json:"try"`
 	Retries      int                     `json:"retries,omitempty"`
-	Ref          string                  `json:"ref,omitempty"` // the id under which it is submitted
+	Ref          string                  `json:"ref,omitempty"` // the id under which the current attempt is submitted
 	DoneTasks    int                     `json:"tasks_done"`
 	RunningTasks int                     `json:"tasks_running"`
 	Tasks        int                     `json:"tasks"`
@@ -49,7 +49,7 @@
 	return ScheduleView{Name: s.Name, Cron: s.Cron, Zone: s.Zone, NextAtMS: s.NextAtMS, LastRun: s.LastRun}
 }
 
-// observeFunc returns what is known of a job's current attempt.
+// observeFunc returns what is known about a job's current attempt. job is its index in the plan.
 type observeFunc func(job int) pipelineexec.Observation
 
 // newRunView returns the view of a run. execution is nil if the plan was not read. observe is nil
