--- a/internal/jobs/parse.go
+++ b/internal/jobs/parse.go
@@ -160,7 +160,7 @@
 		return newValidationError("lot", "empty")
 	case s.Team == "":
 		return newValidationError("crew", "empty")
-	case !isKind(s.Kind):
+	case !isKnownKind(s.Kind):
 		return newValidationError("shape", "unknown %q", s.Kind)
 	case s.Priority() < 0:
 		return newValidationError("urgency", "unknown %q", s.Urgency)
@@ -207,4 +207,4 @@
 	return nil
 }
 
-func isKind(kind Kind) bool { return kind == Array || kind == Gang || kind == Service }
+func isKnownKind(kind Kind) bool { return kind == Array || kind == Gang || kind == Service }
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -62,7 +62,7 @@
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
 		return newValidationError("shifts", "%d", r.Tasks)
 	}
-	if !isKind(r.Kind) {
+	if !isKnownKind(r.Kind) {
 		return newValidationError("shape", "unknown %q", r.Kind)
 	}
 	end := 0
