--- a/internal/completionbatch/index_test.go
+++ b/internal/completionbatch/index_test.go
@@ -20,7 +20,7 @@
 func anyShard(string) bool { return true }
 
 // The jobs of a batch are cleaned up one by one; the batch can be deleted after the last one.
-func TestBatchCleanupByJob(t *testing.T) {
+func TestBatchIsCleanedUpJobByJob(t *testing.T) {
 	index := New()
 	first := index.OpenBatch("n0")
 	if first.Key != jobs.CompletionBatchPrefix+"n0/1" || first.Entries != nil || first.Revision != 0 {
