--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -103,7 +103,7 @@
 func (c *Catalog) TypesToRecord() (value json.RawMessage, record *RecordState, err error) {
 	types := slices.Clone(c.cloudTypes)
 	slices.SortFunc(types, func(x, y cloud.MachineType) int { return strings.Compare(x.Name, y.Name) })
-	isRecorded := slices.EqualFunc(types, c.recordedTypes, equalExceptPrices)
+	isRecorded := slices.EqualFunc(types, c.recordedTypes, areEqualExceptPrices)
 	if isRecorded || len(types) == 0 || c.typesRecord.WriteInFlight {
 		return nil, nil, nil
 	}
@@ -113,8 +113,8 @@
 	return value, &c.typesRecord, nil
 }
 
-// equalExceptPrices reports whether two machine types differ at most in their prices.
-func equalExceptPrices(x, y cloud.MachineType) bool {
+// areEqualExceptPrices reports whether two machine types differ at most in their prices.
+func areEqualExceptPrices(x, y cloud.MachineType) bool {
 	x.HourlyPrice, x.SpotHourlyPrice, y.HourlyPrice, y.SpotHourlyPrice = 0, 0, 0, 0
 	encodedX, errX := json.Marshal(x)
 	encodedY, errY := json.Marshal(y)
@@ -122,10 +122,10 @@
 }
 
 // ApplyTypesRecord applies the record of the machine types at a revision. A record that is not newer than
-// the last one is ignored. used reports whether the catalog now uses the recorded types, which it
+// the last one is ignored. isUsed reports whether the catalog now uses the recorded types, which it
 // does only until it has types from the cloud. ApplyTypesRecord returns an error if the record cannot be
 // decoded.
-func (c *Catalog) ApplyTypesRecord(value json.RawMessage, revision uint64) (used bool, err error) {
+func (c *Catalog) ApplyTypesRecord(value json.RawMessage, revision uint64) (isUsed bool, err error) {
 	if revision <= c.typesRecord.Revision {
 		return false, nil
 	}
@@ -155,7 +155,7 @@
 	// A controller that has lost the autoscaler lease learns no new boot times. It must not overwrite
 	// the record of the controller that holds the lease.
 	isOutdated := now.Sub(c.learnedAt) > maxLearnedBootTimesAgeIntervals*tuning.DemandCheckInterval
-	if !c.bootTimesChanged() || c.bootTimesRecord.WriteInFlight || isOutdated {
+	if !c.haveBootTimesChanged() || c.bootTimesRecord.WriteInFlight || isOutdated {
 		return nil, nil, nil
 	}
 	if value, err = json.Marshal(c.learnedBootTimes); err != nil {
@@ -164,9 +164,9 @@
 	return value, &c.bootTimesRecord, nil
 }
 
-// bootTimesChanged reports whether a learned boot time differs from the expected one by more than
+// haveBootTimesChanged reports whether a learned boot time differs from the expected one by more than
 // tuning.BootTimeChangeFraction.
-func (c *Catalog) bootTimesChanged() bool {
+func (c *Catalog) haveBootTimesChanged() bool {
 	for typeName, seconds := range c.learnedBootTimes {
 		expected := c.BootSeconds(typeName)
 		if math.Abs(seconds-expected) > tuning.BootTimeChangeFraction*expected {
--- a/internal/machinetype/catalog_test.go
+++ b/internal/machinetype/catalog_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("a change of prices alone was recorded: %s", value)
 	}
 	otherCatalog := New()
-	if used, err := otherCatalog.ApplyTypesRecord(value, 5); err != nil || !used {
+	if isUsed, err := otherCatalog.ApplyTypesRecord(value, 5); err != nil || !isUsed {
 		t.Fatalf("the record is not used without types from the cloud: %v", err)
 	}
 	if resources, ok := otherCatalog.Capacity("m16"); !ok || resources.CPU != 16 {
