--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	if isNoCapacity(response.StatusCode, body) {
+	if reportsNoCapacity(response.StatusCode, body) {
 		return ErrNoCapacity
 	}
 	if response.StatusCode != http.StatusOK {
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// isNoCapacity reports whether a response means that the cloud has no machines. An outage has the same
-// status; the two differ in the error in the body.
-func isNoCapacity(status int, body []byte) bool {
+// reportsNoCapacity reports whether a response means that the cloud has no machines. A response during an
+// outage has the same status, but another error in the body.
+func reportsNoCapacity(status int, body []byte) bool {
 	if status != http.StatusServiceUnavailable {
 		return false
 	}
