--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -49,7 +49,7 @@
 		var actions []Action
 		before := slices.Clone(e.JobStates)
 		for job := range e.JobStates {
-			if action, due := e.stepJob(job, nowMS, observe); due {
+			if action, isDue := e.stepJob(job, nowMS, observe); isDue {
 				actions = append(actions, action)
 			}
 		}
@@ -59,8 +59,8 @@
 	}
 }
 
-// stepJob advances one job. due reports whether an action is due.
-func (e *Execution) stepJob(job int, nowMS int64, observe ObserveFunc) (action Action, due bool) {
+// stepJob advances one job. isDue reports whether an action is due.
+func (e *Execution) stepJob(job int, nowMS int64, observe ObserveFunc) (action Action, isDue bool) {
 	switch e.JobStates[job].Status {
 	case Active:
 		return e.stepActive(job, nowMS, observe(job))
@@ -77,7 +77,7 @@
 }
 
 // stepActive advances a job that was submitted or has to be submitted.
-func (e *Execution) stepActive(index int, nowMS int64, observed Observation) (action Action, due bool) {
+func (e *Execution) stepActive(index int, nowMS int64, observed Observation) (action Action, isDue bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
 	case observed.IsDone:
@@ -107,7 +107,7 @@
 }
 
 // stepStopping advances a job that is being cancelled.
-func (e *Execution) stepStopping(index int, observed Observation) (action Action, due bool) {
+func (e *Execution) stepStopping(index int, observed Observation) (action Action, isDue bool) {
 	state, job := &e.JobStates[index], &e.Plan.Jobs[index]
 	switch {
 	case observed.IsDone: // the job completed before the cancellation took effect
@@ -174,7 +174,7 @@
 type dependencySummary struct {
 	hasUnfinished bool // a dependency has not ended
 	hasFailed     bool // a dependency whose failure is not allowed has failed or was cancelled
-	hasMissing    bool // a dependency named in the job's needs was skipped, or is optional and waits for a user, perhaps for ever
+	hasMissing    bool // a dependency named in the job's needs was skipped, or is optional and a user may never start it
 }
 
 func (e *Execution) summarizeDependencies(job *pipeline.Job) dependencySummary {
--- a/internal/pipelineexec/progress.go
+++ b/internal/pipelineexec/progress.go
@@ -15,8 +15,8 @@
 type JobState struct {
 	Status          Status
 	Attempt         int                   // number of the current attempt, from 0
-	Salt            int                   // number of ids of the attempt that jobs of other users already had; an argument of JobRef
-	DelayedUntilMS  int64                 // Unix ms; 0 if the job was never Delayed
+	Salt            int                   // number of ids of the attempt that were already taken by jobs of other users; see JobRef
+	DelayedUntilMS  int64                 // Unix ms; 0 if the current attempt was never Delayed
 	Cause           pipeline.FailureCause // why the job is being cancelled, was cancelled or failed
 	ManuallyStarted bool
 }
