--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -14,7 +14,7 @@
 
 // The controller that leads the run crashes after each write to the store in turn. Every job must
 // still be done, and no task may run twice.
-func TestLeaderCrashAfterEachWrite(t *testing.T) {
+func TestRunSucceedsDespiteLeaderCrashAfterEachWrite(t *testing.T) {
 	for step := range 16 {
 		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
 			runScenario(t, func(t *testing.T, c *testCluster) { crashLeaderAfterWrite(t, c, step) })
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -50,7 +50,7 @@
 	// version of the program that parses files differently continues the run with the same plan.
 	Plan         []byte                  `json:"plan"`
 	PlanChunks   int                     `json:"parts,omitempty"`
-	PlanChunksID string                  `json:"plan_id,omitempty"` // unique; part of the keys of the chunks; begins with the id of the run or schedule
+	PlanChunksID string                  `json:"plan_id,omitempty"` // unique part of the keys of the chunks; begins with the id of the run or schedule
 	Progress     pipelineexec.Progress   `json:"p"`
 	CancelMode   pipelineexec.CancelMode `json:"cancel,omitempty"`
 	// HomeShard is the shard whose owner leads the run. Epoch is the shard's epoch in which its
--- a/internal/pipelinerun/requests_test.go
+++ b/internal/pipelinerun/requests_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRequestsForUnknownRunsAndJobs(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	const file = fileHeader + "a: {stage: one}\nb: {stage: two}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-1", file)
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -60,9 +60,9 @@
 
 // unrecordedChanges compares the job states with the record. mustRecord is true if there is a change
 // that the next leader could not find out, so that the record has to be written before any action.
-// Otherwise changedJobs is the number of jobs with changes; the next leader would find out these
+// Otherwise changedJobCount is the number of jobs with changes; the next leader would find out these
 // changes by asking the controller.
-func (r *runState) unrecordedChanges() (mustRecord bool, changedJobs int) {
+func (r *runState) unrecordedChanges() (mustRecord bool, changedJobCount int) {
 	recordedStates, err := r.record.Progress.JobStates(len(r.execution.JobStates))
 	if err != nil {
 		return true, 0
@@ -74,9 +74,9 @@
 		if mustRecordChange(recordedStates[job], state) {
 			return true, 0
 		}
-		changedJobs++
+		changedJobCount++
 	}
-	return false, changedJobs
+	return false, changedJobCount
 }
 
 // mustRecordChange reports whether a change of a job must be recorded because the next leader could
@@ -171,9 +171,9 @@
 		l.finishRun(run, status, now)
 		return
 	}
-	mustRecord, changedJobs := run.unrecordedChanges()
+	mustRecord, changedJobCount := run.unrecordedChanges()
 	intervalPassed := now.Sub(run.writtenAt) > tuning.RunProgressWriteInterval
-	if mustRecord || changedJobs >= tuning.RunProgressWriteJobs && intervalPassed {
+	if mustRecord || changedJobCount >= tuning.RunProgressWriteJobs && intervalPassed {
 		record := run.record
 		record.Progress = pipelineexec.EncodeProgress(execution.JobStates)
 		l.writeRunRecord(run, run.epoch, record, func() {})
