--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -12,14 +12,13 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxBackoffDoublings is the maximum number of times that the backoff is doubled after repeated losses
-// of contact.
+// maxBackoffDoublings limits how often the backoff is doubled after repeated losses of contact.
 const maxBackoffDoublings = 4
 
-// Monitor tracks the controller's contact with workers by their heartbeats and by probes. When
-// heartbeats are missing, the owner of the Monitor probes a sample of workers, that is, sends them a
-// request. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready
-// to use.
+// Monitor tracks the controller's contact with workers by their heartbeats and by probes. A probe sends
+// a request to each worker of a sample; the owner of the Monitor starts one when heartbeats are
+// missing. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready to
+// use.
 type Monitor struct {
 	lastContactAt time.Time // time of the last heartbeat or successful probe
 	lastTickAt    time.Time
@@ -36,9 +35,10 @@
 // ObserveHeartbeat records that a worker's heartbeat has arrived.
 func (m *Monitor) ObserveHeartbeat(now time.Time) { m.lastContactAt = now }
 
-// Tick detects stalls of this process, and must be called several times a second. After a gap between
-// two calls, Tick resets the time of the last contact, because heartbeats that were missed during the
-// stall do not show that workers are unreachable.
+// Tick detects stalls of this process, and must be called several times a second. If more than
+// tuning.ProcessStallThreshold has passed since the previous call, Tick sets the time of the last
+// contact to now, because heartbeats that were missed during the stall do not show that workers are
+// unreachable.
 func (m *Monitor) Tick(now time.Time) {
 	if now.Sub(m.lastTickAt) > tuning.ProcessStallThreshold {
 		m.lastContactAt = now
@@ -60,8 +60,8 @@
 		m.lastContactAt = now
 		return false
 	}
-	// If the heartbeats are spread evenly, they arrive interval/workers apart. A silence of three
-	// such distances plus one second for delays is normal.
+	// If the heartbeats are spread evenly, one arrives every interval/workers. A silence of three
+	// times that, plus one second for delays, is normal.
 	normalSilence := 3*interval/time.Duration(workers) + time.Second
 	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
 }
@@ -117,7 +117,8 @@
 }
 
 // markUnreachable records the start of a loss of contact, and counts the loss for the backoff before
-// the next restoration. Losses count until tuning.InboundLossBackoffReset has passed without a change.
+// the next restoration. Earlier losses no longer count if more than tuning.InboundLossBackoffReset has
+// passed since the last loss or restoration.
 func (m *Monitor) markUnreachable(now time.Time) {
 	if now.Sub(m.changedAt) > tuning.InboundLossBackoffReset {
 		m.recentLosses = 0
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	workers           = 100
+	workerCount       = 100
 	heartbeatInterval = 5 * time.Second
 )
 
-// If a link fails and recovers repeatedly, each restoration takes longer than the one before.
+// If a link fails and recovers repeatedly, each restoration takes longer than the previous one.
 func TestBackoffGrowsWithRepeatedLoss(t *testing.T) {
 	now := time.Now()
 	m := &Monitor{}
@@ -21,43 +21,43 @@
 			m.Tick(now)
 		}
 	}
-	var previous time.Duration
+	var previousRestoreTime time.Duration
 	for round := range 3 {
 		advance(5 * time.Second)
-		if !m.ShouldProbe(now, workers, heartbeatInterval) {
+		if !m.ShouldProbe(now, workerCount, heartbeatInterval) {
 			t.Fatal("no probe after 5 s without a heartbeat")
 		}
 		m.ProbeStarted()
-		if m.ShouldProbe(now, workers, heartbeatInterval) {
+		if m.ShouldProbe(now, workerCount, heartbeatInterval) {
 			t.Error("a second probe is started while one is under way")
 		}
 		if transition := m.ProbeFinished(false, now, now, true); transition != Unreachable {
 			t.Fatalf("round %d: %v", round, transition)
 		}
-		took := time.Duration(0)
-		for transition := NoTransition; transition != Restored; took += time.Second {
+		restoreTime := time.Duration(0)
+		for transition := NoTransition; transition != Restored; restoreTime += time.Second {
 			advance(time.Second)
-			if !m.ShouldProbe(now, workers, heartbeatInterval) {
+			if !m.ShouldProbe(now, workerCount, heartbeatInterval) {
 				continue
 			}
 			m.ProbeStarted()
 			transition = m.ProbeFinished(true, now, now, true)
 		}
-		if took <= previous {
-			t.Errorf("round %d: restored after %v, in the previous round after %v", round, took, previous)
+		if restoreTime <= previousRestoreTime {
+			t.Errorf("round %d: restored after %v, in the previous round after %v", round, restoreTime, previousRestoreTime)
 		}
-		previous = took
+		previousRestoreTime = restoreTime
 	}
 }
 
-func TestStalledProcessSuspectsNoWorker(t *testing.T) {
+func TestProcessStallIsNoLossOfContact(t *testing.T) {
 	now := time.Now()
 	m := &Monitor{}
 	m.Tick(now)
 	m.ObserveHeartbeat(now)
 	now = now.Add(time.Minute)
 	m.Tick(now)
-	if m.ShouldProbe(now, workers, heartbeatInterval) {
+	if m.ShouldProbe(now, workerCount, heartbeatInterval) {
 		t.Error("a probe is started after the process was stalled for a minute")
 	}
 	if transition := m.ProbeFinished(false, now.Add(-10*time.Second), now, true); transition != NoTransition {
