--- a/internal/reconciliation/discrepancy.go
+++ b/internal/reconciliation/discrepancy.go
@@ -2,8 +2,8 @@
 
 import "cherrywall/internal/clusterstate"
 
-// Discrepancy classifies the difference between the records and a worker's heartbeat or the lack of
-// one. Agrees means that there is no difference.
+// Discrepancy classifies the difference between the records and a worker's heartbeat, or between the
+// records and the lack of a heartbeat. Agrees means that there is no difference.
 type Discrepancy int
 
 // The discrepancies of a task come first, then those of a worker.
@@ -11,13 +11,13 @@
 	Agrees               Discrepancy = iota // the task runs as recorded
 	RunningUnclaimed                        // the task runs, but its shard has not claimed it
 	ClaimedNotRunning                       // the task is claimed, but no worker runs it
-	StaleAttempt                            // the task runs while another attempt of it is assigned
-	UnknownJob                              // the task runs, but belongs to no unfinished job that is known
+	StaleAttempt                            // the task runs, but another attempt of it is assigned to a worker, or the task is done
+	UnknownJob                              // the task runs, but no record of its job is known
 	JobFinished                             // the task runs, but its job has ended
 	CompletionUnrecorded                    // the task is done, but its completion is not recorded
 	WorkerUnrecorded                        // a worker without a record sends heartbeats
 	WorkerMissing                           // a recorded worker sends no heartbeats
-	discrepancyCount                        // the number of discrepancies
+	discrepancyCount
 )
 
 // Action is the response of reconciliation to a discrepancy.
--- a/internal/reconciliation/fault_injection_test.go
+++ b/internal/reconciliation/fault_injection_test.go
@@ -13,19 +13,19 @@
 // Random faults violate no invariant, and accepted jobs end. In every second run the controllers
 // exchange peer messages and transfer shards.
 func TestRandomFaultsKeepInvariants(t *testing.T) {
-	ended := 0
+	endedJobs := 0
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			for _, violation := range faultinjection.Run(t, 12, seed%2 == 1, func(run *faultinjection.FaultRun) {
 				run.InjectFaults(rand.New(rand.NewPCG(seed, 22)), 150)
-				ended += run.Finish()
+				endedJobs += run.Finish()
 			}) {
 				t.Error(violation)
 			}
 		})
 	}
-	if ended < 150 {
-		t.Errorf("only %d jobs ended in all runs", ended)
+	if endedJobs < 150 {
+		t.Errorf("only %d jobs ended in all runs", endedJobs)
 	}
 }
 
@@ -41,9 +41,9 @@
 	t.Error("30 runs of the mutation violated no invariant")
 }
 
-// Combinations of faults that have violated invariants when they coincided, with leases and
-// cancellation times of several lengths: see docs/meetings.md. NIGHT_SEEDS="from to" replaces the
-// default seeds.
+// Combinations of faults that have violated invariants in the past (docs/meetings.md) violate none now.
+// The lease duration and the time limit for cancellations depend on the seed. NIGHT_SEEDS="from to"
+// replaces the default seeds.
 func TestCombinedFaultsKeepInvariants(t *testing.T) {
 	from, to := uint64(0), uint64(8)
 	if seeds := os.Getenv("NIGHT_SEEDS"); seeds != "" {
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -23,7 +23,7 @@
 type AgentSessions interface {
 	// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
 	AgentEpoch(machine *clusterstate.Machine) uint64
-	// ProbeAnswered receives the heartbeat with which a worker answered a probe that carried
+	// ProbeAnswered handles the heartbeat with which a worker answered a probe that carried
 	// fencingToken.
 	ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64)
 }
@@ -32,7 +32,7 @@
 // the response to the worker's first heartbeat, which carries the new fencing token, or a probe.
 // Each exchange costs processor time and makes the worker send one more heartbeat, and after a
 // start of all controllers all workers make contact within the same second. So the rate of the
-// exchanges is limited, in proportion to the processor limit. Responses are sent first, because the
+// exchanges is limited, in proportion to the controller's processor limit. Responses are sent first, because the
 // workers' leases depend on them, and then probes to the workers that have sent no heartbeat.
 //
 // A FirstContact is not safe for concurrent use: the actor that owns its mailbox also owns it.
@@ -46,12 +46,13 @@
 	pendingResponses []func()                            // in the order in which the heartbeats arrived
 	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was last answered with the token
 	probeQueue       []*clusterstate.Machine
-	isQueued         map[*clusterstate.Machine]bool
+	isProbeQueued    map[*clusterstate.Machine]bool
 	timer            *time.Timer // calls Run at timerDueAt
 	timerDueAt       time.Time
 	// Numbers of probes in flight. Slow probes will most likely not be answered, and count only
 	// against the larger limit in atProbeLimit. Otherwise they would delay the probes of reachable
-	// workers: a shard with 230 workers behind a network partition took 15 s to probe the others.
+	// workers: while 230 workers of a shard were behind a network partition, it took 15 s to probe the
+	// others.
 	recentProbes, slowProbes int
 }
 
@@ -86,14 +87,14 @@
 // still complete, and pending responses are still sent.
 func (c *FirstContact) Reset() {
 	c.probeQueue = nil
-	c.isQueued = map[*clusterstate.Machine]bool{}
+	c.isProbeQueued = map[*clusterstate.Machine]bool{}
 	c.tokenSentAt = map[*clusterstate.Machine]time.Time{}
 }
 
 // RemoveWorker drops a worker that no longer exists.
 func (c *FirstContact) RemoveWorker(machine *clusterstate.Machine) {
 	delete(c.tokenSentAt, machine)
-	delete(c.isQueued, machine)
+	delete(c.isProbeQueued, machine)
 }
 
 // EnqueueResponse queues respond, which answers the worker's first heartbeat to a new owner, and
@@ -125,7 +126,8 @@
 }
 
 // EnqueueProbe queues a probe of a worker that has a new owner, and sends it when the rate limit
-// allows. It does nothing for a worker that needs no probe, has no address or is being released.
+// allows. It does nothing for a worker that needs no probe, whose probe is already queued, that has no
+// address or that is being released.
 //
 // Without a probe the owner would wait until the worker has found the owner, has learned the new
 // fencing token and has sent one more heartbeat: up to 15 s at a heartbeat interval of 5 s. The
@@ -134,14 +136,14 @@
 // harm: it carries a token that belonged to this controller, and a worker that has seen a higher
 // token refuses it.
 func (c *FirstContact) EnqueueProbe(machine *clusterstate.Machine) {
-	if c.prober == nil || c.isQueued[machine] || machine.Record().Addr == "" {
+	if c.prober == nil || c.isProbeQueued[machine] || machine.Record().Addr == "" {
 		return
 	}
 	if !c.needsProbe(machine) || machine.IsReleasing() {
 		return
 	}
 	delete(c.tokenSentAt, machine)
-	c.isQueued[machine] = true
+	c.isProbeQueued[machine] = true
 	c.probeQueue = append(c.probeQueue, machine)
 	c.Run()
 }
@@ -203,15 +205,15 @@
 		c.recentProbes+c.slowProbes >= tuning.MaxOpenFirstContacts
 }
 
-// heartbeatWait returns how much longer to wait for a worker's next heartbeat before it is probed: a
-// worker that was just sent the fencing token sends a heartbeat without a probe. It is zero or
-// negative if there is nothing to wait for.
+// heartbeatWait returns how much longer to wait for a worker's next heartbeat before the worker is
+// probed: a worker that has received the fencing token soon sends a heartbeat without a probe. The
+// result is zero or negative if there is nothing to wait for.
 func (c *FirstContact) heartbeatWait(machine *clusterstate.Machine) time.Duration {
 	return tuning.HeartbeatAfterTokenDelay - time.Since(c.tokenSentAt[machine])
 }
 
 func (c *FirstContact) dequeueProbe() {
-	delete(c.isQueued, c.probeQueue[0])
+	delete(c.isProbeQueued, c.probeQueue[0])
 	c.probeQueue = c.probeQueue[1:]
 }
 
@@ -261,9 +263,9 @@
 			if err == nil {
 				c.sessions.ProbeAnswered(machine, heartbeat, fencingToken)
 			} else {
-				// The machine may no longer exist: the previous owner may have released it just
-				// before that controller stopped. The mark makes machinelifecycle read the
-				// cloud's list of machines at once. Otherwise the shard would wait for the
+				// The machine may no longer exist: the previous owner may have released it shortly
+				// before that controller stopped. MarkProbeUnanswered makes machinelifecycle read
+				// the cloud's list of machines at once. Otherwise the shard would wait for the
 				// machine until several heartbeats are missed.
 				c.State.MarkProbeUnanswered(machine)
 			}
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -1,5 +1,5 @@
-// Package reconciliation brings a shard back to work after its owner changed or all controllers
-// went down (docs/recovery.md). It makes first contact with the shard's workers at a rate that
+// Package reconciliation recovers a shard after its owner has changed or all controllers were down
+// (docs/recovery.md). It makes first contact with the shard's workers at a rate that
 // leaves processor time for user requests, compares the workers' heartbeats with the records, and
 // decides when a claimed task that no worker lists may be started.
 package reconciliation
@@ -25,9 +25,10 @@
 	Cache      *statecache.Cache
 }
 
-// Reconciler tracks the recovery of the local shards. A worker is confirmed when its first
-// heartbeat under the shard's epoch was applied. A Reconciler is not safe for concurrent use: a
-// single actor owns it.
+// Reconciler tracks the recovery of the local shards, which are the shards that this controller owns. A
+// worker is confirmed as soon as its tasks are known under the shard's epoch: its first heartbeat or the
+// previous owner's snapshot of the worker has been applied. A Reconciler is not safe for concurrent use:
+// a single actor owns it.
 type Reconciler struct {
 	Dependencies
 	cfg        *config.Config
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// CountDiscrepancy counts a discrepancy if it is in the worker's first heartbeat under the current
-// epoch.
+// CountDiscrepancy counts a discrepancy between the records and a worker's heartbeat, if the heartbeat
+// is the worker's first under the current epoch.
 func (r *Reconciler) CountDiscrepancy(machine *clusterstate.Machine, discrepancy Discrepancy) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery != nil && !machine.HasReported() {
@@ -78,8 +79,8 @@
 	}
 }
 
-// WorkerRegistered counts a worker that sent heartbeats before it had a record and has just been
-// recorded, if its shard was acquired recently.
+// WorkerRegistered is called when the record of a worker that sent heartbeats without a record is
+// written. It counts the worker if the worker's shard was acquired recently.
 func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery != nil && recovery.inTrackingPeriod(now) {
@@ -99,7 +100,8 @@
 	}
 }
 
-// WorkerConfirmed notes that a worker's first heartbeat under the current epoch was applied.
+// WorkerConfirmed confirms a worker whose first heartbeat under the current epoch was applied. It also
+// completes the recovery of the worker's shard if no other worker prevents that.
 func (r *Reconciler) WorkerConfirmed(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery == nil {
@@ -110,7 +112,8 @@
 }
 
 // WorkerTransferred confirms a worker on the basis of the previous owner's snapshot, which lists the
-// worker's tasks. The caller calls Check when it has applied the whole snapshot.
+// worker's tasks. The caller calls CompleteRecoveries after it has applied the snapshots of
+// all workers.
 func (r *Reconciler) WorkerTransferred(machine *clusterstate.Machine) {
 	if recovery := r.recoveryOfWorker(machine); recovery != nil {
 		recovery.confirm(machine)
@@ -125,8 +128,8 @@
 	}
 }
 
-// CompleteRecoveries completes the recovery of each local shard, or of single task ranges, where the confirmed
-// workers and expired leases allow it.
+// CompleteRecoveries completes the recovery of each local shard, or of single task ranges, where the
+// confirmed workers and expired leases allow it.
 func (r *Reconciler) CompleteRecoveries(now time.Time) {
 	for _, shard := range r.Membership.LocalShards() {
 		r.reconcileShard(shard, now)
@@ -134,7 +137,7 @@
 	}
 }
 
-// isReconciling reports whether a shard's records are read and its recovery is not complete.
+// isReconciling reports whether a shard's records are read and the shard's recovery is not complete.
 //
 // This controller knows of the write that acquired the shard before the watch has delivered earlier
 // changes. A worker or task range that was recorded just before that write may still be missing in
@@ -151,8 +154,8 @@
 		return
 	}
 	recovery := r.recoveryOf(shard)
-	// This runs for each first heartbeat. It is cheap because the first unconfirmed worker usually
-	// ends the loop.
+	// This loop runs at the first heartbeat of each worker. It is cheap because it usually ends at the
+	// first unconfirmed worker.
 	for machine := range listUnconfirmed(r, shard) {
 		if !isLeaseExpired(r, shard, machine, now) {
 			return
@@ -189,20 +192,20 @@
 }
 
 // reconcileRanges completes single task ranges while some workers are unconfirmed. Every controller
-// sends a task only to a worker that is large enough and that the job allows. If this holds for no
-// unconfirmed worker, none of them runs the task, and the confirmed workers did not list it. So the
+// sends a task only to a worker that is large enough and that the job allows. If no unconfirmed worker
+// meets both conditions, none of them runs the task, and the confirmed workers did not list it. So the
 // loss of many spot machines does not delay tasks that may not run on spot machines.
 func (r *Reconciler) reconcileRanges(shard *membership.Shard) {
 	if !r.isReconciling(shard) {
 		return
 	}
-	unconfirmed := slices.Collect(listUnconfirmed(r, shard))
+	unconfirmedMachines := slices.Collect(listUnconfirmed(r, shard))
 	recovery := r.recoveryOf(shard)
 	for taskRange := range r.State.TaskRangesIn(shard.ID()) {
 		if taskRange.CountTasks(clusterstate.TaskUnknown) == 0 || taskRange.Job().HasEnded() {
 			continue
 		}
-		if r.anyCouldRun(taskRange, unconfirmed) {
+		if r.anyCouldRun(taskRange, unconfirmedMachines) {
 			continue
 		}
 		recovery.markNotRunning(taskRange)
@@ -217,8 +220,9 @@
 	isLeaseExpired  = (*Reconciler).leaseExpired
 )
 
-// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more,
-// because no controller can have renewed its lease recently enough: see Config.WorkerLeaseExpiresAt.
+// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more, because
+// its lease has expired even if a controller renewed it as late as possible (see
+// Config.WorkerLeaseExpiresAt).
 func (r *Reconciler) leaseExpired(shard *membership.Shard, machine *clusterstate.Machine, now time.Time) bool {
 	return now.After(r.cfg.WorkerLeaseExpiresAt(shard.KnownSince(), machine.LastHeartbeatAt()))
 }
@@ -226,9 +230,9 @@
 // unconfirmedWorkers yields the workers of a shard that are neither confirmed nor lost, and to which a
 // previous owner may have sent tasks of the shard.
 //
-// Workers whose record is newer than the shard's epoch are left out: they have registered since, or
-// have come from another shard without tasks. When a shard was acquired while hundreds of machines
-// started, waiting for the last of them delayed its recovery by 12 s after all relevant workers were
+// Workers whose record is newer than the shard's epoch are left out: they have registered since the
+// acquisition, or have come from another shard without tasks. When a shard was acquired while hundreds
+// of machines started, the wait for the last of them ended only 12 s after all other workers were
 // confirmed.
 //
 // The order is that of State.Machines, which is random. A fixed order would make reconcileShard slow:
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -14,9 +14,9 @@
 	"cherrywall/internal/workerapi"
 )
 
-// A controller that had acquired a shard applied its own write before the watch had delivered the
-// record of a worker that was written just before. The controller considered all workers of the shard
-// confirmed, and would have started that worker's tasks a second time.
+// A controller acquired a shard and applied its own write at once, before the watch had delivered a
+// worker's record that was slightly older than the write. The controller considered all workers of the
+// shard confirmed, and would have started the tasks of the missing worker a second time.
 func TestAcquiredShardNotReconciledBeforeCacheReachesItsEpoch(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
@@ -42,8 +42,8 @@
 	}
 }
 
-// One unconfirmed spot machine blocked every task of a shard with a new owner, even tasks of jobs that
-// may not run on spot machines.
+// One unconfirmed spot machine blocked every task of a shard that had a new owner, even the tasks of jobs
+// that may not run on spot machines.
 func TestUnconfirmedWorkerBlocksOnlyTasksItCouldRun(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 100)
@@ -116,8 +116,8 @@
 		acquiredAt := time.Now()
 		time.Sleep(h.Cfg.PreviousOwnerExpiryDelay() - 3*time.Second)
 		h.SyncCache(6)
-		running := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
-		if reply := h.Heartbeat("i-1", 1, 5, running); reply.StatusCode != 200 || reply.Response.FencingToken != 6 {
+		runningTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning}
+		if reply := h.Heartbeat("i-1", 1, 5, runningTask); reply.StatusCode != 200 || reply.Response.FencingToken != 6 {
 			t.Fatalf("answered %+v", reply)
 		}
 		leaseExpiresAt := machine.LastHeartbeatAt().Add(config.Seconds(h.Cfg.Cluster.Workers.LeaseSeconds))
@@ -132,7 +132,7 @@
 		time.Sleep(2 * time.Second)
 		h.Reconciler.CompleteRecoveries(time.Now())
 		if taskRange.CountTasks(clusterstate.TaskReady) != 1 {
-			t.Error("the location of the worker's task is still unknown after its lease has expired")
+			t.Error("the location of the worker's task is still unknown after the worker's lease has expired")
 		}
 	})
 }
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -10,8 +10,8 @@
 )
 
 // FencingToken returns the fencing token for a worker of a shard: the shard's epoch, or the revision of
-// the worker's record if that is newer. The record is newer if the worker has registered, or has come
-// from another shard, since the shard was acquired.
+// the worker's record if that is higher. It is higher if the worker has registered, or has come from
+// another shard, since the shard was acquired.
 func FencingToken(shard *membership.Shard, machine *clusterstate.Machine) uint64 {
 	return max(shard.Epoch(), machine.Revision())
 }
@@ -19,9 +19,8 @@
 // Stage is the progress of the recovery of a shard.
 type Stage int
 
-// The stages. From StageReconciling on, the shard's owner schedules everything whose state is certain:
-// jobs that no controller had claimed, workers that are confirmed, and task ranges without a task
-// whose location is unknown.
+// The stages. From StageReconciling on, the shard's owner uses the confirmed workers to run tasks of jobs
+// that no controller had claimed, and of task ranges in which the location of every task is known.
 const (
 	StageReadingRecords Stage = iota // the cache has not reached the shard's epoch
 	StageReconciling                 // workers are being confirmed
@@ -39,13 +38,13 @@
 	epoch            uint64
 	acquiredAt       time.Time
 	reconciledAt     time.Time
-	recordedWorkers  int    // when the shard was acquired
-	confirmedWorkers int    // workers that reported under the epoch or were part of a transfer
+	recordedWorkers  int    // number of workers that had a record when the shard was acquired
+	confirmedWorkers int    // number of workers that reported under the epoch or were part of a transfer
 	lastConfirmed    string // host name of the worker that was confirmed last
 	// exemptWorkers need not be confirmed, because no command was ever sent to them.
 	exemptWorkers map[*clusterstate.Machine]bool
-	discrepancies [discrepancyCount]int
-	commandsSent  map[string]int // by verb, within tuning.AcquisitionTrackingPeriod
+	discrepancies [discrepancyCount]int // number of occurrences
+	commandsSent  map[string]int        // number of commands by verb, counted for tuning.AcquisitionTrackingPeriod after the acquisition
 }
 
 // confirm counts a worker as confirmed.
