--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -7,8 +7,8 @@
 )
 
 // NewTentativeRange returns a range for a shard's claim of a job's tasks that is not durable yet. It
-// is not part of the state until AddTentativeRange, but its tasks may already be placed. zone is the
-// zone in which they have to run, "" for any zone.
+// is not part of the state until AddTentativeRange is called, but its tasks may already be placed. zone
+// is the zone in which the tasks have to run, "" for any zone.
 func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
 	record := jobs.RangeRecord{Shard: shard.ID(), Count: interval.Count, Zone: zone}
 	return entity.NewTentativeTaskRange(job, interval.First, record)
@@ -48,8 +48,8 @@
 }
 
 // ApplyRangeRecord updates the state from the record of a claimed range. initialLoadDone tells whether
-// the first load of all records is over: a range of a shard owned here that appears after this load
-// was claimed in the shard's current epoch.
+// the first load of all records is over. If a range of a shard owned here first appears after that load,
+// the range must have been claimed in the shard's current epoch.
 func (s *State) ApplyRangeRecord(ref string, first int, record jobs.RangeRecord, revision uint64, initialLoadDone bool) {
 	job := s.jobs[ref]
 	if job == nil {
@@ -106,7 +106,7 @@
 		return
 	}
 	if taskRange != nil && taskRange.IsTentative() && !claimsSameTasks(taskRange.Record(), &record) {
-		// Another controller's claim came first, or an earlier claim of this controller.
+		// Another claim came first: one of another controller, or an earlier one of this controller.
 		s.UnplaceRange(taskRange)
 		taskRange = nil
 	}
@@ -121,7 +121,7 @@
 	entity.ApplyRecordedDone(taskRange)
 }
 
-// applySplit splits the job's range whose split is shown by the record to be durable, if there is one.
+// applySplit splits a range of the job if the record shows that this split is durable.
 func applySplit(job *Job, first int, record jobs.RangeRecord, revision uint64) {
 	for taskRange := range job.TaskRanges() {
 		if entity.IsSplitBy(taskRange, first, record, revision) {
@@ -152,7 +152,7 @@
 
 // clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if a later
 // owner of the shard may have started the gang's tasks on other workers without recording them (see
-// membership.Shard.TrustsMark).
+// membership.Shard.TrustsGangWorkers).
 func (s *State) clearUnreliableGangWorkers(taskRange *TaskRange) {
 	shard := s.shards.Shard(taskRange.Record().Shard)
 	if shard == nil || !shard.TrustsGangWorkers(taskRange.Revision()) {
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -23,8 +23,8 @@
 
 // IsBackground reports whether a job is background work: an array of the lowest priority without a
 // deadline or objective. Background work gets only capacity that no other job needs. Without this
-// distinction, 3,800 long tasks of one team took every machine that could be added within seconds,
-// and for four minutes no deadline of other teams was met.
+// distinction, 3,800 long tasks of one team within seconds took every machine that could be added, and
+// for four minutes no deadline of other teams was met.
 func (s *State) IsBackground(record *jobs.JobRecord) bool {
 	return record.Kind == jobs.Array && record.Priority() == 0 && record.DeadlineSeconds == nil &&
 		!s.cfg.HasObjective(record.Class)
--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -9,7 +9,7 @@
 )
 
 // The Apply methods update the state from records of the key-value store. A record is applied only
-// if its revision is newer than the known one.
+// if its revision is higher than the known one.
 
 // ApplyMachineRecord updates the state from a machine's record. moved reports whether a machine that
 // was already known has changed to another shard.
@@ -72,7 +72,7 @@
 // not released.
 func (s *State) ApplyShardRecord(shard *membership.Shard) []*Machine {
 	s.ownedMachinesStale = true
-	remaining := s.resetShardMachines(shard)
+	remainingMachines := s.resetShardMachines(shard)
 	for taskRange := range s.TaskRangesIn(shard.ID()) {
 		entity.ResetTasks(taskRange, shard.IsLocal(), TaskUnknown)
 		s.clearUnreliableGangWorkers(taskRange)
@@ -82,13 +82,13 @@
 		s.ResetGangAttempt(taskRange.Job())
 	}
 	s.dirty = true
-	return remaining
+	return remainingMachines
 }
 
 // resetShardMachines resets the state of a shard's machines, and returns the machines that are not
 // released.
 func (s *State) resetShardMachines(shard *membership.Shard) []*Machine {
-	var remaining []*Machine
+	var remainingMachines []*Machine
 	for _, machine := range s.machines {
 		if machine.Record().Shard != shard.ID() {
 			continue
@@ -97,8 +97,8 @@
 		flags := entity.MutableFlags(machine)
 		flags.Reported, flags.Lost = false, flags.Released
 		if !flags.Released {
-			remaining = append(remaining, machine)
+			remainingMachines = append(remainingMachines, machine)
 		}
 	}
-	return remaining
+	return remainingMachines
 }
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// PreemptForClaim stops a task to free its resources for the tasks of a claim, once the claim is durable.
-// If the task were stopped earlier and another controller's claim of the same job came first, the
+// PreemptForClaim stops a task once a claim is durable, to free resources for the tasks of the claim. If
+// the task were stopped earlier and another controller's claim of the same job came first, the
 // preemption would be useless: over slow links 248 tasks were preempted for 160 urgent ones.
 func (s *State) PreemptForClaim(taskRange *TaskRange, assignment *Assignment) {
 	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
@@ -152,8 +152,8 @@
 	return unchanged
 }
 
-// recordImage records that a machine has a task's image, if the task is reported to have been started,
-// which comes after pulling the image.
+// recordImage records that a task's machine has the task's image, if the worker has reported a status
+// that comes after the pulling of the image.
 func recordImage(assignment *Assignment) {
 	job := assignment.Job()
 	if job != nil && assignment.Status().HasStarted() {
@@ -175,12 +175,12 @@
 	if assignment != nil && taskRange.Assignment(index) == assignment {
 		entity.SetTask(taskRange, index, TaskReady, nil)
 	}
-	s.markDone(taskRange, index)
+	s.markTaskDone(taskRange, index)
 }
 
-// markDone marks a task as done unless it already is, and stops an assignment that it still has. If the
-// task belongs to a gang, the whole gang is done.
-func (s *State) markDone(taskRange *TaskRange, index int) {
+// markTaskDone marks a task as done unless it already is. If the task still has an assignment, the task is
+// stopped there. If the task belongs to a gang, the whole gang is done.
+func (s *State) markTaskDone(taskRange *TaskRange, index int) {
 	if taskRange.TaskState(index) == TaskFinished {
 		return
 	}
@@ -199,7 +199,7 @@
 func (s *State) markGangDone(job *Job) {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
-			s.markDone(taskRange, i)
+			s.markTaskDone(taskRange, i)
 		}
 	}
 }
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -2,16 +2,16 @@
 // ranges, the machines with the tasks assigned to them, and the free capacity that is computed
 // from these.
 //
-// State is the only place where a task changes its state. The state cache applies the records of
-// the key-value store to it, the worker sessions apply heartbeats, and the scheduler applies its
-// decisions. State has no locks: the controller's actor owns it, and only that actor may use the
-// objects that it returns.
+// Tasks change their state only by methods of State and of the objects that State returns. The state
+// cache applies the records of the key-value store to the State, the worker sessions apply heartbeats,
+// and the scheduler applies its decisions. State has no locks: the controller's actor owns it, and only
+// that actor may use the objects that it returns.
 package clusterstate
 
 import "cherrywall/internal/clusterstate/internal/entity"
 
-// The objects of the cluster state are defined in a package of their own, so that other packages
-// can read them while only State can change them.
+// The objects of the cluster state are defined in an internal package, so that only State can make
+// changes that concern several objects, counts or indexes.
 type (
 	// Job is an unfinished job, or an ended job that still has claimed ranges.
 	Job = entity.Job
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -78,12 +78,12 @@
 	other := c.AddMachine("i-2", "n0", "m16", false)
 	state.EndHeartbeat(other, true, false)
 	state.MarkStartSent(state.Place(taskRange, 0, c.machine, 9))
-	reported := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 7, Status: workerapi.StatusRunning}
-	lookup := state.LookupTask(other, reported)
+	reportedTask := workerapi.TaskStatus{Task: "wk-1/0", Attempt: 7, Status: workerapi.StatusRunning}
+	lookup := state.LookupTask(other, reportedTask)
 	if want := (clusterstate.TaskLookup{JobKnown: true, IsClaimed: true, PlacedElsewhere: true}); lookup != want {
 		t.Errorf("lookup: %+v", lookup)
 	}
-	second := state.AdoptTask(other, reported, false)
+	second := state.AdoptTask(other, reportedTask, false)
 	if !second.Status().Stopping || second.Job() != nil || other.AssignmentCount() != 1 || taskRange.Assignment(0).Machine() != c.machine {
 		t.Errorf("second assignment: %+v; first assignment is on %s", second.Status(), taskRange.Assignment(0).Machine().Host())
 	}
@@ -130,13 +130,13 @@
 // the task is stopped if it runs, and the assignment is ignored if it was only planned.
 func TestRestoreAssignment(t *testing.T) {
 	now := time.Now()
-	running := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
-	previous := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
+	runningStatus := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
+	previousAssignment := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
 		return clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: task, Attempt: attempt}, Progress: progress}
 	}
 	t.Run("running task", func(t *testing.T) {
 		c := newClaimedArray(t)
-		assignment := previous("wk-1/0", 9, running)
+		assignment := previousAssignment("wk-1/0", 9, runningStatus)
 		assignment.RanFor = time.Minute
 		c.State.RestoreAssignment(c.machine, assignment, true, now)
 		restored := c.taskRange.Assignment(0)
@@ -147,14 +147,14 @@
 	})
 	t.Run("running task of an unknown job", func(t *testing.T) {
 		c := newClaimedArray(t)
-		c.State.RestoreAssignment(c.machine, previous("wk-9/0", 3, running), false, now)
+		c.State.RestoreAssignment(c.machine, previousAssignment("wk-9/0", 3, runningStatus), false, now)
 		if restored := c.machine.Assignment("wk-9/0"); restored == nil || !restored.Status().Stopping || restored.Status().StopSent {
 			t.Errorf("%+v", restored)
 		}
 	})
 	t.Run("planned task of an unknown job", func(t *testing.T) {
 		c := newClaimedArray(t)
-		c.State.RestoreAssignment(c.machine, previous("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
+		c.State.RestoreAssignment(c.machine, previousAssignment("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
 		if c.machine.Assignment("wk-9/1") != nil {
 			t.Error("the planned task was restored and takes resources")
 		}
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -77,8 +77,8 @@
 
 // MarkHeartbeatOverdue marks a machine that should have reported and has not. Tasks that are only
 // planned there are unplaced, so that they are placed elsewhere, and no tasks are planned there until
-// the machine reports. Otherwise these tasks would wait until the lease expires, 28 s, while other
-// machines have free capacity.
+// the machine reports. Otherwise these tasks would wait for the 28 s until the lease expires, while
+// other machines have free capacity.
 func (s *State) MarkHeartbeatOverdue(machine *Machine) {
 	s.setFlag(machine, &entity.MutableFlags(machine).HeartbeatOverdue, true)
 	s.unplacePlanned(machine)
@@ -110,10 +110,10 @@
 	return wasLost
 }
 
-// EndHeartbeat records that all tasks listed by a heartbeat were processed, and reports whether it is
-// the machine's first heartbeat under the current fencing token. empty tells whether the heartbeat
-// listed no tasks. unchanged tells whether it contained nothing new, which is the usual case: then the
-// machine is not marked as changed, unless the heartbeat is the first.
+// EndHeartbeat records that all tasks listed by a heartbeat were processed, and reports whether the
+// heartbeat is the machine's first under the current fencing token. empty tells whether the heartbeat
+// listed no tasks. unchanged tells whether it contained nothing new, which is the usual case; the
+// machine is then marked as changed only if the heartbeat is the first.
 func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
 	flags := entity.MutableFlags(machine)
 	first = !flags.Reported
@@ -124,7 +124,8 @@
 	return first
 }
 
-// MarkProbeUnanswered marks a machine that did not answer a probe, unless it has reported meanwhile.
+// MarkProbeUnanswered marks a machine that did not answer a probe, unless the machine has sent a heartbeat
+// under the current fencing token.
 func (s *State) MarkProbeUnanswered(machine *Machine) {
 	entity.MutableFlags(machine).ProbeUnanswered = !machine.HasReported()
 }
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Total returns the total resources of a machine, by its type. known is false until a worker of the
-// type has reported them.
+// Total returns the total resources of a machine, by its machine type. known is false as long as the
+// type is not known.
 func (s *State) Total(machine *Machine) (total capacity.Resources, known bool) {
 	return s.machineTypes.Capacity(machine.Record().MachineType)
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -17,7 +17,7 @@
 
 // adoptGangAttempt updates a gang's attempt from the attempt number of a task that a worker reports.
 // An attempt that was not started is replaced by the reported one. A started attempt fails if the
-// reported number differs from its own. It does nothing for other jobs.
+// reported number differs from its own. adoptGangAttempt does nothing for a job that is not a gang.
 func adoptGangAttempt(job *Job, attempt uint64) {
 	if !job.IsGang() {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// failGangAttempt marks a gang's attempt as failed after a task of it was lost, if the attempt was
-// started. It does nothing for other jobs.
+// failGangAttempt marks a gang's attempt as failed after one of its tasks was lost, if the attempt was
+// started. It does nothing for a job that is not a gang.
 func failGangAttempt(assignment *Assignment) {
 	job := assignment.Job()
 	if !job.IsGang() {
@@ -124,8 +124,8 @@
 	return true
 }
 
-// StopFailedGang stops the remaining tasks of a gang whose attempt has failed. All of them must have
-// left their machines before the next attempt. It does nothing for other jobs.
+// StopFailedGang stops the remaining tasks of a gang whose attempt has failed. All of them must have left
+// their machines before the next attempt. It does nothing for a job that is not a gang.
 func (s *State) StopFailedGang(job *Job) {
 	if !job.IsGang() {
 		return
@@ -139,8 +139,8 @@
 		return
 	}
 	if tasks.ready > 0 {
-		// Some tasks are placed and some are not, since a machine was lost. A gang that still waits
-		// for free resources would never start, and its other tasks would occupy their machines
+		// Some tasks are placed and some are not, since a machine was lost. If the gang still waits for
+		// free resources, it would never start, and its placed tasks would occupy their machines
 		// forever.
 		gang.Failed = true
 	}
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -18,7 +18,7 @@
 	taskRange *TaskRange
 	index     int
 	attempt   uint64
-	// need is the resources that the task takes; zero unless needKnown is set, see SetJobNeeds.
+	// need is the resources that the task takes; zero unless needKnown is set, see SetNeedFromJob.
 	need      capacity.Resources
 	needKnown bool
 	// checkpointIntervalSeconds is the checkpoint interval of the job; 0 if it saves no checkpoints.
@@ -35,8 +35,8 @@
 type AssignmentStatus struct {
 	StartSent    bool                // a start command was sent
 	Reported     bool                // the worker has reported the task
-	WorkerStatus workerapi.TaskState // as last reported
-	RunningSince time.Time           // as far as known, else zero
+	WorkerStatus workerapi.TaskState // as last reported by the worker
+	RunningSince time.Time           // since when the task is known to run; zero if that is not known
 	Stopping     bool                // the task is to be stopped
 	GraceS       float64             // seconds that the task has to save a checkpoint and stop
 	StopSent     bool                // a stop command was sent
@@ -59,7 +59,7 @@
 	return !s.StartSent
 }
 
-// NewAssignment returns an assignment of an attempt of a task to a machine, by the task's name. The
+// NewAssignment returns the assignment of an attempt of a task, given by its name, to a machine. The
 // caller has to add it to the machine with AddAssignment and, if the task belongs to this controller,
 // to the task with AssignTask.
 func NewAssignment(machine *Machine, name string, attempt uint64, status AssignmentStatus) *Assignment {
@@ -161,8 +161,8 @@
 	a.needKnown = true
 }
 
-// AssignTask sets an assignment as the one of a task, numbered within its range, and the task's state
-// to TaskPlaced.
+// AssignTask makes an assignment the current one of a task, numbered within its range, and sets the
+// task's state to TaskPlaced.
 func AssignTask(a *Assignment, r *TaskRange, index int) {
 	a.taskRange, a.index = r, index
 	SetTask(r, index, TaskPlaced, a)
@@ -173,7 +173,7 @@
 func DetachFromTask(a *Assignment) { a.taskRange = nil }
 
 // ReleaseTask removes an assignment from its task and sets the task's state. It does nothing and
-// returns false if the assignment is no longer the one of the task.
+// returns false if the assignment is no longer the current one of the task.
 func ReleaseTask(a *Assignment, state TaskState) bool {
 	r := a.taskRange
 	if r == nil || a.index >= len(r.tasks) || r.tasks[a.index].assignment != a {
@@ -183,5 +183,5 @@
 	return true
 }
 
-// CancelPreemption clears the claim that an assignment was to be preempted by.
+// CancelPreemption clears the claim that was to preempt an assignment's task.
 func CancelPreemption(a *Assignment) { a.preemptingClaim = nil }
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -38,16 +38,16 @@
 // state are wrong.
 func checkTaskStates(t *testing.T, r *TaskRange) []TaskState {
 	t.Helper()
-	var list []TaskState
+	var states []TaskState
 	counts := [taskStateCount]int{}
 	for i := range r.Len() {
-		list = append(list, r.TaskState(i))
+		states = append(states, r.TaskState(i))
 		counts[r.TaskState(i)]++
 	}
 	if counts != r.taskCounts {
-		t.Errorf("counts by state %v are wrong for states %v", r.taskCounts, list)
+		t.Errorf("counts by state %v are wrong for states %v", r.taskCounts, states)
 	}
-	return list
+	return states
 }
 
 func TestResetTasksUsesRecordedDone(t *testing.T) {
@@ -56,15 +56,15 @@
 	r := NewTaskRange(newTestJob(jobs.Array, 3), 0, record, 5)
 	ResetTasks(r, true, TaskUnknown)
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTasks() != 1 {
-		t.Errorf("owned: %v, %d done", got, r.DoneTasks())
+		t.Errorf("after a reset as owned: states %v, %d done", got, r.DoneTasks())
 	}
 	r.MarkUnknownReady()
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskFinished, TaskReady}) {
-		t.Errorf("unknown tasks marked ready: %v", got)
+		t.Errorf("after unknown tasks were marked ready: states %v", got)
 	}
 	ResetTasks(r, false, TaskUnknown)
 	if r.IsOwned() || r.Len() != 0 || r.DoneTasks() != 1 {
-		t.Errorf("not owned: %d tasks, %d done", r.Len(), r.DoneTasks())
+		t.Errorf("after a reset as not owned: %d tasks, %d done", r.Len(), r.DoneTasks())
 	}
 }
 
@@ -96,39 +96,39 @@
 	}
 	Split(r)
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady}) || r.record.Count != 1 {
-		t.Errorf("before: %v, recorded %d", got, r.record.Count)
+		t.Errorf("range before the unclaimed tasks: states %v, record of %d tasks", got, r.record.Count)
 	}
 	tail := job.TaskRange(13)
 	if got := checkTaskStates(t, tail); !slices.Equal(got, []TaskState{TaskReady, TaskPlaced, TaskFinished}) {
-		t.Errorf("after: %v", got)
+		t.Errorf("range after the unclaimed tasks: states %v", got)
 	}
 	if tail.Assignment(1) != a || a.taskRange != tail || a.index != 1 {
 		t.Error("the assignment was not moved with its task")
 	}
 	if r.DoneTasks() != 0 || tail.DoneTasks() != 1 || !slices.Equal(tail.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
-		t.Errorf("done: %d before, %d after, %v", r.DoneTasks(), tail.DoneTasks(), tail.UnrecordedDoneTasks())
+		t.Errorf("done: %d before the unclaimed tasks, %d after them, names %v", r.DoneTasks(), tail.DoneTasks(), tail.UnrecordedDoneTasks())
 	}
 }
 
-func TestCancelUnclaim(t *testing.T) {
+func TestCancelUnclaimMakesOnlyUnclaimingTasksReady(t *testing.T) {
 	r := newTestRange(newTestJob(jobs.Array, 3), 0, 3)
 	r.BeginUnclaim(1, 2)
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskUnclaiming, TaskUnclaiming}) {
-		t.Fatalf("begun: %v", got)
+		t.Fatalf("after BeginUnclaim: states %v", got)
 	}
 	r.CancelUnclaim(1, 2)
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskReady, TaskReady}) {
-		t.Errorf("cancelled: %v", got)
+		t.Errorf("after CancelUnclaim: states %v", got)
 	}
 	r.BeginUnclaim(1, 2)
 	ResetTasks(r, true, TaskUnknown) // the shard was lost and acquired again
 	r.CancelUnclaim(1, 2)
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskUnknown, TaskUnknown}) {
-		t.Errorf("cancelled after the shard was acquired again: %v", got)
+		t.Errorf("after CancelUnclaim when the shard was acquired again: states %v", got)
 	}
 }
 
-func TestNeedsHostsWrite(t *testing.T) {
+func TestNeedsHostsWriteOnlyForUnrecordedHosts(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		recorded   []string
@@ -161,10 +161,10 @@
 	}
 }
 
-// The usage of a machine is correct in each phase of a task that is assigned to it.
-func TestComputeUsage(t *testing.T) {
+// A machine's usage is correct in each phase of a task that is assigned to the machine.
+func TestUsageInEachPhaseOfTask(t *testing.T) {
 	total := capacity.Resources{CPU: 16, MemGB: 64}
-	running := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
+	runningStatus := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
 	for _, test := range []struct {
 		name            string
 		status          AssignmentStatus
@@ -175,11 +175,11 @@
 	}{
 		{"planned", AssignmentStatus{}, 0, 12, 1, false},
 		{"start sent", AssignmentStatus{StartSent: true}, 0, 12, 0, true},
-		{"running", running, 0, 12, 0, true},
-		{"to be stopped", withStopRequested(running, 5, false), 0, 16, 1, false},
-		{"to be stopped with a checkpoint", withStopRequested(running, 5, false), 30, 16, 1, true},
-		{"to be stopped at once", withStopRequested(running, 0, false), 30, 16, 1, false},
-		{"stop sent", withStopRequested(running, 5, true), 30, 16, 0, true},
+		{"running", runningStatus, 0, 12, 0, true},
+		{"to be stopped", withStopRequested(runningStatus, 5, false), 0, 16, 1, false},
+		{"to be stopped with a checkpoint", withStopRequested(runningStatus, 5, false), 30, 16, 1, true},
+		{"to be stopped at once", withStopRequested(runningStatus, 0, false), 30, 16, 1, false},
+		{"stop sent", withStopRequested(runningStatus, 5, true), 30, 16, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			machine := NewMachine("i-1")
@@ -199,9 +199,9 @@
 	}
 }
 
-// withStopRequested returns a status in which the task is to be stopped within graceS seconds. sent tells
-// whether the stop command was sent.
-func withStopRequested(status AssignmentStatus, graceS float64, sent bool) AssignmentStatus {
-	status.Stopping, status.GraceS, status.StopSent = true, graceS, sent
+// withStopRequested returns a status in which the task is to be stopped within graceS seconds. isStopSent
+// tells whether the stop command was sent.
+func withStopRequested(status AssignmentStatus, graceS float64, isStopSent bool) AssignmentStatus {
+	status.Stopping, status.GraceS, status.StopSent = true, graceS, isStopSent
 	return status
 }
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -6,10 +6,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// The record of a gang's range names the workers on which its tasks may have been started, so
-// that after a failover unreachable workers block only the tasks that may be on them. The names
-// become durable with the claim, and again before a later attempt is started on other workers.
-// docs/recovery.md shows why this is safe.
+// The record of a gang's range names the workers on which the range's tasks may have been started: its
+// gang workers (jobs.RangeRecord.GangWorkers). After a failover, unreachable workers therefore block
+// only the tasks that may be on them. The names are written with the claim, and written again before a
+// later attempt is started on other workers. docs/recovery.md shows why this is safe.
 
 // PlannedHosts returns the workers that the record of a gang's range should name for the current
 // assignments, sorted by name. It returns nil if the job is not a gang, if not all tasks are planned,
@@ -41,9 +41,9 @@
 	}
 }
 
-// NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks
-// may be started: no task was started in this attempt, and tasks are planned on workers that the
-// record does not name, or it is not known which workers the record names.
+// NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks may
+// be started: all tasks are planned, none was started in this attempt, and either one is planned on a
+// worker that the record does not name, or it is not known which workers the record names.
 func (r *TaskRange) NeedsHostsWrite() bool {
 	if r.tentative || r.job.gangAttempt.Started {
 		return false
@@ -63,20 +63,21 @@
 	return needsWrite
 }
 
-// MayBeOn reports whether a task of the range may ever have been started on a worker, according to
-// the range's record. A record that names no workers allows all workers.
+// MayBeOn reports whether, according to the range's record, a task of the range may ever have been
+// started on a worker. If the record names gang workers, this is so only for these; otherwise it is so
+// for all workers.
 func (r *TaskRange) MayBeOn(host string) bool {
 	return len(r.record.GangWorkers) == 0 || slices.Contains(r.record.GangWorkers, host)
 }
 
-// BeginHostsWrite marks the beginning of a write of the range's workers.
+// BeginHostsWrite marks the beginning of a write of the range's gang workers.
 func (r *TaskRange) BeginHostsWrite() { r.hostsWriteInFlight = true }
 
-// HasHostsWriteInFlight reports whether a write of the range's workers is in flight.
+// HasHostsWriteInFlight reports whether a write of the range's gang workers is in flight.
 func (r *TaskRange) HasHostsWriteInFlight() bool { return r.hostsWriteInFlight }
 
-// EndHostsWrite marks the end of a write of the range's workers. If its outcome is not known, the
-// workers that the record names are unknown until the record has a new revision.
+// EndHostsWrite marks the end of a write of the range's gang workers. If the write's outcome is not
+// known, the workers that the record names are unknown until the record has a new revision.
 func (r *TaskRange) EndHostsWrite(outcomeKnown bool) {
 	r.hostsWriteInFlight = false
 	if !outcomeKnown {
@@ -85,7 +86,7 @@
 }
 
 // HostsAreRecorded reports whether a gang's tasks may be started where they are planned: no write of
-// the range's workers is in flight, and none is needed.
+// the range's gang workers is in flight, and none is needed.
 func (r *TaskRange) HostsAreRecorded() bool { return !r.hostsWriteInFlight && !r.NeedsHostsWrite() }
 
 // ClearGangWorkers clears the workers that a range's record names, so that its tasks may be on any
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -29,12 +29,12 @@
 	awaitedRevision uint64
 
 	gangAttempt   GangAttempt
-	gangPlannedAt time.Time // since when the gang's plan has been waiting for free resources
+	gangPlannedAt time.Time // when the current attempt was planned; its tasks wait for free resources since
 
 	dependencyNode     *jobdag.Node // nil if the job has neither dependencies nor dependents
 	priority           jobs.Priority
 	ownDeadlines       jobdag.Deadlines // without the deadlines of dependents, see Deadlines
-	blockedAtLastCheck bool             // by dependencies, when SetBlocked or Unblock last checked
+	blockedAtLastCheck bool             // whether the job was blocked by dependencies when SetBlocked or Unblock last checked
 
 	background bool
 	bestEffort bool
@@ -76,7 +76,8 @@
 // HasEnded reports whether the job is done or cancelled.
 func (j *Job) HasEnded() bool { return j.ended }
 
-// KnownSince returns when this controller learned of the job, or when the job became unblocked.
+// KnownSince returns when this controller learned of the job or, if the job was blocked by dependencies,
+// when it became unblocked.
 func (j *Job) KnownSince() time.Time { return j.knownSince }
 
 // IsBackground reports whether the job is background work: an array of the lowest priority without a
@@ -128,7 +129,8 @@
 }
 
 // RecordWithoutDependencies returns the job's record without its dependencies, all of which must
-// be done. Claims, unclaims and compactions base their writes of the record on it.
+// be done. Transactions that claim tasks, withdraw claims or delete completed ranges base their writes
+// of the job's record on it.
 func (j *Job) RecordWithoutDependencies() jobs.JobRecord {
 	return j.record.WithDependenciesDone(time.UnixMilli(j.RunnableSinceMS()))
 }
@@ -141,7 +143,7 @@
 // TaskRanges yields the job's claimed ranges, in no order.
 func (j *Job) TaskRanges() iter.Seq[*TaskRange] { return maps.Values(j.taskRanges) }
 
-// TaskRange returns the range that begins with a task, or nil if there is none.
+// TaskRange returns the range whose first task has the number first, or nil if there is none.
 func (j *Job) TaskRange(first int) *TaskRange { return j.taskRanges[first] }
 
 // HasReadyTasks reports whether any of the job's claimed tasks is ready to be placed.
@@ -191,8 +193,8 @@
 func (j *Job) BeginTransaction() { j.inTransaction = true }
 
 // EndTransaction marks the end of the job's transaction. If its preconditions failed, the next
-// transaction waits until the cache shows what has changed. If it were retried earlier, it would fail
-// repeatedly: each gang that two controllers claimed at the same moment cost six requests and twelve
+// transaction waits until the cache shows what has changed. If it began earlier, it would fail as well:
+// each gang that two controllers claimed at the same moment cost six requests and twelve
 // changes without any effect.
 func (j *Job) EndTransaction(result kvstore.TxnResult, err error) {
 	j.inTransaction = false
@@ -221,8 +223,8 @@
 	UpdateBestEffort(j, time.Now(), spotInUse)
 }
 
-// SetJobRevision sets the revision of a job's record, and marks the job as not ended, since a record
-// exists only until then.
+// SetJobRevision sets the revision of a job's record, and marks the job as not ended, since only an
+// unfinished job has a record.
 func SetJobRevision(j *Job, revision uint64) {
 	j.revision = revision
 	j.ended = false
@@ -256,14 +258,14 @@
 	}
 }
 
-// SetBlocked updates and returns whether a job is blocked by dependencies.
+// SetBlocked returns whether a job is blocked by dependencies, and stores the result for Unblock.
 func SetBlocked(j *Job) bool {
 	j.blockedAtLastCheck = j.dependencyNode.IsBlocked()
 	return j.blockedAtLastCheck
 }
 
-// Unblock reports whether a job that was blocked by dependencies no longer is. If so, it sets the time
-// since when the job is known to now.
+// Unblock reports whether a job that was blocked by dependencies no longer is. If so, it sets
+// Job.KnownSince to now.
 func Unblock(j *Job, now time.Time) bool {
 	if !j.blockedAtLastCheck || j.dependencyNode.IsBlocked() {
 		return false
@@ -287,7 +289,7 @@
 // AddTaskRange adds a range to its job.
 func AddTaskRange(r *TaskRange) { r.job.taskRanges[r.first] = r }
 
-// RemoveTaskRange removes the range that begins with a task from a job.
+// RemoveTaskRange removes the range whose first task has the number first from a job.
 func RemoveTaskRange(j *Job, first int) { delete(j.taskRanges, first) }
 
 // HasTaskRanges reports whether any range of a job is claimed.
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -23,7 +23,7 @@
 
 	usage          Usage
 	usageStale     bool // usage has to be computed again before it is used
-	recountPending bool // the machine is on the list of machines to be counted again
+	recountPending bool // the machine is on the list of machines whose free capacity is to be counted again
 }
 
 // MachineFlags describes a machine's condition as known to this controller. The methods of Machine
@@ -242,5 +242,5 @@
 	return true
 }
 
-// EndRecount marks a machine as removed from that list.
+// EndRecount marks a machine as removed from the list of machines to be counted again.
 func EndRecount(m *Machine) { m.recountPending = false }
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -21,8 +21,8 @@
 	tasks        []task // nil unless the shard is owned here
 	taskCounts   [taskStateCount]int
 	lastPlacedAt time.Time
-	// unclaimInterval is the interval of tasks whose claim is being withdrawn, numbered within the
-	// range.
+	// unclaimInterval is the interval of tasks whose claim is being withdrawn. It contains numbers
+	// within the range.
 	unclaimInterval jobs.TaskInterval
 	// pendingPreemptions are assignments of other jobs that are stopped once the claim is durable.
 	pendingPreemptions []*Assignment
@@ -117,7 +117,7 @@
 // SetDeleting sets whether a deletion of the range's record is in flight.
 func (r *TaskRange) SetDeleting(deleting bool) { r.deleting = deleting }
 
-// Truncate removes all tasks except the first count ones; the others now belong to other ranges.
+// Truncate removes all tasks except the first count ones. The removed tasks belong to other ranges now.
 func (r *TaskRange) Truncate(count int) {
 	for i := count; i < len(r.tasks); i++ {
 		r.taskCounts[r.tasks[i].state]--
@@ -125,8 +125,8 @@
 	r.tasks, r.record.Count = r.tasks[:count], count
 }
 
-// MarkUnknownReady sets the range's unknown tasks to TaskReady. The caller has to know that they are
-// not on any machine, so that they may be started.
+// MarkUnknownReady sets the range's unknown tasks to TaskReady. The caller must be certain that
+// these tasks are not on any machine, since they may be started from then on.
 func (r *TaskRange) MarkUnknownReady() {
 	if r.CountTasks(TaskUnknown) == 0 {
 		return
@@ -138,9 +138,9 @@
 	}
 }
 
-// ResetTasks clears the state of a range's tasks, including unrecorded done tasks, an unclaim and a
-// write that are in progress. If the shard is owned here, it then sets the tasks that are recorded as
-// done to TaskFinished and the others to the given state.
+// ResetTasks clears the state of a range's tasks, and forgets done tasks that are not recorded, a
+// withdrawal of claims in progress and a write in flight. If the shard is owned here, it then sets the
+// tasks that are recorded as done to TaskFinished and the others to the given state.
 func ResetTasks(r *TaskRange, isOwned bool, state TaskState) {
 	r.tasks, r.unrecordedDone, r.recordWriteInFlight, r.unclaimInterval = nil, map[int]bool{}, false, jobs.TaskInterval{}
 	r.taskCounts = [taskStateCount]int{}
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -12,9 +12,9 @@
 // IsComplete reports whether all of the range's tasks are done.
 func (r *TaskRange) IsComplete() bool { return r.DoneTasks() == r.record.Count }
 
-// UnrecordedDone returns how many tasks are done but not yet recorded as done, and since when they
-// wait for a write: since the first of them was done, or since the last write ended if that is later.
-// Both are zero if there are no such tasks.
+// UnrecordedDone returns how many tasks are done but not yet recorded as done, and since when they wait
+// for a write: since the first of them was done or since the last write ended, whichever is later. Both
+// results are zero if there are no such tasks.
 func (r *TaskRange) UnrecordedDone() (count int, since time.Time) {
 	return len(r.unrecordedDone), r.unrecordedSince
 }
@@ -48,8 +48,8 @@
 // EndWrite marks the end of a write of the range's record that does not record done tasks.
 func (r *TaskRange) EndWrite() { r.recordWriteInFlight = false }
 
-// EndDoneWrite marks the end of a write that records done tasks. The wait of tasks that are still not
-// recorded as done starts again.
+// EndDoneWrite marks the end of a write that records done tasks. For tasks that are still not
+// recorded as done, UnrecordedDone then returns the present time.
 func (r *TaskRange) EndDoneWrite() {
 	r.recordWriteInFlight, r.unrecordedSince = false, time.Now()
 	if len(r.unrecordedDone) == 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// ApplyRecordedDone marks the tasks that the range's record lists as done as finished.
+// ApplyRecordedDone sets the tasks that the range's record lists as done to TaskFinished.
 func ApplyRecordedDone(r *TaskRange) {
 	r.recordedDoneCount = r.record.Done.Count(r.record.Count)
 	if r.recordedDoneCount == 0 {
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -2,7 +2,7 @@
 
 import "cherrywall/internal/jobs"
 
-// BeginUnclaim sets count tasks, beginning with first within the range, to TaskUnclaiming, so that
+// BeginUnclaim sets count tasks, beginning with number first within the range, to TaskUnclaiming, so that
 // they are not started while their claim is being withdrawn. When the withdrawal is durable, the tasks
 // after them become a separate range.
 func (r *TaskRange) BeginUnclaim(first, count int) {
@@ -12,8 +12,8 @@
 	r.unclaimInterval = jobs.TaskInterval{First: first, Count: count}
 }
 
-// CancelUnclaim makes tasks ready again because their claim was not withdrawn. If the shard was lost
-// and acquired again meanwhile, its tasks are unknown instead of unclaiming, and stay unknown.
+// CancelUnclaim makes tasks ready again because their claim was not withdrawn. If the shard was lost and
+// acquired again since BeginUnclaim, the tasks are unknown instead of unclaiming, and stay unknown.
 func (r *TaskRange) CancelUnclaim(first, count int) {
 	r.unclaimInterval = jobs.TaskInterval{}
 	for i := first; i < first+count && i < len(r.tasks); i++ {
@@ -23,19 +23,19 @@
 	}
 }
 
-// Subrange returns the record of a range that consists of count tasks, beginning with first within
-// this range.
+// Subrange returns the record of a range that consists of count tasks, beginning with number first
+// within this range.
 func (r *TaskRange) Subrange(first, count int) jobs.RangeRecord {
 	record := r.record
 	record.Count, record.Done = count, nil
-	var done []int
+	var doneIndexes []int
 	for i := range count {
 		if r.record.Done.Has(first + i) {
-			done = append(done, i)
+			doneIndexes = append(doneIndexes, i)
 		}
 	}
-	if len(done) > 0 {
-		record.Done = record.Done.With(done...)
+	if len(doneIndexes) > 0 {
+		record.Done = record.Done.With(doneIndexes...)
 	}
 	return record
 }
@@ -53,9 +53,9 @@
 		count == r.unclaimInterval.First && r.firstAfterUnclaimed() < len(r.tasks)
 }
 
-// IsSplitBy reports whether a range record shows that a split of the range is durable. It is either
-// the record of the tasks before the unclaimed ones or the record of the tasks after them, whichever
-// arrives first.
+// IsSplitBy reports whether a range record shows that a split of the range is durable. This may be
+// either the record of the tasks before the unclaimed ones or the record of the tasks after them,
+// whichever arrives first.
 func IsSplitBy(r *TaskRange, first int, record jobs.RangeRecord, revision uint64) bool {
 	if revision <= r.revision || record.Shard != r.record.Shard {
 		return false
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -8,7 +8,7 @@
 // Usage holds the free resources and task counts of a machine, computed from its assignments. It is
 // cached, since the scheduler reads it far more often than the assignments change.
 type Usage struct {
-	// Free is the resources that are free once all assignments that are to be stopped have left.
+	// Free is the resources that are free once all tasks that are to be stopped have left.
 	Free capacity.Resources
 	// FreeBelow is, for each priority, Free plus the resources of the tasks below the priority.
 	FreeBelow [jobs.PriorityCount]capacity.Resources
@@ -38,7 +38,7 @@
 	return &m.usage
 }
 
-// ComputeUsage computes a machine's usage from its total resources.
+// ComputeUsage computes and caches a machine's usage from its total resources and its assignments.
 func ComputeUsage(m *Machine, total capacity.Resources) *Usage {
 	usage := Usage{Free: total}
 	for _, a := range m.assignments {
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -20,9 +20,9 @@
 }
 
 // LookupTask returns what this controller knows about a task that a worker lists.
-func (s *State) LookupTask(machine *Machine, reported workerapi.TaskStatus) TaskLookup {
-	lookup := TaskLookup{ReportedDone: reported.Status == workerapi.StatusEnded && reported.Cause == workerapi.CauseDone}
-	ref, task, ok := jobs.ParseTaskName(reported.Task)
+func (s *State) LookupTask(machine *Machine, reportedTask workerapi.TaskStatus) TaskLookup {
+	lookup := TaskLookup{ReportedDone: reportedTask.Status == workerapi.StatusEnded && reportedTask.Cause == workerapi.CauseDone}
+	ref, task, ok := jobs.ParseTaskName(reportedTask.Task)
 	job := s.jobs[ref]
 	if !ok || job == nil {
 		return lookup
@@ -42,11 +42,11 @@
 // AdoptTask adds an assignment for a task that a worker reports and that has no assignment there. If
 // keepsRunning is false, the assignment only accounts for the task's resources until the task has
 // stopped; these resources are not known if the job's record was deleted (see Assignment.NeedKnown).
-func (s *State) AdoptTask(machine *Machine, reported workerapi.TaskStatus, keepsRunning bool) *Assignment {
-	status := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: reported.Status}
-	assignment := entity.NewAssignment(machine, reported.Task, reported.Attempt, status)
+func (s *State) AdoptTask(machine *Machine, reportedTask workerapi.TaskStatus, keepsRunning bool) *Assignment {
+	status := AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: reportedTask.Status}
+	assignment := entity.NewAssignment(machine, reportedTask.Task, reportedTask.Attempt, status)
 	entity.AddAssignment(assignment)
-	ref, task, _ := jobs.ParseTaskName(reported.Task)
+	ref, task, _ := jobs.ParseTaskName(reportedTask.Task)
 	if job := s.jobs[ref]; job != nil {
 		entity.SetNeedFromJob(assignment, job)
 	}
@@ -58,11 +58,12 @@
 		return assignment
 	}
 	entity.AssignTask(assignment, taskRange, index)
-	adoptGangAttempt(taskRange.Job(), reported.Attempt)
+	adoptGangAttempt(taskRange.Job(), reportedTask.Attempt)
 	return assignment
 }
 
-// logDuplicateTask logs an assignment that will be stopped if its task is also on another worker.
+// logDuplicateTask logs an error if the task of an assignment that will be stopped is also on another
+// worker.
 func (s *State) logDuplicateTask(assignment *Assignment, taskRange *TaskRange, index int) {
 	machine := assignment.Machine()
 	if taskRange == nil || taskRange.Record().Shard != machine.Record().Shard || taskRange.TaskState(index) != TaskPlaced {
@@ -81,21 +82,21 @@
 
 // RestoreAssignment adds an assignment with the status that the previous owner of the shard reported.
 // If keepsRunning is false, the task is stopped, and an assignment that is only planned is not added.
-func (s *State) RestoreAssignment(machine *Machine, previous PreviousAssignment, keepsRunning bool, now time.Time) {
-	if previous.Progress.IsPlanned() && !keepsRunning {
+func (s *State) RestoreAssignment(machine *Machine, previousAssignment PreviousAssignment, keepsRunning bool, now time.Time) {
+	if previousAssignment.Progress.IsPlanned() && !keepsRunning {
 		// No command was ever sent for the task: the worker does not know the task and could never
 		// report that it has stopped, so the assignment would stay forever.
 		return
 	}
-	assignment := s.AdoptTask(machine, previous.TaskStatus, keepsRunning)
+	assignment := s.AdoptTask(machine, previousAssignment.TaskStatus, keepsRunning)
 	status := entity.MutableStatus(assignment)
 	mustStop := status.Stopping
-	*status = previous.Progress
+	*status = previousAssignment.Progress
 	if mustStop && !status.Stopping {
 		status.Stopping, status.StopSent = true, false
 	}
-	if previous.RanFor > 0 {
-		status.RunningSince = now.Add(-previous.RanFor)
+	if previousAssignment.RanFor > 0 {
+		status.RunningSince = now.Add(-previousAssignment.RanFor)
 	}
 	recordImage(assignment)
 	s.markMachineChanged(machine)
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -37,7 +37,7 @@
 	changedMachines   []*Machine // machines whose entries in these tables have to be updated
 
 	ownedMachines      []*Machine // see OwnedMachines
-	ownedMachinesStale bool       // a machine or the owner of a shard has changed
+	ownedMachinesStale bool       // ownedMachines is outdated: a machine or the owner of a shard has changed
 	// machineCounts is the cached result of MachineCounts; nil if it has to be computed again.
 	machineCounts map[ShardGroup]int
 
