--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -24,7 +24,7 @@
 	return nil, cloud.ErrUnavailable
 }
 
-// unavailableStore is a key-value store that answers only reads of single keys, with its revision.
+// unavailableStore is a key-value store that answers only reads of single keys, as if no key existed.
 type unavailableStore struct{}
 
 func (unavailableStore) Commit(context.Context, kvstore.Priority, kvstore.Txn) (kvstore.TxnResult, error) {
@@ -46,9 +46,9 @@
 
 const benchShard, benchIncarnation, benchEpoch = "n0", 7, 5
 
-// NewBenchController returns a controller that owns one shard whose machines are all full, with 16 running
-// tasks each. The running tasks belong to arrays of 1,000 tasks, of which the others wait; the gangs wait,
-// too. It also returns a heartbeat of each machine.
+// NewBenchController returns a controller that owns one shard. Each of the shard's machines is full: it runs
+// 16 tasks of arrays of 1,000 tasks each. All other tasks of the arrays wait, and so do all gangs.
+// NewBenchController also returns a heartbeat of each machine.
 func NewBenchController(b *testing.B, machines, tasks, gangs int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	cfg := &config.Config{Node: benchShard, Zone: "a"}
@@ -125,8 +125,8 @@
 	}
 }
 
-// machineCounts are the numbers of machines of the benchmarks. There are a hundred tasks for each machine,
-// of which 16 run.
+// machineCounts are the numbers of machines with which the benchmarks run. There are a hundred tasks for
+// each machine, of which 16 run.
 var machineCounts = []int{300, 1200, 5000, 20_000}
 
 func forEachMachineCount(b *testing.B, benchmark func(b *testing.B, machines int)) {
@@ -156,7 +156,8 @@
 	})
 }
 
-// BenchmarkTaskReplacement measures the cycle after the end of a task, which starts another in its place.
+// BenchmarkTaskReplacement measures the scheduling cycle that starts another task in place of one that has
+// ended.
 func BenchmarkTaskReplacement(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
 		c, heartbeats := newLoadedController(b, machines)
@@ -224,7 +225,7 @@
 	})
 }
 
-// BenchmarkShardAcquisition measures the acquisition of a shard that has all machines: it applies the
+// BenchmarkShardAcquisition measures the acquisition of a shard to which all machines belong: it applies the
 // shard's record and the heartbeats of all workers, which reconciles all tasks, and runs the first
 // scheduling cycle.
 func BenchmarkShardAcquisition(b *testing.B) {
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -9,12 +9,12 @@
 )
 
 // maxCancelRetries is how often a cancellation is retried because the job's record has changed. After
-// that the request is answered 503, and the client may retry it.
+// that the request is answered with 503, and the client may retry it.
 const maxCancelRetries = 6
 
-// Cancel cancels a job and sends the job's status to reply, which must have room for it. Once the answer
-// has the status cancelled, the cancellation is durable and no task of the job starts any more. A job
-// that is done stays done.
+// Cancel cancels a job and sends the job's status to reply, which must have room for it. If that status is
+// cancelled, the cancellation is durable and no task of the job starts any more. A job that is done stays
+// done.
 func (c *Controller) Cancel(ref string, reply chan Response) {
 	c.mailbox.Send(func() { c.cancelJob(ref, reply, 0) })
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -12,9 +12,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// Once a user has been answered that a job is cancelled, no task of the job starts (docs/recovery.md, "No
-// start after a cancellation"). Therefore the answer waits until each controller that owns tasks of the job
-// has notified its workers, or may no longer start tasks based on its state before the cancellation.
+// Once a user has been answered that a job is cancelled, no task of the job starts (docs/recovery.md,
+// "No start after a cancellation"). Therefore the answer waits until each controller that owns tasks of
+// the job has notified its workers, or may no longer start tasks based on state from before the
+// cancellation.
 
 // cancellation describes a cancelled job. It is announced to the peers.
 type cancellation struct {
@@ -40,8 +41,10 @@
 	isCheckScheduled bool                                // confirmCancellations will run once tuning.CancellationConfirmPollInterval has passed
 }
 
-// pending returns the unconfirmed cancellation of a job, nil if there is none.
-func (l *cancellationLog) pending(ref string) *unconfirmedCancellation { return l.unconfirmed[ref] }
+// findUnconfirmed returns the unconfirmed cancellation of a job, nil if there is none.
+func (l *cancellationLog) findUnconfirmed(ref string) *unconfirmedCancellation {
+	return l.unconfirmed[ref]
+}
 
 // dropExpired drops the cancellations that have been announced to the peers for longer than
 // tuning.CancellationAnnouncePeriod.
@@ -51,15 +54,15 @@
 	})
 }
 
-// recordCancellation records that a job is cancelled, so that the peers are notified and users are
+// recordCancellation records that a job is cancelled, so that the peers are notified, and that users are
 // answered only after the confirmation. The cache calls it when it learns of the cancellation, before it
 // removes the job's claims from the cluster state. doneTasks is the number of tasks that were done, and
 // revision is that of the final state.
 func (c *Controller) recordCancellation(ref string, doneTasks int, revision uint64) {
 	now := time.Now()
-	cancelled := cancellation{ref, doneTasks, revision, now}
+	cancelledJob := cancellation{ref, doneTasks, revision, now}
 	c.cancellations.dropExpired(now)
-	c.cancellations.recent = append(c.cancellations.recent, cancelled)
+	c.cancellations.recent = append(c.cancellations.recent, cancelledJob)
 	job := c.state.Job(ref)
 	if job == nil || job.HasEnded() || !c.cache.Synced() {
 		return
@@ -68,9 +71,9 @@
 	if !isPlacedLocally && len(owners) == 0 {
 		return
 	}
-	c.cancellations.unconfirmed[ref] = &unconfirmedCancellation{cancellation: cancelled, owners: owners}
-	// The change that is being applied now removes the claims. Only after that do the worker sessions stop
-	// the job's tasks, so the workers are notified in a later message.
+	c.cancellations.unconfirmed[ref] = &unconfirmedCancellation{cancellation: cancelledJob, owners: owners}
+	// The change that is being applied now removes the claims, and only then do the worker sessions stop
+	// the job's tasks. So the workers are notified in a later message of the mailbox.
 	c.mailbox.SendAfter(time.Millisecond, func() {
 		c.sessions.SendCancellations(time.Now())
 		c.sendHeartbeats()
@@ -95,8 +98,8 @@
 	return others, isPlacedLocally
 }
 
-// confirmCancellations answers the requests about jobs whose cancellation is confirmed. While others are
-// unconfirmed, it runs again after each tuning.CancellationConfirmPollInterval.
+// confirmCancellations answers the requests about jobs whose cancellation is confirmed. As long as any
+// cancellation is unconfirmed, it runs again after each tuning.CancellationConfirmPollInterval.
 func (c *Controller) confirmCancellations() {
 	now := time.Now()
 	for _, ref := range slices.Sorted(maps.Keys(c.cancellations.unconfirmed)) {
@@ -132,14 +135,15 @@
 }
 
 // isConfirmed reports whether no controller will command the start of a task of a cancelled job any more.
-// After tuning.CancellationConfirmWait it does not wait for workers that have not confirmed the stop.
+// Once tuning.CancellationConfirmWait has passed, the workers' confirmations of the stop are no longer
+// needed.
 func (c *Controller) isConfirmed(pending *unconfirmedCancellation, now time.Time) bool {
 	elapsed := now.Sub(pending.knownAt)
 	if elapsed < tuning.CancellationConfirmWait && c.sessions.HasUnconfirmedStop(pending.ref) {
 		return false
 	}
 	if elapsed >= c.cfg.CancellationEffectiveDelay() {
-		return true // no controller may still start tasks based on its state before the cancellation
+		return true // no controller may still start tasks based on state from before the cancellation
 	}
 	for node := range pending.owners {
 		if !c.hasPeerConfirmed(node, pending, elapsed) {
@@ -149,8 +153,9 @@
 	return true
 }
 
-// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation. After
-// tuning.CancellationConfirmWait it suffices that the controller has applied the cancellation.
+// hasPeerConfirmed reports whether another controller has notified its workers of a cancellation. Once
+// tuning.CancellationConfirmWait has passed, it suffices that the controller has applied the
+// cancellation.
 func (c *Controller) hasPeerConfirmed(node string, pending *unconfirmedCancellation, elapsed time.Duration) bool {
 	if c.peers.HasNotifiedWorkers(node, pending.ref) {
 		return true
@@ -158,13 +163,13 @@
 	return elapsed >= tuning.CancellationConfirmWait && c.peers.HasApplied(node, pending.revision)
 }
 
-// applyPeerCancellations applies the cancellations that another controller announces. They arrive before
-// the watch of the key-value store delivers them if the watch lags.
-func (c *Controller) applyPeerCancellations(cancelled []peer.CancelledJob, now time.Time) {
-	for _, job := range cancelled {
+// applyPeerCancellations applies the cancellations that another controller announces. If the watch of the
+// key-value store lags, an announcement arrives before the watch delivers the cancellation.
+func (c *Controller) applyPeerCancellations(cancelledJobs []peer.CancelledJob, now time.Time) {
+	for _, job := range cancelledJobs {
 		c.cache.ApplyPeerCancellation(job.Ref, job.CompletedTasks, job.Revision)
 	}
-	if len(cancelled) > 0 {
+	if len(cancelledJobs) > 0 {
 		c.sessions.SendCancellations(now)
 		c.confirmCancellations()
 	}
@@ -175,14 +180,14 @@
 func (c *Controller) announcedCancellations(now time.Time) []peer.CancelledJob {
 	c.cancellations.dropExpired(now)
 	recent := c.cancellations.recent
-	var announced []peer.CancelledJob
-	for _, cancelled := range recent[max(0, len(recent)-tuning.MaxAnnouncedCancellations):] {
-		announced = append(announced, peer.CancelledJob{
-			Ref:             cancelled.ref,
-			Revision:        cancelled.revision,
-			CompletedTasks:  cancelled.doneTasks,
-			WorkersNotified: now.Sub(cancelled.knownAt) >= tuning.CancellationConfirmWait || !c.sessions.HasUnconfirmedStop(cancelled.ref),
+	var announcedJobs []peer.CancelledJob
+	for _, cancelledJob := range recent[max(0, len(recent)-tuning.MaxAnnouncedCancellations):] {
+		announcedJobs = append(announcedJobs, peer.CancelledJob{
+			Ref:             cancelledJob.ref,
+			Revision:        cancelledJob.revision,
+			CompletedTasks:  cancelledJob.doneTasks,
+			WorkersNotified: now.Sub(cancelledJob.knownAt) >= tuning.CancellationConfirmWait || !c.sessions.HasUnconfirmedStop(cancelledJob.ref),
 		})
 	}
-	return announced
+	return announcedJobs
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -47,7 +47,7 @@
 	return events, revision, err
 }
 
-// The mutations decide by completions or cancellations that are not durable. Of ten runs of a mutation, at
+// The mutations act on completions or cancellations that are not durable. Of ten runs of a mutation, at
 // least one has to violate the invariant.
 func TestCheckerFindsVolatileDecisions(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -37,9 +37,9 @@
 	resubmitRequest
 )
 
-// Cancellations, polls and repeated submissions at different controllers coincide with the completion of a
-// job's last task, before and after the completion is durable. The job must have one final state that never
-// changes, and a job that is answered as done must have no unfinished task.
+// Cancellations, polls and repeated submissions are sent to different controllers at about the time when
+// a job's last task completes, before and after the completion is durable. The job must have one final
+// state that never changes, and a job that is answered as done must have no unfinished task.
 func TestUserRequestsDuringJobCompletion(t *testing.T) {
 	for seed := range uint64(5) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { requestDuringCompletion(t, cluster, seed) })
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,7 +87,7 @@
 	cache             *statecache.Cache
 	claims            *claims.Writer
 	scheduler         *scheduler.Scheduler
-	gate              *featuregate.Gate
+	featureGate       *featuregate.Gate
 	detector          *failuredetector.Detector
 	reconciler        *reconciliation.Reconciler
 	sessions          *workersession.Manager
@@ -98,7 +98,8 @@
 }
 
 // PeerSender queues messages to the named controller and reports whether the queue had room for
-// them. Each chunk is sent with a heartbeat; a nil chunk is a heartbeat without a transfer chunk.
+// them. Each entry of chunks makes one message: a heartbeat with the chunk or, if the entry is nil, a
+// heartbeat without a transfer chunk.
 type PeerSender func(to string, chunks []*peer.TransferChunk) bool
 
 // PipelineSubscriber is notified of changes of the records under jobs.OpaquePrefix. If reread is set,
@@ -123,7 +124,7 @@
 	c.diagnostics = diagnostics.New(cfg, diagnostics.Dependencies{
 		State: c.state, Membership: c.members, Cache: c.cache, Scheduler: c.scheduler, Sessions: c.sessions,
 		Reconciler: c.reconciler, Handover: c.handover, MachineTypes: c.machineTypes, Faults: c.faults,
-		Peers: c.peers, Detector: c.detector, FeatureGate: c.gate, Claims: c.claims, Decisions: c.decisions, Violations: c.violations,
+		Peers: c.peers, Detector: c.detector, FeatureGate: c.featureGate, Claims: c.claims, Decisions: c.decisions, Violations: c.violations,
 		IsLeaving: func() bool { return c.isLeaving },
 	}, log)
 	return c
@@ -137,7 +138,7 @@
 		names = append(names, member.Node)
 	}
 	c.classStats, c.completionBatches, c.quotas = classstats.New(), completionbatch.New(), quota.New()
-	c.gate = featuregate.New(c.cfg.Node, names)
+	c.featureGate = featuregate.New(c.cfg.Node, names)
 	c.detector = failuredetector.New(c.cfg.Node, names)
 	c.members = membership.New(c.cfg.Node, c.incarnation, names)
 	c.machineTypes = machinetype.New()
@@ -146,7 +147,7 @@
 	c.state = clusterstate.New(c.cfg, c.members, c.machineTypes, c.classStats, c.faults, c.log)
 	c.cache = statecache.New(c.mailbox, c.cfg, c.incarnation, store, statecache.Dependencies{
 		State: c.state, Membership: c.members, MachineTypes: c.machineTypes, CompletionBatches: c.completionBatches,
-		Quotas: c.quotas, FeatureGate: c.gate,
+		Quotas: c.quotas, FeatureGate: c.featureGate,
 	}, c.cacheHooks(), c.log)
 }
 
@@ -179,7 +180,7 @@
 	}, cloud, c.log)
 }
 
-// cacheHooks returns the functions by which the cache notifies components on which it does not
+// cacheHooks returns the functions by which the cache notifies the components on which the cache does not
 // depend.
 func (c *Controller) cacheHooks() statecache.Hooks {
 	return statecache.Hooks{
@@ -228,8 +229,8 @@
 	c.lifecycle.Reset()
 }
 
-// Subscribe registers the subscriber for changes of pipeline records, in place of any previous one. Its
-// first notification has reread set and is sent as soon as this controller has read the key-value store.
+// Subscribe registers the subscriber for changes of pipeline records, in place of any previous one. The
+// subscriber is first notified as soon as this controller has read the key-value store, with reread set.
 func (c *Controller) Subscribe(subscriber PipelineSubscriber) {
 	c.mailbox.Send(func() {
 		c.pipelineSubscriber = subscriber
@@ -239,9 +240,9 @@
 	})
 }
 
-// OnFeatureGateOpen makes the controller call opened once all controllers support the features
-// of this version. It must be called before Start.
-func (c *Controller) OnFeatureGateOpen(opened func()) { c.onFeatureGateOpen = opened }
+// OnFeatureGateOpen makes the controller call callback as soon as all controllers support the features of
+// this version. It must be called before Start.
+func (c *Controller) OnFeatureGateOpen(callback func()) { c.onFeatureGateOpen = callback }
 
 // SetPeerSender gives the controller a way to send messages to its peers. It must be called before
 // Start. Without a sender no shard is handed over, and peers learn of suspicions and cancellations only
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// runCycle runs a scheduling cycle and answers the pending heartbeats of workers that now have
+// runCycle runs a scheduling cycle, and answers the pending heartbeats of workers for which there are now
 // commands. A controller that may not renew worker leases only sends cancellations: another controller
 // may already own its shards, and both would start the same tasks.
 func (c *Controller) runCycle() {
@@ -87,8 +87,8 @@
 	}
 }
 
-// recount recomputes derived values from the whole state: those that are otherwise updated with each
-// change, and those that depend on the time. It also stores changed machine types and logs the
+// recount recomputes derived values from the whole state: those that are otherwise updated at each change
+// of the state, and those that depend on the time. It also stores changed machine types and logs the
 // utilization.
 func (c *Controller) recount(now time.Time) {
 	c.scheduler.Recount(now)
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -80,7 +80,7 @@
 // Controllers have to read all records again while they own their shards and while commands to machines
 // are in flight. A task that a worker's answer to a probe does not list may start on that worker a moment
 // later, under the same fencing token; it must not be started elsewhere.
-func TestCacheReloadDuringTaskStarts(t *testing.T) {
+func TestCacheReloadStartsNoTaskTwice(t *testing.T) {
 	for seed := range uint64(10) {
 		rnd := rand.New(rand.NewPCG(seed, 4))
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -20,13 +20,13 @@
 // submission. A submission that depends on a job that was never accepted is rejected, but only after the
 // key-value store has been read, since another controller may have accepted that job a moment ago.
 func (c *Controller) resolveDependencies(sub submission) {
-	if !c.gate.IsOpen() {
+	if !c.featureGate.IsOpen() {
 		// A controller of an older version would start the job without waiting for its dependencies, so
 		// the job is not accepted. A repeated submission of a known job is answered, whatever versions
 		// the controllers run.
 		c.findJob(sub.ref, true, func(response Response) {
 			if response.Code == http.StatusNotFound {
-				response = unavailable("awaits: supported only once all controllers run this version; missing: " + strings.Join(c.gate.PendingControllers(), ", "))
+				response = unavailable("awaits: supported only once all controllers run this version; missing: " + strings.Join(c.featureGate.PendingControllers(), ", "))
 			}
 			sub.reply <- response
 		})
@@ -48,13 +48,13 @@
 // resolveFromStore looks up in the key-value store the dependencies that the cache does not know. It may
 // be called only when the cache is current.
 func (c *Controller) resolveFromStore(sub submission) {
-	unknown := c.resolveLocally(&sub)
-	c.fetchFinalStates(unknown, func(found map[string]jobdag.FinalState, err error) {
+	unknownRefs := c.resolveLocally(&sub)
+	c.fetchFinalStates(unknownRefs, func(found map[string]jobdag.FinalState, err error) {
 		if err != nil {
 			sub.reply <- unavailable(reasonStoreUnavailable)
 			return
 		}
-		for _, ref := range unknown {
+		for _, ref := range unknownRefs {
 			finalState, isAccepted := found[ref]
 			if !isAccepted && sub.validationErr == nil {
 				sub.validationErr = fmt.Errorf("awaits: %w: %s was never accepted", admission.ErrUnsatisfiable, ref)
@@ -68,7 +68,7 @@
 // resolveLocally looks up the dependencies of a submission in the cache and returns those that the cache
 // does not know. An outdated cache suffices: an accepted job remains accepted, and its final state never
 // changes.
-func (c *Controller) resolveLocally(sub *submission) (unknown []string) {
+func (c *Controller) resolveLocally(sub *submission) (unknownRefs []string) {
 	sub.dependencies = make(map[string]jobdag.FinalState, len(sub.spec.DependsOn))
 	for _, ref := range sub.spec.DependsOn {
 		if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
@@ -77,7 +77,7 @@
 		}
 		job := c.state.Job(ref)
 		if job == nil || !job.HasRecord() || job.HasEnded() {
-			unknown = append(unknown, ref)
+			unknownRefs = append(unknownRefs, ref)
 			continue
 		}
 		if job.Record().Kind == jobs.Service {
@@ -85,7 +85,7 @@
 		}
 		sub.dependencies[ref] = jobdag.Unfinished
 	}
-	return unknown
+	return unknownRefs
 }
 
 // finalStateFetch is a read of the final states of several jobs, with a limited number of concurrent
@@ -110,8 +110,9 @@
 	c.continueFetch(fetch)
 }
 
-// continueFetch begins reads until tuning.MaxConcurrentFinalStateReads are in flight. After an error it
-// begins no more reads, and done is called when the last read in flight has ended.
+// continueFetch begins reads of further jobs as long as fewer than tuning.MaxConcurrentFinalStateReads are in
+// flight. After an error it begins no more reads, and done is called when the last read in flight has
+// ended.
 func (c *Controller) continueFetch(fetch *finalStateFetch) {
 	for fetch.inFlight < tuning.MaxConcurrentFinalStateReads && fetch.nextIndex < len(fetch.refs) && fetch.err == nil {
 		ref := fetch.refs[fetch.nextIndex]
@@ -134,10 +135,10 @@
 	}
 }
 
-// cancelDependents stores a final state for jobs that depend on a cancelled one. It may do so at any later
-// time, since users are answered from the dependency graph as soon as the cancellation is known. Only the
-// first live member does it, which saves writes. If two controllers consider themselves the first live
-// member, the second transaction fails by its preconditions.
+// cancelDependents stores a final state for jobs that depend on a cancelled one. This is not urgent, since
+// users are answered from the dependency graph as soon as the cancellation is known. Only the first live
+// member does it, which saves writes (see IsFirstLiveMember). If two controllers consider themselves the
+// first live member, the preconditions make the second transaction fail.
 func (c *Controller) cancelDependents(now time.Time) {
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
 		return
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,7 +12,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// dependentJob returns the spec of an array job that depends on other jobs.
+// dependentJob returns the spec of an array that depends on other jobs.
 func dependentJob(ref string, tasks int, dependsOn ...string) jobs.Spec {
 	spec := fake.JobSpec(ref, jobs.Array, tasks, 1)
 	spec.DependsOn = dependsOn
@@ -51,9 +51,9 @@
 	})
 }
 
-// A submission that depends on an unknown job or on a service is rejected. A dependency
-// on an accepted job is valid, also after a restart of the controllers. During an outage of the store a
-// submission with an unknown dependency is refused as unavailable.
+// A submission that depends on an unknown job or on a service is rejected. A dependency on an accepted job
+// is valid, also after a restart of the controllers. During an outage of the store, a submission with an
+// unknown dependency is refused as unavailable.
 func TestSubmissionDependencyValidation(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 2)
@@ -154,7 +154,7 @@
 	}
 }
 
-// Hundreds of jobs depend on one job, and one job depends on hundreds, so that its record is stored in
+// Hundreds of jobs depend on one job. Another job depends on all of them, so that its record is stored in
 // chunks.
 func TestWideDependencyFanInAndFanOut(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -29,8 +29,9 @@
 	})
 }
 
-// A new owner of a shard probes the shard's workers at once. If it waited until the workers have found it
-// and have sent two heartbeats, a failover with a heartbeat interval of 5 s would take 15 s.
+// A new owner of a shard probes the shard's workers at once. If the owner instead waited until the
+// workers have found it and have sent two heartbeats, a failover with a heartbeat interval of 5 s would
+// take 15 s.
 func TestNewOwnerProbesWorkersAtOnce(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for range 20 {
@@ -69,7 +70,7 @@
 // One task of a job completes long before the others. Before the others complete, the owner that knew of
 // the completion crashes, and in one case the machine that ran the task is lost as well. No completion may
 // be lost or counted twice, and no job may be answered as done before all its tasks are done.
-func TestTaskCompletionsAcrossOwnerCrash(t *testing.T) {
+func TestOwnerCrashKeepsTaskCompletions(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		kind          jobs.Kind
@@ -168,7 +169,7 @@
 	addMachines(cluster, 6)
 	time.Sleep(2 * time.Duration(cluster.Cfg.Cluster.Workers.CancelSeconds*float64(time.Second)))
 	for _, host := range hosts {
-		if cluster.IsUp(host) { // the others have been released meanwhile
+		if cluster.IsUp(host) { // the others have been released
 			cluster.BlockInbound(host, false)
 			cutLinks(cluster, host, false, "n1", "n2")
 		}
@@ -182,27 +183,27 @@
 
 // Heartbeats are delayed until the successor of a crashed owner has started tasks. They arrive at the
 // successor and at the third controller, and neither may act on them.
-func TestDelayedHeartbeatAfterFailover(t *testing.T) {
+func TestDelayedHeartbeatsAreIgnoredAfterFailover(t *testing.T) {
 	for seed := range uint64(8) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 			addMachines(cluster, 8)
-			delayed := cluster.Heartbeats() // sent before any task had started
+			delayedHeartbeats := cluster.Heartbeats() // sent before any task had started
 			requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 7, 1), time.Duration(8+rnd.IntN(20))*time.Second)
 			requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 3, 1), time.Duration(8+rnd.IntN(20))*time.Second)
 			time.Sleep(time.Duration(500+rnd.IntN(4000)) * time.Millisecond)
-			delayed = append(delayed, cluster.Heartbeats()...)
+			delayedHeartbeats = append(delayedHeartbeats, cluster.Heartbeats()...)
 			cluster.CrashController("n0")
 			for _, host := range cluster.Hosts()[:2] { // their tasks have to start elsewhere
 				cluster.IsolateWorker(host, true)
 			}
 			for range 8 {
 				time.Sleep(time.Duration(500+rnd.IntN(6000)) * time.Millisecond)
-				for _, heartbeat := range delayed {
+				for _, heartbeat := range delayedHeartbeats {
 					cluster.DeliverHeartbeat("n1", heartbeat)
 					cluster.DeliverHeartbeat("n2", heartbeat)
 				}
-				delayed = append(delayed, cluster.Heartbeats()...)
+				delayedHeartbeats = append(delayedHeartbeats, cluster.Heartbeats()...)
 			}
 			cluster.StartController("n0")
 			for _, host := range cluster.Hosts() {
@@ -215,9 +216,10 @@
 	}
 }
 
-// The owners of shards change ten times in two minutes, with or without an outage of the store. The number
-// of writes and probes must stay small, tasks must continue, and each shard must have an owner soon after.
-func TestTenOwnerChangesInTwoMinutes(t *testing.T) {
+// The owners of shards change ten times in two minutes, with or without an outage of the store. The numbers
+// of writes and probes must stay small, tasks must continue, and 12 s after the last change each shard must
+// have an owner.
+func TestTenOwnerChangesNeedFewWritesAndProbes(t *testing.T) {
 	for _, hasOutage := range []bool{false, true} {
 		t.Run(fmt.Sprint("outage ", hasOutage), func(t *testing.T) {
 			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { changeOwnersTenTimes(t, cluster, hasOutage) })
--- a/internal/controller/failuredetection_test.go
+++ b/internal/controller/failuredetection_test.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// waitForOwnerChange waits until owner does not own the shard any more, at most for limit, and returns for
-// how long it has waited.
+// waitForOwnerChange waits, for at most limit, until owner no longer owns the shard, and returns how long it
+// has waited.
 func waitForOwnerChange(cluster *fake.Cluster, shard, owner string, limit time.Duration) time.Duration {
 	startedAt := time.Now()
 	for cluster.OwnerOf(shard) == owner && time.Since(startedAt) < limit {
@@ -87,21 +87,21 @@
 		addMachines(cluster, 6)
 		time.Sleep(6 * time.Second)
 		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
-		changes, lastOwner := 0, "n0"
+		ownerChanges, lastOwner := 0, "n0"
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
 			if owner := cluster.OwnerOf("n0"); owner != lastOwner {
-				changes, lastOwner = changes+1, owner
+				ownerChanges, lastOwner = ownerChanges+1, owner
 			}
 		}
-		if changes > 2 || lastOwner != "n0" {
-			t.Errorf("%d changes of the owner in a minute, the last to %s", changes, lastOwner)
+		if ownerChanges > 2 || lastOwner != "n0" {
+			t.Errorf("%d changes of the owner in a minute, the last to %s", ownerChanges, lastOwner)
 		}
 	})
 }
 
 // A controller that loses the connection to all its workers, but not to the store, gives up its shard before
-// the leases of the workers expire, since all tasks would be lost then.
+// the leases of the workers expire. If the leases expired, all tasks would be lost.
 func TestControllerCutOffFromWorkersGivesUpShard(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 4)
--- a/internal/controller/faultattribution_test.go
+++ b/internal/controller/faultattribution_test.go
@@ -29,11 +29,11 @@
 func TestFaultyJobsDoNotBlameHealthyMachines(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		setSpareMachines(t, cluster, "n0", 8)
-		faulty := cluster.AddMachine("a", false)
-		faulty.FailTasks = true
-		var healthy []string
+		faultyMachine := cluster.AddMachine("a", false)
+		faultyMachine.FailTasks = true
+		var healthyHosts []string
 		for range 4 {
-			healthy = append(healthy, cluster.AddMachine("a", false).Host)
+			healthyHosts = append(healthyHosts, cluster.AddMachine("a", false).Host)
 		}
 		time.Sleep(5 * time.Second)
 		cluster.FaultyJobs["wk-1"], cluster.FaultyJobs["wk-2"] = true, true
@@ -48,12 +48,12 @@
 			requireDone(t, cluster, "n1", jobRef(10+i), 60*time.Second)
 		}
 		time.Sleep(30 * time.Second)
-		for _, host := range healthy {
+		for _, host := range healthyHosts {
 			if !cluster.IsUp(host) {
 				t.Errorf("%s is healthy, but was released because of faulty jobs", host)
 			}
 		}
-		if cluster.IsUp(faulty.Host) {
+		if cluster.IsUp(faultyMachine.Host) {
 			t.Error("the faulty machine was not released")
 		}
 		attempts := func() int { return cluster.StartCounts()["wk-1/0"] + cluster.StartCounts()["wk-1/1"] }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -32,9 +32,9 @@
 	if now.Sub(c.resumedAt) <= tuning.HealthGracePeriod || !c.peers.IsStoreDownForAll(now) {
 		return false
 	}
-	// A controller that receives nothing from the store or from any live peer is partitioned itself. If
-	// that were taken for an outage of the store, users would stay at this controller for as long as the
-	// partition lasts.
+	// A controller that receives nothing, neither from the store nor from a live peer, is partitioned
+	// itself. If that were taken for an outage of the store, users would stay at this controller for as
+	// long as the partition lasts.
 	return c.peers.HasConnectedPeer(now) || !c.members.HasLivePeer()
 }
 
--- a/internal/controller/http_bench_test.go
+++ b/internal/controller/http_bench_test.go
@@ -16,24 +16,24 @@
 )
 
 // BenchmarkIdleHeartbeatOverHTTP measures heartbeats that report no changes, over HTTP and including the
-// work of the client. The server delays its answers for a moment, so many requests are sent at the same
-// time. The relevant result is therefore the processor time (cpu-ns/op), not the elapsed time.
+// work of the client. The server delays its answers for a moment, so the benchmark keeps many requests in
+// flight. The relevant result is therefore the processor time (cpu-ns/op), not the elapsed time.
 func BenchmarkIdleHeartbeatOverHTTP(b *testing.B) {
 	c, heartbeats := controller.NewBenchController(b, 1000, 100_000, 50)
 	go c.Run()
 	server := httptest.NewServer(httpapi.NewHandler(c, admin.NewMetrics()))
 	defer server.Close()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: len(heartbeats)}}
-	idle := make(chan *workerapi.Heartbeat, len(heartbeats))
+	idleHeartbeats := make(chan *workerapi.Heartbeat, len(heartbeats))
 	for _, heartbeat := range heartbeats {
-		idle <- heartbeat
+		idleHeartbeats <- heartbeat
 	}
 	b.SetParallelism(len(heartbeats))
 	b.ReportAllocs()
 	before := processorTimeNS(b)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			heartbeat := <-idle
+			heartbeat := <-idleHeartbeats
 			heartbeat.Sequence++
 			raw, err := json.Marshal(heartbeat)
 			if err != nil {
@@ -50,7 +50,7 @@
 			if response.StatusCode != http.StatusOK {
 				b.Error(response.Status)
 			}
-			idle <- heartbeat
+			idleHeartbeats <- heartbeat
 		}
 	})
 	b.ReportMetric(float64(processorTimeNS(b)-before)/float64(b.N), "cpu-ns/op")
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -19,7 +19,8 @@
 	c.mailbox.Send(func() { c.sessions.HandleHeartbeat(heartbeat, receivedAt, reply) })
 }
 
-// SetMachineTypes sets the machine types that the cloud offers and updates the counts of all machines.
+// SetMachineTypes sets the machine types that the cloud offers, and has the free capacity of all machines
+// counted again.
 func (c *Controller) SetMachineTypes(types []cloud.MachineType) {
 	c.mailbox.Send(func() {
 		c.machineTypes.SetFromCloud(types)
@@ -34,7 +35,7 @@
 }
 
 // Demand returns the waiting jobs and the existing machines, for the autoscaler. If the controller has
-// ended, it returns the zero value, which does not count as current.
+// ended, it returns the zero value, in which IsCurrent is false.
 func (c *Controller) Demand() scheduler.Demand {
 	demand, _ := actor.Ask(c.mailbox, func() scheduler.Demand { return c.scheduler.Demand(time.Now(), c.incarnation) })
 	return demand
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -43,8 +43,8 @@
 }
 
 // IsFirstLiveMember reports whether this controller has the first name, in alphabetical order, of the live
-// controllers. That controller does the work that one has to do for all. Two controllers may consider
-// themselves the first for a moment, so that such work must be safe to repeat.
+// controllers. That controller does the work that only one controller has to do. For a moment, two
+// controllers may consider themselves the first, so such work must be safe to repeat.
 func (c *Controller) IsFirstLiveMember() bool {
 	isFirst, _ := actor.Ask(c.mailbox, c.isFirstLiveMember)
 	return isFirst
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -9,17 +9,17 @@
 	"cherrywall/internal/jobs"
 )
 
-// A gang that fits on no machines and a gang that waits for its team's quota must not reserve capacity:
-// all other jobs would wait with them.
+// A gang that fits on no machines and a gang that waits for its team's quota must not reserve capacity,
+// since all other jobs would then wait, too.
 func TestNoReservationForUnplaceableGangs(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
-		usesQuota, waitsForQuota := fake.JobSpec("wk-3", jobs.Array, 1, 4), fake.JobSpec("wk-2", jobs.Gang, 1, 4)
-		usesQuota.Team, waitsForQuota.Team = "capped", "capped"
-		requireAccepted(t, cluster, "n0", usesQuota, 10*time.Minute)
+		runningJob, waitingGang := fake.JobSpec("wk-3", jobs.Array, 1, 4), fake.JobSpec("wk-2", jobs.Gang, 1, 4)
+		runningJob.Team, waitingGang.Team = "capped", "capped"
+		requireAccepted(t, cluster, "n0", runningJob, 10*time.Minute)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Gang, 40, 3), time.Second) // fits nowhere
 		time.Sleep(4 * time.Second)
-		requireAccepted(t, cluster, "n1", waitsForQuota, time.Second)
+		requireAccepted(t, cluster, "n1", waitingGang, time.Second)
 		time.Sleep(160 * time.Second)
 		for i := range 20 {
 			requireAccepted(t, cluster, "n1", fake.JobSpec(jobRef(10+i), jobs.Gang, 1, 3), 2*time.Second)
@@ -41,21 +41,21 @@
 		}
 		time.Sleep(5 * time.Second)
 		setSpareMachines(t, cluster, "n1", 9)
-		submitted := 0
+		submittedCount := 0
 		submitGangsFor := func(period time.Duration) {
 			for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(3 * time.Second) {
-				submitted++
-				spec := fake.JobSpec(jobRef(1000+submitted), jobs.Gang, 1+submitted%2, 3)
+				submittedCount++
+				spec := fake.JobSpec(jobRef(1000+submittedCount), jobs.Gang, 1+submittedCount%2, 3)
 				spec.Urgency = "high"
-				requireAccepted(t, cluster, controllerName(submitted), spec, 14*time.Second)
+				requireAccepted(t, cluster, controllerName(submittedCount), spec, 14*time.Second)
 			}
 		}
 		submitGangsFor(30 * time.Second)
-		large, low := fake.JobSpec("wk-1", jobs.Gang, 5, 3), fake.JobSpec("wk-2", jobs.Array, 3, 3)
-		large.Urgency, large.OneZone = "high", true
-		low.Urgency, low.Class = "idle", "other"
-		requireAccepted(t, cluster, "n0", large, 5*time.Second)
-		requireAccepted(t, cluster, "n1", low, 5*time.Second)
+		largeGang, lowPriorityArray := fake.JobSpec("wk-1", jobs.Gang, 5, 3), fake.JobSpec("wk-2", jobs.Array, 3, 3)
+		largeGang.Urgency, largeGang.OneZone = "high", true
+		lowPriorityArray.Urgency, lowPriorityArray.Class = "idle", "other"
+		requireAccepted(t, cluster, "n0", largeGang, 5*time.Second)
+		requireAccepted(t, cluster, "n1", lowPriorityArray, 5*time.Second)
 		submitGangsFor(235 * time.Second)
 		if counts := cluster.StartCounts(); counts["wk-1/0"] == 0 || counts["wk-2/0"] == 0 {
 			t.Errorf("after four minutes the large gang has started %d times, the array %d times", counts["wk-1/0"], counts["wk-2/0"])
@@ -63,8 +63,8 @@
 	})
 }
 
-// Jobs of high and normal priority need more than the capacity, and the links are slow. High priority
-// goes first, the other tasks start in bounded time, no task is preempted again and again, and all jobs
+// Jobs of high and normal priority need more than the capacity, and the links are slow. Jobs of high
+// priority go first, the other tasks start in bounded time, no task is preempted again and again, and all jobs
 // complete.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	const gangCount = 40
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -10,8 +10,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// A machine's heartbeats arrive at the controllers, but nothing that is sent to the machine arrives. It
-// must not count as healthy, because tasks that are placed there would never start.
+// A machine's heartbeats arrive at the controllers, but nothing that is sent to the machine arrives. The
+// machine must not count as healthy, because tasks that are placed there would never start.
 func TestMachineWithNoInboundDoesNotBlockJobs(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -39,8 +39,8 @@
 	})
 }
 
-// All controllers restart while two machines receive nothing, so that no new owner reaches them. Their
-// tasks must be started elsewhere although their heartbeats arrive.
+// All controllers restart while two machines receive nothing, so that no new owner reaches these machines.
+// Their tasks must be started elsewhere although their heartbeats arrive.
 func TestMachineWithNoInboundDoesNotBlockReconciliation(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
@@ -56,11 +56,11 @@
 	})
 }
 
-// Some machines reach no controller, while commands reach them. No more tasks are started on these
+// Some machines reach no controller, but commands reach the machines. No more tasks are started on these
 // machines, completions are known soon, cancelled tasks are stopped, and running tasks are started
 // elsewhere only when the leases of the workers have expired. The machines are not released after a
 // minute, but they are released after a few minutes.
-func TestMachinesWithNoOutbound(t *testing.T) {
+func TestMachinesWithNoOutboundAreReleasedAfterMinutes(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 4)
 		setSpareMachines(t, cluster, "n0", 9)
@@ -104,8 +104,8 @@
 
 // A task on a machine that reaches no controller starts elsewhere when the worker's lease has
 // expired, and not before. A worker whose lease has expired has stopped its tasks and begun a new agent
-// epoch, which a new owner learns by asking the worker.
-func TestTasksOnMachinesWithNoOutbound(t *testing.T) {
+// epoch, which a new owner learns by a probe of the worker.
+func TestTasksOnMachinesWithNoOutboundStartElsewhereAfterLease(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 12, 1), 40*time.Second)
@@ -113,7 +113,7 @@
 		time.Sleep(4 * time.Second)
 		blockOutbound(cluster, cluster.Hosts()[:2], true)
 		addMachines(cluster, 6)
-		time.Sleep(8 * time.Second) // their leases of 10 s expire soon
+		time.Sleep(8 * time.Second) // the leases of the first two machines, 10 s long, expire soon
 		for _, ref := range []string{"wk-1", "wk-2"} {
 			requireDone(t, cluster, "n2", ref, 60*time.Second)
 		}
@@ -121,8 +121,8 @@
 }
 
 // A controller loses its connections to the store and to its peers, but not to its workers. It may go on
-// renewing their leases only as long as no other controller relies on their expiry.
-func TestControllerIsolatedWithItsWorkers(t *testing.T) {
+// renewing the workers' leases only as long as no other controller relies on the expiry of the leases.
+func TestIsolatedControllerRenewsLeasesOnlyWhileSafe(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 9)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 30, 1), 50*time.Second)
@@ -132,7 +132,7 @@
 		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
 		time.Sleep(10 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner == "n0" {
-			t.Error("its shard was not acquired")
+			t.Error("the shard of the isolated controller was not acquired")
 		}
 		if cluster.Nodes["n0"].Controller.Healthy() || !cluster.Nodes["n1"].Controller.Healthy() {
 			t.Error("users are kept at the isolated controller, or sent away from the others")
@@ -153,10 +153,11 @@
 	})
 }
 
-// A zone with workers and a controller is partitioned for longer than a worker lease, with packets
-// held or connections refused. The users are outside the zone, and cancel and submit jobs there. Workers
-// inside may be kept running as long as the rules allow, and no task runs both inside and outside.
-func TestZonePartitionWithController(t *testing.T) {
+// A zone with workers and a controller is cut off for longer than a worker lease; packets are held back,
+// or connections are refused. Users outside the zone cancel and submit jobs. The zone's controller may
+// let the workers in the zone run on as long as the rules allow, but no task may run both in the zone
+// and outside.
+func TestZonePartitionRunsNoTaskTwice(t *testing.T) {
 	for _, holdsPackets := range []bool{false, true} {
 		t.Run(fmt.Sprint("packets held ", holdsPackets), func(t *testing.T) {
 			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { partitionZone(t, cluster, holdsPackets) })
@@ -210,8 +211,8 @@
 	cluster.SetPeerLink(link)
 }
 
-// Copies of heartbeats arrive at random controllers, seconds to well over a lease late, while controllers
-// crash and a machine is released.
+// Copies of heartbeats arrive at random controllers between 2 s and 37 s late, which may be much more than a
+// worker lease, while controllers crash and a machine is released.
 func TestDelayedDuplicateHeartbeatsAreIgnored(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -234,22 +235,22 @@
 			cluster.StartController(controllerName(i))
 		}
 	}
-	released := cluster.Hosts()[0]
-	if err := cluster.Release(t.Context(), []string{released}); err != nil {
+	releasedHost := cluster.Hosts()[0]
+	if err := cluster.Release(t.Context(), []string{releasedHost}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 12 {
 		requireDone(t, cluster, "n1", jobRef(i+1), 120*time.Second)
 	}
 	time.Sleep(2 * time.Minute)
-	if keys := cluster.Store.Keys(jobs.WorkerPrefix + released); len(keys) > 0 {
+	if keys := cluster.Store.Keys(jobs.WorkerPrefix + releasedHost); len(keys) > 0 {
 		t.Errorf("a released machine has a record: %v", keys)
 	}
 }
 
-// While shards change owners, commands and their answers are delayed by seconds, and machines freeze and
-// resume just before their leases expire.
-func TestDelayedCommandsAndFrozenMachines(t *testing.T) {
+// While shards change owners, commands and their answers are delayed by up to 5 s, and machines freeze for a
+// random time, at most about 3 s longer than a worker lease. All jobs must complete.
+func TestJobsCompleteDespiteDelayedCommandsAndFrozenMachines(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// The reasons why jobs wait are distinguished: no capacity, the team's quota, another job, machines
-// that can't be reached.
+// The controllers distinguish why jobs wait: there is no capacity, the team's quota is used up, another job
+// has to end first, or machines can't be reached.
 func TestWaitReasonsAreDistinguished(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
@@ -110,8 +110,8 @@
 	})
 }
 
-// checkWaitReasons checks that at least one of the controllers gives, for each job in want, a wait reason
-// with the wanted words.
+// checkWaitReasons checks that for each job in want at least one of the controllers gives a wait reason that
+// contains the wanted words.
 func checkWaitReasons(t *testing.T, cluster *fake.Cluster, want map[string]string, nodes []string) {
 	t.Helper()
 	reasons := map[string]string{}
@@ -129,8 +129,8 @@
 }
 
 // Records that are damaged, have impossible values or are of a later version are quarantined. A controller
-// starts in spite of them, other jobs go on, requests about the affected jobs are answered with 503, and
-// the findings name the records.
+// starts in spite of such records, other jobs run, requests about the affected jobs are answered with 503,
+// and the findings name the records.
 func TestQuarantinedRecordsDoNotAffectOtherJobs(t *testing.T) {
 	records := map[string]string{
 		jobs.JobKey("wk-1"):                 `{"ref":"wk-1","shape":"sweep","urgency":"normal","shifts":-5,"free":[{"f":0,"n":9}]}`,
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -66,9 +66,9 @@
 
 // A quota is shared by all shards. A team with a quota of four CPUs uses all four wherever there is
 // capacity, and its gangs get the part of the quota that other shards do not use. The team never uses
-// more than its quota, whatever happens to the controllers and to their transactions: the simulated
-// workers check this.
-func TestQuotaUnderRandomFaults(t *testing.T) {
+// more than its quota, whatever happens to the controllers and to their transactions. The simulated workers
+// check this.
+func TestQuotaIsNotExceededUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) { runQuotaJobsUnderFaults(t, cluster, seed) })
@@ -81,7 +81,7 @@
 	addMachinesPerController(cluster, 3)
 	time.Sleep(5 * time.Second)
 	setSpareMachines(t, cluster, "n0", 9)
-	var accepted, unanswered []string
+	var acceptedRefs, unansweredRefs []string
 	for i := range 24 {
 		spec := randomQuotaJob(rnd, i)
 		node := controllerNames[rnd.IntN(3)]
@@ -91,9 +91,9 @@
 		if cluster.Nodes[node] != nil {
 			response := cluster.Submit(node, spec, time.Duration(1+rnd.IntN(6))*time.Second)
 			if response.Code == http.StatusCreated {
-				accepted = append(accepted, spec.Ref)
+				acceptedRefs = append(acceptedRefs, spec.Ref)
 			} else {
-				unanswered = append(unanswered, spec.Ref)
+				unansweredRefs = append(unansweredRefs, spec.Ref)
 			}
 		}
 		injectRandomFault(cluster, rnd)
@@ -102,12 +102,12 @@
 	for _, node := range controllerNames {
 		cluster.Store.DelayWatch(node, 0)
 	}
-	for _, ref := range unanswered { // the job may have been accepted although no answer arrived
+	for _, ref := range unansweredRefs { // the job may have been accepted although no answer arrived
 		if cluster.Poll("n1", ref).Code == http.StatusOK {
-			accepted = append(accepted, ref)
+			acceptedRefs = append(acceptedRefs, ref)
 		}
 	}
-	for _, ref := range accepted {
+	for _, ref := range acceptedRefs {
 		requireDone(t, cluster, "n1", ref, 6*time.Minute)
 	}
 	time.Sleep(15 * time.Second)
@@ -158,7 +158,7 @@
 // reached, and the jobs are cancelled during the failover. Tasks that may still run count against the
 // quota until they have certainly stopped, and the quota is available again soon after. The simulated
 // workers check that the quota is not exceeded.
-func TestExhaustedQuotaAcrossOwnerCrash(t *testing.T) {
+func TestQuotaIsNotExceededAcrossOwnerCrash(t *testing.T) {
 	configure := func(cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.Workers.LeaseSeconds, cluster.Cfg.Cluster.Workers.CancelSeconds = 25, 45
 	}
--- a/internal/controller/quota_unknown_test.go
+++ b/internal/controller/quota_unknown_test.go
@@ -37,10 +37,10 @@
 		cluster.BlockInbound(runningOn[0], true)
 		hosts = append(hosts, runningOn[0])
 	}
-	time.Sleep(2 * time.Second) // answers in transit arrive meanwhile
-	other := nextController(owner)
-	cancelWithRetries(t, cluster, other, "wk-1")
-	requireAccepted(t, cluster, other, quotaJob("wk-2", jobs.Array, 4), 10*time.Second)
+	time.Sleep(2 * time.Second) // until answers in transit have arrived
+	otherController := nextController(owner)
+	cancelWithRetries(t, cluster, otherController, "wk-1")
+	requireAccepted(t, cluster, otherController, quotaJob("wk-2", jobs.Array, 4), 10*time.Second)
 	time.Sleep(time.Second)
 	return owner, hosts
 }
@@ -67,7 +67,7 @@
 // certainly stopped, which is when the leases of their workers have expired.
 func requireQuotaReleased(t *testing.T, cluster *fake.Cluster, node string) {
 	t.Helper()
-	const margin = 10 * time.Second // for the next owner, reports of the workers and the start
+	const margin = 10 * time.Second // for the acquisition of the shard, the workers' reports and the start of the tasks
 	limit := cluster.Cfg.PreviousOwnerExpiryDelay() + margin
 	if !cluster.WaitForStatus(node, "wk-2", jobs.Running, limit) && cluster.Poll(node, "wk-2").Status != jobs.Done {
 		t.Errorf("the quota is not available %v after the change of owner", limit)
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -11,7 +11,7 @@
 	"cherrywall/internal/jobs"
 )
 
-func TestAllControllersRestart(t *testing.T) {
+func TestJobCompletesAfterRestartOfAllControllers(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
 		cluster.AddMachine("b", false)
@@ -56,8 +56,8 @@
 }
 
 // Shards are handed over and back, then all controllers crash. One of them restarts within a second, the
-// others later. Messages between the controllers are delayed.
-func TestHandoverThenAllControllersCrash(t *testing.T) {
+// others later. Messages between the controllers are delayed. All jobs must complete.
+func TestJobsCompleteAfterHandoversAndCrashes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
@@ -99,9 +99,10 @@
 	}
 }
 
-// All controllers are down for longer than a worker lease, with or without an outage of the store. Some
-// jobs were cancelled a moment before, and some tasks of the gangs are done, others not.
-func TestAllControllersDownLongerThanWorkerLease(t *testing.T) {
+// All controllers are down for longer than a worker lease, with or without an outage of the store. Shortly
+// before, some jobs were cancelled, and some tasks of the other jobs, among them gangs, were done. After
+// the restart, the cancelled jobs are still cancelled, and the other jobs are completed.
+func TestJobsEndAfterAllControllersWereDownForWorkerLease(t *testing.T) {
 	for seed := range uint64(6) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 			restartAfterWorkerLease(t, cluster, seed)
@@ -150,7 +151,8 @@
 	}
 }
 
-// checkDoneOrCancelled checks that a job is done in time, or was cancelled although no answer confirmed it.
+// checkDoneOrCancelled checks that a job is done in time, or that it was cancelled although the answer to the
+// cancellation did not say so.
 func checkDoneOrCancelled(t *testing.T, cluster *fake.Cluster, seed uint64, ref string) {
 	t.Helper()
 	isDone := cluster.WaitForStatus("n0", ref, jobs.Done, 150*time.Second)
@@ -175,9 +177,10 @@
 	}
 }
 
-// Controllers and machines are down for a moment only, most controllers for a fraction of a second. Some
-// controllers return while others are acquiring their shards.
-func TestSubsecondRestarts(t *testing.T) {
+// Controllers crash and restart, most of them within a second, and machines are isolated for a short
+// time. Some controllers return while others are acquiring the shards of the crashed ones. All jobs must
+// complete.
+func TestJobsCompleteDespiteShortRestarts(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 5))
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -35,8 +35,8 @@
 	runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) { measureProcessorTime(t, cluster, size, load) })
 }
 
-// measureProcessorTime submits random jobs for two minutes and logs the processor time used per minute.
-// load scales the submission rate, which at 1 is 1.54 jobs a second for 1200 machines.
+// measureProcessorTime submits random jobs for two minutes and logs the processor time used per minute. load
+// scales the submission rate: at a load of 1, it is 1.54 jobs a second for 1200 machines.
 func measureProcessorTime(t *testing.T, cluster *fake.Cluster, size int, load float64) {
 	t.Helper()
 	defer startAutoscalers(t, cluster)()
@@ -52,8 +52,8 @@
 	t.Logf("%.2f s of processor time a minute", float64(processorTimeNS(t)-usedBefore)/2e9)
 }
 
-// randomJob returns a gang of high priority or, more rarely, a large array, and the run time of
-// its tasks.
+// randomJob returns a job and the run time of the job's tasks. The job is a gang of high priority or, more
+// rarely, a large array.
 func randomJob(rnd *rand.Rand, ref string) (spec jobs.Spec, runTime time.Duration) {
 	spec = fake.JobSpec(ref, jobs.Gang, []int{1, 4, 8, 16, 24}[rnd.IntN(5)], 7)
 	spec.Class, spec.Urgency, spec.OneZone, spec.MemGB, spec.EstimatedRunSeconds = "sync", "high", true, 26, 60
@@ -128,7 +128,8 @@
 	return spec
 }
 
-// confirmedWorkerCount returns how many workers of a shard its owner has reached since it acquired the shard.
+// confirmedWorkerCount returns how many workers of a shard have been confirmed since the shard's owner
+// acquired it.
 func confirmedWorkerCount(cluster *fake.Cluster, shard string) int {
 	view, _ := cluster.Nodes[cluster.OwnerOf(shard)].Controller.View(admin.ViewReconciliation)
 	for _, reconciled := range view.([]reconciliation.View) {
@@ -153,7 +154,7 @@
 func TestRestartWithThousandWorkers(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 40*time.Second)
-		startedBefore := len(cluster.StartCounts())
+		startedTasksBefore := len(cluster.StartCounts())
 		restartControllers(cluster, 6*time.Second)
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n2", urgentGang(), 5*time.Second)
@@ -162,22 +163,23 @@
 			requireDone(t, cluster, "n1", jobRef(i+1), 60*time.Second)
 			requireDone(t, cluster, "n1", jobRef(9000+i), 60*time.Second)
 		}
-		restarted := 0
+		restartedTasks := 0
 		for _, count := range cluster.StartCounts() {
 			if count > 1 {
-				restarted++
+				restartedTasks++
 			}
 		}
 		// The urgent gang preempts a few tasks, which start again.
-		if startedBefore < 7*fleetSize || restarted > 150 {
-			t.Errorf("%d tasks ran at the restart, %d were started again", startedBefore, restarted)
+		if startedTasksBefore < 7*fleetSize || restartedTasks > 150 {
+			t.Errorf("%d tasks ran at the restart, %d were started again", startedTasksBefore, restartedTasks)
 		}
 	})
 }
 
 // All controllers restart while a quarter of the machines can't be reached. Unclaimed jobs start within
-// seconds, and no task is stopped and no machine released because of incomplete information. Tasks are
-// started only if they are new, or if their previous run ended or lost its lease.
+// seconds, and no task is stopped and no machine released because of incomplete information. A task is
+// started only if it is new, or if its previous run has ended or the lease of that run's worker has
+// expired.
 func TestRestartWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 60*time.Second)
@@ -195,14 +197,14 @@
 			t.Errorf("an unclaimed gang was started %d times 4 s after the start", count)
 		}
 		time.Sleep(6 * time.Second)
-		restarted := 0
+		restartedTasks := 0
 		for task, count := range cluster.StartCounts() {
 			if startsBefore[task] > 0 && count > startsBefore[task] {
-				restarted++
+				restartedTasks++
 			}
 		}
-		if restarted > 0 {
-			t.Errorf("%d tasks were started again within 10 s of the start", restarted)
+		if restartedTasks > 0 {
+			t.Errorf("%d tasks were started again within 10 s of the start", restartedTasks)
 		}
 		if count := cluster.WorkerCount(); count != fleetSize {
 			t.Errorf("%d machines were released", fleetSize-count)
@@ -213,7 +215,8 @@
 }
 
 // A controller crashes while a quarter of all machines can't be reached. The new owner reaches the other
-// machines of the shard within seconds, since the timeouts of the unreachable machines do not add up.
+// machines of the shard within seconds, since the timeouts of the probes of unreachable machines do not add
+// up.
 func TestFailoverWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 50*time.Second)
@@ -236,7 +239,7 @@
 
 // All workers are isolated for longer than their leases and reconnect at the same moment. Their tasks
 // are lost and start again immediately.
-func TestThousandMachinesReconnectTogether(t *testing.T) {
+func TestTasksStartAgainAfterThousandMachinesReconnect(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 30*time.Second)
 		isolateEveryNth(cluster, 1, true)
@@ -249,10 +252,10 @@
 	})
 }
 
-// The number of writes for a job does not depend on the number of machines. A gang needs six writes
-// (accepted, claimed, done). An array needs two for each shard's claim, and those that record the done
-// tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may claim at the
-// same moment.
+// The number of writes for a job does not depend on the number of machines. A gang needs six writes for its
+// acceptance, its claim and its completion. An array needs two writes for each shard's claim, and those that
+// record the done tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may
+// claim tasks of the same job at the same moment.
 func TestWritesPerJobIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{120, 900} {
 		runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -13,7 +13,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// controllerNames lists the controllers of the simulated clusters. Each shard is named after a controller.
+// controllerNames lists the controllers of the simulated clusters. Each shard has the name of a
+// controller.
 var controllerNames = []string{"n0", "n1", "n2"}
 
 // controllerZones places one controller in zone a and two in zone b.
@@ -115,7 +116,7 @@
 	}
 }
 
-// setSpareMachines sets the number of idle machines that are kept, so that none of them is released.
+// setSpareMachines sets how many idle machines the controllers keep instead of releasing them.
 func setSpareMachines(t *testing.T, cluster *fake.Cluster, node string, count int) {
 	t.Helper()
 	if err := cluster.ChangeSettings(node, func(s *admin.Settings) { s.SpareMachines = count }); err != nil {
@@ -154,7 +155,7 @@
 	}
 }
 
-// checkNotRunning checks that no machine runs any of a job's first tasks, whose number is given.
+// checkNotRunning checks that no machine runs any of a job's tasks with the numbers from 0 to tasks-1.
 func checkNotRunning(t *testing.T, cluster *fake.Cluster, ref string, tasks int) {
 	t.Helper()
 	for i := range tasks {
@@ -176,5 +177,5 @@
 	}
 }
 
-// alternatingKind returns the kind array for even numbers and gang for odd ones.
+// alternatingKind returns jobs.Array if i is even, and jobs.Gang if i is odd.
 func alternatingKind(i int) jobs.Kind { return []jobs.Kind{jobs.Array, jobs.Gang}[i%2] }
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -29,8 +29,9 @@
 	})
 }
 
-// A long array is claimed many tasks at a time. If its tasks were claimed one by one as others end, with
-// five writes for each task, they would use up the store's write rate, and submissions would wait.
+// A claim for a long array contains many tasks. If the tasks were claimed one by one as others end, with
+// five writes for each task, these writes would use up the store's write rate, and submissions would
+// wait.
 func TestLongArrayNeedsFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		for _, zone := range []string{"a", "a", "b", "b", "b", "b"} {
@@ -66,9 +67,9 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-4", jobs.Array, 4, 1), time.Minute)
 		time.Sleep(5 * time.Second)
-		urgent := fake.JobSpec("wk-5", jobs.Gang, 1, 4)
-		urgent.Urgency = "high"
-		requireAccepted(t, cluster, "n1", urgent, 5*time.Second)
+		urgentJob := fake.JobSpec("wk-5", jobs.Gang, 1, 4)
+		urgentJob.Urgency = "high"
+		requireAccepted(t, cluster, "n1", urgentJob, 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-5", 15*time.Second)
 		requireDone(t, cluster, "n0", "wk-4", 90*time.Second)
 	})
@@ -80,9 +81,9 @@
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-60", jobs.Gang, 2, 2), 20*time.Second)
 		time.Sleep(4 * time.Second)
-		urgent := fake.JobSpec("wk-61", jobs.Array, 1, 1)
-		urgent.Urgency = "prod"
-		requireAccepted(t, cluster, "n1", urgent, 5*time.Second)
+		urgentJob := fake.JobSpec("wk-61", jobs.Array, 1, 1)
+		urgentJob.Urgency = "prod"
+		requireAccepted(t, cluster, "n1", urgentJob, 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-61", 15*time.Second)
 		requireDone(t, cluster, "n0", "wk-60", 60*time.Second)
 	})
@@ -93,10 +94,10 @@
 		addMachinesPerController(cluster, 2)
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-40", jobs.Gang, 6, 4), 5*time.Second)
-		spread := fake.JobSpec("wk-41", jobs.Gang, 3, 4)
-		spread.Spread = true
+		spreadGang := fake.JobSpec("wk-41", jobs.Gang, 3, 4)
+		spreadGang.Spread = true
 		requireDone(t, cluster, "n1", "wk-40", 40*time.Second)
-		requireAccepted(t, cluster, "n0", spread, 5*time.Second)
+		requireAccepted(t, cluster, "n0", spreadGang, 5*time.Second)
 		requireDone(t, cluster, "n1", "wk-41", 40*time.Second)
 	})
 }
@@ -114,9 +115,9 @@
 		if count := cluster.Poll("n0", "wk-91").ActiveTasks; count != 4 {
 			t.Errorf("%d tasks of the array run, 4 fit beside the reserved capacity", count)
 		}
-		lower := fake.JobSpec("wk-92", jobs.Array, 2, 1)
-		lower.Urgency = "idle"
-		requireAccepted(t, cluster, "n0", lower, 3*time.Second)
+		lowPriorityArray := fake.JobSpec("wk-92", jobs.Array, 2, 1)
+		lowPriorityArray.Urgency = "idle"
+		requireAccepted(t, cluster, "n0", lowPriorityArray, 3*time.Second)
 		requireDone(t, cluster, "n0", "wk-92", 20*time.Second) // lower priorities may use reserved capacity
 	})
 }
@@ -133,7 +134,7 @@
 			t.Errorf("%d tasks run on a machine with two GPUs", count)
 		}
 		requireDone(t, cluster, "n0", "wk-85", 40*time.Second)
-		checkStartedOnce(t, cluster) // a task that a worker refuses for lack of a free GPU is started again
+		checkStartedOnce(t, cluster) // a task that a worker had refused for lack of a free GPU would have been started again
 		spec = fake.JobSpec("wk-86", jobs.Array, 1, 1)
 		spec.GPU = 3
 		if response := cluster.Submit("n0", spec, time.Second); response.Code != http.StatusUnprocessableEntity {
@@ -154,8 +155,8 @@
 	})
 }
 
-// A job that is claimed one task at a time has more task ranges than fit into one transaction. It
-// must be reported as done nevertheless.
+// A job that is claimed one task at a time has more task ranges than fit into one transaction. The job must
+// be reported as done nevertheless.
 func TestJobWithManyTaskRangesCompletes(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.Cfg.Cluster.State.TxnOps = 4
@@ -208,7 +209,7 @@
 	})
 }
 
-// zoneCase is a case of TestZoneConstrainedJobsLoseMachines.
+// zoneCase is a case of TestZoneConstrainedJobsCompleteAfterMachineLoss.
 type zoneCase struct {
 	name       string
 	kind       jobs.Kind
@@ -217,10 +218,10 @@
 	isZoneFull bool // other tasks fill the zone; if false, its machines are released and it is empty
 }
 
-// A job that runs in one zone, or is spread over zones, loses machines. Its remaining tasks stay in the
-// zone that still runs some of them. They move if that zone runs none of them any more and has no
-// capacity. The simulated workers check the placement.
-func TestZoneConstrainedJobsLoseMachines(t *testing.T) {
+// A job that has to run in one zone, or is spread over zones, loses machines. Its remaining tasks are started
+// again in the zone that still runs some of its tasks. They move to another zone if the previous zone runs
+// none of them any more and has no capacity. The simulated workers check the placement.
+func TestZoneConstrainedJobsCompleteAfterMachineLoss(t *testing.T) {
 	for _, c := range []zoneCase{
 		{"array in one zone", jobs.Array, true, false, false},
 		{"array in one full zone", jobs.Array, true, false, true},
@@ -241,7 +242,7 @@
 	time.Sleep(5 * time.Second)
 	spec := fake.JobSpec("wk-1", c.kind, 9, 1)
 	spec.OneZone, spec.Spread = c.oneZone, c.spread
-	// Half of the first eight tasks complete soon, the other half not before these machines are lost. The
+	// Half of the first eight tasks complete before the machines are lost, and the other half do not. The
 	// last task runs longer than all others.
 	for i := range 8 {
 		cluster.SetTaskRunTime(jobs.TaskName("wk-1", i), []time.Duration{2 * time.Second, 25 * time.Second}[i%2])
@@ -253,18 +254,18 @@
 	}
 	requireAccepted(t, cluster, "n0", spec, 25*time.Second)
 	time.Sleep(6 * time.Second)
-	lost := cluster.Hosts()
+	lostHosts := cluster.Hosts()
 	if c.spread {
-		lost = lost[:3]
+		lostHosts = lostHosts[:3]
 	}
 	if c.isZoneFull { // another job takes the capacity of the lost tasks for a long time
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Array, 12, 1), 10*time.Minute)
-		lost = lost[:2]
+		lostHosts = lostHosts[:2]
 	}
 	for range 4 {
 		cluster.AddMachine("b", false)
 	}
-	for _, host := range lost {
+	for _, host := range lostHosts {
 		_ = cluster.Release(t.Context(), []string{host})
 	}
 	if c.spread { // at most half of the tasks may be in one zone, however many are done by then
@@ -281,7 +282,8 @@
 	requireDone(t, cluster, "n1", "wk-1", 220*time.Second)
 }
 
-// An array that has to run in one zone is placed in a zone that has capacity, not in the first by name.
+// An array that has to run in one zone is placed in a zone that has capacity, and not in the zone whose
+// name comes first.
 func TestOneZoneArrayPicksZoneWithCapacity(t *testing.T) {
 	zones := map[string]string{"n0": "a", "n1": "a", "n2": "a"} // so that each shard has machines of both zones
 	runScenario(t, zones, func(*fake.Cluster) {}, func(t *testing.T, cluster *fake.Cluster) {
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -7,10 +7,10 @@
 )
 
 // Leave hands this controller's shards over to its peers and releases its liveness record. It waits
-// until no shard is left, no peer can take one, or tuning.ShutdownTransferTimeout has passed. Then it waits
-// tuning.ShutdownLastWriteTimeout for the last writes. It returns early if the controller's context
-// ends. The controller reports itself as unhealthy from the beginning, so that users are sent to other
-// controllers.
+// until this controller owns no shard any more, or no peer can take one, or
+// tuning.ShutdownTransferTimeout has passed. Then it waits tuning.ShutdownLastWriteTimeout for the last
+// writes. It returns early if the controller's context ends. The controller reports itself as unhealthy
+// from the beginning, so that users are sent to other controllers.
 func (c *Controller) Leave() {
 	finished := make(chan struct{})
 	startedAt := time.Now()
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -18,8 +18,8 @@
 }
 
 // A controller that was stalled for a minute resumes with outdated state: another controller owns its
-// shard now, and a job was cancelled meanwhile. It must not use that state to answer requests or start
-// tasks.
+// shard now, and a job was cancelled during the stall. The controller must not use that state to answer
+// requests or start tasks.
 func TestStalledControllerDiscardsStaleState(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestAllControllersStalledForAMinute(t *testing.T) {
+func TestJobsCompleteAfterStallOfAllControllers(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 2)
 		time.Sleep(4 * time.Second)
@@ -69,7 +69,7 @@
 }
 
 // A controller that is the only one refused by the store is unhealthy within four seconds, so that its
-// users are sent to others. In an outage for all controllers, each controller stays healthy.
+// users are sent to others. In an outage that affects all controllers, each controller stays healthy.
 func TestControllerCutOffFromStoreIsUnhealthy(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		defer exchangeHeartbeats(cluster)()
@@ -85,7 +85,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner == "n0" {
-			t.Error("its shard was not acquired")
+			t.Error("the shard of the cut-off controller was not acquired")
 		}
 		cluster.Store.RefuseNode("n0", false)
 		cluster.Store.SetOutage(true) // for all controllers; a single controller cannot know this
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -40,13 +40,14 @@
 // can replace it.
 var readBarrier = (*statecache.Cache).ReadBarrier
 
-// findJob calls done with the status of a job. The status is at least as recent as each one that any
-// controller has answered before: a final state never changes, and any other status is read after a read
-// barrier. While a cancellation of the job is unconfirmed, done is called only after its confirmation. A
-// read that is not urgent may wait for a moment to share a read barrier with other reads.
+// findJob calls done with the status of a job. The status is at least as recent as any status of the job
+// that a controller has answered before: a final state never changes, and any other status is read after
+// a read barrier. While a cancellation of the job is unconfirmed, done is called only after its
+// confirmation. A read that is not urgent may wait for a moment to share a read barrier with other
+// reads.
 func (c *Controller) findJob(ref string, urgent bool, done func(Response)) {
 	retry := func() { c.findJob(ref, urgent, done) }
-	if pending := c.cancellations.pending(ref); pending != nil {
+	if pending := c.cancellations.findUnconfirmed(ref); pending != nil {
 		pending.waiters = append(pending.waiters, retry)
 		return
 	}
@@ -63,7 +64,7 @@
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
-		if c.cancellations.pending(ref) != nil { // cancelled during the read barrier
+		if c.cancellations.findUnconfirmed(ref) != nil { // cancelled during the read barrier
 			retry()
 			return
 		}
@@ -90,15 +91,15 @@
 		return
 	}
 	// A job that this one depends on may have been cancelled before this controller began to watch the
-	// store, so that its final state is not cached. Then this job is cancelled as well; an answer that
-	// it waits would contradict the answers of other controllers.
-	unknown := c.state.Dependencies().UnknownAncestors(ref)
-	if len(unknown) == 0 {
+	// store, so that its final state is not cached. Then this job is cancelled as well, and an answer that
+	// this job is queued would contradict the answers of other controllers.
+	unknownRefs := c.state.Dependencies().UnknownAncestors(ref)
+	if len(unknownRefs) == 0 {
 		done(unfinishedResponse(job))
 		return
 	}
-	c.fetchFinalStates(unknown, func(found map[string]jobdag.FinalState, err error) {
-		if err != nil || len(found) < len(unknown) { // one unknown final state leaves open whether the job is cancelled
+	c.fetchFinalStates(unknownRefs, func(found map[string]jobdag.FinalState, err error) {
+		if err != nil || len(found) < len(unknownRefs) { // one unknown final state leaves open whether the job is cancelled
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
@@ -118,8 +119,8 @@
 }
 
 // answerFromStore answers with the final state of a job in the key-value store, since the cache does not
-// hold all final states. It may be called only when the cache is current and holds no unfinished job of
-// this name: if there is no final state in the store either, the job was never accepted.
+// hold all final states. It may be called only when the cache is current and holds no unfinished job with
+// this reference: if there is no final state in the store either, the job was never accepted.
 func (c *Controller) answerFromStore(ref string, done func(Response)) {
 	c.cache.ReadFinalState(ref, func(final jobs.FinalState, exists bool, err error) {
 		switch {
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -37,8 +37,9 @@
 	})
 }
 
-// A record that is larger than a value of the store is written in chunks, read by a restarted
-// controller, and deleted with all its chunks; a body that exceeds the limit of submissions is refused.
+// A record that exceeds the store's size limit for a value is written in chunks, read by a restarted
+// controller, and deleted with all its chunks. A body that exceeds the size limit for submissions is
+// refused.
 func TestSubmissionLargerThanValueIsChunked(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -57,8 +58,8 @@
 	})
 }
 
-// Every controller applies the limits of a class to submissions, as they are applied to pipeline files,
-// but not to a job that is already accepted.
+// Every controller applies the limits of a class to new submissions, as it does to the jobs of pipeline
+// files, but not to a repeated submission of a job that is already accepted.
 func TestClassLimitsApplyToSubmissions(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		cluster.AddMachine("a", false)
@@ -70,9 +71,9 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		long := fake.JobSpec("wk-3", jobs.Array, 1, 0.1)
-		long.EstimatedRunSeconds = 30
-		for _, spec := range []jobs.Spec{fake.JobSpec("wk-2", jobs.Array, 6, 0.1), long} {
+		longJob := fake.JobSpec("wk-3", jobs.Array, 1, 0.1)
+		longJob.EstimatedRunSeconds = 30
+		for _, spec := range []jobs.Spec{fake.JobSpec("wk-2", jobs.Array, 6, 0.1), longJob} {
 			if response := cluster.Submit("n2", spec, time.Second); response.Code != http.StatusUnprocessableEntity || !strings.Contains(response.Error, "class c allows") {
 				t.Errorf("%s: answered %+v", spec.Ref, response)
 			}
@@ -105,7 +106,7 @@
 		cluster.StartController("n0")
 		time.Sleep(3 * time.Second)
 		if settings, _, ok := cluster.Nodes["n0"].Controller.Settings(); !ok || len(settings.Drain) != 1 {
-			t.Errorf("after a restart: %+v", settings)
+			t.Errorf("settings after a restart: %+v", settings)
 		}
 	})
 }
@@ -135,9 +136,10 @@
 	}
 }
 
-// Users repeat submissions, also with other contents, cancel jobs that have ended, and send invalid
-// requests.
-func TestInvalidAndRepeatedRequests(t *testing.T) {
+// A repeated submission is answered with the job's status, even if its content differs or is invalid, and
+// does not change the job. The cancellation of a job that has ended does not change the job either. New
+// invalid submissions are refused.
+func TestInvalidAndRepeatedRequestsChangeNoJob(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 2, 1), 20*time.Second)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -16,10 +16,11 @@
 )
 
 // maxSubmitRetries is how often a submission is retried because the cluster changed between the
-// decision and the transaction. After that the request is answered 503, and the client may retry it.
+// decision and the transaction. After that the request is answered with 503, and the client may retry it.
 const maxSubmitRetries = 3
 
-// errRecordTooLarge rejects a job whose record does not fit into the key-value store.
+// errRecordTooLarge is the reason for rejecting a job whose record does not fit into the key-value
+// store.
 var errRecordTooLarge = errors.New("body: too large to be stored")
 
 // submission is a job that is being submitted.
@@ -49,9 +50,10 @@
 }
 
 // SubmitIf accepts a job if a condition on another record of the key-value store holds, which is checked
-// in the transaction that stores the job. If it does not hold, the answer has the code 409. A job that
-// this controller already knows is answered with its status, whether or not the condition holds.
-// Submissions of users have priority over it. The answer is sent to reply, which must have room for it.
+// in the transaction that stores the job. If it does not hold, the answer has the code 409. If this
+// controller already knows the job, the answer is the job's status, whether or not the condition holds.
+// Submissions of users have priority over this one. The answer is sent to reply, which must have room
+// for it.
 func (c *Controller) SubmitIf(spec *jobs.Spec, condition kvstore.Condition, reply chan<- Response) {
 	c.mailbox.Send(func() {
 		c.submit(submission{ref: spec.Ref, spec: spec, precondition: &condition, priority: kvstore.Background, reply: reply})
@@ -88,7 +90,7 @@
 }
 
 // answerSubmission answers a submission with the status of the job if the job is known, else with the
-// error that makes the request invalid. A valid submission of an unknown job is retried.
+// error that says why the request is invalid. A valid submission of an unknown job is retried.
 func (c *Controller) answerSubmission(sub submission) {
 	c.findJob(sub.ref, true, func(response Response) {
 		if response.Code != http.StatusNotFound {
@@ -118,7 +120,7 @@
 func (c *Controller) validate(spec *jobs.Spec) admission.Decision {
 	if record := (jobs.JobRecord{Spec: *spec}); !c.claims.FitsStore(record) {
 		// Such a record is stored in chunks once all controllers can read chunks.
-		if !c.gate.IsOpen() {
+		if !c.featureGate.IsOpen() {
 			return admission.Decision{Verdict: admission.Undecided}
 		}
 		return admission.Decide(errRecordTooLarge)
@@ -165,10 +167,10 @@
 
 // acceptJob stores a valid new job and answers its submission.
 func (c *Controller) acceptJob(sub submission) {
-	accept := c.newAcceptance(sub)
-	c.inFlightClaimedTasks += accept.claimedTasks
-	c.cache.Commit(sub.priority, accept.txn, func(result kvstore.TxnResult, err error) {
-		c.inFlightClaimedTasks -= accept.claimedTasks
+	newJob := c.newAcceptance(sub)
+	c.inFlightClaimedTasks += newJob.claimedTasks
+	c.cache.Commit(sub.priority, newJob.txn, func(result kvstore.TxnResult, err error) {
+		c.inFlightClaimedTasks -= newJob.claimedTasks
 		switch {
 		case err != nil:
 			c.log.Debug("submission not stored", "job", sub.ref, "error", err)
@@ -176,12 +178,12 @@
 		case result.Succeeded:
 			spec := sub.spec
 			c.log.Info("job accepted", "job", sub.ref, "class", spec.Class, "kind", spec.Kind, "tasks", spec.Tasks,
-				"cpu", spec.CPU, "priority", spec.Urgency, "dependencies", len(accept.record.DependsOn), "status", accept.status)
-			sub.reply <- Response{Code: http.StatusCreated, Ref: sub.ref, Status: accept.status}
+				"cpu", spec.CPU, "priority", spec.Urgency, "dependencies", len(newJob.record.DependsOn), "status", newJob.status)
+			sub.reply <- Response{Code: http.StatusCreated, Ref: sub.ref, Status: newJob.status}
 		case sub.precondition != nil && slices.Contains(result.FailedKeys, sub.precondition.Key):
 			sub.reply <- Response{Code: http.StatusConflict, Error: "the record that the submission depends on has changed"}
 		default:
-			c.handleAcceptanceConflict(sub, accept)
+			c.handleAcceptanceConflict(sub, newJob)
 		}
 	})
 }
@@ -191,8 +193,8 @@
 // the writes of a separate claim. A job that depends on a cancelled one is stored as cancelled.
 func (c *Controller) newAcceptance(sub submission) acceptance {
 	spec := sub.spec
-	accept := acceptance{status: jobs.Queued}
-	accept.record = jobs.JobRecord{
+	newJob := acceptance{status: jobs.Queued}
+	newJob.record = jobs.JobRecord{
 		Spec:         *spec,
 		AcceptedAtMS: time.Now().UnixMilli(),
 		AcceptedBy:   c.cfg.Node,
@@ -200,44 +202,44 @@
 	}
 	isDone := func(ref string) bool { return sub.dependencies[ref] == jobdag.Done }
 	isCancelled := func(ref string) bool { return sub.dependencies[ref] == jobdag.Cancelled }
-	accept.record.DependsOn = slices.DeleteFunc(slices.Clone(spec.DependsOn), isDone)
-	accept.txn.Conditions = []kvstore.Condition{{Key: jobs.JobKey(sub.ref)}, {Key: jobs.FinalKey(sub.ref)}}
-	if len(accept.record.DependsOn) == 0 {
-		c.claimImmediately(&accept)
+	newJob.record.DependsOn = slices.DeleteFunc(slices.Clone(spec.DependsOn), isDone)
+	newJob.txn.Conditions = []kvstore.Condition{{Key: jobs.JobKey(sub.ref)}, {Key: jobs.FinalKey(sub.ref)}}
+	if len(newJob.record.DependsOn) == 0 {
+		c.claimImmediately(&newJob)
 	}
 	if sub.precondition != nil {
-		accept.txn.Conditions = append(accept.txn.Conditions, *sub.precondition)
+		newJob.txn.Conditions = append(newJob.txn.Conditions, *sub.precondition)
 	}
-	if slices.ContainsFunc(accept.record.DependsOn, isCancelled) {
-		accept.status = jobs.Cancelled
-		accept.txn.Writes = []kvstore.Write{{Key: jobs.FinalKey(sub.ref), Value: kvstore.MustEncode(jobs.FinalState{Status: jobs.Cancelled})}}
-		return accept
+	if slices.ContainsFunc(newJob.record.DependsOn, isCancelled) {
+		newJob.status = jobs.Cancelled
+		newJob.txn.Writes = []kvstore.Write{{Key: jobs.FinalKey(sub.ref), Value: kvstore.MustEncode(jobs.FinalState{Status: jobs.Cancelled})}}
+		return newJob
 	}
-	accept.txn.Writes = []kvstore.Write{{Key: jobs.JobKey(sub.ref), Value: kvstore.MustEncode(accept.record)}}
-	return accept
+	newJob.txn.Writes = []kvstore.Write{{Key: jobs.JobKey(sub.ref), Value: kvstore.MustEncode(newJob.record)}}
+	return newJob
 }
 
 // claimImmediately adds to an acceptance the claim of all tasks of a small job for a shard of this
 // controller whose machines have room for them, on the precondition that this controller still owns the
 // shard. It changes nothing if there is no such shard.
-func (c *Controller) claimImmediately(accept *acceptance) {
-	shard := c.scheduler.ShardForImmediateClaim(&accept.record, c.inFlightClaimedTasks)
+func (c *Controller) claimImmediately(newJob *acceptance) {
+	shard := c.scheduler.ShardForImmediateClaim(&newJob.record, c.inFlightClaimedTasks)
 	if shard == nil {
 		return
 	}
-	accept.claimedTasks = accept.record.Tasks
-	accept.record.WholeClaim = claims.NewWholeJobClaim(shard, accept.record.Tasks)
-	accept.record.Unclaimed = []jobs.TaskInterval{}
-	accept.txn.Conditions = append(accept.txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + shard.ID(), Revision: shard.Epoch()})
+	newJob.claimedTasks = newJob.record.Tasks
+	newJob.record.WholeClaim = claims.NewWholeJobClaim(shard, newJob.record.Tasks)
+	newJob.record.Unclaimed = []jobs.TaskInterval{}
+	newJob.txn.Conditions = append(newJob.txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + shard.ID(), Revision: shard.Epoch()})
 }
 
-// handleAcceptanceConflict handles a submission whose transaction failed by its preconditions: the job
-// has been stored meanwhile, and its status is answered; or the shard that was to run the job has a new
-// owner, and the submission is retried at most maxSubmitRetries times.
-func (c *Controller) handleAcceptanceConflict(sub submission, accept acceptance) {
+// handleAcceptanceConflict handles a submission whose transaction failed because a precondition did not
+// hold. If another submission has stored the job, the answer is the job's status. If the shard that was to
+// run the job has a new owner, the submission is retried, at most maxSubmitRetries times.
+func (c *Controller) handleAcceptanceConflict(sub submission, newJob acceptance) {
 	c.findJob(sub.ref, true, func(response Response) {
 		switch {
-		case response.Code == http.StatusNotFound && accept.claimedTasks > 0 && sub.retries < maxSubmitRetries:
+		case response.Code == http.StatusNotFound && newJob.claimedTasks > 0 && sub.retries < maxSubmitRetries:
 			sub.retries++
 			c.submit(sub)
 		case response.Code == http.StatusNotFound:
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -16,8 +16,9 @@
 func tinyJob(i int) jobs.Spec { return fake.JobSpec(jobRef(1000+i), jobs.Array, 1, 0.25) }
 
 // A job of one task needs fewer than two writes, because it is claimed on acceptance and its completion
-// is written in a batch with others. With six writes for each job, the load of this test, twelve jobs a
-// second, would exceed the 50 writes a second that the store accepts from all controllers.
+// is written in a batch with the completions of other jobs. With six writes for each job, the load of
+// this test, twelve jobs a second, would exceed the 50 writes a second that the store accepts from all
+// controllers.
 func TestManyTinyJobsNeedFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 8)
@@ -72,7 +73,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		cluster.Store.DelayWatch("n2", 300*time.Millisecond) // the jobs are cancelled at n2
-		answered := map[string]jobs.Status{}
+		answeredStatus := map[string]jobs.Status{}
 		counts := map[jobs.Status]int{}
 		time.Sleep(2500 * time.Millisecond)
 		for i := range jobCount {
@@ -80,12 +81,12 @@
 			if response.Code != http.StatusOK {
 				t.Fatalf("the cancellation of %s was answered %+v", tinyJob(i).Ref, response)
 			}
-			answered[response.Ref] = response.Status
+			answeredStatus[response.Ref] = response.Status
 			counts[response.Status]++
 		}
 		cluster.CrashController("n0")
 		time.Sleep(20 * time.Second)
-		for ref, status := range answered {
+		for ref, status := range answeredStatus {
 			if response := cluster.Poll("n1", ref); response.Status != status {
 				t.Errorf("%s: answered %s, then %+v", ref, status, response)
 			}
