--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -91,9 +91,10 @@
 	}
 }
 
-// PreemptForClaim stops a task once a claim is durable, to free resources for the tasks of the claim. If
-// the task were stopped earlier and another controller's claim of the same job came first, the
-// preemption would be useless: over slow links 248 tasks were preempted for 160 urgent ones.
+// PreemptForClaim stops a task once a claim is durable, to free resources for the tasks of the
+// claim. If the task were stopped earlier and another controller's claim of the same job came
+// first, the preemption would be useless: over slow links 248 tasks were preempted for 160 urgent
+// ones.
 func (s *State) PreemptForClaim(taskRange *TaskRange, assignment *Assignment) {
 	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
 		s.Preempt(assignment)
@@ -178,8 +179,8 @@
 	s.markTaskDone(taskRange, index)
 }
 
-// markTaskDone marks a task as done unless it already is. If the task still has an assignment, the task is
-// stopped there. If the task belongs to a gang, the whole gang is done.
+// markTaskDone marks a task as done unless it already is. If the task still has an assignment, the
+// task is stopped there. If the task belongs to a gang, the whole gang is done.
 func (s *State) markTaskDone(taskRange *TaskRange, index int) {
 	if taskRange.TaskState(index) == TaskFinished {
 		return
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -124,8 +124,8 @@
 	return first
 }
 
-// MarkProbeUnanswered marks a machine that did not answer a probe, unless the machine has sent a heartbeat
-// under the current fencing token.
+// MarkProbeUnanswered marks a machine that did not answer a probe, unless the machine has sent a
+// heartbeat under the current fencing token.
 func (s *State) MarkProbeUnanswered(machine *Machine) {
 	entity.MutableFlags(machine).ProbeUnanswered = !machine.HasReported()
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -15,9 +15,10 @@
 // withdrawn, when its tasks have left their machines, and when their state is no longer known.
 func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
 
-// adoptGangAttempt updates a gang's attempt from the attempt number of a task that a worker reports.
-// An attempt that was not started is replaced by the reported one. A started attempt fails if the
-// reported number differs from its own. adoptGangAttempt does nothing for a job that is not a gang.
+// adoptGangAttempt updates a gang's attempt from the attempt number of a task that a worker
+// reports. An attempt that was not started is replaced by the reported one. A started attempt fails
+// if the reported number differs from its own. adoptGangAttempt does nothing for a job that is not
+// a gang.
 func adoptGangAttempt(job *Job, attempt uint64) {
 	if !job.IsGang() {
 		return
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -41,9 +41,10 @@
 	}
 }
 
-// NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks may
-// be started: all tasks are planned, none was started in this attempt, and either one is planned on a
-// worker that the record does not name, or it is not known which workers the record names.
+// NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks
+// may be started: all tasks are planned, none was started in this attempt, and either one is
+// planned on a worker that the record does not name, or it is not known which workers the record
+// names.
 func (r *TaskRange) NeedsHostsWrite() bool {
 	if r.tentative || r.job.gangAttempt.Started {
 		return false
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -117,7 +117,8 @@
 // SetDeleting sets whether a deletion of the range's record is in flight.
 func (r *TaskRange) SetDeleting(deleting bool) { r.deleting = deleting }
 
-// Truncate removes all tasks except the first count ones. The removed tasks belong to other ranges now.
+// Truncate removes all tasks except the first count ones. The removed tasks belong to other ranges
+// now.
 func (r *TaskRange) Truncate(count int) {
 	for i := count; i < len(r.tasks); i++ {
 		r.taskCounts[r.tasks[i].state]--
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -12,8 +12,9 @@
 	r.unclaimInterval = jobs.TaskInterval{First: first, Count: count}
 }
 
-// CancelUnclaim makes tasks ready again because their claim was not withdrawn. If the shard was lost and
-// acquired again since BeginUnclaim, the tasks are unknown instead of unclaiming, and stay unknown.
+// CancelUnclaim makes tasks ready again because their claim was not withdrawn. If the shard was
+// lost and acquired again since BeginUnclaim, the tasks are unknown instead of unclaiming, and stay
+// unknown.
 func (r *TaskRange) CancelUnclaim(first, count int) {
 	r.unclaimInterval = jobs.TaskInterval{}
 	for i := first; i < first+count && i < len(r.tasks); i++ {
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -32,8 +32,9 @@
 // the response to the worker's first heartbeat, which carries the new fencing token, or a probe.
 // Each exchange costs processor time and makes the worker send one more heartbeat, and after a
 // start of all controllers all workers make contact within the same second. So the rate of the
-// exchanges is limited, in proportion to the controller's processor limit. Responses are sent first, because the
-// workers' leases depend on them, and then probes to the workers that have sent no heartbeat.
+// exchanges is limited, in proportion to the controller's processor limit. Responses are sent
+// first, because the workers' leases depend on them, and then probes to the workers that have sent
+// no heartbeat.
 //
 // A FirstContact is not safe for concurrent use: the actor that owns its mailbox also owns it.
 type FirstContact struct {
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// isReconciling reports whether a shard's records are read and the shard's recovery is not complete.
+// isReconciling reports whether a shard's records are read and the shard's recovery is not
+// complete.
 //
 // This controller knows of the write that acquired the shard before the watch has delivered earlier
 // changes. A worker or task range that was recorded just before that write may still be missing in
@@ -220,8 +221,8 @@
 	isLeaseExpired  = (*Reconciler).leaseExpired
 )
 
-// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more, because
-// its lease has expired even if a controller renewed it as late as possible (see
+// leaseExpired reports whether an unconfirmed worker of a shard certainly runs no tasks any more,
+// because its lease has expired even if a controller renewed it as late as possible (see
 // Config.WorkerLeaseExpiresAt).
 func (r *Reconciler) leaseExpired(shard *membership.Shard, machine *clusterstate.Machine, now time.Time) bool {
 	return now.After(r.cfg.WorkerLeaseExpiresAt(shard.KnownSince(), machine.LastHeartbeatAt()))
