--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -84,8 +84,8 @@
 // deadline or objective. Background work gets only capacity that no other job needs.
 func (j *Job) IsBackground() bool { return j.background }
 
-// IsBestEffort reports whether the job is background work for which only spot machines are scaled
-// out or kept. Such a job uses free capacity of other machines as long as other work keeps them
+// IsBestEffort reports whether the job is background work for which only spot machines are added
+// or kept. Such a job uses free capacity of other machines as long as other work keeps them
 // running, but avoids surplus machines. After tuning.BackgroundSpotOnlyPeriod it is no longer
 // best-effort work, so that it does not wait forever.
 func (j *Job) IsBestEffort() bool { return j.bestEffort }
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -144,17 +144,17 @@
 // status must equal finalStatus.
 func checkAnswers(t *testing.T, seed uint64, ref string, answers []answer, finalStatus jobs.Status) {
 	t.Helper()
-	for i, later := range answers {
-		for _, earlier := range answers[:i] {
-			if isFinal(earlier.status) && later.requestedAt.After(earlier.receivedAt) && later.status != earlier.status {
-				t.Errorf("seed %d: %s was answered as %s, and later as %s", seed, ref, earlier.status, later.status)
+	for i, laterAnswer := range answers {
+		for _, earlierAnswer := range answers[:i] {
+			if isFinal(earlierAnswer.status) && laterAnswer.requestedAt.After(earlierAnswer.receivedAt) && laterAnswer.status != earlierAnswer.status {
+				t.Errorf("seed %d: %s was answered as %s, and later as %s", seed, ref, earlierAnswer.status, laterAnswer.status)
 			}
 		}
 		switch {
-		case later.status == jobs.Done && !later.isComplete:
+		case laterAnswer.status == jobs.Done && !laterAnswer.isComplete:
 			t.Errorf("seed %d: %s was answered as done before all its tasks were done", seed, ref)
-		case isFinal(later.status) && later.status != finalStatus:
-			t.Errorf("seed %d: %s was answered as %s, but its final status is %s", seed, ref, later.status, finalStatus)
+		case isFinal(laterAnswer.status) && laterAnswer.status != finalStatus:
+			t.Errorf("seed %d: %s was answered as %s, but its final status is %s", seed, ref, laterAnswer.status, finalStatus)
 		}
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -49,13 +49,13 @@
 // be called only when the cache is current.
 func (c *Controller) resolveFromStore(sub submission) {
 	unknownRefs := c.resolveLocally(&sub)
-	c.fetchFinalStates(unknownRefs, func(found map[string]jobdag.FinalState, err error) {
+	c.fetchFinalStates(unknownRefs, func(finalStates map[string]jobdag.FinalState, err error) {
 		if err != nil {
 			sub.reply <- unavailable(reasonStoreUnavailable)
 			return
 		}
 		for _, ref := range unknownRefs {
-			finalState, isAccepted := found[ref]
+			finalState, isAccepted := finalStates[ref]
 			if !isAccepted && sub.validationErr == nil {
 				sub.validationErr = fmt.Errorf("awaits: %w: %s was never accepted", admission.ErrUnsatisfiable, ref)
 			}
@@ -91,20 +91,20 @@
 // finalStateFetch is a read of the final states of several jobs, with a limited number of concurrent
 // requests.
 type finalStateFetch struct {
-	refs      []string
-	nextIndex int // index of the first job for which no read has begun
-	inFlight  int
-	found     map[string]jobdag.FinalState
-	err       error
-	done      func(found map[string]jobdag.FinalState, err error)
+	refs        []string
+	nextIndex   int // index of the first job for which no read has begun
+	inFlight    int
+	finalStates map[string]jobdag.FinalState
+	err         error
+	done        func(finalStates map[string]jobdag.FinalState, err error)
 }
 
 // fetchFinalStates reads the final states of jobs from the key-value store and calls done once. Jobs
-// without a final state, such as unfinished ones, are missing in found.
-func (c *Controller) fetchFinalStates(refs []string, done func(found map[string]jobdag.FinalState, err error)) {
-	fetch := &finalStateFetch{refs: refs, found: map[string]jobdag.FinalState{}, done: done}
+// without a final state, such as unfinished ones, are missing in finalStates.
+func (c *Controller) fetchFinalStates(refs []string, done func(finalStates map[string]jobdag.FinalState, err error)) {
+	fetch := &finalStateFetch{refs: refs, finalStates: map[string]jobdag.FinalState{}, done: done}
 	if len(refs) == 0 {
-		done(fetch.found, nil)
+		done(fetch.finalStates, nil)
 		return
 	}
 	c.continueFetch(fetch)
@@ -123,10 +123,10 @@
 			case err != nil:
 				fetch.err = err
 			case exists:
-				fetch.found[ref] = jobdag.FinalStateOf(final.Status)
+				fetch.finalStates[ref] = jobdag.FinalStateOf(final.Status)
 			}
 			if fetch.inFlight == 0 && (fetch.err != nil || fetch.nextIndex == len(fetch.refs)) {
-				fetch.done(fetch.found, fetch.err)
+				fetch.done(fetch.finalStates, fetch.err)
 				return
 			}
 			c.continueFetch(fetch)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -93,10 +93,10 @@
 func TestBlockedJobUsesNoQuota(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 3)
-		blocked := quotaJob("wk-2", jobs.Gang, 4)
-		blocked.DependsOn = []string{"wk-1"}
+		blockedJob := quotaJob("wk-2", jobs.Gang, 4)
+		blockedJob.DependsOn = []string{"wk-1"}
 		requireAccepted(t, cluster, "n0", quotaJob("wk-1", jobs.Gang, 2), 40*time.Second)
-		requireAccepted(t, cluster, "n0", blocked, 5*time.Second)
+		requireAccepted(t, cluster, "n0", blockedJob, 5*time.Second)
 		requireAccepted(t, cluster, "n1", quotaJob("wk-3", jobs.Gang, 2), 5*time.Second)
 		requireDone(t, cluster, "n0", "wk-3", 30*time.Second)
 		if response := cluster.Poll("n1", "wk-2"); response.Status != jobs.Queued {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -40,14 +40,14 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-6", jobs.Array, 60, 1), 20*time.Second)
 		time.Sleep(3 * time.Second)
-		unreachable := "i-000007" // must not delay the probes of the other workers
-		cutLinks(cluster, unreachable, true, controllerNames...)
+		unreachableHost := "i-000007" // must not delay the probes of the other workers
+		cutLinks(cluster, unreachableHost, true, controllerNames...)
 		cluster.CrashController("n0")
 		time.Sleep(5500 * time.Millisecond)
 		if count := cluster.ProbeCount(); count != 19 {
 			t.Errorf("%d workers were probed, want 19", count)
 		}
-		cutLinks(cluster, unreachable, false, controllerNames...)
+		cutLinks(cluster, unreachableHost, false, controllerNames...)
 		requireDone(t, cluster, "n2", "wk-6", 90*time.Second)
 	})
 }
@@ -123,10 +123,10 @@
 	}
 }
 
-// A shard's owner crashes, or is isolated together with its workers, while the machines run long tasks. The
-// links between the machines and the other controllers are cut; or some machines receive neither commands nor
-// answers, while their heartbeats still arrive. No task may start a second time before its first run has
-// ended, and all tasks must complete.
+// A shard's owner crashes, or is isolated together with its workers, while the machines run long tasks.
+// The links between the machines and the other controllers are cut. In some cases, half of the machines
+// keep their links instead, but receive neither commands nor answers, while their heartbeats still
+// arrive. No task may start a second time before its first run has ended, and all tasks must complete.
 func TestOwnerCrashWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name              string
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -14,9 +14,9 @@
 
 // updateHealth updates the status that Healthy reports.
 func (c *Controller) updateHealth(now time.Time) {
-	if last := c.health.Load(); last != nil && now.Sub(last.checkedAt) > tuning.ProcessStallThreshold {
-		// The process was stalled, so that no message could arrive. If the silence were taken for an
-		// outage of the store, users would stay at a controller that has lost its shards.
+	if lastStatus := c.health.Load(); lastStatus != nil && now.Sub(lastStatus.checkedAt) > tuning.ProcessStallThreshold {
+		// The process was stalled, so that no answer of the store was handled. If this silence were
+		// taken for an outage of the store, users would stay at a controller that has lost its shards.
 		c.resumedAt = now
 	}
 	storeSilentFor := now.Sub(c.cache.LastContactAt())
--- a/internal/controller/localstate.go
+++ b/internal/controller/localstate.go
@@ -29,35 +29,35 @@
 // ended. Shards and Jobs are empty if the cache is not synced, or if it is so old that this controller may
 // not renew worker leases: another controller may own the shards by now, and the state could contradict
 // what that controller does.
-func (c *Controller) LocalState(refs []string) (local LocalState, ok bool) {
+func (c *Controller) LocalState(refs []string) (result LocalState, ok bool) {
 	return actor.Ask(c.mailbox, func() LocalState {
 		now := time.Now()
-		local := LocalState{Synced: c.cache.Synced(), Shards: map[string]uint64{}, Jobs: map[string]LocalJob{}}
-		if !local.Synced || !c.cache.MayRenewWorkerLeases(now) {
-			return local
+		result := LocalState{Synced: c.cache.Synced(), Shards: map[string]uint64{}, Jobs: map[string]LocalJob{}}
+		if !result.Synced || !c.cache.MayRenewWorkerLeases(now) {
+			return result
 		}
 		for _, shard := range c.members.LocalShards() {
 			if c.cache.HasReachedEpoch(shard) {
-				local.Shards[shard.ID()] = shard.Epoch()
+				result.Shards[shard.ID()] = shard.Epoch()
 			}
 		}
 		for _, ref := range refs {
-			local.Jobs[ref] = c.localJob(ref, now)
+			result.Jobs[ref] = c.localJob(ref, now)
 		}
-		return local
+		return result
 	})
 }
 
 func (c *Controller) localJob(ref string, now time.Time) LocalJob {
 	if job := c.state.Job(ref); job != nil && !job.HasEnded() {
-		local := LocalJob{
+		result := LocalJob{
 			IsUnfinished: true,
 			Spec:         job.Record().Spec,
 			AcceptedAtMS: job.Record().AcceptedAtMS,
 			IsFaulty:     c.faults.IsJobFaulty(ref) || c.peers.IsFaultyJob(ref, now),
 		}
-		local.DoneTasks, local.ActiveTasks = job.Progress()
-		return local
+		result.DoneTasks, result.ActiveTasks = job.Progress()
+		return result
 	}
 	if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
 		return LocalJob{FinalStatus: final.Status, DoneTasks: final.Tasks}
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -69,7 +69,7 @@
 		time.Sleep(3 * time.Second)
 		hosts := cluster.Hosts()
 		blockOutbound(cluster, hosts, true)
-		addMachines(cluster, 4) // takes 5 s
+		addMachines(cluster, 4) // waits 5 s for the machines to boot
 		requireAccepted(t, cluster, "n2", fake.JobSpec("wk-3", jobs.Array, 8, 1), 2*time.Second)
 		requireDone(t, cluster, "n2", "wk-3", 6*time.Second) // before any lease expires
 		if response := cluster.Poll("n1", "wk-1"); response.Status != jobs.Done {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -132,9 +132,9 @@
 // acquired it.
 func confirmedWorkerCount(cluster *fake.Cluster, shard string) int {
 	view, _ := cluster.Nodes[cluster.OwnerOf(shard)].Controller.View(admin.ViewReconciliation)
-	for _, reconciled := range view.([]reconciliation.View) {
-		if reconciled.Shard == shard {
-			return reconciled.ConfirmedWorkers
+	for _, shardView := range view.([]reconciliation.View) {
+		if shardView.Shard == shard {
+			return shardView.ConfirmedWorkers
 		}
 	}
 	return 0
@@ -227,8 +227,8 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if confirmed, reachable := confirmedWorkerCount(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmed < reachable*95/100 {
-			t.Errorf("%d of %d reachable workers were reached in 1.5 s", confirmed, reachable)
+		if confirmedWorkers, reachableWorkers := confirmedWorkerCount(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmedWorkers < reachableWorkers*95/100 {
+			t.Errorf("%d of %d reachable workers were reached in 1.5 s", confirmedWorkers, reachableWorkers)
 		}
 		requireAccepted(t, cluster, "n2", urgentGang(), 5*time.Second)
 		requireDone(t, cluster, "n1", "wk-7000", 12*time.Second)
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -20,7 +20,7 @@
 // controllerZones places one controller in zone a and two in zone b.
 var controllerZones = map[string]string{"n0": "a", "n1": "b", "n2": "b"}
 
-// controllerName returns the name of controller i modulo the number of controllers.
+// controllerName returns the name of the controller whose index is i modulo the number of controllers.
 func controllerName(i int) string { return fmt.Sprintf("n%d", i%3) }
 
 func jobRef(i int) string { return fmt.Sprintf("wk-%d", i) }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -98,8 +98,8 @@
 		done(unfinishedResponse(job))
 		return
 	}
-	c.fetchFinalStates(unknownRefs, func(found map[string]jobdag.FinalState, err error) {
-		if err != nil || len(found) < len(unknownRefs) { // one unknown final state leaves open whether the job is cancelled
+	c.fetchFinalStates(unknownRefs, func(finalStates map[string]jobdag.FinalState, err error) {
+		if err != nil || len(finalStates) < len(unknownRefs) { // one unknown final state leaves open whether the job is cancelled
 			done(unavailable(reasonStoreUnavailable))
 			return
 		}
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -242,17 +242,17 @@
 // checkAndRecord checks that an answer does not contradict an earlier one, and records it.
 func (r *tinyJobRun) checkAndRecord(t *testing.T, request, ref string, response controller.Response) {
 	t.Helper()
-	earlier := r.knownStatus[ref]
+	earlierStatus := r.knownStatus[ref]
 	isRefused := response.Code == http.StatusBadRequest || response.Code == http.StatusUnprocessableEntity
 	switch {
-	case response.Code == http.StatusNotFound && earlier != "" || isRefused:
-		t.Errorf("%s: %s of a job with the earlier status %q answered %d", ref, request, earlier, response.Code)
+	case response.Code == http.StatusNotFound && earlierStatus != "" || isRefused:
+		t.Errorf("%s: %s of a job with the earlier status %q answered %d", ref, request, earlierStatus, response.Code)
 	case response.Code != http.StatusOK && response.Code != http.StatusCreated:
-	case isFinal(earlier) && response.Status != earlier:
-		t.Errorf("%s: reported as %s, then as %s by %s", ref, earlier, response.Status, request)
+	case isFinal(earlierStatus) && response.Status != earlierStatus:
+		t.Errorf("%s: reported as %s, then as %s by %s", ref, earlierStatus, response.Status, request)
 	case isFinal(response.Status):
 		r.knownStatus[ref] = response.Status
-	case earlier == "":
+	case earlierStatus == "":
 		r.knownStatus[ref] = acceptedStatus
 	}
 }
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -19,7 +19,7 @@
 	Probe(ctx context.Context, addr string, fencingToken, agentEpoch uint64) (*workerapi.Heartbeat, error)
 }
 
-// AgentSessions is the part of the agent session manager that FirstContact uses.
+// AgentSessions is the part of workersession.Manager that FirstContact uses.
 type AgentSessions interface {
 	// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
 	AgentEpoch(machine *clusterstate.Machine) uint64
@@ -51,7 +51,7 @@
 	timer            *time.Timer // calls Run at timerDueAt
 	timerDueAt       time.Time
 	// Numbers of probes in flight. Slow probes will most likely not be answered, and count only
-	// against the larger limit in atProbeLimit. Otherwise they would delay the probes of reachable
+	// against the larger limit in isAtProbeLimit. Otherwise they would delay the probes of reachable
 	// workers: while 230 workers of a shard were behind a network partition, it took 15 s to probe the
 	// others.
 	recentProbes, slowProbes int
@@ -176,7 +176,7 @@
 // most once.
 func (c *FirstContact) sendProbes() {
 	for range len(c.probeQueue) {
-		if c.atProbeLimit() {
+		if c.isAtProbeLimit() {
 			return
 		}
 		machine := c.probeQueue[0]
@@ -201,7 +201,7 @@
 	}
 }
 
-func (c *FirstContact) atProbeLimit() bool {
+func (c *FirstContact) isAtProbeLimit() bool {
 	return c.recentProbes >= tuning.MaxConcurrentFirstContacts ||
 		c.recentProbes+c.slowProbes >= tuning.MaxOpenFirstContacts
 }
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -83,7 +83,7 @@
 // written. It counts the worker if the worker's shard was acquired recently.
 func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
-	if recovery != nil && recovery.inTrackingPeriod(now) {
+	if recovery != nil && recovery.isInTrackingPeriod(now) {
 		recovery.discrepancies[WorkerUnrecorded]++
 	}
 }
@@ -92,7 +92,7 @@
 // recently.
 func (r *Reconciler) CommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
-	if recovery == nil || !recovery.inTrackingPeriod(now) {
+	if recovery == nil || !recovery.isInTrackingPeriod(now) {
 		return
 	}
 	for _, command := range commands {
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -54,9 +54,9 @@
 	s.lastConfirmed = machine.Host()
 }
 
-// inTrackingPeriod reports whether the shard was acquired so recently that commands and registrations
+// isInTrackingPeriod reports whether the shard was acquired so recently that commands and registrations
 // still count as part of its recovery.
-func (s *shardRecovery) inTrackingPeriod(now time.Time) bool {
+func (s *shardRecovery) isInTrackingPeriod(now time.Time) bool {
 	return now.Sub(s.acquiredAt) < tuning.AcquisitionTrackingPeriod
 }
 
