--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -126,5 +126,5 @@
 		fmt.Println("violation:", violation)
 	}
 	fmt.Printf("seed %d: %d violations; %d jobs, %d of them not seen to end, the histories of %d not checked in time, %d requests, %d task starts; the limited team was at its limit for %.0f%% of the time\n",
-		seed, len(result.Violations), result.Jobs, result.Unfinished, result.Unchecked, result.Requests, result.Starts, 100*result.AtLimit)
+		seed, len(result.Violations), result.Jobs, result.Unfinished, result.Unchecked, result.Requests, result.Starts, 100*result.AtLimitShare)
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -95,7 +95,7 @@
 			for _, host := range []string{"i-1", "i-2", "i-3"} {
 				liveMachines[host] = capacity.Group{Zone: "a", MachineType: "m4", Spot: test.spot}
 			}
-			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines, UrgentGangCPU: test.urgentGangCPU}
+			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines, CPULeftByUrgentGangs: test.urgentGangCPU}
 			if count := machineCount(a.planScaleOut(demand)); count != test.want {
 				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, countWithoutLive)
 			}
@@ -186,7 +186,7 @@
 		liveMachines[fmt.Sprintf("i-%d", i)] = capacity.Group{Zone: "a", MachineType: "m4"}
 	}
 	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines,
-		Running: map[string]scheduler.RunningWork{"guest": {CPU: 390, RemainingSeconds: 300, Background: true}}}
+		Running: map[string]scheduler.RunningWork{"guest": {CPU: 390, RemainingSeconds: 300, IsBackground: true}}}
 	if n := machineCount(newTestAutoscaler().planScaleOut(demand)); n > 10 {
 		t.Errorf("%d machines requested for 40 short tasks", n)
 	}
@@ -194,7 +194,7 @@
 
 func TestBestEffortJobsGetNoOnDemandMachines(t *testing.T) {
 	job := waitingJob(jobs.Array, 4000, 1, 300)
-	job.Record.Spot, job.Background, job.BestEffort = true, true, true
+	job.Record.Spot, job.IsBackground, job.IsBestEffort = true, true, true
 	a := newTestAutoscaler()
 	for _, request := range a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}}) {
 		if !request.Spot {
@@ -205,7 +205,7 @@
 	if n := machineCount(a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}})); n != 0 {
 		t.Errorf("%d on-demand machines requested", n)
 	}
-	job.BestEffort = false
+	job.IsBestEffort = false
 	if n := machineCount(a.planScaleOut(scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}})); n == 0 {
 		t.Error("no machine requested for a job that is worth on-demand machines")
 	}
--- a/internal/autoscaler/choose.go
+++ b/internal/autoscaler/choose.go
@@ -61,7 +61,7 @@
 // work. After the cloud had no capacity for the group, no machine of the group is requested for
 // tuning.CapacityRefusalBackoff.
 func (a *Autoscaler) canRequest(job scheduler.PendingJob, group capacity.Group, spotAllowed bool) bool {
-	if group.Spot && !spotAllowed || !group.Spot && job.BestEffort {
+	if group.Spot && !spotAllowed || !group.Spot && job.IsBestEffort {
 		return false
 	}
 	return a.fits(job, group) && time.Since(a.refusedAt[group]) >= tuning.CapacityRefusalBackoff
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -123,7 +123,7 @@
 	remainingTasks := unplacedTasks + spotOnly
 	for remainingTasks > 0 {
 		candidate := job
-		candidate.BestEffort = candidate.BestEffort || remainingTasks <= spotOnly
+		candidate.IsBestEffort = candidate.IsBestEffort || remainingTasks <= spotOnly
 		group, ok := p.chooseGroup(candidate, p.demand.Settings.Spot, p.machinesInZone, zone, remainingTasks)
 		if !ok {
 			return
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -90,7 +90,7 @@
 // is requested for that part of the shortfall.
 func (p *planner) computeArrayShortfall(job scheduler.PendingJob) arrayShortfall {
 	class := job.Record.Class
-	p.precedingWork[class] = p.precedingWork[class].Add(float64(job.Tasks)*job.Need.CPU, job.RunSeconds, job.Background)
+	p.precedingWork[class] = p.precedingWork[class].Add(float64(job.Tasks)*job.Need.CPU, job.RunSeconds, job.IsBackground)
 	if job.Need.CPU <= 0 {
 		return arrayShortfall{tasks: job.Tasks}
 	}
@@ -134,7 +134,7 @@
 // CPUs that gangs use are subtracted, and for a background job also the reserve of the other classes.
 func (p *planner) availableCPU(job scheduler.PendingJob) float64 {
 	available := -p.demand.GangCPU
-	if job.Background {
+	if job.IsBackground {
 		available -= p.demand.BackgroundReserveCPU
 	}
 	for _, group := range p.demand.LiveMachines {
@@ -163,7 +163,7 @@
 			onDemandCPU += p.usableCPU(job, group)
 		}
 	}
-	return availableCPU - max(0, onDemandCPU-p.demand.UrgentGangCPU)
+	return availableCPU - max(0, onDemandCPU-p.demand.CPULeftByUrgentGangs)
 }
 
 // hasPendingFor reports whether a pending machine can run the job.
@@ -180,7 +180,7 @@
 // follows from the job's deadline or the objective of its class, with a safety margin, and may be
 // negative.
 func (a *Autoscaler) timeBudget(job scheduler.PendingJob) time.Duration {
-	if job.Background {
+	if job.IsBackground {
 		return tuning.BackgroundHorizon
 	}
 	longestBootSeconds := 0.0
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -198,7 +198,7 @@
 // invariant was violated.
 func (s *limitsScenario) checkRecords() {
 	s.t.Helper()
-	if keys := s.cluster.Store.OversizedWrites(); len(keys) > 0 {
+	if keys := s.cluster.Store.OversizedKeys(); len(keys) > 0 {
 		s.t.Errorf("%d writes were rejected because they exceed the limits: %v", len(keys), keys[:min(8, len(keys))])
 	}
 	if settings, _, ok := s.cluster.Nodes["n1"].Controller.Settings(); !ok || len(settings.Drain) != 300 {
@@ -213,7 +213,7 @@
 // intervals of unclaimed tasks, and a completion batch.
 func putOldRecords(t *testing.T, cluster *fake.Cluster) {
 	t.Helper()
-	record := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 700, 0.2), AcceptedAtMS: time.Now().UnixMilli(), AcceptedBy: "n0", Completed: 350}
+	record := jobs.JobRecord{Spec: fake.JobSpec("wk-1", jobs.Array, 700, 0.2), AcceptedAtMS: time.Now().UnixMilli(), AcceptedBy: "n0", CompletedTasks: 350}
 	for i := range 350 {
 		record.Unclaimed = append(record.Unclaimed, jobs.TaskInterval{First: 2 * i, Count: 1})
 	}
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -24,7 +24,7 @@
 func (w *Writer) IsSmallJob(record *jobs.JobRecord) bool {
 	team, _ := w.cfg.Team(record.Team)
 	return record.Kind == jobs.Array && record.Tasks <= tuning.MaxSmallJobTasks && !record.OneZone && !record.Spread &&
-		record.Completed == 0 && !quota.IsLimited(team)
+		record.CompletedTasks == 0 && !quota.IsLimited(team)
 }
 
 // NewWholeJobClaim returns the claim of all tasks of a job, which is stored in the job's own
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -50,7 +50,7 @@
 func (w *Writer) pendingCompletions(job *clusterstate.Job, now time.Time) pendingCompletions {
 	// A transaction also needs a change for the job's record and one for its final state.
 	maxRanges := w.cfg.EffectiveStateLimits().TxnOps - 2
-	pending := pendingCompletions{doneTasks: job.Record().Completed, hasOpenTasks: len(job.Record().Unclaimed) > 0}
+	pending := pendingCompletions{doneTasks: job.Record().CompletedTasks, hasOpenTasks: len(job.Record().Unclaimed) > 0}
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() {
 			continue
@@ -107,9 +107,9 @@
 			txn.Conditions = append(txn.Conditions, rangeCondition(taskRange))
 			txn.Writes = append(txn.Writes, kvstore.Write{DeleteKey: rangeKey(taskRange)})
 		}
-		record.Completed += taskRange.Record().Count
+		record.CompletedTasks += taskRange.Record().Count
 	}
-	isDone := record.Completed == record.Tasks
+	isDone := record.CompletedTasks == record.Tasks
 	if isDone {
 		txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.FinalKey(job.Ref())})
 		txn.Writes = append(txn.Writes, jobDoneWrites(job.Ref(), record.Tasks)...)
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -231,7 +231,7 @@
 			if _, ok := w.unusedAllocation(team, shard); !ok {
 				continue
 			}
-			allocated, usage := w.Quotas.Recorded(team, shard.ID()), w.usageOf(team, shard.ID())
+			allocated, usage := w.Quotas.RecordedAllocation(team, shard.ID()), w.usageOf(team, shard.ID())
 			if !allocated.Covers(usage.certainUsage) {
 				w.Violations.Report(decisionlog.UsageWithinAllocation, "team", team.Name, "shard", shard.ID(), "epoch", shard.Epoch(),
 					"usage_cpu", usage.certainUsage.CPU, "usage_gpu", usage.certainUsage.GPU, "allocated_cpu", allocated.CPU, "allocated_gpu", allocated.GPU,
--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -21,9 +21,9 @@
 
 // RunningJob is a running gang or service.
 type RunningJob struct {
-	Class           string
-	Tasks           int
-	ExpectedSeconds float64 // expected run time
+	Class              string
+	Tasks              int
+	ExpectedRunSeconds float64 // expected run time
 }
 
 // GrowthBuffers returns the growth buffers of the classes of urgent gangs. The other classes have none:
@@ -69,7 +69,7 @@
 // expectedCompletions returns the expected number of tasks of the job that end during a boot, and the
 // variance of that number. It assumes that all tasks of a job end together.
 func (j RunningJob) expectedCompletions(bootSeconds float64) (tasks, variance float64) {
-	size, probability := float64(j.Tasks), min(1, bootSeconds/max(j.ExpectedSeconds, 1))
+	size, probability := float64(j.Tasks), min(1, bootSeconds/max(j.ExpectedRunSeconds, 1))
 	return size * probability, size * size * probability * (1 - probability)
 }
 
--- a/internal/classstats/stats_test.go
+++ b/internal/classstats/stats_test.go
@@ -16,7 +16,7 @@
 	for i := range 20 { // not in the order of arrival
 		arrivedAt := now.Add(-time.Duration((i*7)%20+1) * 3 * time.Second)
 		stats.RecordArrival(&jobs.JobRecord{Spec: spec, AcceptedAtMS: arrivedAt.UnixMilli()}, arrivedAt.UnixMilli(), now)
-		running = append(running, RunningJob{Class: "c", Tasks: 8, ExpectedSeconds: 70}, RunningJob{Class: "other", Tasks: 500, ExpectedSeconds: 1})
+		running = append(running, RunningJob{Class: "c", Tasks: 8, ExpectedRunSeconds: 70}, RunningJob{Class: "other", Tasks: 500, ExpectedRunSeconds: 1})
 	}
 	withoutRunning := stats.GrowthBuffers(now, 35, 1, nil)[0].Tasks
 	withRunning := stats.GrowthBuffers(now, 35, 1, running)[0].Tasks
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -48,7 +48,7 @@
 	s.setSpec(job, record, spotInUse)
 	s.dependencies.ApplyRecord(job.Record(), time.Now())
 	s.updateDependencyState(job.Ref())
-	isBlocked := entity.SetBlocked(job)
+	isBlocked := entity.UpdateBlocked(job)
 	if !hadRecord && !isBlocked {
 		s.classStats.RecordArrival(record, job.RunnableSinceMS(), time.Now())
 	}
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -145,7 +145,7 @@
 		// forever.
 		gang.Failed = true
 	}
-	if !gang.Started && tasks.ready == 0 && entity.GangPlannedFor(job) > tuning.MaxPreemptionWait {
+	if !gang.Started && tasks.ready == 0 && entity.TimeSinceGangPlanned(job) > tuning.MaxPreemptionWait {
 		gang.Failed = true // the resources that the gang waited for did not become free in time
 	}
 	if gang.Failed {
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -168,7 +168,7 @@
 // Progress returns how many of the job's tasks are durably done, and how many are on workers. All open
 // tasks of shards that other controllers own are counted as on workers.
 func (j *Job) Progress() (done, active int) {
-	done = j.record.Completed
+	done = j.record.CompletedTasks
 	for _, taskRange := range j.taskRanges {
 		if taskRange.tentative {
 			continue
@@ -258,8 +258,8 @@
 	}
 }
 
-// SetBlocked returns whether a job is blocked by dependencies, and stores the result for Unblock.
-func SetBlocked(j *Job) bool {
+// UpdateBlocked returns whether a job is blocked by dependencies, and stores the result for Unblock.
+func UpdateBlocked(j *Job) bool {
 	j.blockedAtLastCheck = j.dependencyNode.IsBlocked()
 	return j.blockedAtLastCheck
 }
@@ -283,8 +283,8 @@
 	j.gangPlannedAt = time.Now()
 }
 
-// GangPlannedFor returns the time since the last BeginGangAttempt.
-func GangPlannedFor(j *Job) time.Duration { return time.Since(j.gangPlannedAt) }
+// TimeSinceGangPlanned returns the time since the last BeginGangAttempt.
+func TimeSinceGangPlanned(j *Job) time.Duration { return time.Since(j.gangPlannedAt) }
 
 // AddTaskRange adds a range to its job.
 func AddTaskRange(r *TaskRange) { r.job.taskRanges[r.first] = r }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -56,7 +56,7 @@
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 40, 8
 	cfg.Cluster.Teams = []config.Team{{Name: "ops"}}
 	c := New(b.Context(), cfg, unavailableStore{}, unavailableCloud{}, nil, benchIncarnation, func(string) {}, slog.New(slog.DiscardHandler))
-	c.machineTypes.SetFromCloud([]cloud.MachineType{{Name: "m16", CPU: 16, MemGB: 64, HourlyPrice: 1, SpotHourlyPrice: 0.3, StartupS: 35, Zones: []string{"a"}}})
+	c.machineTypes.SetCloudTypes([]cloud.MachineType{{Name: "m16", CPU: 16, MemGB: 64, HourlyPrice: 1, SpotHourlyPrice: 0.3, StartupS: 35, Zones: []string{"a"}}})
 	c.cache.ApplyEvents(nil, 1<<30)
 	c.passReadBarrier()
 	c.cache.ApplyWrite(jobs.ShardPrefix+benchShard, membership.EncodeShard(benchShard, benchIncarnation, nil, time.Now()), benchEpoch)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -185,14 +185,14 @@
 func (c *Controller) cacheHooks() statecache.Hooks {
 	return statecache.Hooks{
 		Reset:               c.resetComponents,
-		MachineOwnerChanged: func(machine *clusterstate.Machine) { c.sessions.OwnerChanged(machine) },
+		MachineOwnerChanged: func(machine *clusterstate.Machine) { c.sessions.HandleOwnerChange(machine) },
 		MachineMoved:        func(machine *clusterstate.Machine) { c.sessions.FirstContact().EnqueueProbe(machine) },
 		MachineRemoved:      func(machine *clusterstate.Machine) { c.sessions.RemoveWorker(machine) },
 		AwaitHandover: func(shard string, now time.Time) bool {
 			return c.sendToPeer != nil && c.handover.ShouldAwaitTransfer(shard, now)
 		},
 		WatchEventsApplied: func() {
-			c.handover.CacheAdvanced(time.Now())
+			c.handover.HandleCacheAdvance(time.Now())
 			c.sessions.ProcessDeferredHeartbeats()
 			c.sessions.FirstContact().Run()
 		},
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -92,7 +92,7 @@
 // utilization.
 func (c *Controller) recount(now time.Time) {
 	c.scheduler.Recount(now)
-	c.state.Dependencies().RefreshExpectedRuns()
+	c.state.Dependencies().RefreshInheritedDeadlines()
 	c.cache.StoreMachineTypes(now)
 	c.lifecycle.LogUtilization()
 }
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -71,7 +71,7 @@
 				t.Errorf("no record under %s was written, so the scenario does not cover it", prefix)
 			}
 		}
-		if keys := cluster.Store.UnconditionalWrites(); len(keys) > 0 {
+		if keys := cluster.Store.UnconditionalKeys(); len(keys) > 0 {
 			t.Errorf("keys written without a precondition: %v", keys)
 		}
 	})
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -99,7 +99,7 @@
 	}
 	time.Sleep(6 * time.Second)
 	for i := range jobCount {
-		for _, host := range cluster.StartedOn(jobs.TaskName(jobRef(i+1), 0)) {
+		for _, host := range cluster.CommandedHosts(jobs.TaskName(jobRef(i+1), 0)) {
 			if losesMachines {
 				_ = cluster.Release(t.Context(), []string{host})
 			}
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -23,7 +23,7 @@
 // counted again.
 func (c *Controller) SetMachineTypes(types []cloud.MachineType) {
 	c.mailbox.Send(func() {
-		c.machineTypes.SetFromCloud(types)
+		c.machineTypes.SetCloudTypes(types)
 		c.state.RecountAllMachines()
 	})
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -16,7 +16,7 @@
 	startedAt := time.Now()
 	c.mailbox.Send(func() {
 		c.isLeaving = true
-		c.handover.Leave()
+		c.handover.PrepareShutdown()
 		c.awaitHandovers(startedAt, finished)
 	})
 	select {
--- a/internal/diagnostics/jobs.go
+++ b/internal/diagnostics/jobs.go
@@ -125,7 +125,7 @@
 	}
 	reason := r.deps.Scheduler.WaitReason(job)
 	switch {
-	case job.Record().Completed > 0:
+	case job.Record().CompletedTasks > 0:
 		return ""
 	case unknownTasks > 0:
 		return fmt.Sprintf("%d tasks may be on machines that can't be asked", unknownTasks)
--- a/internal/fake/harness/cloud.go
+++ b/internal/fake/harness/cloud.go
@@ -8,16 +8,16 @@
 
 // Cloud is a fake cloud that lists Machines, and fails to release machines unless AcceptsReleases is set.
 type Cloud struct {
-	AcceptsReleases bool
-	Machines        []cloud.Machine
-	ReleaseCalls    int // how often Release was called
-	ReleasedHosts   int // how many machines these calls named, including calls that failed
+	AcceptsReleases   bool
+	Machines          []cloud.Machine
+	ReleaseCalls      int // how often Release was called
+	ReleasedHostCount int // how many machines these calls named, including calls that failed
 }
 
 // Release returns cloud.ErrUnavailable unless AcceptsReleases is set.
 func (c *Cloud) Release(_ context.Context, hosts []string) error {
 	c.ReleaseCalls++
-	c.ReleasedHosts += len(hosts)
+	c.ReleasedHostCount += len(hosts)
 	if c.AcceptsReleases {
 		return nil
 	}
--- a/internal/fake/harness/harness.go
+++ b/internal/fake/harness/harness.go
@@ -140,7 +140,7 @@
 		FeatureGate:       featuregate.New(Self, []string{Self, OtherNode}),
 	}, statecache.Hooks{
 		Reset:               func() {},
-		MachineOwnerChanged: func(m *clusterstate.Machine) { h.Sessions.OwnerChanged(m) },
+		MachineOwnerChanged: func(m *clusterstate.Machine) { h.Sessions.HandleOwnerChange(m) },
 		MachineMoved:        func(m *clusterstate.Machine) { h.Sessions.FirstContact().EnqueueProbe(m) },
 		MachineRemoved:      func(m *clusterstate.Machine) { h.Sessions.RemoveWorker(m) },
 		WatchEventsApplied:  func() { h.Sessions.FirstContact().Run() },
@@ -271,7 +271,7 @@
 // OfferMachineTypes adds machine types with 16 CPUs to those that the cloud offers.
 func (h *Harness) OfferMachineTypes(names ...string) {
 	for _, name := range names {
-		h.MachineTypes.SetFromCloud([]cloud.MachineType{
+		h.MachineTypes.SetCloudTypes([]cloud.MachineType{
 			{Name: name, CPU: 16, MemGB: 64, HourlyPrice: 1, SpotHourlyPrice: 0.3, StartupS: 15}})
 	}
 	h.State.RecountAllMachines()
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -111,8 +111,8 @@
 	return hosts
 }
 
-// StartedOn lists the machines on which a task was ever started.
-func (c *Cluster) StartedOn(task string) []string {
+// CommandedHosts lists the machines on which a task was ever started.
+func (c *Cluster) CommandedHosts(task string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var hosts []string
--- a/internal/fake/memstore/memstore.go
+++ b/internal/fake/memstore/memstore.go
@@ -237,15 +237,15 @@
 	return count
 }
 
-// UnconditionalWrites lists the keys of writes that were requested without a precondition.
-func (s *Store) UnconditionalWrites() []string {
+// UnconditionalKeys lists the keys of writes that were requested without a precondition.
+func (s *Store) UnconditionalKeys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.unconditionalKeys)
 }
 
-// OversizedWrites lists the keys of writes that were rejected because of their size or number.
-func (s *Store) OversizedWrites() []string {
+// OversizedKeys lists the keys of writes that were rejected because of their size or number.
+func (s *Store) OversizedKeys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.oversizedKeys)
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -52,8 +52,8 @@
 type Attribution struct {
 	// JobPause is how long the job has to wait if it is found at fault; otherwise it is 0.
 	JobPause time.Duration
-	// MachineFaulty is set when the machine is found at fault.
-	MachineFaulty bool
+	// IsMachineFaulty is set when the machine is found at fault.
+	IsMachineFaulty bool
 }
 
 // New returns an attributor without evidence.
@@ -94,7 +94,7 @@
 		return Attribution{JobPause: a.pauseJob(ref, job, now)}
 	}
 	if a.markMachineIfFaulty(machine, thresholds) {
-		return Attribution{MachineFaulty: true}
+		return Attribution{IsMachineFaulty: true}
 	}
 	if a.credibleEvidence(machine).isSufficient(thresholds) {
 		machine.suspectedUntil = now.Add(tuning.SuspectMachinePause)
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -17,7 +17,7 @@
 		host := fmt.Sprintf("i-%d", round%6)
 		for _, ref := range []string{"wk-1", "wk-2", "wk-3"} {
 			attribution := attributor.RecordFailure(ref, host, time.Second, now, thresholds)
-			if attribution.MachineFaulty {
+			if attribution.IsMachineFaulty {
 				t.Errorf("%s found faulty because of faulty jobs", host)
 			}
 			pausedJobs[ref] = pausedJobs[ref] || attribution.JobPause > 0
@@ -40,7 +40,7 @@
 		if attribution.JobPause > 0 {
 			t.Errorf("%s paused for a faulty machine", ref)
 		}
-		isFaulty = isFaulty || attribution.MachineFaulty
+		isFaulty = isFaulty || attribution.IsMachineFaulty
 		for _, host := range attributor.RecordSuccess(ref, "i-2", thresholds) { // the next attempt, elsewhere
 			isFaulty = isFaulty || host == "i-1"
 		}
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// RecordDue reports whether this controller must still record its version. revision is the revision of
+// VersionRecordDue reports whether this controller must still record its version. revision is the revision of
 // its existing record, 0 if there is none.
-func (g *Gate) RecordDue() (revision uint64, isDue bool) {
+func (g *Gate) VersionRecordDue() (revision uint64, isDue bool) {
 	record := g.records[g.self]
 	return record.revision, record.Version < Version
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("after %s of %s: %v, open %v", step.value, step.node, pendingControllers, g.IsOpen())
 		}
 	}
-	if _, isDue := g.RecordDue(); isDue || g.VersionOf("n0") != Version || g.VersionOf("x1") != 1 {
+	if _, isDue := g.VersionRecordDue(); isDue || g.VersionOf("n0") != Version || g.VersionOf("x1") != 1 {
 		t.Error("the version record is still due, or a version is wrong")
 	}
 	if g.ApplyRecord("n0", []byte(`{"v":1}`), 3) != nil || !g.IsOpen() {
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -74,9 +74,9 @@
 	c.failedAt = map[string]time.Time{}
 }
 
-// Leave prepares the shutdown of this controller. From then on the controller acquires no more
+// PrepareShutdown prepares the shutdown of this controller. From then on the controller acquires no more
 // shards, and transfers its own shards to any controller that requests them.
-func (c *Coordinator) Leave() {
+func (c *Coordinator) PrepareShutdown() {
 	c.isLeaving = true
 	c.Cache.StopAcquiringShards()
 }
@@ -91,9 +91,9 @@
 	c.ApplyPayloads(now)
 }
 
-// CacheAdvanced continues transfers that waited for the cache to apply later revisions. Waiting for
+// HandleCacheAdvance continues transfers that waited for the cache to apply later revisions. Waiting for
 // the next Tick would double the time during which no controller responds to the shard's workers.
-func (c *Coordinator) CacheAdvanced(now time.Time) {
+func (c *Coordinator) HandleCacheAdvance(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
 	}
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -261,7 +261,7 @@
 	// a lease that begins now.
 	c.State.BeginHeartbeat(machine, now)
 	if c.State.EndHeartbeat(machine, snapshot.Empty, false) {
-		c.Reconciler.WorkerTransferred(machine)
+		c.Reconciler.ConfirmTransferredWorker(machine)
 	}
 }
 
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -286,9 +286,9 @@
 	return priority, deadlines
 }
 
-// RefreshExpectedRuns finds the jobs whose expected run time has changed by more than
+// RefreshInheritedDeadlines finds the jobs whose expected run time has changed by more than
 // runTimeChangeThreshold, and recomputes the deadlines that their dependencies inherit.
-func (x *Index) RefreshExpectedRuns() {
+func (x *Index) RefreshInheritedDeadlines() {
 	for _, n := range x.nodes {
 		if n.record == nil || len(n.dependencies) == 0 {
 			continue
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -16,10 +16,10 @@
 	AcceptedBy string `json:"by"`
 	// Unclaimed are the tasks that no shard has claimed, in ascending order.
 	Unclaimed []TaskInterval `json:"free"`
-	// Completed is the number of tasks in completed ranges whose records are already deleted. They
+	// CompletedTasks is the number of tasks in completed ranges whose records are already deleted. They
 	// are deleted before the job ends because a job may have more range records than one
 	// transaction can name.
-	Completed int `json:"d,omitempty"`
+	CompletedTasks int `json:"d,omitempty"`
 	// WholeClaim is the claim of the whole job by one shard, nil if there is none. If it is set,
 	// Unclaimed is empty. Small jobs are claimed this way because it saves a range record.
 	WholeClaim *WholeJobClaim `json:"own,omitempty"`
@@ -72,8 +72,8 @@
 		}
 		end = interval.First + interval.Count
 	}
-	if r.Completed < 0 || r.Completed > r.Tasks {
-		return newValidationError("d", "%d of %d tasks completed", r.Completed, r.Tasks)
+	if r.CompletedTasks < 0 || r.CompletedTasks > r.Tasks {
+		return newValidationError("d", "%d of %d tasks completed", r.CompletedTasks, r.Tasks)
 	}
 	if claim := r.WholeClaim; claim != nil && (claim.Shard == "" || claim.Count < 1 || claim.Count > r.Tasks) {
 		return newValidationError("own", "%d of %d tasks claimed by shard %q", claim.Count, r.Tasks, claim.Shard)
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -144,7 +144,7 @@
 	case machine.HasNoInbound() && now.Sub(machine.NoInboundChangedAt()) > m.unreachableGracePeriod():
 		m.log.Info("worker without inbound connectivity released", "worker", machine.Host())
 		m.queueRelease(machine)
-	case machine.IsLost() && m.Sessions.ReachableByCommand(machine, now) && now.Sub(machine.LostAt()) < m.unreachableGracePeriod():
+	case machine.IsLost() && m.Sessions.IsReachableByCommand(machine, now) && now.Sub(machine.LostAt()) < m.unreachableGracePeriod():
 		// The machine answers commands but cannot reach a controller. It is not released yet:
 		// replacing a whole zone because of a short network partition would cost more than
 		// waiting.
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -25,8 +25,8 @@
 	}
 	h.Machines.SendReleases()
 	h.RunNext() // handles the result of the request
-	if h.Cloud.ReleaseCalls != 1 || h.Cloud.ReleasedHosts != 100 || h.Machines.PendingReleases() != 30 {
-		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCalls, h.Cloud.ReleasedHosts, h.Machines.PendingReleases())
+	if h.Cloud.ReleaseCalls != 1 || h.Cloud.ReleasedHostCount != 100 || h.Machines.PendingReleases() != 30 {
+		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCalls, h.Cloud.ReleasedHostCount, h.Machines.PendingReleases())
 	}
 }
 
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -27,7 +27,7 @@
 	if job.HasEnded() || !isUnclaimedGang || now.Sub(job.KnownSince()) < tuning.GangConsolidationDelay {
 		return gangTarget{}, false
 	}
-	capacityByShard := m.Scheduler.CapacityByShard(job)
+	capacityByShard := m.Scheduler.FitCountsByShard(job)
 	if record.OneZone {
 		target.zone = zoneWithMostCapacity(capacityByShard)
 	}
--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -46,8 +46,8 @@
 // New returns an empty catalog.
 func New() *Catalog { return &Catalog{byName: map[string]cloud.MachineType{}} }
 
-// SetFromCloud sets the machine types that were read from the cloud.
-func (c *Catalog) SetFromCloud(types []cloud.MachineType) {
+// SetCloudTypes sets the machine types that were read from the cloud.
+func (c *Catalog) SetCloudTypes(types []cloud.MachineType) {
 	c.cloudTypes = types
 	c.merge(types)
 }
--- a/internal/machinetype/catalog_test.go
+++ b/internal/machinetype/catalog_test.go
@@ -11,7 +11,7 @@
 func TestTypesRecordReplacesUnavailableCloud(t *testing.T) {
 	offeredTypes := []cloud.MachineType{{Name: "m16", CPU: 16, MemGB: 64, HourlyPrice: 1, StartupS: 35}}
 	c := New()
-	c.SetFromCloud(offeredTypes)
+	c.SetCloudTypes(offeredTypes)
 	value, record, err := c.TypesToRecord()
 	if err != nil || value == nil {
 		t.Fatalf("nothing to record: %v", err)
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	offeredTypes[0].HourlyPrice = 2 // prices change all the time
-	c.SetFromCloud(offeredTypes)
+	c.SetCloudTypes(offeredTypes)
 	if value, _, _ := c.TypesToRecord(); value != nil {
 		t.Errorf("a change of prices alone was recorded: %s", value)
 	}
@@ -44,7 +44,7 @@
 func TestBootTimesRecordedByActiveAutoscalerWhenChanged(t *testing.T) {
 	now := time.Now()
 	c := New()
-	c.SetFromCloud([]cloud.MachineType{{Name: "m16", StartupS: 35}})
+	c.SetCloudTypes([]cloud.MachineType{{Name: "m16", StartupS: 35}})
 	c.SetLearnedBootTimes(map[string]float64{"m16": 38}, now)
 	if value, _, _ := c.BootTimesToRecord(now); value != nil {
 		t.Errorf("a change by less than a tenth was recorded: %s", value)
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -300,7 +300,7 @@
 func (l *Leader) tryChangeRun(id string, attempt int, change recordUpdateFunc, reply func(Response)) {
 	replyState := func() { l.lookUpRun(id, func(response Response, _ string) { reply(response) }) }
 	retry := func() {
-		if attempt >= tuning.RunCancelAttempts {
+		if attempt >= tuning.MaxRunUpdateRetries {
 			reply(unavailableResponse("busy"))
 			return
 		}
--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -86,9 +86,9 @@
 	return available
 }
 
-// Recorded returns the amount that a team's record allocates to a shard. Releases whose outcome is
+// RecordedAllocation returns the amount that a team's record allocates to a shard. Releases whose outcome is
 // unknown are not deducted.
-func (a *Allocations) Recorded(team config.Team, shard string) Amount {
+func (a *Allocations) RecordedAllocation(team config.Team, shard string) Amount {
 	return a.stateOf(team.Name).record.ByShard[shard]
 }
 
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -66,8 +66,8 @@
 	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
 }
 
-// ProbeStarted records that a probe has started.
-func (m *Monitor) ProbeStarted() { m.isProbing = true }
+// RecordProbeStart records that a probe has started.
+func (m *Monitor) RecordProbeStart() { m.isProbing = true }
 
 // Transition is the change of reachability that follows from the result of a probe.
 type Transition int
@@ -90,11 +90,11 @@
 	return "none"
 }
 
-// ProbeFinished records the result of a probe that was started at startedAt: whether any worker has
+// RecordProbeResult records the result of a probe that was started at startedAt: whether any worker has
 // responded. It returns the transition that follows from the result. hasLivePeer says whether another
 // controller could take over the shards. Without such a controller there is no point in giving them
 // up, so the transition is never Unreachable.
-func (m *Monitor) ProbeFinished(anyResponse bool, startedAt, now time.Time, hasLivePeer bool) Transition {
+func (m *Monitor) RecordProbeResult(anyResponse bool, startedAt, now time.Time, hasLivePeer bool) Transition {
 	m.isProbing = false
 	m.lastProbeAt = now
 	if now.Sub(startedAt) > tuning.ProcessStallThreshold+tuning.FirstContactTimeout {
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -27,11 +27,11 @@
 		if !m.ShouldProbe(now, workerCount, heartbeatInterval) {
 			t.Fatal("no probe after 5 s without a heartbeat")
 		}
-		m.ProbeStarted()
+		m.RecordProbeStart()
 		if m.ShouldProbe(now, workerCount, heartbeatInterval) {
 			t.Error("a second probe is started while one is under way")
 		}
-		if transition := m.ProbeFinished(false, now, now, true); transition != Unreachable {
+		if transition := m.RecordProbeResult(false, now, now, true); transition != Unreachable {
 			t.Fatalf("round %d: %v", round, transition)
 		}
 		restoreTime := time.Duration(0)
@@ -40,8 +40,8 @@
 			if !m.ShouldProbe(now, workerCount, heartbeatInterval) {
 				continue
 			}
-			m.ProbeStarted()
-			transition = m.ProbeFinished(true, now, now, true)
+			m.RecordProbeStart()
+			transition = m.RecordProbeResult(true, now, now, true)
 		}
 		if restoreTime <= previousRestoreTime {
 			t.Errorf("round %d: restored after %v, in the previous round after %v", round, restoreTime, previousRestoreTime)
@@ -60,7 +60,7 @@
 	if m.ShouldProbe(now, workerCount, heartbeatInterval) {
 		t.Error("a probe is started after the process was stalled for a minute")
 	}
-	if transition := m.ProbeFinished(false, now.Add(-10*time.Second), now, true); transition != NoTransition {
+	if transition := m.RecordProbeResult(false, now.Add(-10*time.Second), now, true); transition != NoTransition {
 		t.Errorf("a probe that took 10 s leads to %v", transition)
 	}
 }
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -79,18 +79,18 @@
 	}
 }
 
-// WorkerRegistered is called when the record of a worker that sent heartbeats without a record is
+// CountRegisteredWorker is called when the record of a worker that sent heartbeats without a record is
 // written. It counts the worker if the worker's shard was acquired recently.
-func (r *Reconciler) WorkerRegistered(machine *clusterstate.Machine, now time.Time) {
+func (r *Reconciler) CountRegisteredWorker(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery != nil && recovery.isInTrackingPeriod(now) {
 		recovery.discrepancies[WorkerUnrecorded]++
 	}
 }
 
-// CommandsSent counts the commands of a response to a worker, if the worker's shard was acquired
+// CountCommandsSent counts the commands of a response to a worker, if the worker's shard was acquired
 // recently.
-func (r *Reconciler) CommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
+func (r *Reconciler) CountCommandsSent(machine *clusterstate.Machine, commands []workerapi.Command, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery == nil || !recovery.isInTrackingPeriod(now) {
 		return
@@ -100,9 +100,9 @@
 	}
 }
 
-// WorkerConfirmed confirms a worker whose first heartbeat under the current epoch was applied. It also
+// ConfirmWorker confirms a worker whose first heartbeat under the current epoch was applied. It also
 // completes the recovery of the worker's shard if no other worker prevents that.
-func (r *Reconciler) WorkerConfirmed(machine *clusterstate.Machine, now time.Time) {
+func (r *Reconciler) ConfirmWorker(machine *clusterstate.Machine, now time.Time) {
 	recovery := r.recoveryOfWorker(machine)
 	if recovery == nil {
 		return
@@ -111,10 +111,10 @@
 	r.reconcileShard(r.State.OwnedShard(machine), now)
 }
 
-// WorkerTransferred confirms a worker on the basis of the previous owner's snapshot, which lists the
+// ConfirmTransferredWorker confirms a worker on the basis of the previous owner's snapshot, which lists the
 // worker's tasks. The caller calls CompleteRecoveries after it has applied the snapshots of
 // all workers.
-func (r *Reconciler) WorkerTransferred(machine *clusterstate.Machine) {
+func (r *Reconciler) ConfirmTransferredWorker(machine *clusterstate.Machine) {
 	if recovery := r.recoveryOfWorker(machine); recovery != nil {
 		recovery.confirm(machine)
 	}
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -65,7 +65,7 @@
 	if readyTasks("wk-1") != 0 || readyTasks("wk-2") != 0 || readyTasks("wk-3") != 0 {
 		t.Errorf("a worker of unknown type was ruled out: %d %d %d tasks are ready", readyTasks("wk-1"), readyTasks("wk-2"), readyTasks("wk-3"))
 	}
-	h.MachineTypes.SetFromCloud([]cloud.MachineType{{Name: "m4", CPU: 4, MemGB: 16}})
+	h.MachineTypes.SetCloudTypes([]cloud.MachineType{{Name: "m4", CPU: 4, MemGB: 16}})
 	h.Reconciler.CompleteRecoveries(time.Now())
 	if readyTasks("wk-1") != 2 || readyTasks("wk-2") != 0 || readyTasks("wk-3") != 0 {
 		t.Errorf("ready tasks: %d %d %d", readyTasks("wk-1"), readyTasks("wk-2"), readyTasks("wk-3"))
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -20,9 +20,9 @@
 	for job := range s.State.Jobs() {
 		if record := job.Record(); !job.HasEnded() && len(record.Unclaimed) == 0 {
 			runningJobs = append(runningJobs, classstats.RunningJob{
-				Class:           record.Class,
-				Tasks:           record.Tasks,
-				ExpectedSeconds: s.ExpectedRunSeconds(record),
+				Class:              record.Class,
+				Tasks:              record.Tasks,
+				ExpectedRunSeconds: s.ExpectedRunSeconds(record),
 			})
 		}
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -16,14 +16,14 @@
 
 // PendingJob is a job with unclaimed tasks for which machines may be scaled out.
 type PendingJob struct {
-	Record     jobs.JobRecord
-	Need       capacity.Resources // of one task
-	Tasks      int                // number of tasks that are unclaimed and within the team's quota
-	RunSeconds float64            // expected run time of a task
-	Waiting    time.Duration      // how long this controller has known the job
-	Age        time.Duration      // how long the job could have run
-	Background bool               // must leave capacity free for the classes with an objective
-	BestEffort bool               // only spot machines are scaled out for it
+	Record       jobs.JobRecord
+	Need         capacity.Resources // of one task
+	Tasks        int                // number of tasks that are unclaimed and within the team's quota
+	RunSeconds   float64            // expected run time of a task
+	Waiting      time.Duration      // how long this controller has known the job
+	Age          time.Duration      // how long the job could have run
+	IsBackground bool               // must leave capacity free for the classes with an objective
+	IsBestEffort bool               // only spot machines are scaled out for it
 }
 
 // Demand is the input of the autoscaler: the jobs that wait and the machines that exist.
@@ -39,7 +39,7 @@
 	// zone.
 	FittingTasks         map[capacity.Resources]map[string]int
 	GangCPU              float64                // CPUs used by gangs and services
-	UrgentGangCPU        float64                // CPUs that urgent gangs leave to arrays, see cpuLeftByUrgentGangs
+	CPULeftByUrgentGangs float64                // CPUs that urgent gangs leave to arrays, see cpuLeftByUrgentGangs
 	Running              map[string]RunningWork // remaining work of running array tasks, by class
 	BackgroundReserveCPU float64                // CPUs that background work has to leave free, see objectiveBuffers
 }
@@ -49,7 +49,7 @@
 type RunningWork struct {
 	CPU              float64
 	RemainingSeconds float64
-	Background       bool // the class has no objective, so the work need not be finished within a horizon
+	IsBackground     bool // the class has no objective, so the work need not be finished within a horizon
 }
 
 // Add returns the sum of the work and more work of the class, which uses cpu CPUs for
@@ -59,7 +59,7 @@
 		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*remainingSeconds) / (r.CPU + cpu)
 	}
 	r.CPU += cpu
-	r.Background = background
+	r.IsBackground = background
 	return r
 }
 
@@ -68,7 +68,7 @@
 // within the horizon: the machines that are scaled out for that part are also useful for later
 // work.
 func (r RunningWork) CPUSecondsWithin(horizon float64) float64 {
-	if r.Background {
+	if r.IsBackground {
 		return r.CPU * min(r.RemainingSeconds, horizon)
 	}
 	return r.CPU * r.RemainingSeconds
@@ -90,7 +90,7 @@
 	s.addMachines(&demand)
 	s.addFittingTasks(&demand, now)
 	s.addRunningWork(&demand)
-	demand.UrgentGangCPU = s.cpuLeftByUrgentGangs(demand.GangCPU, now)
+	demand.CPULeftByUrgentGangs = s.cpuLeftByUrgentGangs(demand.GangCPU, now)
 	for _, load := range s.expectedLoads(now) {
 		demand.BackgroundReserveCPU += max(0, load.PeakCPU-load.usedCPU)
 	}
@@ -153,14 +153,14 @@
 			record.DeadlineSeconds = &deadlineSeconds
 		}
 		demand.Jobs = append(demand.Jobs, PendingJob{
-			Record:     record,
-			Need:       job.Need(),
-			Tasks:      tasks,
-			RunSeconds: s.ExpectedRunSeconds(job.Record()),
-			Waiting:    now.Sub(job.KnownSince()),
-			Age:        job.Age(now),
-			Background: job.IsBackground(),
-			BestEffort: job.IsBestEffort(),
+			Record:       record,
+			Need:         job.Need(),
+			Tasks:        tasks,
+			RunSeconds:   s.ExpectedRunSeconds(job.Record()),
+			Waiting:      now.Sub(job.KnownSince()),
+			Age:          job.Age(now),
+			IsBackground: job.IsBackground(),
+			IsBestEffort: job.IsBestEffort(),
 		})
 	}
 }
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -42,10 +42,10 @@
 	return (r.shard == "" || record.Shard == r.shard) && (r.zone == "" || record.Zone == r.zone)
 }
 
-// CapacityByShard returns, by shard and zone, how many tasks of a job would fit on the recorded
+// FitCountsByShard returns, by shard and zone, how many tasks of a job would fit on the recorded
 // machines if the machines were empty. It depends only on stored records, so that all controllers
 // get the same counts.
-func (s *Scheduler) CapacityByShard(job *clusterstate.Job) map[string]map[string]int {
+func (s *Scheduler) FitCountsByShard(job *clusterstate.Job) map[string]map[string]int {
 	fittingTasks := map[string]map[string]int{}
 	for shardGroup, machineCount := range s.State.MachineCounts() {
 		shard, group := shardGroup.Shard, shardGroup.Group
@@ -109,7 +109,7 @@
 func (s *Scheduler) reservationFor(job *clusterstate.Job) (gangReservation reservation, ok bool) {
 	fittingTasks := map[reservationScope]int{}
 	fittingInZone := map[string]int{}
-	for shard, byZone := range s.CapacityByShard(job) {
+	for shard, byZone := range s.FitCountsByShard(job) {
 		for zone, tasks := range byZone {
 			scope := reservationScope{shard: shard}
 			if job.Record().OneZone {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -54,9 +54,9 @@
 	Starts       int      // number of task starts
 	Unfinished   int      // number of jobs that no user has seen end
 	Unchecked    int      // number of jobs whose history could not be checked in time
-	// AtLimit is the share of samples, from 0 to 1, in which the limited team used at least three quarters
+	// AtLimitShare is the share of samples, from 0 to 1, in which the limited team used at least three quarters
 	// of its limit. Samples are taken while faults are injected.
-	AtLimit float64
+	AtLimitShare float64
 }
 
 // run holds the state of one run.
@@ -296,7 +296,7 @@
 	unchecked := r.checker.checkHistories(submitted, unknown)
 	logs, _ := filepath.Glob(filepath.Join(r.options.Dir, "*.log")) // the pattern is valid
 	r.checker.checkLogs(logs)
-	result := Result{Jobs: len(submitted), Unfinished: unfinished, Unchecked: unchecked, AtLimit: r.samples.share()}
+	result := Result{Jobs: len(submitted), Unfinished: unfinished, Unchecked: unchecked, AtLimitShare: r.samples.share()}
 	result.Violations, result.NearbyEvents = r.checker.results()
 	for _, ref := range submitted {
 		result.Requests += len(r.checker.history.forJob(ref))
--- a/internal/statecache/features.go
+++ b/internal/statecache/features.go
@@ -23,7 +23,7 @@
 // writeVersionRecord stores the record of the program version that this controller runs, unless that
 // version is already recorded.
 func (c *Cache) writeVersionRecord() {
-	revision, due := c.FeatureGate.RecordDue()
+	revision, due := c.FeatureGate.VersionRecordDue()
 	if !due || c.versionWriteInFlight {
 		return
 	}
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -47,10 +47,10 @@
 	RunProgressReserveBytes = 2048
 	// MaxRunNameBytes is the longest name of a run.
 	MaxRunNameBytes = 200
-	// RunCancelAttempts is how many times a user's change of a run, a cancellation or a manual
+	// MaxRunUpdateRetries is how many times a user's change of a run, a cancellation or a manual
 	// start, is retried, once per MinWatchRequestGap, while the run's record cannot be written. The
 	// retries take 2 s, the time after which users give up a poll.
-	RunCancelAttempts = 20
+	MaxRunUpdateRetries = 20
 	// MaxPlanBytes bounds the size of an unpacked plan, about 500 bytes for each of
 	// MaxPipelineJobs.
 	MaxPlanBytes = 4 << 20
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// ReachableByCommand reports whether a worker has answered a direct request in the last
+// IsReachableByCommand reports whether a worker has answered a direct request in the last
 // tuning.DirectAnswerValidity. If such a worker sends no heartbeats, it is running but cannot reach a controller.
-func (m *Manager) ReachableByCommand(machine *clusterstate.Machine, now time.Time) bool {
+func (m *Manager) IsReachableByCommand(machine *clusterstate.Machine, now time.Time) bool {
 	session := m.sessions[machine]
 	return session != nil && !session.directRequest.answeredAt.IsZero() &&
 		now.Sub(session.directRequest.answeredAt) < tuning.DirectAnswerValidity
--- a/internal/workersession/faults.go
+++ b/internal/workersession/faults.go
@@ -20,7 +20,7 @@
 	if attribution.JobPause > 0 {
 		m.log.Info("job fails on several machines", "job", ref, "pause_s", attribution.JobPause.Seconds())
 	}
-	if attribution.MachineFaulty {
+	if attribution.IsMachineFaulty {
 		m.quarantine(machine.Host())
 	}
 }
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -212,7 +212,7 @@
 	m.trackCommandDelivery(machine, changes.delivery, isNewAgentEpoch, receivedAt)
 	isUnchanged := changes.isUnchanged && !wasLost && !isNewAgentEpoch
 	if m.State.EndHeartbeat(machine, len(heartbeat.Tasks) == 0, isUnchanged) {
-		m.Reconciler.WorkerConfirmed(machine, time.Now())
+		m.Reconciler.ConfirmWorker(machine, time.Now())
 	}
 }
 
--- a/internal/workersession/reachability.go
+++ b/internal/workersession/reachability.go
@@ -36,7 +36,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	m.reachabilityMonitor.ProbeStarted()
+	m.reachabilityMonitor.RecordProbeStart()
 	go func() {
 		answers := make(chan bool, len(addrs))
 		for _, addr := range addrs {
@@ -67,7 +67,7 @@
 // to, and lets the controller own shards again when it can reach workers.
 func (m *Manager) applySampleResult(anyAnswered bool, startedAt time.Time) {
 	now := time.Now()
-	switch m.reachabilityMonitor.ProbeFinished(anyAnswered, startedAt, now, m.Membership.HasLivePeer()) {
+	switch m.reachabilityMonitor.RecordProbeResult(anyAnswered, startedAt, now, m.Membership.HasLivePeer()) {
 	case reachability.Unreachable:
 		m.log.Info("no worker reachable, releasing shards", "since_last_contact_s", m.reachabilityMonitor.SinceLastContact(now).Seconds())
 		m.Cache.ReleaseLiveness()
--- a/internal/workersession/registration.go
+++ b/internal/workersession/registration.go
@@ -64,7 +64,7 @@
 		pending.refuse()
 		return
 	}
-	m.Reconciler.WorkerRegistered(machine, time.Now())
+	m.Reconciler.CountRegisteredWorker(machine, time.Now())
 	m.log.Info("worker registered", "worker", heartbeat.Host, "shard", machine.Record().Shard,
 		"machine_type", heartbeat.MachineType, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	m.process(pending)
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -105,7 +105,7 @@
 	}
 	commands := m.responseCommands(machine, pending.heartbeat)
 	m.reportUnadmittedStarts(machine, commands)
-	m.Reconciler.CommandsSent(machine, commands, time.Now())
+	m.Reconciler.CountCommandsSent(machine, commands, time.Now())
 	pending.reply <- okReply(fencingToken, commands)
 }
 
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -60,10 +60,10 @@
 	return m.lastHeartbeats[machine.Host()].agentEpoch
 }
 
-// OwnerChanged handles a change of the owner of a worker's shard: the worker is probed, and heartbeats of ended
+// HandleOwnerChange handles a change of the owner of a worker's shard: the worker is probed, and heartbeats of ended
 // agent epochs are accepted again, since an owner that was partitioned may have treated the worker as lost while
 // another owner renewed the worker's lease.
-func (m *Manager) OwnerChanged(machine *clusterstate.Machine) {
+func (m *Manager) HandleOwnerChange(machine *clusterstate.Machine) {
 	session := m.sessionOf(machine)
 	session.endedEpoch, session.unconfirmedResponses = 0, 0
 	m.firstContact.EnqueueProbe(machine)
