--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -97,11 +97,11 @@
 	r.mu.Lock()
 	cancellations := maps.Clone(r.cancellations)
 	r.mu.Unlock()
-	for ref, cancelled := range cancellations {
-		if time.Now().Before(cancelled.deadline) {
+	for ref, cancelRecord := range cancellations {
+		if time.Now().Before(cancelRecord.deadline) {
 			continue
 		}
-		for i := range cancelled.taskCount {
+		for i := range cancelRecord.taskCount {
 			if hosts := r.RunningOn(jobs.TaskName(ref, i)); len(hosts) > 0 {
 				r.reportViolation("ran_cancelled: %s/%d runs on %v", ref, i, hosts)
 			}
@@ -116,15 +116,15 @@
 func (r *FaultRun) checkTaskStart(task, host string, commandedAt time.Time) {
 	ref, _, _ := jobs.ParseTaskName(task)
 	r.mu.Lock()
-	cancelled := r.cancellations[ref]
+	cancelRecord := r.cancellations[ref]
 	r.mu.Unlock()
 	switch {
-	case cancelled.deadline.IsZero():
-	case time.Now().After(cancelled.deadline):
-		r.reportViolation("ran_cancelled: %s started on %s %v after the deadline", task, host, time.Since(cancelled.deadline))
-	case commandedAt.After(cancelled.confirmedAt):
+	case cancelRecord.deadline.IsZero():
+	case time.Now().After(cancelRecord.deadline):
+		r.reportViolation("ran_cancelled: %s started on %s %v after the deadline", task, host, time.Since(cancelRecord.deadline))
+	case commandedAt.After(cancelRecord.confirmedAt):
 		r.reportViolation("started_cancelled: %s on %s, commanded %v after the cancellation",
-			task, host, commandedAt.Sub(cancelled.confirmedAt))
+			task, host, commandedAt.Sub(cancelRecord.confirmedAt))
 	}
 }
 
--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -127,9 +127,9 @@
 }
 
 func (r *FaultRun) blockOutbound(hosts []string) {
-	isForAll := r.rnd.IntN(4) == 0
+	blocksAll := r.rnd.IntN(4) == 0
 	for _, host := range hosts {
-		r.BlockOutbound(host, isForAll || r.rnd.IntN(6) == 0)
+		r.BlockOutbound(host, blocksAll || r.rnd.IntN(6) == 0)
 	}
 }
 
@@ -152,8 +152,8 @@
 	for _, host := range r.Hosts() {
 		if r.rnd.IntN(3) == 0 {
 			r.FreezeMachine(host, true)
-			frozenFor := time.Duration(r.rnd.Int64N(int64(lease + lease/2)))
-			time.AfterFunc(frozenFor, func() { r.FreezeMachine(host, false) })
+			freezeDuration := time.Duration(r.rnd.Int64N(int64(lease + lease/2)))
+			time.AfterFunc(freezeDuration, func() { r.FreezeMachine(host, false) })
 		}
 	}
 	for _, ref := range r.jobRefs[max(0, len(r.jobRefs)-1-r.rnd.IntN(5)):] {
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -88,7 +88,7 @@
 	mustBeCancelledBy map[string]time.Time
 
 	mu            sync.Mutex
-	cancellations map[string]cancellation // by job, see recordConfirmedCancellation
+	cancellations map[string]cancellation // by job; recordConfirmedCancellation adds them
 	violations    []string
 	pendingChecks []func() // checks of the responses to cancelAsync, run by awaitCancelResponses
 }
--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// injectSingle begins or ends a single fault, see requestOrInject.
+// injectSingle begins or ends the single fault that action selects. requestOrInject has drawn action.
 func (r *FaultRun) injectSingle(action int, node string, runningNodes []string) {
 	switch {
 	case action < 62:
--- a/internal/fake/faultinjection/users.go
+++ b/internal/fake/faultinjection/users.go
@@ -79,8 +79,8 @@
 	r.checkCancelResponse(ref, r.Cancel(node, ref))
 }
 
-// cancelAsync asks a controller to cancel a job without waiting for the response, see
-// awaitCancelResponses.
+// cancelAsync asks a controller to cancel a job without waiting for the response. awaitCancelResponses waits
+// for it and checks it.
 func (r *FaultRun) cancelAsync(node, ref string) {
 	r.cancelRequested[ref] = true
 	r.pendingCancels.Go(func() {
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -214,20 +214,20 @@
 // fittingTaskCount returns how many tasks of a job fit on the machines that may run them. For a job that
 // must run in one zone it counts only the zone where most tasks fit.
 func (c *Cluster) fittingTaskCount(spec jobs.Spec) int {
-	perZone, total := map[string]int{}, 0
+	countsByZone, total := map[string]int{}, 0
 	for _, w := range c.workers {
 		if !w.mayRun(spec) {
 			continue
 		}
 		tasks := w.fittingTaskCount(spec)
-		perZone[w.Zone] += tasks
+		countsByZone[w.Zone] += tasks
 		total += tasks
 	}
 	if !spec.OneZone {
 		return total
 	}
 	maxPerZone := 0
-	for _, tasks := range perZone {
+	for _, tasks := range countsByZone {
 		maxPerZone = max(maxPerZone, tasks)
 	}
 	return maxPerZone
--- a/internal/fake/memstore/faults.go
+++ b/internal/fake/memstore/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A late write is applied after minLateDelay plus a random time below lateDelayRange, see ApplyLate.
+// A write that ApplyLate makes late is applied after minLateDelay plus a random time below lateDelayRange.
 const (
 	minLateDelay   = 2 * time.Second
 	lateDelayRange = 10 * time.Second
--- a/internal/fake/memstore/memstore.go
+++ b/internal/fake/memstore/memstore.go
@@ -51,7 +51,7 @@
 
 	unconditionalKeys  []string       // of writes in transactions without conditions
 	oversizedKeys      []string       // of writes that were rejected because of their size or number
-	writeCount         int            // writes in transactions, including those whose conditions failed
+	writeCount         int            // writes in transactions, including transactions whose conditions failed
 	writeCountByPrefix map[string]int // by the first two parts of the key, for example "cw/job"
 }
 
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -1,4 +1,4 @@
-// Package workeragent is a fake of the agent that runs on each machine. It renews its lease by heartbeats,
+// Package workeragent is a fake of the agent that runs on each machine. The agent renews its lease by heartbeats,
 // executes commands and runs tasks as the worker protocol prescribes. The caller transports heartbeats
 // and commands; the Environment determines how long tasks run and whether they fail.
 package workeragent
