--- a/cmd/cherrywall/status.go
+++ b/cmd/cherrywall/status.go
@@ -68,8 +68,8 @@
 		if viewName == "upgrade" {
 			fmt.Fprintf(&lines, "open\t%v\nlimits\t%v\n\n", object["open"], object["limits"])
 		}
-		// formatFleet also formats the rest of the upgrade view: it omits the controllers and
-		// adds a cost without a value.
+		// The upgrade view is passed to formatFleet, too. Therefore its table does not list the
+		// controllers, and contains a cost per hour without a value.
 		lines.WriteString(formatFleet(object))
 		return lines.String()
 	}
@@ -99,7 +99,7 @@
 }
 
 // formatCell returns a value as the text of a cell. Of a list, only the length is shown, except for the
-// key holds.
+// key "holds".
 func formatCell(key string, value any) string {
 	switch value := value.(type) {
 	case nil:
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestUnsatisfiableJobNamesField(t *testing.T) {
-	team := func(name string) (config.Team, bool) {
+	teamByName := func(name string) (config.Team, bool) {
 		return config.Team{Name: name, MaxCPUs: 40, MaxGPUs: 2}, name == "ops"
 	}
 	types := map[string]cloud.MachineType{"m16": {CPU: 16, GPU: 1, MemGB: 64, Zones: []string{"a"}},
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			spec := jobs.Spec{Team: "ops", Kind: jobs.Array, Tasks: 2, CPU: 7, MemGB: 8, MachineTypes: []string{"m16"}}
 			c.change(&spec)
-			decision := Check(&spec, team, types)
+			decision := Check(&spec, teamByName, types)
 			err := decision.Err
 			switch {
 			case decision.Verdict == Undecided:
@@ -66,8 +66,8 @@
 }
 
 func TestCheckIsUndecidedWithoutMachineTypes(t *testing.T) {
-	team := func(name string) (config.Team, bool) { return config.Team{Name: name}, true }
-	if decision := Check(&jobs.Spec{Team: "ops"}, team, nil); decision.Verdict != Undecided {
+	teamByName := func(name string) (config.Team, bool) { return config.Team{Name: name}, true }
+	if decision := Check(&jobs.Spec{Team: "ops"}, teamByName, nil); decision.Verdict != Undecided {
 		t.Errorf("%v without machine types", decision.Verdict)
 	}
 }
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -62,8 +62,8 @@
 }
 
 // SetNoInbound sets whether responses and commands to a machine are lost. If they are, tasks that are
-// only planned there are unplaced, so that they are placed elsewhere: commands must not be executed
-// late.
+// only planned there are unplaced, so that they are placed elsewhere and the machine is sent no start
+// command that it could execute late.
 func (s *State) SetNoInbound(machine *Machine, noInbound bool, now time.Time) {
 	if machine.HasNoInbound() == noInbound {
 		return
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -34,7 +34,7 @@
 	dependencyNode     *jobdag.Node // nil if the job has neither dependencies nor dependents
 	priority           jobs.Priority
 	ownDeadlines       jobdag.Deadlines // without the deadlines of dependents, see Deadlines
-	blockedAtLastCheck bool             // whether the job was blocked by dependencies when SetBlocked or Unblock last checked
+	blockedAtLastCheck bool             // whether the job was blocked by dependencies when UpdateBlocked or Unblock last checked
 
 	background bool
 	bestEffort bool
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -22,8 +22,8 @@
 	Class         string        `toml:"class"`
 	WithinSeconds float64       `toml:"within_s"`
 	Fraction      float64       `toml:"share"` // the fraction of the jobs that must meet the objective
-	// DeadlineMultiple is the multiple of its deadline within which a job must be done, for
-	// ObjectiveDeadline. 0 means 1.
+	// DeadlineMultiple is used only if Kind is ObjectiveDeadline: a job must be done within its
+	// deadline times this number. 0 means 1.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
@@ -40,8 +40,8 @@
 	return !namesAnyClass
 }
 
-// DeadlineMultiple returns the multiple of its deadline within which a job of a class should be
-// done: the largest among the objectives of the class, at least 1.
+// DeadlineMultiple returns the number by which the deadline of a job is multiplied to get the time
+// within which the job should be done: the largest among the objectives of the job's class, at least 1.
 func (c *Config) DeadlineMultiple(class string) float64 {
 	largest := 1.0
 	for _, objective := range c.Cluster.Objectives {
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -49,7 +49,7 @@
 func requestDuringCompletion(t *testing.T, cluster *fake.Cluster, seed uint64) {
 	const jobCount = 12
 	rnd := rand.New(rand.NewPCG(seed, 15))
-	shapes := []struct {
+	jobVariants := []struct {
 		kind  jobs.Kind
 		tasks int
 	}{{jobs.Array, 1}, {jobs.Array, 3}, {jobs.Array, 40}, {jobs.Gang, 3}}
@@ -59,8 +59,8 @@
 	}
 	requests := &completionRequests{cluster: cluster, answers: map[string][]answer{}}
 	for i := range jobCount {
-		shape := shapes[i%len(shapes)]
-		spec := fake.JobSpec(jobRef(i+1), shape.kind, shape.tasks, 1)
+		variant := jobVariants[i%len(jobVariants)]
+		spec := fake.JobSpec(jobRef(i+1), variant.kind, variant.tasks, 1)
 		requireAccepted(t, cluster, controllerName(i), spec, time.Duration(2000+rnd.IntN(1000))*time.Millisecond)
 		if i%4 == 3 {
 			requireAccepted(t, cluster, "n1", dependentJob(jobRef(100+i), 1, spec.Ref), time.Second)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -27,9 +27,9 @@
 type submission struct {
 	ref  string
 	spec *jobs.Spec
-	// validationErr says why the request is invalid; nil if it is valid. The error is answered only if the
-	// job is unknown: a repeated submission of a known job is answered with the job's status, whatever
-	// the content of the request.
+	// validationErr says why the request is invalid; nil if it is valid. The response contains the error
+	// only if the job is unknown: a repeated submission of a known job is answered with the job's status,
+	// whatever the content of the request.
 	validationErr error
 	// precondition has to hold for the job to be accepted; nil if there is none.
 	precondition *kvstore.Condition
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -166,14 +166,14 @@
 		if ref := r.randomRef(); r.knownStatus[ref] != "" {
 			spec := tinyJob(0)
 			spec.Ref = ref
-			r.checkAndRecord(t, "repeated submission", ref, r.cluster.Resubmit(r.runningController(), spec))
+			r.checkAndRecord(t, "repeated submission", ref, r.cluster.Resubmit(r.randomRunningController(), spec))
 		}
 	case draw < 80:
 		ref := r.randomRef()
-		r.checkIfKnown(t, "poll", ref, r.cluster.Poll(r.runningController(), ref))
+		r.checkIfKnown(t, "poll", ref, r.cluster.Poll(r.randomRunningController(), ref))
 	case draw < 92:
 		ref := r.randomRef()
-		r.checkIfKnown(t, "cancellation", ref, r.cluster.Cancel(r.runningController(), ref))
+		r.checkIfKnown(t, "cancellation", ref, r.cluster.Cancel(r.randomRunningController(), ref))
 	default:
 		r.changeFaults(draw)
 	}
@@ -183,9 +183,9 @@
 	spec := tinyJob(i)
 	spec.Tasks = 1 + r.rnd.IntN(3)*r.rnd.IntN(2)
 	if r.rnd.IntN(8) == 0 {
-		r.cluster.Nodes[r.runningController()].Conn.DropResponses(1)
+		r.cluster.Nodes[r.randomRunningController()].Conn.DropResponses(1)
 	}
-	response := r.cluster.Submit(r.runningController(), spec, time.Duration(1+r.rnd.IntN(9))*time.Second)
+	response := r.cluster.Submit(r.randomRunningController(), spec, time.Duration(1+r.rnd.IntN(9))*time.Second)
 	r.checkAndRecord(t, "submission", spec.Ref, response)
 	r.refs = append(r.refs, spec.Ref)
 }
@@ -193,7 +193,7 @@
 func (r *tinyJobRun) changeFaults(draw int) {
 	switch {
 	case draw < 94 && r.crashedNode == "":
-		r.crashedNode = r.runningController()
+		r.crashedNode = r.randomRunningController()
 		r.cluster.CrashController(r.crashedNode)
 	case draw < 96 && r.crashedNode != "":
 		r.cluster.StartController(r.crashedNode)
@@ -201,11 +201,11 @@
 	case draw < 98:
 		r.cluster.Store.RefuseNode(r.refusedNode, false)
 		if r.refusedNode = ""; r.rnd.IntN(2) == 0 {
-			r.refusedNode = r.runningController()
+			r.refusedNode = r.randomRunningController()
 			r.cluster.Store.RefuseNode(r.refusedNode, true)
 		}
 	default:
-		r.cluster.Store.DelayWatch(r.runningController(), time.Duration(r.rnd.IntN(400))*time.Millisecond)
+		r.cluster.Store.DelayWatch(r.randomRunningController(), time.Duration(r.rnd.IntN(400))*time.Millisecond)
 	}
 }
 
@@ -221,8 +221,8 @@
 
 func (r *tinyJobRun) randomRef() string { return r.refs[r.rnd.IntN(len(r.refs))] }
 
-// runningController returns a random controller that is not down.
-func (r *tinyJobRun) runningController() string {
+// randomRunningController returns a random controller that is not down.
+func (r *tinyJobRun) randomRunningController() string {
 	for {
 		if node := controllerNames[r.rnd.IntN(3)]; r.cluster.Nodes[node] != nil {
 			return node
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -186,9 +186,9 @@
 	return p.isComplete() && shard.IsLocal() && shard.PreviousEpoch() == p.epoch && c.Cache.HasReachedEpoch(shard)
 }
 
-// applyPayload continues a shard from its payload, which lists the tasks on the machines, so that
-// their workers need no probe. Machines that have changed since the acquisition, or whose workers have
-// sent a heartbeat since then, are left to reconciliation.
+// applyPayload restores the tasks of a transferred shard from its payload, which lists the tasks on
+// the machines, so that their workers need no probe. Machines that have changed since the acquisition,
+// or whose workers have sent a heartbeat since then, are left to reconciliation.
 func (c *Coordinator) applyPayload(p *payload, shard *membership.Shard, now time.Time) {
 	restoredWorkers := 0
 	for _, chunk := range p.chunks {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -89,10 +89,10 @@
 }
 
 // updateLimits sets the rates of the limiters. If all peers have reported their usage recently, the
-// rates are what the peers leave of the service's limits. Otherwise they are the fraction of the
-// limits that this controller learned from being rate limited. Shortly after it was rate limited,
-// the lower of the two rates is used, since other clients than controllers may use the service as
-// well. The caller must hold the lock.
+// rates are the part of the service's limits that the peers do not use, see remainingRate. Otherwise,
+// the rates are the service's limits times b.fraction, which this controller has learned from being
+// rate limited. Shortly after the controller was rate limited, the lower of the two rates is used,
+// since clients other than controllers may use the service as well. The caller must hold the lock.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
 	if peers, complete := b.totalPeerUsage(now); complete {
@@ -123,8 +123,10 @@
 	return total, reportingControllers >= b.controllers && b.controllers > 1
 }
 
-// remainingRate returns the part of one of the service's limits (total) that the peers' usage (used)
-// leaves to this controller, all per second. The result has a lower and an upper bound.
+// remainingRate returns how much of one of the service's limits this controller may use. total is the
+// limit, and used is how much of it the peers use; all rates are per second. The result is at least
+// BudgetOvercommitFactor times the controller's minimum fraction of the limit, and at most
+// BusyControllerBudgetFraction of the limit.
 func (b *budget) remainingRate(total, used float64) float64 {
 	usableRate := tuning.BudgetOvercommitFactor * total
 	return min(max(usableRate-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// jobCopy is one of the copies of a job that the job's key parallel defines.
+// jobCopy is one of the copies of a job that the job's "parallel" key defines.
 type jobCopy struct {
 	name      string
 	variables map[string]string // in addition to the variables of the job
@@ -62,7 +62,7 @@
 	return variables
 }
 
-// jobCopies returns the copies of a job. A job without the key parallel has one copy, with the job's name.
+// jobCopies returns the copies of a job. A job without the "parallel" key has one copy, with the job's name.
 func jobCopies(name string, p parallel) []jobCopy {
 	if p.N > 0 {
 		return numberedCopies(name, p.N)
@@ -122,7 +122,7 @@
 // jobCompiler compiles one copy of a job.
 type jobCompiler struct {
 	*compiler
-	jobName string     // the job's name in the file, used in the texts of problems
+	jobName string     // the job's name in the file, used in problem texts
 	tree    *yaml.Node // the keys of the copy, with variables expanded
 	keys    jobKeys
 	job     Job
@@ -150,7 +150,7 @@
 	c.plan.Jobs = append(c.plan.Jobs, j.job)
 }
 
-// expandKeys expands the variables in the values of a job's keys. It leaves out the key variables itself,
+// expandKeys expands the variables in the values of a job's keys. It leaves out the "variables" key itself,
 // and the keys that are ignored or unsupported: these may use variables that are not set in the file.
 func (c *compiler) expandKeys(jobName string, tree *yaml.Node, variables map[string]string) {
 	for i := 0; i+1 < len(tree.Content); i += 2 {
--- a/internal/pipeline/decode.go
+++ b/internal/pipeline/decode.go
@@ -21,8 +21,8 @@
 }
 
 // decodeMapping decodes a mapping into the struct to which destination points. It decodes key by key, so
-// that the problems of all keys are reported and not only the first one. prefix precedes the keys in the
-// texts of problems. handleUnknownKey is called for each key that the struct has no field for.
+// that the problems of all keys are reported and not only the first one. prefix precedes the keys in
+// problem texts. handleUnknownKey is called for each key that the struct has no field for.
 func (c *problemCollector) decodeMapping(node *yaml.Node, prefix string, destination any, handleUnknownKey func(key, value *yaml.Node)) {
 	target := reflect.ValueOf(destination).Elem()
 	fields := fieldsByKey(target.Type())
@@ -40,7 +40,7 @@
 	}
 }
 
-// decodeField decodes the value of a key into a field. name is the key in the texts of problems.
+// decodeField decodes the value of a key into a field. name is the key as problem texts show it.
 func (c *problemCollector) decodeField(value *yaml.Node, name string, field reflect.Value) {
 	if field.Type() != reflect.TypeFor[cluster]() {
 		if err := value.Decode(field.Addr().Interface()); err != nil {
@@ -60,7 +60,7 @@
 var variablePattern = regexp.MustCompile(`\$\$|\$\{[A-Za-z_][A-Za-z0-9_]*\}|\$[A-Za-z_][A-Za-z0-9_]*`)
 
 // expandVariables replaces variables by their values in all scalars of a tree, in place, and replaces $$ by
-// $. It reports variables that are not set. name is the tree's key in the texts of problems.
+// $. It reports variables that are not set. name is the tree's key as problem texts show it.
 func (c *problemCollector) expandVariables(node *yaml.Node, name string, variables map[string]string) {
 	for _, child := range node.Content {
 		c.expandVariables(child, name, variables)
--- a/internal/pipeline/keys.go
+++ b/internal/pipeline/keys.go
@@ -15,7 +15,7 @@
 	Variables map[string]scalar `json:"variables,omitempty" jsonschema:"description=Values for $NAME in the jobs."`
 }
 
-// defaults holds the keys that the key default may set for all jobs.
+// defaults holds the keys that the "default" key may set for all jobs.
 type defaults struct {
 	Image         image    `json:"image,omitempty"`
 	Interruptible bool     `json:"interruptible,omitempty"`
@@ -42,7 +42,7 @@
 	Cluster       cluster           `json:"cluster,omitempty" jsonschema:"description=What the job is for the cluster."`
 }
 
-// cluster holds the keys below the key cluster of a job, which is an extension of the GitLab format.
+// cluster holds the keys below the "cluster" key of a job, which is an extension of the GitLab format.
 type cluster struct {
 	Class       string   `json:"class,omitempty" jsonschema:"description=Class of jobs; limits and aims belong to it."`
 	Team        string   `json:"team,omitempty" jsonschema:"description=Team whose guarantee and limit apply."`
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// need is one entry of the key needs: the name of a job that has to end first.
+// need is one entry of the "needs" key: the name of a job that has to end first.
 type need struct {
 	node     *yaml.Node // where problems are reported
 	Job      string     `json:"job"`
--- a/internal/pipeline/parse.go
+++ b/internal/pipeline/parse.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// reportUnknownKey reports a key that is not a key of jobs. prefix precedes the key in the text.
+// reportUnknownKey reports a key that is not a key of jobs. prefix precedes the key in the problem text.
 func (c *compiler) reportUnknownKey(key *yaml.Node, prefix string) {
 	if !c.reportIgnoredOrUnsupportedKey(key, prefix) {
 		c.addProblem(key, "%s%s: unknown key%s", prefix, key.Value, suggestKey(key.Value, reflect.TypeFor[jobKeys]()))
--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -221,13 +221,13 @@
 		hasFailed = hasFailed || state.Status == Failed && !isFailureAllowed
 	}
 	inProgressCount := counts[Delayed] + counts[Active] + counts[Stopping]
-	unfinishedCount := counts[Waiting] + inProgressCount
+	waitingOrInProgressCount := counts[Waiting] + inProgressCount
 	switch {
-	case e.CancelMode != NotCancelled && unfinishedCount+counts[Manual] > 0:
+	case e.CancelMode != NotCancelled && waitingOrInProgressCount+counts[Manual] > 0:
 		return RunStopping, false
 	case inProgressCount == 0 && counts[Manual] > 0:
 		return RunManual, false
-	case unfinishedCount > 0:
+	case waitingOrInProgressCount > 0:
 		return RunRunning, false
 	case counts[Cancelled] > 0:
 		return RunCancelled, true
--- a/internal/pipelinerun/sync.go
+++ b/internal/pipelinerun/sync.go
@@ -12,8 +12,8 @@
 )
 
 // loadedPrefixes are the prefixes whose records loadRecords lists, in this order. acquireGroup treats
-// a group whose run is not known as free. A run that starts between the listings of the runs and of
-// the groups is not in the listing, but becomes known by its event.
+// a group as free if the group's run is unknown. A run that starts after the runs were listed and before
+// the groups are listed is not in the listing, but becomes known by its event.
 var loadedPrefixes = []string{runPrefix, groupPrefix, schedulePrefix}
 
 // handleEvents applies events of the controller's watch. While the records are being loaded, the
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -42,8 +42,9 @@
 	// could not be read is read again.
 	FinalStateReadRetryInterval = 2 * time.Second
 	// MaxConcurrentDependentCancellations is how many dependents of a cancelled job a
-	// controller cancels concurrently, at two changes each. Users are told that these jobs are
-	// cancelled as soon as the first job is, so the writes are not urgent.
+	// controller cancels concurrently. Each cancellation takes two changes in the key-value store.
+	// Users are told that these jobs are cancelled as soon as the first job is, so the writes are
+	// not urgent.
 	MaxConcurrentDependentCancellations = 2
 	// CancellationConfirmWait is the maximum time for which the response to a cancellation waits
 	// until this controller's workers confirm that they have stopped the tasks that had not begun:
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -230,8 +230,8 @@
 // sinceLastHeartbeat is the time from the worker's last heartbeat to the direct request; the worker drops responses
 // older than tuning.HeartbeatAnswerLifetime. With a short heartbeat interval, a heartbeat may be overdue before that
 // time has passed. Without this check, a start that was still in flight was then treated as lost, and its task was
-// started on another worker (rule ran_twice, docs/incidents/2026-12-night-852.md). responsesExpired is a variable so
-// that a mutation test can replace it.
+// started on another worker, which violated the rule ran_twice (see docs/incidents/2026-12-night-852.md).
+// responsesExpired is a variable so that a mutation test can replace it.
 var responsesExpired = func(sinceLastHeartbeat time.Duration) bool {
 	return sinceLastHeartbeat >= tuning.HeartbeatAnswerLifetime
 }
--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -13,9 +13,9 @@
 )
 
 // A heartbeat that a network partition had delayed was applied like a new one by the shard's next owner. The
-// owner assigned the task to the worker that had run it before. When the worker's next heartbeat did not list the
-// task, the owner treated it as not running, although another owner in between had started it on another worker
-// (rule ran_twice, in five test days with random faults).
+// heartbeat listed a task that its worker had run before, so the owner assigned the task to that worker. When the
+// worker's next heartbeat did not list the task, the owner treated it as not running, although another owner in
+// between had started it on another worker. This violated the rule ran_twice in five test days with random faults.
 func TestHeartbeatWithOldTokenIsNotApplied(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
