--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -62,8 +62,8 @@
 	state.RemoveExited(assignment)
 	state.MarkDone(taskRange, 1, assignment)
 	done, active := taskRange.Job().Progress()
-	if taskRange.TaskState(1) != clusterstate.TaskFinished || taskRange.DoneTasks() != 1 || done != 0 || active != 0 {
-		t.Errorf("state %v, done %d, progress: %d done, %d active", taskRange.TaskState(1), taskRange.DoneTasks(), done, active)
+	if taskRange.TaskState(1) != clusterstate.TaskFinished || taskRange.DoneTaskCount() != 1 || done != 0 || active != 0 {
+		t.Errorf("state %v, done %d, progress: %d done, %d active", taskRange.TaskState(1), taskRange.DoneTaskCount(), done, active)
 	}
 	if !taskRange.RecordWithDone().Done.Has(1) || taskRange.Record().Done.Has(1) {
 		t.Error("the record to be written does not list the task as done, or the current record does")
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -55,16 +55,16 @@
 	record.Done = record.Done.With(1)
 	r := NewTaskRange(newTestJob(jobs.Array, 3), 0, record, 5)
 	ResetTasks(r, true, TaskUnknown)
-	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTasks() != 1 {
-		t.Errorf("after a reset as owned: states %v, %d done", got, r.DoneTasks())
+	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskUnknown, TaskFinished, TaskUnknown}) || r.DoneTaskCount() != 1 {
+		t.Errorf("after a reset as owned: states %v, %d done", got, r.DoneTaskCount())
 	}
 	r.MarkUnknownReady()
 	if got := checkTaskStates(t, r); !slices.Equal(got, []TaskState{TaskReady, TaskFinished, TaskReady}) {
 		t.Errorf("after unknown tasks were marked ready: states %v", got)
 	}
 	ResetTasks(r, false, TaskUnknown)
-	if r.IsOwned() || r.Len() != 0 || r.DoneTasks() != 1 {
-		t.Errorf("after a reset as not owned: %d tasks, %d done", r.Len(), r.DoneTasks())
+	if r.IsOwned() || r.Len() != 0 || r.DoneTaskCount() != 1 {
+		t.Errorf("after a reset as not owned: %d tasks, %d done", r.Len(), r.DoneTaskCount())
 	}
 }
 
@@ -105,8 +105,8 @@
 	if tail.Assignment(1) != a || a.taskRange != tail || a.index != 1 {
 		t.Error("the assignment was not moved with its task")
 	}
-	if r.DoneTasks() != 0 || tail.DoneTasks() != 1 || !slices.Equal(tail.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
-		t.Errorf("done: %d before the unclaimed tasks, %d after them, names %v", r.DoneTasks(), tail.DoneTasks(), tail.UnrecordedDoneTasks())
+	if r.DoneTaskCount() != 0 || tail.DoneTaskCount() != 1 || !slices.Equal(tail.UnrecordedDoneTasks(), []string{"wk-1/15"}) {
+		t.Errorf("done: %d before the unclaimed tasks, %d after them, names %v", r.DoneTaskCount(), tail.DoneTaskCount(), tail.UnrecordedDoneTasks())
 	}
 }
 
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -160,7 +160,7 @@
 func (j *Job) OpenTasks() int {
 	count := 0
 	for _, taskRange := range j.taskRanges {
-		count += taskRange.record.Count - taskRange.DoneTasks()
+		count += taskRange.record.Count - taskRange.DoneTaskCount()
 	}
 	return count
 }
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -6,11 +6,11 @@
 	"cherrywall/internal/jobs"
 )
 
-// DoneTasks returns how many of the range's tasks are done, whether recorded as done or not.
-func (r *TaskRange) DoneTasks() int { return r.recordedDoneCount + len(r.unrecordedDone) }
+// DoneTaskCount returns how many of the range's tasks are done, whether recorded as done or not.
+func (r *TaskRange) DoneTaskCount() int { return r.recordedDoneCount + len(r.unrecordedDone) }
 
 // IsComplete reports whether all of the range's tasks are done.
-func (r *TaskRange) IsComplete() bool { return r.DoneTasks() == r.record.Count }
+func (r *TaskRange) IsComplete() bool { return r.DoneTaskCount() == r.record.Count }
 
 // UnrecordedDone returns how many tasks are done but not yet recorded as done, and since when they wait
 // for a write: since the first of them was done or since the last write ended, whichever is later. Both
--- a/internal/diagnostics/jobs.go
+++ b/internal/diagnostics/jobs.go
@@ -113,7 +113,7 @@
 func (r *Reporter) waitReason(job *clusterstate.Job) string {
 	unknownTasks, readyTasks, isClaimed := 0, 0, false
 	for taskRange := range job.TaskRanges() {
-		if taskRange.DoneTasks() > 0 {
+		if taskRange.DoneTaskCount() > 0 {
 			return ""
 		}
 		if taskRange.CountTasks(clusterstate.TaskPlaced) > 0 {
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -124,7 +124,7 @@
 		}
 		view, _ := cluster.Nodes["n0"].Controller.View("handovers")
 		transfers := view.([]handover.Transfer)
-		if len(transfers) != 1 || transfers[0].Outcome != handover.OutcomeContinued || transfers[0].DurationSeconds > 2 {
+		if len(transfers) != 1 || transfers[0].Outcome != handover.OutcomeApplied || transfers[0].DurationSeconds > 2 {
 			t.Errorf("listed transfers: %+v", transfers)
 		}
 		for _, host := range cluster.Hosts() {
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -19,7 +19,7 @@
 	OutcomeTransferred Outcome = "handed over"                // old owner: the recipient has acquired the shard
 	OutcomeReacquired  Outcome = "given in vain, taken again" // old owner: it acquired the shard again because the recipient did not
 	OutcomeRequested   Outcome = "asked for"                  // recipient: it has requested the shard and waits for the payload
-	OutcomeContinued   Outcome = "went on here"               // new owner: it has applied the payload
+	OutcomeApplied     Outcome = "went on here"               // new owner: it has applied the payload
 )
 
 // Transfer describes a transfer that is under way or has ended, for operators.
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -206,7 +206,7 @@
 	if !wasRequested { // this controller reacquired the shard after a failed transfer
 		startedAt = p.updatedAt
 	}
-	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeContinued, startedAt, now)
+	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeApplied, startedAt, now)
 	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restoredWorkers, "reconciled", shard.IsReconciled())
 }
 
