--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -16,7 +16,7 @@
 // Scheduling of arrays and services: all of their tasks that fit are claimed and assigned, even if
 // others do not fit.
 
-// placeClaimedTasks assigns machines to those claimed tasks of a job that have none.
+// placeClaimedTasks assigns machines to the claimed tasks of a job that have no machine.
 func (s *Scheduler) placeClaimedTasks(job *clusterstate.Job) {
 	for taskRange := range job.TaskRanges() {
 		if !taskRange.IsOwned() || taskRange.IsTentative() {
@@ -28,15 +28,16 @@
 			continue
 		}
 		if job.Record().Kind != jobs.Gang {
-			s.placeClaimedArray(job, taskRange, shard)
+			s.placeReadyTasks(job, taskRange, shard)
 		} else if readyCount == taskRange.Len() && s.placeGang(job, taskRange, shard) {
 			s.Claims.RecordGangWorkers(taskRange)
 		}
 	}
 }
 
-// placeClaimedArray assigns machines to as many ready tasks of a claimed range as fit.
-func (s *Scheduler) placeClaimedArray(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) {
+// placeReadyTasks assigns machines to the ready tasks of a claimed range, which are those without a
+// machine, as far as the tasks fit and the team's quota allows them.
+func (s *Scheduler) placeReadyTasks(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) {
 	readyCount := taskRange.CountTasks(clusterstate.TaskReady)
 	startCount := min(readyCount, s.State.FreeCapacity().Count(job.Need(), job.Record().Allows))
 	if startCount > 0 {
@@ -117,8 +118,8 @@
 	return u == allowSurplus || !g.Surplus
 }
 
-// zoneOfTasks returns the zone of the assigned tasks of a job that must run in one zone, or the given
-// zone if none is assigned.
+// zoneOfTasks returns the zone of the assigned tasks of a job that must run in one zone, or the
+// given zone if no task is assigned.
 func zoneOfTasks(job *clusterstate.Job, zone string) string {
 	for taskRange := range job.TaskRanges() {
 		for i := range taskRange.Len() {
@@ -130,10 +131,10 @@
 	return zone
 }
 
-// score returns how well a machine suits one more task of an array; a higher score is better. A
-// machine that has the image cached is preferred, then the fullest machine, so that whole machines
-// become empty and can be scaled in. The score grows as a machine is filled, so the best machine is
-// filled first.
+// score returns how well a machine suits one more task of an array; a higher score is better. Among
+// machines of the same kind, those that have the image cached are preferred, then the fullest one,
+// so that whole machines become empty and can be scaled in. The score grows as a machine is filled,
+// so the best machine is filled first.
 func (s *Scheduler) score(job *clusterstate.Job, machine *clusterstate.Machine) float64 {
 	total, _ := s.State.Total(machine)
 	score := 0.0
@@ -242,11 +243,11 @@
 // claimArray claims startCount tasks of an array and assigns them. In the same transaction it
 // claims the tasks that are expected to fit soon, as computed by tasksToClaimAhead.
 func (s *Scheduler) claimArray(job *clusterstate.Job, shard *membership.Shard, startCount int, zone string, surplus surplusUse) {
-	aheadCount := 0
+	claimAheadCount := 0
 	if zone == "" && !s.Faults.IsJobFaulty(job.Ref()) {
-		aheadCount = s.tasksToClaimAhead(job, shard, startCount)
+		claimAheadCount = s.tasksToClaimAhead(job, shard, startCount)
 	}
-	s.Claims.Claim(job, shard, startCount+aheadCount, zone, func(taskRange *clusterstate.TaskRange) bool {
+	s.Claims.Claim(job, shard, startCount+claimAheadCount, zone, func(taskRange *clusterstate.TaskRange) bool {
 		tasks := make([]int, min(startCount, taskRange.Len()))
 		for i := range tasks {
 			tasks[i] = i
@@ -257,7 +258,7 @@
 		}
 		// Claim only the tasks that were assigned and those that are expected to fit soon. The
 		// others are left to other shards.
-		if claimCount := min(placedCount+aheadCount, taskRange.Len()); claimCount < taskRange.Len() {
+		if claimCount := min(placedCount+claimAheadCount, taskRange.Len()); claimCount < taskRange.Len() {
 			taskRange.Truncate(claimCount)
 		}
 		return true
@@ -276,7 +277,7 @@
 		if record.Spread {
 			maxTasks = maxTasksPerZone(record) - record.ClaimedPerZone[zone]
 		}
-		mustAvoidZone := record.OneZone && !canStayInZone(job, zone) || maxTasks <= 0
+		mustAvoidZone := record.OneZone && !canUseZone(job, zone) || maxTasks <= 0
 		if mustAvoidZone || len(s.candidates(job, shard.ID(), zone)) == 0 {
 			continue
 		}
@@ -309,9 +310,9 @@
 	return min(int(float64(runningTasks)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
 }
 
-// canStayInZone reports whether an array that must run in one zone can use the given zone: none of
+// canUseZone reports whether an array that must run in one zone can use the given zone: none of
 // its claimed ranges is bound to another zone.
-func canStayInZone(job *clusterstate.Job, zone string) bool {
+func canUseZone(job *clusterstate.Job, zone string) bool {
 	for taskRange := range job.TaskRanges() {
 		if boundZone := taskRange.Record().Zone; boundZone != "" && boundZone != zone {
 			return false
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -30,8 +30,8 @@
 	return s.ClassStats.GrowthBuffers(now, s.MachineTypes.LongestBootSeconds(), settings.GrowthFactor, runningJobs)
 }
 
-// ExpectedRunSeconds returns the expected run time of a task in seconds: the submitted estimate,
-// corrected by the actual run times of tasks of its class.
+// ExpectedRunSeconds returns the expected run time of a task in seconds: the estimate that was
+// submitted with the job, corrected by the actual run times of tasks of the job's class.
 func (s *Scheduler) ExpectedRunSeconds(record *jobs.JobRecord) float64 {
 	return s.ClassStats.ExpectedTaskSeconds(record)
 }
@@ -67,8 +67,8 @@
 }
 
 // guaranteeBuffers returns a buffer for the unused part of each team's guarantee, except that of
-// exceptTeam. A buffer consists of tasks of the shape of the team's largest job. Each shard buffers
-// an equal part of it.
+// exceptTeam. A buffer consists of tasks of the shape of the team's largest job. The buffer is
+// divided equally among the shards.
 func (s *Scheduler) guaranteeBuffers(exceptTeam string) []capacity.Buffer {
 	var buffers []capacity.Buffer
 	for _, team := range s.cfg.Cluster.Teams {
@@ -108,9 +108,9 @@
 	return tasks
 }
 
-// serviceRestartBuffers returns, for each service, a buffer for the replicas that fail when a machine
-// fails: the largest number of its replicas on one machine. Work that the service can preempt need
-// not leave its buffer free.
+// serviceRestartBuffers returns buffers for the replicas that have to be restarted when a machine
+// fails: for each service, the largest number of its replicas on one machine. A job that the
+// service can preempt need not leave the service's buffer free.
 func (s *Scheduler) serviceRestartBuffers(job *clusterstate.Job) []capacity.Buffer {
 	if s.cycle.maxReplicas == nil {
 		s.cycle.maxReplicas = s.maxReplicasPerMachine()
@@ -145,8 +145,8 @@
 }
 
 // machineFailureBuffers returns the buffer for the machines that are likely to fail while a
-// replacement boots, estimated from recent failures (the healing buffer of the Kerveros paper). Each
-// of these machines counts as the largest owned machine.
+// replacement boots, estimated from recent failures (the healing buffer of the Kerveros paper).
+// Each of these machines is assumed to be as large as the largest owned machine.
 func (s *Scheduler) machineFailureBuffers() []capacity.Buffer {
 	failures := float64(s.State.RecentMachineFailures(time.Now()))
 	machineCount := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -11,9 +11,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// FittingTasks returns, by zone, how many tasks fit, for each shape of the waiting gangs and of the
-// urgent work that is expected. The counts are sent to the peers and are used by the autoscaler.
-// The result is cached for half a peer heartbeat interval; the caller must not change it.
+// FittingTasks returns how many tasks fit in each zone, for each task shape of the waiting gangs
+// and of the urgent work that is expected. The counts are sent to the peers and are used by the
+// autoscaler. The result is cached for half a peer heartbeat interval; the caller must not change
+// it.
 func (s *Scheduler) FittingTasks(now time.Time) []peer.ShapeCapacity {
 	if now.Sub(s.fittingTasksAt) < tuning.PeerHeartbeatInterval/2 {
 		return s.fittingTasks
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -21,9 +21,9 @@
 	Tasks        int                // number of tasks that are unclaimed and within the team's quota
 	RunSeconds   float64            // expected run time of a task
 	Waiting      time.Duration      // how long this controller has known the job
-	Age          time.Duration      // how long the job could have run
-	IsBackground bool               // must leave capacity free for the classes with an objective
-	IsBestEffort bool               // only spot machines are scaled out for it
+	Age          time.Duration      // time since the job became runnable
+	IsBackground bool               // whether the job must leave capacity free for the classes with an objective
+	IsBestEffort bool               // whether only spot machines are scaled out for the job
 }
 
 // Demand is the input of the autoscaler: the jobs that wait and the machines that exist.
@@ -35,31 +35,32 @@
 	Jobs             []PendingJob       // in the order of the queue
 	LiveMachines     map[string]capacity.Group
 	RecordedMachines map[string]bool // includes lost, releasing, cordoned and preempted machines
-	// FittingTasks is how many tasks of gangs fit if lower-priority work is preempted, by shape and
-	// zone.
+	// FittingTasks is the number of tasks that fit if lower-priority work is preempted, by task
+	// shape and zone.
 	FittingTasks         map[capacity.Resources]map[string]int
 	GangCPU              float64                // CPUs used by gangs and services
-	CPULeftByUrgentGangs float64                // CPUs that urgent gangs leave to arrays, see cpuLeftByUrgentGangs
+	CPULeftByUrgentGangs float64                // CPUs that urgent gangs leave to arrays, as computed by cpuLeftByUrgentGangs
 	Running              map[string]RunningWork // remaining work of running array tasks, by class
-	BackgroundReserveCPU float64                // CPUs that background work has to leave free, see objectiveBuffers
+	BackgroundReserveCPU float64                // CPUs that background work has to leave free for classes with an objective
 }
 
-// RunningWork is the running work of a class: the CPUs that it uses, and for how much longer it
-// uses them.
+// RunningWork is the work of the running tasks of a class: the CPUs that these tasks use, and for
+// how many more seconds they use them on average.
 type RunningWork struct {
 	CPU              float64
 	RemainingSeconds float64
-	IsBackground     bool // the class has no objective, so the work need not be finished within a horizon
+	IsBackground     bool // whether the class has no objective, so that the work need not be finished within a horizon
 }
 
-// Add returns the sum of the work and more work of the class, which uses cpu CPUs for
-// remainingSeconds more seconds. The remaining time of the sum is the mean, weighted by CPUs.
-func (r RunningWork) Add(cpu, remainingSeconds float64, background bool) RunningWork {
+// Add returns the sum of r and further work of the same class, which uses cpu CPUs for another
+// remainingSeconds seconds. The remaining time of the sum is the mean of the two remaining times,
+// weighted by CPUs.
+func (r RunningWork) Add(cpu, remainingSeconds float64, isBackground bool) RunningWork {
 	if r.CPU+cpu > 0 {
 		r.RemainingSeconds = (r.CPU*r.RemainingSeconds + cpu*remainingSeconds) / (r.CPU + cpu)
 	}
 	r.CPU += cpu
-	r.IsBackground = background
+	r.IsBackground = isBackground
 	return r
 }
 
@@ -180,9 +181,9 @@
 
 // cpuLeftByUrgentGangs returns the number of CPUs that gangs do not use on the machines that exist
 // for urgent gangs: the CPUs that are too few for another task of a gang, and those that are kept
-// free for gangs that are likely to arrive. Arrays may count on these CPUs. They may not count on
-// other on-demand machines, which are to be scaled in: an array that used these machines would
-// prevent that.
+// free for gangs that are likely to arrive. These CPUs count as capacity for arrays. The CPUs of
+// other on-demand machines do not: those machines are to be scaled in, which an array that ran on
+// them would prevent.
 func (s *Scheduler) cpuLeftByUrgentGangs(gangCPU float64, now time.Time) float64 {
 	sum := 0.0
 	for _, buffer := range s.GrowthBuffers(now) {
@@ -199,9 +200,9 @@
 	return sum
 }
 
-// lowestCPURatio returns the lowest ratio, over the machine types that the buffered tasks allow, of
-// a machine's CPUs to the CPUs of those tasks that fit on the machine. It is infinite if no such
-// machine type is large enough for a task.
+// lowestCPURatio returns the ratio of a machine's CPUs to the CPUs of the buffered tasks that fit
+// on it. Of the machine types that the tasks allow, it uses the one with the lowest ratio. The
+// result is infinite if no allowed machine type is large enough for a task.
 func (s *Scheduler) lowestCPURatio(buffer classstats.GrowthBuffer) float64 {
 	lowestRatio := math.Inf(1)
 	for name, machineType := range s.MachineTypes.All() {
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/clusterstate"
 )
 
-// Exported steps of a scheduling cycle, for tests of a single step.
+// The methods in this file export steps of a scheduling cycle, for tests of a single step.
 
 func (s *Scheduler) SortQueue(queue []*clusterstate.Job) { s.sortQueue(queue, time.Now()) }
 
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,50 +12,50 @@
 
 // Gang scheduling: all tasks of a gang are claimed and assigned, or none.
 
-// gangShape is the set of properties of a gang that determine how many of its tasks fit. Many waiting
-// gangs have the same shape.
-type gangShape struct {
+// gangFitKey holds the properties of a gang that determine how many of its tasks fit. Many waiting
+// gangs have the same key.
+type gangFitKey struct {
 	need         capacity.Resources
 	priority     jobs.Priority
 	team         string
-	spot         bool
+	allowsSpot   bool
 	zone         string
 	machineTypes string
-	isFaulty     bool // a faulty job preempts nothing, see canPreempt
+	isFaulty     bool // a faulty job preempts nothing
 }
 
-func (s *Scheduler) gangShapeOf(job *clusterstate.Job) gangShape {
+func (s *Scheduler) gangFitKeyOf(job *clusterstate.Job) gangFitKey {
 	record := job.Record()
-	jobShape := gangShape{
+	key := gangFitKey{
 		need:         job.Need(),
 		priority:     s.preemptionPriority(job),
 		team:         record.Team,
-		spot:         record.Spot,
+		allowsSpot:   record.Spot,
 		machineTypes: "any",
 		isFaulty:     s.Faults.IsJobFaulty(job.Ref()),
 	}
 	if record.Zone != nil {
-		jobShape.zone = *record.Zone
+		key.zone = *record.Zone
 	}
 	if record.MachineTypes != nil {
-		jobShape.machineTypes = strings.Join(slices.Sorted(slices.Values(record.MachineTypes)), " ")
+		key.machineTypes = strings.Join(slices.Sorted(slices.Values(record.MachineTypes)), " ")
 	}
-	return jobShape
+	return key
 }
 
-// gangFit is the number of fitting tasks of a gang shape.
+// gangFit says how many tasks of the gangs with one gangFitKey fit.
 type gangFit struct {
 	version         uint64 // version of the capacity counts that were used
 	tasks           int    // result of tasksFittingWithPreemption
-	tasksInBestZone int    // largest number in one zone if lower-priority work is preempted
+	tasksInBestZone int    // largest number of tasks that fit in one zone if lower-priority work is preempted
 }
 
-// gangFitFor counts the fitting tasks of a gang. The result is cached for all waiting gangs of the
-// same shape until a capacity count changes, so that a hundred waiting gangs take little more time
-// than one.
+// gangFitFor counts the fitting tasks of a gang. The result is cached for all waiting gangs with
+// the same gangFitKey until a capacity count changes, so that a hundred waiting gangs take little
+// more time than one.
 func (s *Scheduler) gangFitFor(job *clusterstate.Job) gangFit {
 	version := s.State.FreeCapacity().Version()
-	key := s.gangShapeOf(job)
+	key := s.gangFitKeyOf(job)
 	if cached, known := s.cycle.gangFits[key]; known && cached.version == version {
 		return cached
 	}
@@ -67,7 +67,7 @@
 		fit.tasksInBestZone = max(fit.tasksInBestZone, s.tasksFittingInZone(job, zone))
 	}
 	if s.cycle.gangFits == nil {
-		s.cycle.gangFits = map[gangShape]gangFit{}
+		s.cycle.gangFits = map[gangFitKey]gangFit{}
 	}
 	s.cycle.gangFits[key] = fit
 	return fit
@@ -117,7 +117,7 @@
 // bestGangPlan returns the plan with the lowest cost among the zones in which a gang may run. found
 // is false if there is no plan.
 func (s *Scheduler) bestGangPlan(job *clusterstate.Job, taskRange *clusterstate.TaskRange, shard *membership.Shard) (best placementPlan, found bool) {
-	zones := s.zonesFitting(job, taskRange.Len())
+	zones := s.zonesWithCapacity(job, taskRange.Len())
 	if !job.Record().OneZone && job.Record().Zone == nil {
 		zones = append([]string{""}, zones...) // all zones
 	}
@@ -133,10 +133,10 @@
 	return best, found
 }
 
-// zonesFitting returns the zones in which, by the capacity counts, the given number of a job's
+// zonesWithCapacity returns the zones in which, by the capacity counts, the given number of a job's
 // tasks fit if lower-priority work is preempted. Plans are computed only for these zones, since a
 // plan takes much longer than a count.
-func (s *Scheduler) zonesFitting(job *clusterstate.Job, tasks int) []string {
+func (s *Scheduler) zonesWithCapacity(job *clusterstate.Job, tasks int) []string {
 	var fittingZones []string
 	for _, zone := range s.zones() {
 		if s.tasksFittingInZone(job, zone) >= tasks {
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Guaranteed capacity of teams. Their quotas, which are upper limits, are enforced by
-// claims.Writer.TasksWithinQuota.
+// This file compares the usage of teams with their guarantees. The quotas of teams, which are upper
+// limits, are enforced by claims.Writer.TasksWithinQuota.
 
 // guaranteeTolerance is the number of CPUs or GPUs by which a sum may exceed a guarantee because of
 // rounding.
@@ -56,7 +56,7 @@
 	return team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0
 }
 
-// hasGuarantees reports whether any team has a guarantee.
-func (s *Scheduler) hasGuarantees() bool {
+// anyTeamHasGuarantee reports whether any team has a guarantee.
+func (s *Scheduler) anyTeamHasGuarantee() bool {
 	return slices.ContainsFunc(s.cfg.Cluster.Teams, hasGuarantee)
 }
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -9,10 +9,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// Prevention of starvation. In an overload, ordering by deadlines serves most jobs, but a large gang
-// repeatedly loses the capacity that it needs to smaller jobs, and an array without an objective
-// comes after all arrays that have one. Therefore an overdue job goes first in the queue, and
-// capacity is reserved for an overdue gang.
+// This file prevents starvation. In an overload, ordering by deadlines serves most jobs, but a
+// large gang repeatedly loses the capacity that it needs to smaller jobs, and an array without an
+// objective comes after all arrays that have one. Therefore an overdue job goes first in the queue,
+// and capacity is reserved for an overdue gang.
 
 // isOverdue reports whether a job has been runnable for longer than JobOverdueAfter and none of its
 // tasks is claimed. Services are never overdue.
@@ -80,9 +80,9 @@
 
 // mayReserve reports whether capacity may be reserved for an overdue job now. Only gangs that are
 // not faulty get a reservation. A gang that waits for its team's quota gets none, because the
-// machines would stay empty in the meantime. A reservation lasts for GangReservationPeriod. Then
-// none is made for the same time, so that other jobs make progress if the reservation does not
-// help.
+// machines would stay empty in the meantime. A reservation lasts for GangReservationPeriod. After
+// that, no reservation is made for the same length of time, so that other jobs make progress if the
+// reservation does not help.
 func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
 	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
 		return false
@@ -129,7 +129,7 @@
 		return reservation{}, false
 	}
 	if fittingTasks[best] < job.Record().Tasks {
-		best.shard = "" // no shard is large enough: package machinelifecycle moves empty machines into one first
+		best.shard = "" // no shard is large enough: package machinelifecycle first moves empty machines into one shard
 	}
 	return reservation{job: job, shard: best.shard, zone: best.zone}, true
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -51,23 +51,23 @@
 // owned shard, is preempted.
 func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
 	record := assignment.Job().Record()
-	ranSeconds := 0.0
+	lostSeconds := 0.0
 	if since := assignment.Status().RunningSince; !since.IsZero() {
-		ranSeconds = time.Since(since).Seconds()
+		lostSeconds = time.Since(since).Seconds()
 	}
 	hasCheckpoints := record.CheckpointIntervalSeconds > 0
 	if record.Kind == jobs.Gang {
 		// The whole gang stops. A gang with checkpoints saves a checkpoint first, and loses only
 		// the time until it is saved.
 		if hasCheckpoints {
-			ranSeconds = min(ranSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
+			lostSeconds = min(lostSeconds, record.CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 		}
-		return ranSeconds * assignment.Need().CPU * float64(record.Tasks)
+		return lostSeconds * assignment.Need().CPU * float64(record.Tasks)
 	}
 	if hasCheckpoints {
-		ranSeconds = math.Mod(ranSeconds, record.CheckpointIntervalSeconds)
+		lostSeconds = math.Mod(lostSeconds, record.CheckpointIntervalSeconds)
 	}
-	return ranSeconds * assignment.Need().CPU
+	return lostSeconds * assignment.Need().CPU
 }
 
 // freeWithPreemption returns the capacity of a machine that is free or is used by tasks that a job
@@ -88,7 +88,7 @@
 	if s.Faults.IsJobFaulty(job.Ref()) {
 		return 0
 	}
-	if !s.hasGuarantees() {
+	if !s.anyTeamHasGuarantee() {
 		countWithPreemption := s.State.FreeCapacityBelow(s.preemptionPriority(job)).Count(job.Need(), allow)
 		return countWithPreemption - s.State.FreeCapacity().Count(job.Need(), allow)
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -54,7 +54,7 @@
 // reference.
 func compareEntries(x, y queueEntry) int {
 	if x.isOverdue != y.isOverdue {
-		return trueFirst(x.isOverdue)
+		return compareTrueFirst(x.isOverdue)
 	}
 	if x.isOverdue && x.job.RunnableSinceMS() != y.job.RunnableSinceMS() {
 		return cmp.Compare(x.job.RunnableSinceMS(), y.job.RunnableSinceMS())
@@ -63,7 +63,7 @@
 		return cmp.Compare(y.priority, x.priority)
 	}
 	if x.isBackground != y.isBackground {
-		return trueFirst(y.isBackground)
+		return compareTrueFirst(y.isBackground)
 	}
 	if x.teamCPU != y.teamCPU {
 		// The teams share the capacity that is left for background work, so that a team that
@@ -76,8 +76,8 @@
 	return strings.Compare(x.job.Ref(), y.job.Ref())
 }
 
-// trueFirst returns the result of comparing x with !x such that true comes first.
-func trueFirst(x bool) int {
+// compareTrueFirst returns the result of comparing x with !x in an order in which true comes first.
+func compareTrueFirst(x bool) int {
 	if x {
 		return -1
 	}
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -15,14 +15,14 @@
 	remaining map[string]quota.Amount // by team
 }
 
-// NewQuotaAllowance returns an allowance of which nothing has been taken yet.
+// NewQuotaAllowance returns an allowance from which nothing has been taken yet.
 func (s *Scheduler) NewQuotaAllowance() *QuotaAllowance {
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
 
 // Take returns how many of a job's unclaimed tasks its team's remaining quota allows, and subtracts
-// these tasks from that quota. For a gang it is all tasks or none. The remaining quota excludes what
-// is used by claimed tasks and by tasks of earlier calls.
+// these tasks from that quota. For a gang it is all tasks or none. The remaining quota excludes
+// what claimed tasks use and what earlier calls took.
 func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
 	record := job.Record()
 	tasks := record.UnclaimedCount()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -56,9 +56,9 @@
 type cycle struct {
 	maxReplicas          map[*clusterstate.Job]int // largest number of replicas of a service on one machine
 	zones                []string
-	gangFits             map[gangShape]gangFit
-	classLoads           map[string]classLoad                // by class, see objectiveBuffers
-	preemptionPriorities map[*clusterstate.Job]jobs.Priority // see preemptionPriority
+	gangFits             map[gangFitKey]gangFit
+	classLoads           map[string]classLoad                // by class; used by objectiveBuffers
+	preemptionPriorities map[*clusterstate.Job]jobs.Priority // results of preemptionPriority
 	gangReservation      reservation
 }
 
@@ -134,7 +134,7 @@
 	}
 	isGang := job.Record().Kind == jobs.Gang
 	var buffers []capacity.Buffer
-	if !isGang { // the buffers of gangs are computed by gangFitFor, once for each shape
+	if !isGang { // the buffers of gangs are computed by gangFitFor, once for each gangFitKey
 		buffers = s.buffersFor(job)
 	}
 	for _, shard := range s.Membership.LocalShards() {
@@ -149,11 +149,11 @@
 	}
 }
 
-// waitsForTurn reports whether another controller should claim a new job before this one does.
-// Controllers claim a job in turn, ClaimStaggerDelay apart, so that they do not all write the same
-// record. For a gang, the first is the controller on whose machines the gang fits best; for other
-// jobs, it is the controller that accepted the job. The other controllers claim the job later if
-// the first one does not.
+// waitsForTurn reports whether another controller should claim a new job before this controller
+// does. Controllers claim a job in turn, ClaimStaggerDelay apart, so that they do not all write the
+// same record. For a gang, the first is the controller on whose machines the gang fits best; for
+// other jobs, it is the controller that accepted the job. The other controllers claim the job later
+// if the first controller does not claim it.
 func (s *Scheduler) waitsForTurn(job *clusterstate.Job) bool {
 	now := time.Now()
 	knownFor := now.Sub(job.KnownSince())
@@ -222,7 +222,7 @@
 	return isTypeKnown
 }
 
-// zones lists the zones of the owned machines, sorted.
+// zones lists the zones of the owned machines in sorted order.
 func (s *Scheduler) zones() []string {
 	if s.cycle.zones == nil {
 		for _, machine := range s.State.OwnedMachines() {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -18,7 +18,8 @@
 }
 
 // Without objective buffers the long tasks of background work took all capacity within seconds, and
-// work with deadlines of the same priority, which may not preempt it, waited for minutes.
+// jobs with deadlines waited for minutes, because they had the same priority and could not preempt
+// it.
 func TestBackgroundWorkLeavesObjectiveBuffersFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, withObjective)
@@ -71,8 +72,8 @@
 	}
 }
 
-// When arrays were placed on the on-demand machines retained for gangs before spot machines, a
-// seventh of their tasks was preempted, and the machines never became empty.
+// When arrays used the on-demand machines that are retained for gangs in preference to spot
+// machines, a seventh of the arrays' tasks was preempted, and the machines never became empty.
 func TestArraysPreferMachinesWithoutUrgentGangs(t *testing.T) {
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
