--- a/internal/binpacking/binpacking_test.go
+++ b/internal/binpacking/binpacking_test.go
@@ -8,12 +8,12 @@
 
 func TestPlanMinimizesLostWork(t *testing.T) {
 	need := capacity.Resources{CPU: 7, MemGB: 20}
-	cpu := func(n float64) capacity.Resources { return capacity.Resources{CPU: n, MemGB: 100} }
+	withCPUs := func(n float64) capacity.Resources { return capacity.Resources{CPU: n, MemGB: 100} }
 	machines := []Machine{
-		{Zone: "a", Free: cpu(0), Victims: []Victim{{"old", cpu(8), 500}, {"young", cpu(8), 5}}},
-		{Zone: "a", Free: cpu(16)},
-		{Zone: "b", Free: cpu(7)},
-		{Zone: "b", Free: cpu(7), ImageCost: 30},
+		{Zone: "a", Free: withCPUs(0), Victims: []Victim{{"old", withCPUs(8), 500}, {"young", withCPUs(8), 5}}},
+		{Zone: "a", Free: withCPUs(16)},
+		{Zone: "b", Free: withCPUs(7)},
+		{Zone: "b", Free: withCPUs(7), ImageCost: 30},
 	}
 	placements, _, ok := Plan(machines, need, 4, 4)
 	if !ok || len(placements) != 4 {
--- a/internal/capacity/buffer.go
+++ b/internal/capacity/buffer.go
@@ -11,7 +11,7 @@
 	Tasks float64   `json:"tasks"`
 }
 
-// ConvertBuffer returns for how many tasks of a shape, rounded up, a buffer takes the capacity:
+// ConvertBuffer returns how many tasks of a shape, rounded up, lose their capacity to a buffer:
 // A[t]/A[t'] * x in the paper, where x is the number of buffered tasks. fittingTasks (A[t]) and
 // fittingBufferTasks (A[t']) are how many tasks of the given shape and of the buffer's shape fit.
 // If no task of the buffer's shape fits any more, the buffer is converted by ConvertByRatio.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -8,7 +8,7 @@
 type Group struct {
 	Zone, MachineType string
 	Spot              bool
-	// Surplus machines are to be drained and scaled in.
+	// Surplus is set for machines that are to be drained and scaled in.
 	Surplus bool
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 // The example in section 3.2.2 of the paper: two empty machines of 100 units, and shapes of 20, 50
 // and 60 units. A buffer of two large tasks leaves no capacity for a medium task, a buffer of six
 // small tasks leaves capacity for one.
-func TestAllocablePaperExample(t *testing.T) {
+func TestAllocableMatchesPaperExample(t *testing.T) {
 	small, medium, large := Resources{CPU: 20}, Resources{CPU: 50}, Resources{CPU: 60}
 	table := NewTable()
 	for _, host := range []string{"x", "y"} {
@@ -68,9 +68,9 @@
 			if got := table.Count(shape, allowAll); got != want {
 				t.Fatalf("count %d, want %d", got, want)
 			}
-			buffered := rnd.Float64() * 5
-			larger := table.Allocable(shape, allowAll, []Buffer{{shapes[0], buffered + 1}})
-			if larger > table.Allocable(shape, allowAll, []Buffer{{shapes[0], buffered}}) {
+			bufferedTasks := rnd.Float64() * 5
+			allocableWithLarger := table.Allocable(shape, allowAll, []Buffer{{shapes[0], bufferedTasks + 1}})
+			if allocableWithLarger > table.Allocable(shape, allowAll, []Buffer{{shapes[0], bufferedTasks}}) {
 				t.Fatal("a larger buffer left more capacity")
 			}
 		}
--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -17,27 +17,27 @@
 	"cherrywall/internal/tuning"
 )
 
-// Quota allocations. A team with a quota may use in a shard only what is allocated to the shard. An
-// allocation is acquired when tasks fit on the shard's machines and lack only quota, and is released
-// when it is unused.
+// This file acquires and releases quota allocations. In each shard, a team with a quota may use
+// only the amount that is allocated to it there. Quota is acquired when tasks fit on the shard's
+// machines and lack only quota. Unused quota is released.
 
 // teamShard is the key of values that are kept per team and shard.
 type teamShard struct{ team, shard string }
 
-// shortfall is the quota that a shard lacked when it was last requested.
+// shortfall is the quota that a shard lacked when a scheduling cycle last requested quota for it.
 type shortfall struct {
 	amount       quota.Amount
-	allOrNothing bool // a part of the amount is of no use
+	allOrNothing bool // whether a part of the amount is of no use
 	recordedAt   time.Time
 }
 
 // allocationState is the state that a Writer keeps for the allocations of all teams.
 type allocationState struct {
-	writesPending map[string]bool // by team, true while a write of the team's record is in flight
+	writesPending map[string]bool // by team: whether a write of the team's record is in flight
 	shortfalls    map[teamShard]shortfall
-	idleSince     map[teamShard]time.Time // since when a part of an allocation is unused
+	idleSince     map[teamShard]time.Time // the time since which a part of an allocation is unused
 	usage         map[teamShard]teamUsage // cached results of usageOf
-	usageVersion  uint64                  // the change count of the cluster state at which usage is valid
+	usageVersion  uint64                  // the change count of the cluster state for which usage is valid
 }
 
 func newAllocationState() allocationState {
@@ -73,7 +73,7 @@
 	team, _ := w.cfg.Team(job.Record().Team)
 	unused, ok := w.unusedAllocation(team, shard)
 	if !ok || tasks <= 0 || w.usageOf(team, shard.ID()).hasUnknownTasks() {
-		return // with unknown tasks, each cycle would acquire more, which is unusable until these tasks have stopped
+		return // with unknown tasks, each cycle would acquire more quota, which could not be used until these tasks have stopped
 	}
 	missing := quota.UsageOf(team, job.Need(), tasks).Sub(unused.NonNegative()).NonNegative()
 	w.allocations.shortfalls[teamShard{team.Name, shard.ID()}] = shortfall{missing, allOrNothing, time.Now()}
@@ -82,9 +82,9 @@
 	}
 }
 
-// writeAllocations writes a team's record as the owner of a shard and calls done with the outcome.
-// If no write is possible now, it returns false and does not call done.
-func (w *Writer) writeAllocations(team config.Team, shard *membership.Shard, record quota.Record, done func(result kvstore.TxnResult, err error)) bool {
+// writeAllocations writes a team's record as the owner of a shard and calls onOutcome with the
+// outcome. If no write is possible now, it returns false and does not call onOutcome.
+func (w *Writer) writeAllocations(team config.Team, shard *membership.Shard, record quota.Record, onOutcome func(result kvstore.TxnResult, err error)) bool {
 	if w.allocations.writesPending[team.Name] || w.Cache.IsStale(time.Now()) || !w.staysWithinQuota(team, record) {
 		return false
 	}
@@ -95,7 +95,7 @@
 		Conditions: []kvstore.Condition{{Key: key, Revision: w.Quotas.Revision(team.Name)}, ownershipCondition(shard)},
 		Writes:     []kvstore.Write{{Key: key, Value: kvstore.MustEncode(record)}},
 	}, func(result kvstore.TxnResult, err error) {
-		done(result, err)
+		onOutcome(result, err)
 		if isCommitted(result, err) {
 			w.recordAllocation(decisionlog.AllocationStored, team, shard, record, "")
 			delete(w.allocations.writesPending, team.Name)
@@ -142,8 +142,9 @@
 	})
 }
 
-// releaseIdleAllocations releases allocations of this controller's shards that have been unused for
-// AllocationReleaseDelay, or for ContendedAllocationReleaseDelay if the team has unclaimed work.
+// releaseIdleAllocations releases those parts of the allocations to this controller's shards that
+// have been unused for AllocationReleaseDelay, or for ContendedAllocationReleaseDelay if the team
+// has unclaimed work.
 func (w *Writer) releaseIdleAllocations(now time.Time) {
 	var contendedTeams map[string]bool // teams with unclaimed work
 	for _, team := range w.cfg.Cluster.Teams {
@@ -216,7 +217,7 @@
 	if !isSent {
 		return false
 	}
-	w.Quotas.RecordReleaseSent(team.Name, shard.ID(), unused) // must not be used from now on, since the release may succeed
+	w.Quotas.RecordReleaseSent(team.Name, shard.ID(), unused) // the shard must not use the amount from now on, since the release may succeed
 	delete(w.allocations.idleSince, key)
 	return true
 }
--- a/internal/claims/batches.go
+++ b/internal/claims/batches.go
@@ -12,11 +12,11 @@
 	"cherrywall/internal/tuning"
 )
 
-// Small jobs are recorded with few changes in the key-value store: at six changes each, 800 jobs of
-// one task within a minute would take more changes than the store allows. The write that accepts a
-// small job also claims it (jobs.JobRecord.WholeClaim), and one completion batch records that many
-// small jobs are done. Later, when submissions do not need the store's rate limit, cleanUpBatches
-// replaces the jobs' own records by final states.
+// Small jobs are recorded with few changes in the key-value store: if each job took six changes,
+// 800 jobs of one task within a minute would take more changes than the store allows. The write
+// that accepts a small job also claims it (jobs.JobRecord.WholeClaim), and one completion batch
+// records that many small jobs are done. Later, when submissions do not use up the store's rate
+// limit, cleanUpBatches replaces the jobs' own records by final states.
 
 // IsSmallJob reports whether a job may be claimed as a whole in its own record. Jobs whose tasks
 // are bound to zones or quotas may not, since the zones and quotas of tasks are tracked by task
@@ -33,14 +33,14 @@
 	return &jobs.WholeJobClaim{Shard: shard.ID(), Epoch: shard.Epoch(), Count: tasks}
 }
 
-// isBatched reports whether the job's completion is recorded in a completion batch.
+// isBatched reports whether the completion of a job is to be recorded in a completion batch.
 func isBatched(record *jobs.JobRecord) bool {
 	return record.WholeClaim != nil && !record.ExcludedFromBatches
 }
 
 // writeCompletionBatch records many completed small jobs of one shard in one write. The write is
-// conditional on the revisions of the jobs' records, so it fails if the cancellation of one of the
-// jobs has begun, which changes the job's record: see ExcludeFromBatches.
+// conditional on the revisions of the jobs' records, so it fails if ExcludeFromBatches has changed
+// the record of one of the jobs to begin the job's cancellation.
 func (w *Writer) writeCompletionBatch(now time.Time) {
 	if w.isWritingBatch {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// completedSmallJobs returns, by shard, the completed small jobs that are not recorded yet. isDue
-// is true if at least one of them has been complete for CompletionBatchInterval.
+// completedSmallJobs returns, by shard, the small jobs whose completion is not recorded yet. isDue
+// is true if at least one of these jobs has been complete for CompletionBatchInterval.
 func (w *Writer) completedSmallJobs(now time.Time) (completedByShard map[string][]*clusterstate.Job, isDue bool) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() || job.InTransaction() || !isBatched(job.Record()) {
@@ -86,8 +86,8 @@
 func (w *Writer) addToBatch(shard *membership.Shard, completedJobs []*clusterstate.Job) {
 	batch := w.CompletionBatches.OpenBatch(shard.ID())
 	entries := batch.Entries
-	// The store allows four times as many preconditions as changes. Two of them are needed for the
-	// batch and for the shard.
+	// The store allows four times as many preconditions as changes. Two preconditions are needed
+	// for the batch and for the shard.
 	count := min(len(completedJobs), 4*w.cfg.EffectiveStateLimits().TxnOps-2, tuning.MaxCompletionBatchJobs)
 	addedJobs := completedJobs[:count]
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: batch.Key, Revision: batch.Revision}, ownershipCondition(shard)}}
@@ -116,19 +116,20 @@
 // ExcludeFromBatches begins the cancellation of a job whose completion may be recorded in a batch.
 // A batch does not change the job's own record, so ExcludeFromBatches first sets a flag in that
 // record. From then on no batch can include the job. Once the cache has applied the flag, it is
-// known whether an earlier batch included the job. done is called with the outcome of the write.
-func (w *Writer) ExcludeFromBatches(job *clusterstate.Job, done func(err error)) {
+// known whether an earlier batch included the job. onOutcome is called with the outcome of the
+// write.
+func (w *Writer) ExcludeFromBatches(job *clusterstate.Job, onOutcome func(err error)) {
 	record := *job.Record()
 	record.ExcludedFromBatches = true
 	w.Cache.Commit(kvstore.Urgent, kvstore.Txn{
 		Conditions: []kvstore.Condition{jobCondition(job), {Key: jobs.FinalKey(job.Ref())}},
 		Writes:     []kvstore.Write{jobRecordWrite(job, record)},
-	}, func(_ kvstore.TxnResult, err error) { done(err) })
+	}, func(_ kvstore.TxnResult, err error) { onOutcome(err) })
 }
 
 // cleanUpBatches writes final states for some jobs of a completion batch and deletes the jobs'
-// records. When no job of a batch remains, it deletes the batch. It runs only while no jobs are
-// being submitted, since submissions need the store's rate limit, or if many batched jobs have
+// records. When no job of a batch remains, it deletes the batch. It runs only if no jobs are being
+// submitted, since submissions need the store's rate limit, or if many batched jobs have
 // accumulated.
 func (w *Writer) cleanUpBatches(now time.Time) {
 	if w.isCleaningUp || now.Sub(w.lastCleanupAt) < tuning.BatchCleanupInterval {
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -14,7 +14,7 @@
 // false, nothing is written; if the transaction fails, the tasks are removed from their machines.
 // zone is the zone to which the tasks are bound, or empty if they may run in any zone.
 func (w *Writer) Claim(job *clusterstate.Job, shard *membership.Shard, count int, zone string, place func(taskRange *clusterstate.TaskRange) bool) {
-	if job.Record().Kind != jobs.Gang { // a gang is always one range, whose tasks are done all at once
+	if job.Record().Kind != jobs.Gang { // a gang is always one range, since all its tasks are done at the same time
 		count = min(count, tuning.MaxRangeTasks)
 	}
 	claimedTasks, remainingTasks := jobs.TakeUnclaimed(job.Record().Unclaimed, count)
@@ -24,7 +24,7 @@
 		return
 	}
 	taskRange.SetPlannedHosts()
-	if taskRange.Record().Count < claimedTasks.Count { // place has truncated it
+	if taskRange.Record().Count < claimedTasks.Count { // place has truncated the range
 		claimedTasks, remainingTasks = jobs.TakeUnclaimed(job.Record().Unclaimed, taskRange.Record().Count)
 	}
 	record := job.RecordWithoutDependencies()
@@ -39,10 +39,10 @@
 	w.Cache.Commit(kvstore.Normal, txn, func(result kvstore.TxnResult, err error) {
 		job.EndTransaction(result, err)
 		if w.State.Job(job.Ref()) != job || isCommitted(result, err) || !taskRange.IsTentative() {
-			// If the range is no longer tentative, the cache has learned that the claim is
-			// durable, even if this request failed: an earlier request with the same transaction
-			// may have been carried out although its answer was lost. If the range were abandoned
-			// then, a gang that was started since would lose its attempt.
+			// If the range is no longer tentative, the cache has learned that the claim is durable,
+			// even if this request failed: an earlier request with the same transaction may have
+			// been carried out although its answer was lost. If the range were abandoned in that
+			// case, a gang that was started in the meantime would lose its attempt.
 			return
 		}
 		w.State.AbandonTentativeRange(taskRange)
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -9,8 +9,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// writeCompletions records completed tasks, many in one write. The write that completes a job
-// also records its final state. It also deletes the range records of jobs that have ended.
+// writeCompletions records completed tasks, many in one write. The write that completes a job also
+// records its final state. writeCompletions also deletes the range records of jobs that have ended.
 func (w *Writer) writeCompletions(now time.Time) {
 	for job := range w.State.Jobs() {
 		if job.HasEnded() {
@@ -35,20 +35,20 @@
 type pendingCompletions struct {
 	partialRanges  []*clusterstate.TaskRange // ranges with completed tasks whose write is due
 	completeRanges []*clusterstate.TaskRange // ranges whose tasks are all done
-	doneTasks      int                       // done tasks in the job's record after the complete ranges are recorded
-	isDue          bool                      // a complete range has waited for CompletionWriteDelay
-	hasOpenTasks   bool                      // tasks are unclaimed, or are claimed by this controller's shards and not done
+	doneTasks      int                       // number of done tasks in the job's record after the complete ranges are recorded
+	isDue          bool                      // whether a complete range has waited for CompletionWriteDelay
+	hasOpenTasks   bool                      // whether tasks are unclaimed, or are claimed by this controller's shards and not done
 }
 
 // mustCompact reports whether the complete ranges are to be recorded now. If no task of the job is
-// unclaimed or open in this controller's shards, they are recorded at once: another controller may
-// have to know them to complete the job.
+// unclaimed or open in this controller's shards, the ranges are recorded at once: another
+// controller may have to know them to complete the job.
 func (p *pendingCompletions) mustCompact(job *clusterstate.Job) bool {
 	return len(p.completeRanges) > 0 && (p.doneTasks == job.Record().Tasks || p.isDue || !p.hasOpenTasks)
 }
 
 func (w *Writer) pendingCompletions(job *clusterstate.Job, now time.Time) pendingCompletions {
-	// A transaction also needs a change for the job's record and one for its final state.
+	// A transaction also needs one change for the job's record and one for the job's final state.
 	maxRanges := w.cfg.EffectiveStateLimits().TxnOps - 2
 	pending := pendingCompletions{doneTasks: job.Record().CompletedTasks, hasOpenTasks: len(job.Record().Unclaimed) > 0}
 	for taskRange := range job.TaskRanges() {
@@ -86,10 +86,10 @@
 	}, func(kvstore.TxnResult, error) { taskRange.EndDoneWrite() })
 }
 
-// compactRanges adds the tasks of completed ranges to the count in the job's record and deletes the
-// ranges' records. The compaction that completes the job records its final state in the same
-// transaction. Every compaction writes the job's record, so it conflicts with other compactions of
-// the job and with its cancellation.
+// compactRanges adds the tasks of completed ranges to the count of completed tasks in the job's
+// record, and deletes the ranges' records. The compaction that completes the job records its final
+// state in the same transaction. Every compaction writes the job's record, so it conflicts with
+// other compactions of the job and with the job's cancellation.
 func (w *Writer) compactRanges(job *clusterstate.Job, completeRanges []*clusterstate.TaskRange) {
 	record := job.RecordWithoutDependencies()
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{jobCondition(job)}}
--- a/internal/claims/gangs.go
+++ b/internal/claims/gangs.go
@@ -6,12 +6,12 @@
 	"cherrywall/internal/kvstore"
 )
 
-// RecordGangWorkers writes the workers on which a gang is planned to the gang's range record,
-// unless the record already allows these workers. The gang's tasks are started only once the write
-// is known to have succeeded (clusterstate.State.GangCanStart). Until then no task of the gang is
-// on any machine, so the previously recorded workers need not be kept. A write without an answer is
-// repeated under the same precondition until the record has another revision. Then one of the
-// writes has succeeded, and those that are still in flight can no longer succeed.
+// RecordGangWorkers updates the range record of a gang so that it names the workers on which the
+// gang is planned, unless the record already allows these workers. The gang's tasks are started
+// only once the write is known to have succeeded (clusterstate.State.GangCanStart). Until then no
+// task of the gang is on any machine, so the previously recorded workers need not be kept. A write
+// without an answer is repeated under the same precondition until the record has another revision.
+// Then one of the writes has succeeded, and those that are still in flight can no longer succeed.
 func (w *Writer) RecordGangWorkers(taskRange *clusterstate.TaskRange) {
 	shard := w.localShard(taskRange)
 	if shard == nil || !w.State.IsCurrentTaskRange(taskRange) {
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -14,8 +14,8 @@
 type teamUsage struct {
 	// upperBound is the most that the team's tasks may use, including tasks that are only planned.
 	upperBound quota.Amount
-	// sentUpperBound is the most that the team's tasks may use, without the tasks that are only
-	// planned.
+	// sentUpperBound is the most that the team's tasks may use, counting only tasks whose start was
+	// sent.
 	sentUpperBound quota.Amount
 	// certainUsage is the amount that is used by tasks which certainly belong to the team and whose
 	// start was sent.
@@ -75,11 +75,12 @@
 
 // usageOnMachine returns the resources that a team's tasks use on a machine.
 //
-// Tasks whose needs are not known are only counted. While such a task is on a machine, the machine's
-// size is the upper bound of the usage: all its tasks together use no more than the machine has,
-// since its worker starts no task that does not fit. Such tasks must not count as nothing: when they
-// did, the new owner of a shard learned of cancelled tasks by heartbeats, found the shard below its
-// allocation, and started as much work again (docs/incidents/2026-12-quota-exceeded.md).
+// Tasks whose needs are not known are only counted. While such a task is on a machine, the
+// machine's size is the upper bound of the usage: all its tasks together use no more than the
+// machine has, since its worker starts no task that does not fit. Such tasks must not count as
+// nothing: when they did, the new owner of a shard learned of cancelled tasks by heartbeats, found
+// the shard's usage below its allocation, and started as much work again
+// (docs/incidents/2026-12-quota-exceeded.md).
 func (w *Writer) usageOnMachine(machine *clusterstate.Machine, team string) machineUsage {
 	var sums machineUsage
 	for assignment := range machine.Assignments() {
@@ -217,11 +218,11 @@
 }
 
 // checkUsage reports an invariant violation for each team whose tasks certainly use more than the
-// recorded allocation of a local shard. An unanswered release is not deducted from the recorded
-// allocation: if it succeeded, it is deducted once the changed record is read, and if it was sent
-// in an earlier epoch, it can no longer succeed, while an owner in between may have used its
-// amount. A team whose allocations together exceed its quota is not checked, because its quota was
-// lowered while tasks ran.
+// recorded allocation of a local shard. A release without an answer is not deducted from the
+// recorded allocation. If the release succeeded, the changed record will show it. If it was sent in
+// an earlier epoch, it can no longer succeed, and an owner of the shard since then may have used
+// the amount. A team whose allocations together exceed its quota is not checked, because its quota
+// was lowered while tasks ran.
 func (w *Writer) checkUsage() {
 	for _, team := range w.cfg.Cluster.Teams {
 		if !quota.IsLimited(team) || !quota.IsWithinLimit(team, w.Quotas.TotalAllocated(team)) {
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -69,7 +69,8 @@
 	return span
 }
 
-// canUnclaimFrom reports whether the range's record may be changed now.
+// canUnclaimFrom reports whether tasks of the range may be unclaimed now: this controller owns the
+// range, its record is stored, and no change of the record is pending.
 func canUnclaimFrom(taskRange *clusterstate.TaskRange) bool {
 	unrecorded, _ := taskRange.UnrecordedDone()
 	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
@@ -80,7 +81,7 @@
 	switch {
 	case taskRange.Job().IsBackground():
 		// Background work is preempted often. With the usual delay it would be unclaimed and
-		// claimed again each time, which takes four changes in the key-value store.
+		// claimed again after each preemption, which takes four changes in the key-value store.
 		return tuning.BackgroundUnclaimAfter
 	case span.end() < taskRange.Len():
 		return tuning.RangeSplitAfter
@@ -108,7 +109,7 @@
 	return preferred
 }
 
-// unclaim returns a span of a range's tasks to the job's unclaimed tasks. The tasks after the span
+// unclaim adds a span of a range's tasks to the job's unclaimed tasks. The tasks after the span
 // become a new range.
 func (w *Writer) unclaim(taskRange *clusterstate.TaskRange, span taskSpan) {
 	job, shard := taskRange.Job(), w.localShard(taskRange)
@@ -140,9 +141,10 @@
 		case err == nil || !errors.Is(err, kvstore.ErrOutcomeUnknown): // certainly not committed
 			taskRange.CancelUnclaim(span.offset, span.count)
 		default:
-			// The unclaim may have been carried out, so that another shard may have claimed the
-			// tasks, or may still be carried out. Rewriting the range settles the outcome: an
-			// unclaim that is carried out after that fails, because the range has another revision.
+			// The unclaim may still be carried out. It may also have been carried out already, and
+			// then another shard may have claimed the tasks. Rewriting the range settles the
+			// outcome: an unclaim that is carried out after that fails, because the range has
+			// another revision.
 			w.fenceUnclaim(taskRange, span, epoch)
 		}
 	})
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -104,7 +104,7 @@
 		})
 		h.OfferMachineTypes("m16")
 		machine := h.AddMachine("i-1", "n0", "m16", false)
-		other := h.AddMachine("i-2", "n0", "m16", false)
+		otherMachine := h.AddMachine("i-2", "n0", "m16", false)
 		h.Cache.ApplyEvents(nil, 5)
 		h.SetOwner("n0", harness.Self, 5)
 		h.WriteRecord(jobs.QuotaPrefix+"666577", quota.Record{ByShard: map[string]quota.Amount{"n0": {CPU: 4}, "n1": {CPU: 1}}}, 5)
@@ -123,9 +123,9 @@
 		h.Heartbeat("i-2", 1, 5)
 		expectAllowed("after all workers have reported", 4)
 		h.State.Place(taskRange, 0, machine, 1)
-		stopping := h.State.Place(taskRange, 1, other, 1)
-		h.State.MarkStartSent(stopping)
-		h.State.Stop(stopping, 5)
+		stoppingTask := h.State.Place(taskRange, 1, otherMachine, 1)
+		h.State.MarkStartSent(stoppingTask)
+		h.State.Stop(stoppingTask, 5)
 		expectAllowed("with one task planned and one stopping", 2)
 		time.Sleep(tuning.QuotaShortfallValidity)
 		h.SyncCache(7)
@@ -194,11 +194,11 @@
 	taskRange := h.AddTaskRange("wk-1", "n0", 5, 4)
 	h.SetOwner("n0", harness.Self, 10)
 	h.SyncCache(10)
-	running := []workerapi.TaskStatus{{Task: "wk-1/4", Attempt: 3, Status: workerapi.StatusRunning}}
+	runningTasks := []workerapi.TaskStatus{{Task: "wk-1/4", Attempt: 3, Status: workerapi.StatusRunning}}
 	if offset > 0 {
-		running = append(running, workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning})
+		runningTasks = append(runningTasks, workerapi.TaskStatus{Task: "wk-1/0", Attempt: 3, Status: workerapi.StatusRunning})
 	}
-	h.Heartbeat("i-1", 5, 10, running...)
+	h.Heartbeat("i-1", 5, 10, runningTasks...)
 	taskRange.MarkUnknownReady()
 	taskRange.BeginUnclaim(offset, count)
 	record := *job.Record()
@@ -207,16 +207,16 @@
 	if offset > 0 {
 		firstRange = harness.Event(jobs.RangeKey("wk-1", 0), taskRange.Subrange(0, offset), 20)
 	}
-	written := []kvstore.Event{
+	writtenEvents := []kvstore.Event{
 		harness.Event(jobs.JobKey("wk-1"), record, 20),
 		firstRange,
 		harness.Event(jobs.RangeKey("wk-1", 4), taskRange.Subrange(4, 1), 20),
 	}
-	var delivered []kvstore.Event
+	var deliveredEvents []kvstore.Event
 	for _, i := range order {
-		delivered = append(delivered, written[i])
+		deliveredEvents = append(deliveredEvents, writtenEvents[i])
 	}
-	h.Cache.ApplyEvents(delivered, 20)
+	h.Cache.ApplyEvents(deliveredEvents, 20)
 	rangeAfter := job.TaskRange(4)
 	if rangeAfter == nil || rangeAfter.Len() != 1 || rangeAfter.TaskState(0) != clusterstate.TaskPlaced || rangeAfter.Assignment(0).Machine().Host() != "i-1" {
 		t.Fatalf("range after the unclaimed tasks: %+v", rangeAfter)
--- a/internal/startgate/startgate_test.go
+++ b/internal/startgate/startgate_test.go
@@ -20,8 +20,8 @@
 	shard           = "n0"
 	epoch           = 4
 	quotaKey        = jobs.QuotaPrefix + "636170706564" // of the team "capped"
-	fullQuota       = 8.0
-	appliedRevision = 20 // the revision up to which the harness has applied all changes
+	fullQuota       = 8.0                               // CPUs
+	appliedRevision = 20                                // the revision up to which the harness has applied all changes
 )
 
 // newPlacedTasks creates a controller that owns a reconciled shard with one machine, on which two tasks
@@ -36,12 +36,12 @@
 	machine := h.AddMachine("i-1", shard, "m16", false)
 	h.State.EndHeartbeat(machine, true, false)
 	h.AddJob(jobs.Spec{Ref: "wk-1", Team: "capped", Kind: jobs.Array, Urgency: "normal", Tasks: 2, CPU: 2}, 0, 5)
-	tasks := h.AddTaskRange("wk-1", shard, 2, 6)
+	taskRange := h.AddTaskRange("wk-1", shard, 2, 6)
 	allocate(h, 4, 7)
 	h.SyncCache(appliedRevision)
 	h.Membership.Shard(shard).MarkReconciled()
-	tasks.MarkUnknownReady()
-	return h, h.State.Place(tasks, 0, machine, 1), h.State.Place(tasks, 1, machine, 2)
+	taskRange.MarkUnknownReady()
+	return h, h.State.Place(taskRange, 0, machine, 1), h.State.Place(taskRange, 1, machine, 2)
 }
 
 // allocate writes an allocation of CPUs to the shard into the team's quota record.
@@ -136,8 +136,8 @@
 	})
 }
 
-// Known tasks that use more than the allocation violate an invariant. Each check counts and reports the
-// violation once. The test causes one by starting tasks without a check by the gate.
+// Known tasks that use more than the allocation violate an invariant. Each check counts and reports
+// the violation once. The test causes a violation by starting tasks without a check by the gate.
 func TestUsageBeyondAllocationIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
@@ -158,13 +158,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, _, _ := newPlacedTasks(t)
 		h.AddJob(jobs.Spec{Ref: "wk-2", Team: "capped", Kind: jobs.Gang, Urgency: "normal", Tasks: 2, CPU: 1}, 0, 8)
-		tasks := h.AddTaskRange("wk-2", shard, 2, 9)
-		tasks.MarkUnknownReady()
-		gang := tasks.Job()
+		taskRange := h.AddTaskRange("wk-2", shard, 2, 9)
+		taskRange.MarkUnknownReady()
+		gang := taskRange.Job()
 		h.State.BeginGangAttempt(gang, 3)
 		machine := h.State.Machine("i-1")
-		first := h.State.Place(tasks, 0, machine, 3)
-		h.State.Place(tasks, 1, machine, 3)
+		first := h.State.Place(taskRange, 0, machine, 3)
+		h.State.Place(taskRange, 1, machine, 3)
 		allocate(h, 1, 40)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.QuotaExceeded {
 			t.Errorf("allocation for half of the gang: refusal %q", got)
@@ -198,7 +198,7 @@
 func TestUnansweredReleaseIsNoViolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, second := newPlacedTasks(t)
-		tasks, machine := second.TaskRange(), second.Machine()
+		taskRange, machine := second.TaskRange(), second.Machine()
 		h.State.Unplace(second)
 		h.Claims.Tick(time.Now())
 		time.Sleep(tuning.AllocationReleaseDelay)
@@ -207,7 +207,7 @@
 		if available := h.Claims.QuotaUsages()[0].AllocatedCPU; available != 2 {
 			t.Fatalf("%v CPUs are available after the release was sent", available)
 		}
-		second = h.State.Place(tasks, 1, machine, 3)
+		second = h.State.Place(taskRange, 1, machine, 3)
 		for _, assignment := range []*clusterstate.Assignment{first, second} {
 			h.State.MarkStartSent(assignment)
 			h.Claims.RecordStartSent(assignment)
