--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -26,9 +26,9 @@
 // StartByMS returns the wall-clock time (Unix ms) by which a job should start. For a service it is
 // the time of its arrival. For an array it is the next deadline or objective less the run time: an
 // array that is too late for one objective is queued by the next one. An array that is too late for
-// all of them is queued by the time at which it has waited for tuning.AgingPeriod: after most
-// arrays that can still meet an objective, but without starving. gangStartByMS returns the time for
-// a gang.
+// all of them is queued by the time at which it has waited for tuning.AgingPeriod. So it comes
+// after most arrays that can still meet an objective, but does not starve. gangStartByMS returns
+// the time for a gang.
 func StartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	switch job.Record.Kind {
 	case jobs.Gang:
@@ -81,13 +81,13 @@
 
 func milliseconds(seconds float64) int64 { return int64(seconds * 1000) }
 
-// gangStartByMS returns a wall-clock time (Unix ms) by which waiting gangs are ordered in the queue.
-// Gangs whose next objective is at risk go first, then gangs that can still wait, then gangs that are
-// too late for all objectives. Within each of these groups the shortest gang goes first, so that most
-// gangs are in time. If gangs were queued by arrival, every gang would be late in an overload: after a
-// minute with three times the usual number of gangs, gangs that arrive long after that minute would
-// still wait behind the backlog. To prevent starvation, a gang that has waited for longer than
-// tuning.AgingPeriod goes before all others.
+// gangStartByMS returns a wall-clock time (Unix ms) by which waiting gangs are ordered in the
+// queue. Gangs whose next objective is at risk go first, then gangs that can still wait, then gangs
+// that are too late for all objectives. Within each of these groups the shortest gang goes first,
+// so that most gangs meet an objective. If gangs were queued by arrival, every gang would be late
+// in an overload: after a minute with three times the usual number of gangs, gangs that arrive long
+// after that minute would still wait behind the backlog. To prevent starvation, a gang that has
+// waited for longer than tuning.AgingPeriod goes before all others.
 func gangStartByMS(job Job, objectives []config.Objective, now time.Time) int64 {
 	age := time.Duration(now.UnixMilli()-job.RunnableSinceMS) * time.Millisecond
 	if age > tuning.AgingPeriod || len(objectives) == 0 {
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -37,19 +37,19 @@
 		{Kind: config.ObjectiveStarted, Class: "sync", WithinSeconds: 15},
 		{Kind: config.ObjectiveFinished, Class: "sync", WithinSeconds: 200},
 	}
-	gang := func(age time.Duration, runSeconds float64) *jobs.JobRecord {
+	newGang := func(age time.Duration, runSeconds float64) *jobs.JobRecord {
 		return &jobs.JobRecord{
 			Spec:         jobs.Spec{Class: "sync", Kind: jobs.Gang, EstimatedRunSeconds: runSeconds},
 			AcceptedAtMS: now.Add(-age).UnixMilli(),
 		}
 	}
 	queue := map[string]*jobs.JobRecord{
-		"too late":      gang(199*time.Second, 60),
-		"not at risk":   gang(30*time.Second, 60),
-		"new and long":  gang(2*time.Second, 120),
-		"new and short": gang(time.Second, 20),
-		"at risk":       gang(130*time.Second, 60),
-		"aged":          gang(6*time.Minute, 500),
+		"too late":      newGang(199*time.Second, 60),
+		"not at risk":   newGang(30*time.Second, 60),
+		"new and long":  newGang(2*time.Second, 120),
+		"new and short": newGang(time.Second, 20),
+		"at risk":       newGang(130*time.Second, 60),
+		"aged":          newGang(6*time.Minute, 500),
 	}
 	for _, c := range []struct {
 		name       string
@@ -75,7 +75,7 @@
 		{Kind: config.ObjectiveFinished, Class: "scan", WithinSeconds: 200},
 	}
 	deadlineSeconds := 40.0
-	array := func(age time.Duration, runSeconds float64, deadlineSeconds *float64) *jobs.JobRecord {
+	newArray := func(age time.Duration, runSeconds float64, deadlineSeconds *float64) *jobs.JobRecord {
 		return &jobs.JobRecord{
 			Spec: jobs.Spec{Class: "scan", Kind: jobs.Array, EstimatedRunSeconds: runSeconds,
 				DeadlineSeconds: deadlineSeconds},
@@ -83,10 +83,10 @@
 		}
 	}
 	queue := map[string]*jobs.JobRecord{
-		"deadline":         array(0, 10, &deadlineSeconds),  // has to start within 30 s
-		"first objective":  array(10*time.Second, 20, nil),  // has to start within 70 s
-		"second objective": array(110*time.Second, 20, nil), // has to start within 70 s for the second objective: 200-20-110
-		"late":             array(250*time.Second, 20, nil), // too late for all objectives: queued as if it had to start within 50 s
+		"deadline":         newArray(0, 10, &deadlineSeconds),  // has to start within 30 s
+		"first objective":  newArray(10*time.Second, 20, nil),  // has to start within 70 s
+		"second objective": newArray(110*time.Second, 20, nil), // has to start within 70 s for the second objective: 200-20-110
+		"late":             newArray(250*time.Second, 20, nil), // too late for all objectives: queued as if it had to start within 50 s
 	}
 	want := []string{"deadline", "late", "first objective", "second objective"}
 	if got := sortedByStart(queue, objectives, now); got[0] != want[0] || got[1] != want[1] {
--- a/internal/quota/allocations.go
+++ b/internal/quota/allocations.go
@@ -8,7 +8,7 @@
 	"cherrywall/internal/config"
 )
 
-// Allocations holds the latest records of all teams that a controller knows. It applies records
+// Allocations holds, for each team, the latest record that a controller knows. It applies records
 // that were read from the store. It computes changed records, which the caller writes. It is not
 // safe for concurrent use: one actor owns it.
 type Allocations struct{ teams map[string]*teamState }
@@ -45,10 +45,10 @@
 	return state
 }
 
-// ApplyRecord applies a team's record as of a revision. A record that is not newer than the known one
-// is ignored. A newer record settles the outcome of releases in flight: each of them is contained in
-// the record, or can no longer succeed because its precondition is an older revision. ApplyRecord
-// returns an error if the record can't be decoded.
+// ApplyRecord applies a team's record as of a revision. A record that is not newer than the known
+// one is ignored. A newer record settles the outcome of releases in flight: each of them either is
+// included in the record, or can no longer succeed because its precondition is an older revision.
+// ApplyRecord returns an error if the record can't be decoded.
 func (a *Allocations) ApplyRecord(team string, value json.RawMessage, revision uint64) error {
 	state := a.stateOf(team)
 	if state.revision >= revision {
@@ -68,7 +68,7 @@
 // Revision returns the revision of a team's record, 0 if there is none.
 func (a *Allocations) Revision(team string) uint64 { return a.stateOf(team).revision }
 
-// Record returns a team's record. It must not be changed.
+// Record returns a team's record, which the caller must not change.
 func (a *Allocations) Record(team string) Record { return a.stateOf(team).record }
 
 // Available returns how much of a team's quota a shard's owner may use. If the quota was lowered below
@@ -152,9 +152,9 @@
 	delete(a.stateOf(team).pendingReleases, shard)
 }
 
-// IsReleasePending reports whether the outcome of a release of the team's quota is unknown. If
-// another write with the same precondition succeeds, the outcome is known: the release can no
-// longer succeed.
+// IsReleasePending reports whether the outcome of a release of the team's quota is unknown. A
+// successful write of the record with the same precondition settles it: after that the release can
+// no longer succeed.
 func (a *Allocations) IsReleasePending(team string) bool {
 	return len(a.stateOf(team).pendingReleases) > 0
 }
--- a/internal/quota/allocations_test.go
+++ b/internal/quota/allocations_test.go
@@ -19,7 +19,7 @@
 
 // explorer does a breadth-first search of all states that can be reached by the steps.
 type explorer struct {
-	faults  mutation
+	variant protocolVariant
 	steps   []step
 	initial model
 	origins map[model]origin // by visited state
@@ -34,8 +34,8 @@
 // explore visits states until it has visited at least maxStates, or an invariant does not hold.
 // excludeFaults leaves out the steps that are faults and allows only one transaction in flight, so
 // that longer paths are searched in the same time.
-func explore(faults mutation, excludeFaults bool, maxStates int) exploration {
-	e := explorer{faults: faults, steps: allSteps(), initial: initialModel(), origins: map[model]origin{}}
+func explore(variant protocolVariant, excludeFaults bool, maxStates int) exploration {
+	e := explorer{variant: variant, steps: allSteps(), initial: initialModel(), origins: map[model]origin{}}
 	inFlightLimit = maxInFlight
 	if excludeFaults {
 		inFlightLimit = 1
@@ -64,7 +64,7 @@
 func (e *explorer) visitFrom(state model) (newStates []model) {
 	for _, step := range e.steps {
 		after := state
-		if !step.apply(&after, e.faults) {
+		if !step.apply(&after, e.variant) {
 			continue
 		}
 		if _, known := e.origins[after]; known {
@@ -93,7 +93,7 @@
 	for team.MaxCPUs = 1; team.MaxCPUs <= 2; team.MaxCPUs++ {
 		for excludeFaults, maxStates := range map[bool]int{false: 20_000, true: 60_000} {
 			t.Run(fmt.Sprintf("quota %v, without faults %v", team.MaxCPUs, excludeFaults), func(t *testing.T) {
-				result := explore(mutation{}, excludeFaults, maxStates)
+				result := explore(protocolVariant{}, excludeFaults, maxStates)
 				if result.violation != "" {
 					t.Fatalf("%s after %q", result.violation, result.path)
 				}
@@ -108,15 +108,15 @@
 
 // The exploration must find the violations in incorrect variants of the protocol. This shows that it
 // would find them in the real protocol as well.
-func TestMutatedAllocationsViolateInvariants(t *testing.T) {
-	for name, faults := range map[string]mutation{
+func TestIncorrectVariantsViolateInvariants(t *testing.T) {
+	for name, variant := range map[string]protocolVariant{
 		"used before its tasks are known":                               {useBeforeReconciled: true},
 		"used while it is released":                                     {useWhileReleasing: true},
 		"written without the shard's epoch":                             {writeWithoutEpoch: true},
 		"reconciled before the records of the previous owner are known": {reconcileBeforeRecord: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			result := explore(faults, true, 400_000)
+			result := explore(variant, true, 400_000)
 			if result.violation == "" {
 				t.Fatal("no violation found")
 			}
@@ -133,11 +133,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		state := initialModel()
 		for _, step := range rapid.SliceOfN(rapid.SampledFrom(steps), 50, 150).Draw(t, "steps") {
-			if after := state; step.apply(&after, mutation{}) {
+			if after := state; step.apply(&after, protocolVariant{}) {
 				state = after
 			}
 			if state.record.revision > 100 {
-				return // the model's revisions are of type int8
+				return // the model's revisions are of type int8 and must not overflow
 			}
 			if violation := state.violation(); violation != "" {
 				t.Fatal(violation)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -26,10 +26,11 @@
 
 var shardNames = [shardCount]string{"s0", "s1"}
 
-// encodedRecords caches the encoded records by the tasks allocated to each shard.
+// encodedRecords caches the encoded records by the number of tasks allocated to each shard.
 var encodedRecords = map[[shardCount]int8][]byte{}
 
-// encodeRecord returns the stored form of a record, given the tasks allocated to each shard.
+// encodeRecord returns the stored form of a record, given the number of tasks allocated to each
+// shard.
 func encodeRecord(byShard [shardCount]int8) []byte {
 	raw := encodedRecords[byShard]
 	if raw == nil {
@@ -41,7 +42,7 @@
 
 // modelRecord is the team's record at a revision.
 type modelRecord struct {
-	byShard  [shardCount]int8 // allocated tasks
+	byShard  [shardCount]int8 // number of allocated tasks
 	revision int8
 }
 
@@ -50,7 +51,7 @@
 	isOwned                     bool
 	epoch                       int8 // the epoch in which the controller owns the shard
 	isReconciled                bool
-	pendingRelease              int8 // tasks whose release has an unknown outcome
+	pendingRelease              int8 // number of tasks for which the release of quota has an unknown outcome
 	recordRevisionAtAcquisition int8 // the revision of the team's record when the shard was acquired
 }
 
@@ -69,7 +70,7 @@
 	record               modelRecord
 	owner                [shardCount]int8             // the controller that owns the shard according to the store
 	epoch                [shardCount]int8             // according to the store
-	runningTasks         [shardCount]int8             // tasks that run on the shard's workers
+	runningTasks         [shardCount]int8             // number of tasks that run on the shard's workers
 	commandingController [shardCount]int8             // the controller whose commands the shard's workers obey
 	knownRecords         [controllerCount]modelRecord // the record that each controller has read
 	releaseRevision      [controllerCount]int8        // the revision that is the precondition of each controller's last release
@@ -77,8 +78,8 @@
 	inFlight             [maxInFlight]inFlightTxn
 }
 
-// mutation is a set of faults in the protocol that the exploration must find.
-type mutation struct {
+// protocolVariant is a set of deliberate errors in the protocol that the exploration must find.
+type protocolVariant struct {
 	useBeforeReconciled   bool // an allocation is used and released before the running tasks of the shard are known
 	useWhileReleasing     bool // an amount is used after its release was sent, until the release is known to be written
 	writeWithoutEpoch     bool // the shard's epoch is not a precondition of writes
@@ -138,14 +139,14 @@
 	return false
 }
 
-// applyRecord makes a controller apply the current record. With reset the controller first discards the
-// records that it knows, as it does before it reads all of them again.
-func (m *model) applyRecord(controller int, reset bool) {
-	if !reset && m.knownRecords[controller] == m.record {
+// applyRecord makes a controller apply the current record. With isReread the controller first
+// discards the records that it knows, as it does before it reads all of them again.
+func (m *model) applyRecord(controller int, isReread bool) {
+	if !isReread && m.knownRecords[controller] == m.record {
 		return
 	}
 	allocations := m.allocations(controller)
-	if reset {
+	if isReread {
 		allocations.Reset()
 	}
 	if err := allocations.ApplyRecord(team.Name, encodeRecord(m.record.byShard), uint64(m.record.revision)); err != nil {
@@ -176,11 +177,11 @@
 
 // step is an event that may happen in a state of the model.
 type step struct {
-	name string // a number at the start is that of a controller
+	name string // a number at the start is the number of a controller
 	// isFault marks crashes, lost responses and resets, which an exploration without faults leaves out.
 	isFault bool
 	// apply changes the state. It returns false if the event is not possible in the state.
-	apply func(m *model, faults mutation) bool
+	apply func(m *model, variant protocolVariant) bool
 }
 
 func (s step) String() string { return s.name }
@@ -197,37 +198,37 @@
 		steps = append(steps, applyRecordsStep(c), rereadRecordsStep(c), crashStep(c))
 	}
 	for i := range maxInFlight {
-		steps = append(steps, decideTransactionStep(i), loseResponseStep(i))
+		steps = append(steps, executeTransactionStep(i), loseResponseStep(i))
 	}
 	return steps
 }
 
 func taskEndStep(shard int) step {
-	return step{name: fmt.Sprint("a task ends in shard ", shard), apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint("a task ends in shard ", shard), apply: func(m *model, _ protocolVariant) bool {
 		m.runningTasks[shard]--
 		return m.runningTasks[shard] >= 0
 	}}
 }
 
-// knownRunning returns how many tasks run in a shard to the knowledge of a controller.
-func (m *model) knownRunning(controller, shard int, faults mutation) int8 {
-	if faults.useBeforeReconciled && !m.views[controller][shard].isReconciled {
+// knownRunningTasks returns how many tasks run in a shard, as far as a controller knows.
+func (m *model) knownRunningTasks(controller, shard int, variant protocolVariant) int8 {
+	if variant.useBeforeReconciled && !m.views[controller][shard].isReconciled {
 		return 0 // the workers have not sent a heartbeat yet
 	}
 	return m.runningTasks[shard]
 }
 
-// canUse reports whether a controller may use a shard's allocation.
-func (m *model) canUse(controller, shard int, faults mutation) bool {
+// canUseAllocation reports whether a controller may use a shard's allocation.
+func (m *model) canUseAllocation(controller, shard int, variant protocolVariant) bool {
 	view := m.views[controller][shard]
-	return view.isOwned && (view.isReconciled || faults.useBeforeReconciled)
+	return view.isOwned && (view.isReconciled || variant.useBeforeReconciled)
 }
 
 func startTaskStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d starts a task in shard %d", controller, shard)
-	return step{name: name, apply: func(m *model, faults mutation) bool {
-		needed := float64(m.knownRunning(controller, shard, faults) + 1)
-		ok := m.canUse(controller, shard, faults) && int(m.commandingController[shard]) == controller &&
+	return step{name: name, apply: func(m *model, variant protocolVariant) bool {
+		needed := float64(m.knownRunningTasks(controller, shard, variant) + 1)
+		ok := m.canUseAllocation(controller, shard, variant) && int(m.commandingController[shard]) == controller &&
 			m.allocations(controller).Available(team, shardNames[shard]).CPU >= needed
 		m.runningTasks[shard]++
 		return ok
@@ -236,7 +237,7 @@
 
 func acquireAllocationStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d acquires quota for shard %d", controller, shard)
-	return step{name: name, apply: func(m *model, _ mutation) bool {
+	return step{name: name, apply: func(m *model, _ protocolVariant) bool {
 		if !m.views[controller][shard].isOwned {
 			return false
 		}
@@ -247,17 +248,17 @@
 
 func releaseAllocationStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d releases quota of shard %d", controller, shard)
-	return step{name: name, apply: func(m *model, faults mutation) bool {
+	return step{name: name, apply: func(m *model, variant protocolVariant) bool {
 		allocations, shardName := m.allocations(controller), shardNames[shard]
-		needed := float64(m.knownRunning(controller, shard, faults) + 1)
-		if !m.canUse(controller, shard, faults) || allocations.IsReleasePending(team.Name) ||
+		needed := float64(m.knownRunningTasks(controller, shard, variant) + 1)
+		if !m.canUseAllocation(controller, shard, variant) || allocations.IsReleasePending(team.Name) ||
 			allocations.Available(team, shardName).CPU < needed {
 			return false
 		}
 		if !m.send(controller, shard, allocations.Release(team, shardName, Amount{CPU: 1}), true) {
 			return false
 		}
-		if !faults.useWhileReleasing {
+		if !variant.useWhileReleasing {
 			allocations.RecordReleaseSent(team.Name, shardName, Amount{CPU: 1})
 			m.views[controller][shard].pendingRelease = 1
 			m.releaseRevision[controller] = m.knownRecords[controller].revision
@@ -268,7 +269,7 @@
 
 func acquireShardStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d acquires shard %d", controller, shard)
-	return step{name: name, apply: func(m *model, _ mutation) bool {
+	return step{name: name, apply: func(m *model, _ protocolVariant) bool {
 		view := &m.views[controller][shard]
 		if int(m.owner[shard]) == controller && view.isOwned || m.epoch[shard] > 2 {
 			return false
@@ -282,9 +283,9 @@
 
 func reconcileShardStep(controller, shard int) step {
 	name := fmt.Sprintf("controller %d reconciles shard %d", controller, shard)
-	return step{name: name, apply: func(m *model, faults mutation) bool {
+	return step{name: name, apply: func(m *model, variant protocolVariant) bool {
 		view := &m.views[controller][shard]
-		knowsRecord := m.knownRecords[controller].revision >= view.recordRevisionAtAcquisition || faults.reconcileBeforeRecord
+		knowsRecord := m.knownRecords[controller].revision >= view.recordRevisionAtAcquisition || variant.reconcileBeforeRecord
 		ok := knowsRecord && view.isOwned && !view.isReconciled && view.epoch == m.epoch[shard]
 		view.isReconciled, m.commandingController[shard] = true, int8(controller)
 		return ok
@@ -292,7 +293,7 @@
 }
 
 func applyRecordsStep(controller int) step {
-	return step{name: fmt.Sprint(controller, " applies the records"), apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint(controller, " applies the records"), apply: func(m *model, _ protocolVariant) bool {
 		before := *m
 		m.applyRecord(controller, false)
 		for s := range shardCount {
@@ -305,7 +306,7 @@
 }
 
 func rereadRecordsStep(controller int) step {
-	return step{name: fmt.Sprint(controller, " reads all records again"), isFault: true, apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint(controller, " reads all records again"), isFault: true, apply: func(m *model, _ protocolVariant) bool {
 		before := *m
 		m.applyRecord(controller, true)
 		return *m != before
@@ -313,7 +314,7 @@
 }
 
 func crashStep(controller int) step {
-	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ protocolVariant) bool {
 		before := *m
 		m.views[controller], m.releaseRevision[controller] = [shardCount]shardView{}, 0
 		m.knownRecords[controller] = m.record // it reads all records again
@@ -321,15 +322,15 @@
 	}}
 }
 
-func decideTransactionStep(i int) step {
-	return step{name: fmt.Sprint("transaction ", i, " is decided"), apply: func(m *model, faults mutation) bool {
+func executeTransactionStep(i int) step {
+	return step{name: fmt.Sprint("transaction ", i, " is executed"), apply: func(m *model, variant protocolVariant) bool {
 		txn := m.inFlight[i]
 		if !txn.isActive {
 			return false
 		}
 		m.inFlight[i] = inFlightTxn{}
 		succeeds := txn.revision == m.record.revision &&
-			(faults.writeWithoutEpoch || txn.epoch == m.epoch[txn.shard])
+			(variant.writeWithoutEpoch || txn.epoch == m.epoch[txn.shard])
 		if succeeds {
 			m.record = modelRecord{txn.byShard, m.record.revision + 1}
 		}
@@ -345,7 +346,7 @@
 }
 
 func loseResponseStep(i int) step {
-	return step{name: fmt.Sprint("the response to transaction ", i, " is lost"), isFault: true, apply: func(m *model, _ mutation) bool {
+	return step{name: fmt.Sprint("the response to transaction ", i, " is lost"), isFault: true, apply: func(m *model, _ protocolVariant) bool {
 		ok := m.inFlight[i].isActive && !m.inFlight[i].isResponseLost
 		m.inFlight[i].isResponseLost = true
 		return ok
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,8 +1,8 @@
-// Package quota manages the quotas of teams. A quota is the maximum of the resources that all running
-// tasks of a team may use together. It is split into durable allocations to the shards, whose sum never
-// exceeds the quota. Only the owner of a shard changes the shard's allocation, by a write whose
-// precondition is the shard's epoch: it acquires unallocated quota, and releases quota that the shard
-// does not need.
+// Package quota manages the quotas of teams. A quota is the maximum of the resources that all
+// running tasks of a team may use together. It is split into durable allocations to the shards. The
+// sum of these allocations never exceeds the quota. Only the owner of a shard changes the shard's
+// allocation, by a write whose precondition is the shard's epoch: it acquires unallocated quota,
+// and releases quota that the shard does not need.
 package quota
 
 import (
@@ -26,7 +26,8 @@
 	return total
 }
 
-// Amount is how much of each resource that a quota limits is allocated, used or allowed.
+// Amount is an amount of the resources that a quota can limit. It may be allocated, used or
+// allowed.
 type Amount struct {
 	CPU float64 `json:"cpu,omitempty"` // cores
 	GPU float64 `json:"gpu,omitempty"` // devices
