--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	// Node is this controller's name. Zone is the zone in which it runs.
 	Node string `toml:"node"`
 	Zone string `toml:"zone"`
-	// Listen and PeerListen are the addresses (host:port) for users and workers, and for other
+	// Listen is the address (host:port) for users and workers, and PeerListen is the one for other
 	// controllers.
 	Listen     string    `toml:"listen"`
 	PeerListen string    `toml:"peer_listen"`
@@ -41,7 +41,7 @@
 type Cluster struct {
 	Nodes int      `toml:"nodes"` // the number of controllers
 	Zones []string `toml:"zones"`
-	// ClockErrorMS bounds the error of the time of day of a machine (ms).
+	// ClockErrorMS is the maximum error of a machine's wall clock (ms).
 	ClockErrorMS float64       `toml:"clock_error_ms"`
 	Teams        []Team        `toml:"teams"`
 	Objectives   []Objective   `toml:"objectives"`
@@ -55,12 +55,14 @@
 type WorkerTimings struct {
 	// HeartbeatIntervalSeconds is the time between two heartbeats of a worker.
 	HeartbeatIntervalSeconds float64 `toml:"report_s"`
-	// LeaseSeconds is the time after its last answered heartbeat at which a worker stops its tasks.
+	// LeaseSeconds is the time from a worker's last answered heartbeat until the worker stops its
+	// tasks.
 	LeaseSeconds float64 `toml:"lease_s"`
-	// GangWaitSeconds is how long a gang's task waits for the others before it gives up.
+	// GangWaitSeconds is how long a task of a gang waits for the gang's other tasks before it gives
+	// up.
 	GangWaitSeconds float64 `toml:"gang_wait_s"`
-	// GangPeerTimeoutSeconds is how long a gang's tasks continue without one of them before they
-	// fail.
+	// GangPeerTimeoutSeconds is how long the tasks of a gang continue while one of the gang's tasks
+	// is missing, before they fail.
 	GangPeerTimeoutSeconds float64 `toml:"gang_peer_s"`
 	// CancelSeconds is the maximum time from the cancellation of a job until its tasks have ended.
 	CancelSeconds float64 `toml:"cancel_s"`
@@ -74,21 +76,21 @@
 	Next StateLimits `toml:"next"`
 }
 
-// StateLimits are limits of the key-value store.
+// StateLimits are maximum values that the key-value store enforces.
 type StateLimits struct {
-	RPS      float64 `toml:"rps"`       // requests a second
-	WriteRPS float64 `toml:"write_rps"` // changes a second
-	ValueKB  float64 `toml:"value_kb"`  // the size of a value (KiB)
-	TxnOps   int     `toml:"txn_ops"`   // changes in a transaction
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // changes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of one value (KiB)
+	TxnOps   int     `toml:"txn_ops"`   // changes in one transaction
 }
 
 // CloudSettings describe the cloud's interface.
 type CloudSettings struct {
-	RPS            float64 `toml:"rps"`        // requests a second
+	RPS            float64 `toml:"rps"`        // maximum requests per second
 	ListLagSeconds float64 `toml:"list_lag_s"` // how old the list of machines may be
 }
 
-// ProcessLimits are what a controller's process may use.
+// ProcessLimits are the resources that a controller's process may use.
 type ProcessLimits struct {
 	Cores      float64 `toml:"cores"`
 	MemMB      float64 `toml:"mem_mb"`
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -12,9 +12,9 @@
 // shows why these rules are correct.
 
 // HeartbeatAnswerValidity returns how long after its last read of the key-value store a controller
-// may answer heartbeats. A controller that has lost a shard, and has not read this yet, may answer
-// the shard's workers for as long. The time is short enough that the tasks of a job that another
-// controller has cancelled still end in time, by the expiry of their workers' leases.
+// may answer heartbeats. A controller that has lost a shard, but has not read of the loss yet, may
+// answer the shard's workers for that time. The time is short enough that the tasks of a job that
+// another controller has cancelled still end in time, by the expiry of their workers' leases.
 func (c *Config) HeartbeatAnswerValidity() time.Duration {
 	workers := c.Cluster.Workers
 	return Seconds(workers.CancelSeconds*(1-2*tuning.MaxClockDrift)-workers.LeaseSeconds) - 2*tuning.LeaseExpiryMargin
@@ -36,8 +36,9 @@
 	return knowledgeAge(now, knownAt) < tuning.MaxStartKnowledgeAge
 }
 
-// CancellationEffectiveDelay returns how long after one controller learned of a cancellation all
-// controllers observe it: none starts a task without knowing of the cancellation.
+// CancellationEffectiveDelay returns the time from when one controller learned of a cancellation
+// until all controllers observe it. After that time no controller starts a task without knowing of
+// the cancellation.
 func (c *Config) CancellationEffectiveDelay() time.Duration {
 	return Seconds(tuning.MaxStartKnowledgeAge.Seconds()*(1+2*tuning.MaxClockDrift)) + tuning.StartKnowledgeMargin
 }
@@ -49,8 +50,8 @@
 	return max(now.Sub(knownAt), wallClockAge)
 }
 
-// WorkerLeaseExpiryDelay returns how long after its last answered heartbeat a worker's tasks
-// have certainly stopped.
+// WorkerLeaseExpiryDelay returns the time after a worker's last answered heartbeat at which the
+// worker's tasks have certainly stopped.
 func (c *Config) WorkerLeaseExpiryDelay() time.Duration {
 	return expiryDelay(c.Cluster.Workers.LeaseSeconds)
 }
@@ -68,7 +69,7 @@
 	return Seconds(seconds*(1+2*tuning.MaxClockDrift)) + tuning.LeaseExpiryMargin
 }
 
-// WorkerLeaseExpiresAt returns the time from which on a worker certainly runs no tasks, if it has
+// WorkerLeaseExpiresAt returns the time after which a worker certainly runs no tasks, if it has
 // sent no heartbeat with the fencing token of its shard's current owner. acquiredAt is when that
 // owner acquired the shard: leases that the previous owner renewed have expired
 // PreviousOwnerExpiryDelay later. lastHeartbeatAt is when the last heartbeat arrived that the
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,7 +2,7 @@
 
 import "cherrywall/internal/tuning"
 
-// EffectiveStateLimits returns the limits that every write observes. Each is the smaller of the
+// EffectiveStateLimits returns the limits that no write may exceed. Each is the smaller of the
 // store's current limit and the next one, since the next limits come into force without notice.
 func (c *Config) EffectiveStateLimits() StateLimits {
 	current, next := c.Cluster.State.StateLimits, c.Cluster.State.Next
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -8,9 +8,9 @@
 
 // Kinds of objectives that apply to single jobs.
 const (
-	// ObjectiveStarted: a job's tasks have started within a time.
+	// ObjectiveStarted: a job's tasks have started within a given time.
 	ObjectiveStarted ObjectiveKind = "wait"
-	// ObjectiveFinished: a job is done within a time.
+	// ObjectiveFinished: a job is done within a given time.
 	ObjectiveFinished ObjectiveKind = "finished"
 	// ObjectiveDeadline: a job is done within a multiple of its own deadline.
 	ObjectiveDeadline ObjectiveKind = "deadline"
@@ -30,18 +30,19 @@
 // HasObjective reports whether an objective names the class. If no objective names a class, every
 // class counts as named.
 func (c *Config) HasObjective(class string) bool {
-	namesAnyClass := false
+	isAnyClassNamed := false
 	for _, objective := range c.Cluster.Objectives {
 		if objective.Class != "" && objective.Class == class {
 			return true
 		}
-		namesAnyClass = namesAnyClass || objective.Class != ""
+		isAnyClassNamed = isAnyClassNamed || objective.Class != ""
 	}
-	return !namesAnyClass
+	return !isAnyClassNamed
 }
 
 // DeadlineMultiple returns the number by which the deadline of a job is multiplied to get the time
-// within which the job should be done: the largest among the objectives of the job's class, at least 1.
+// within which the job should be done: the largest multiple that an objective of the job's class
+// sets, but at least 1.
 func (c *Config) DeadlineMultiple(class string) float64 {
 	largest := 1.0
 	for _, objective := range c.Cluster.Objectives {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,7 +7,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// FieldError is an invalid value in the settings file. Field is the path of the field.
+// FieldError reports an invalid value in the settings file. Field is the path of the field.
 type FieldError struct{ Field, Reason string }
 
 // Error returns the field and the reason.
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -6,12 +6,13 @@
 const (
 	// MachineListInterval is how often the cloud's list of machines is read.
 	MachineListInterval = 10 * time.Second
-	// MinMachineListGap is the minimum time between two extra reads of that list, which are made
-	// when workers send no heartbeats.
+	// MinMachineListGap is the minimum time between two extra reads of the cloud's list of
+	// machines. Extra reads are made when workers send no heartbeats.
 	MinMachineListGap = 3 * time.Second
-	// MaxListLagFactor times the stated lag is the assumed maximum lag of the machine list. A
-	// machine is treated as terminated only if it would be listed even with this lag, and is not.
-	// The protocol gives a factor of two, but operators saw the list lag far more than usual.
+	// MaxListLagFactor times the lag in the settings is the assumed maximum lag of the machine
+	// list. A machine is treated as terminated only if it is missing from the list although it
+	// would be listed even with this lag. The protocol gives a factor of two, but operators saw the
+	// list lag far more than usual.
 	MaxListLagFactor = 4
 	// ListAbsenceMargin is added to the assumed lag of the machine list, because the clocks of
 	// controllers differ slightly. A machine that is not listed counts as removed only if it was
@@ -19,7 +20,7 @@
 	ListAbsenceMargin = 5 * time.Second
 	// MachineTypeListInterval is how often machine types and prices are read.
 	MachineTypeListInterval = 60 * time.Second
-	// CloudRequestTimeout ends a request to the cloud.
+	// CloudRequestTimeout is the maximum duration of a request to the cloud.
 	CloudRequestTimeout = 5 * time.Second
 	// CloudBudgetFraction is the fraction of the cloud's rate limit that one controller uses.
 	// Only one controller scales out; the others scale in occasionally, many machines per
@@ -31,8 +32,8 @@
 	// MaxScaleOutPerRequest is the maximum number of machines in one scale-out request, given
 	// by the protocol.
 	MaxScaleOutPerRequest = 50
-	// MaxScaleInPerRequest is the maximum number of machines returned by one request, given by
-	// the protocol.
+	// MaxScaleInPerRequest is the maximum number of machines that one request returns to the cloud,
+	// given by the protocol.
 	MaxScaleInPerRequest = 100
 	// AutoscalerLeaseTTL is the time to live of the autoscaler's lease.
 	AutoscalerLeaseTTL = 6 * time.Second
@@ -58,14 +59,15 @@
 	// MinWorkHorizon is the minimum horizon for which machines are planned. It bounds how many
 	// machines are requested for a late job.
 	MinWorkHorizon = 20 * time.Second
-	// DeadlineTargetFraction is the fraction of a deadline that is planned for. The rest
-	// allows for wrong estimates, lost machines and image fetches.
+	// DeadlineTargetFraction is the fraction of a job's deadline within which the planned machines
+	// should finish the job. The rest of the deadline allows for wrong estimates, lost machines and
+	// image fetches.
 	DeadlineTargetFraction = 0.7
 	// BootTimeoutFactor times the usual boot time is how long a machine may take to start before
 	// it is scaled in.
 	BootTimeoutFactor = 4
-	// MaxBootTimeoutFactor bounds this timeout, in multiples of the startupS that the cloud
-	// states for the machine type.
+	// MaxBootTimeoutFactor times the startupS that the cloud states for the machine type is the
+	// maximum time that a machine may take to start.
 	MaxBootTimeoutFactor = 8
 	// BootTimeChangeFraction is the fraction by which a learned boot time must differ from the
 	// recorded one before it is recorded again.
@@ -88,9 +90,11 @@
 	// MaxRecordedArrivals bounds how many arrivals of a class are remembered.
 	MaxRecordedArrivals = 128
 	// MinClassInactivityTimeout is the minimum time without arrivals after which no more jobs of a
-	// class are expected. The time is twice the mean gap between arrivals, within these bounds.
+	// class are expected. The timeout is twice the mean gap between arrivals, but at least this
+	// time and at most MaxClassInactivityTimeout.
 	MinClassInactivityTimeout = 15 * time.Second
-	// MaxClassInactivityTimeout is the maximum of that time.
+	// MaxClassInactivityTimeout is the maximum time without arrivals after which no more jobs of a
+	// class are expected.
 	MaxClassInactivityTimeout = 40 * time.Second
 )
 
@@ -110,15 +114,17 @@
 	// ConsolidationInterval is the minimum time between two drains for consolidation. Such a drain
 	// empties a machine whose long tasks fit on fuller machines.
 	ConsolidationInterval = time.Second
-	// MinConsolidationRunTime is the minimum remaining run time of these long tasks. Each must also
-	// have run for half of this time since its last start.
+	// MinConsolidationRunTime is the minimum remaining run time of the tasks on a machine that is
+	// drained for consolidation. Each of these tasks must also have run for half of this time since
+	// its last start.
 	MinConsolidationRunTime = time.Minute
 	// MinChargedPeriod is the minimum period for which the cloud charges a machine, counted
 	// from its request; given by the protocol.
 	MinChargedPeriod = time.Minute
-	// MinIdlePeriod is the minimum time for which a machine stays idle before it is returned. The
-	// time depends on what it costs to boot another machine, within these bounds.
+	// MinIdlePeriod is the minimum time for which a machine stays idle before it is returned.
+	// Between MinIdlePeriod and MaxIdlePeriod, the time depends on what it costs to boot another
+	// machine.
 	MinIdlePeriod = 10 * time.Second
-	// MaxIdlePeriod is the maximum of that time.
+	// MaxIdlePeriod is the maximum time for which a machine stays idle before it is returned.
 	MaxIdlePeriod = 50 * time.Second
 )
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -9,13 +9,14 @@
 	// this period. A longer period would save claims, each of which costs changes in the key-value
 	// store, but a task that waits in one shard cannot be claimed by another.
 	ClaimAheadPeriod = 5 * time.Second
-	// UnclaimAfter is how long no task of a range must have been placed before the tasks of the
-	// range that wait for capacity are unclaimed. It is not shorter than ClaimAheadPeriod, in which
+	// UnclaimAfter is how long after the last placement of a task of a range the tasks of the range
+	// that still wait for capacity are unclaimed. It is not shorter than ClaimAheadPeriod, in which
 	// capacity is expected.
 	UnclaimAfter = 5 * time.Second
-	// RangeSplitAfter replaces UnclaimAfter for tasks in the middle of a range, whose machine
-	// was lost. Unclaiming them splits the range, which costs one more record. The value is
-	// well below 90 s, the time for which no job may wait while there is free capacity.
+	// RangeSplitAfter replaces UnclaimAfter for tasks in the middle of a range, which wait for
+	// capacity because their machine was lost. Unclaiming them splits the range, which costs one
+	// more record. The value is well below 90 s, the longest time that a job may wait while there
+	// is free capacity.
 	RangeSplitAfter = 25 * time.Second
 	// MaxRangeTasks is the maximum number of tasks in one claimed range. The bitmap of the
 	// range must fit the smallest value size to which the store may be set (1 KiB).
@@ -44,9 +45,8 @@
 	BatchCleanupChanges = 16
 	// BatchCleanupQuietPeriod is the time without submissions after which cleanup steps run.
 	BatchCleanupQuietPeriod = 5 * time.Second
-	// BatchCleanupBacklog is the number of batched jobs from which cleanup steps run even
-	// while jobs are submitted. It limits how many batched jobs a controller has to read when
-	// it starts.
+	// BatchCleanupBacklog is the number of batched jobs at which cleanup steps run even while jobs
+	// are submitted. It limits how many batched jobs a controller has to read when it starts.
 	BatchCleanupBacklog = 4000
 )
 
@@ -60,6 +60,7 @@
 	// unclaimed work: its next work may arrive in any shard.
 	AllocationReleaseDelay = 10 * time.Second
 	// QuotaShortfallValidity is how long the quota that a scheduling cycle found missing in a shard
-	// counts as missing. As long as anything changes, the next cycle updates the value sooner.
+	// counts as missing. While the cluster state keeps changing, the next cycle updates the missing
+	// amount sooner.
 	QuotaShortfallValidity = time.Second
 )
--- a/internal/tuning/faults.go
+++ b/internal/tuning/faults.go
@@ -10,7 +10,7 @@
 	MachineQuarantineFailures = 3
 	// MinJobBackoff is the first pause of a job that fails on several machines.
 	MinJobBackoff = 10 * time.Second
-	// MaxJobBackoff bounds the pause of such a job.
+	// MaxJobBackoff is the longest pause of a job that fails on several machines.
 	MaxJobBackoff = 5 * time.Minute
 	// JobFaultMachines is the number of machines on which a job must fail before the fault is
 	// attributed to the job and not to the machines.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -6,11 +6,11 @@
 const (
 	// PeerHeartbeatInterval is how often a controller sends its status to its peers.
 	PeerHeartbeatInterval = 500 * time.Millisecond
-	// PeerIdleTimeout ends a connection on which no message arrives: several heartbeat
-	// intervals.
+	// PeerIdleTimeout is the time without a message after which a connection is closed: several
+	// heartbeat intervals.
 	PeerIdleTimeout = 4 * time.Second
-	// PeerTimeout ends an attempt to connect or to write, and is the pause between two
-	// attempts.
+	// PeerTimeout is the maximum duration of an attempt to connect or to write, and also the pause
+	// between two attempts.
 	PeerTimeout = time.Second
 	// MaxPeerFrameBytes bounds the size of a frame. A heartbeat takes a few hundred bytes.
 	MaxPeerFrameBytes = 64 << 10
@@ -24,9 +24,9 @@
 
 // The failure detector.
 const (
-	// MinSuspicionTimeout is the minimum time without a heartbeat before a peer is suspected: three
-	// heartbeats are missing. On lumenweg-ops-fleet, with 9.6% of a core, the heartbeats of running
-	// controllers were never more than 0.9 s apart.
+	// MinSuspicionTimeout is the minimum time without a heartbeat before a peer is suspected: long
+	// enough to miss three heartbeats. On lumenweg-ops-fleet, with 9.6% of a core, the heartbeats
+	// of running controllers were never more than 0.9 s apart.
 	MinSuspicionTimeout = 1500 * time.Millisecond
 	// HeartbeatGapWeight is the weight of a new gap between heartbeats in their mean.
 	HeartbeatGapWeight = 0.05
@@ -54,9 +54,9 @@
 	// chunks that wait to be sent. They hold about 50,000 tasks, whose encoding takes 0.1 s of
 	// processor time.
 	MaxPendingTransferChunks = 128
-	// TransferTimeout is how long an owner may prepare a transfer. Once it has sent the shard, the
-	// owner waits for the acquisition for the same time before it reclaims the shard. Sending the
-	// chunks takes about 100 ms.
+	// TransferTimeout is how long an owner may prepare a transfer. Once the owner has sent the
+	// shard, it waits as long again for the shard to be acquired before it reclaims the shard.
+	// Sending the chunks takes about 100 ms.
 	TransferTimeout = 2 * time.Second
 	// TransferRequestTimeout is how long a controller that requests its home shard waits for the
 	// transfer before it acquires the shard without one. The owner serves the shard in the
@@ -66,11 +66,12 @@
 	// TransferRetryDelay is the pause after a failed transfer of a shard. It is long because the
 	// workers of the shard are not answered during an attempt.
 	TransferRetryDelay = 30 * time.Second
-	// MisdirectedWorkerFraction is the fraction of a shard's workers above which their heartbeats,
-	// if they arrive at the shard's home controller instead of the owner, show that the workers
+	// MisdirectedWorkerFraction is a fraction of a shard's workers. If the heartbeats of more
+	// workers arrive at the shard's home controller instead of at the owner, the workers evidently
 	// cannot reach the owner.
 	MisdirectedWorkerFraction = 0.1
-	// MisdirectedWorkerWindow is how far back these heartbeats count: one heartbeat interval.
+	// MisdirectedWorkerWindow is how far back the heartbeats that arrive at the home controller
+	// count: one heartbeat interval.
 	MisdirectedWorkerWindow = 5 * time.Second
 	// ShutdownTransferTimeout bounds the time in which a controller that shuts down transfers its
 	// shards. Peers request the transfers within a heartbeat interval, and the shards are sent one
@@ -96,10 +97,10 @@
 	MaxUndelayedAcquisitions = 3
 	// MaxRecordedAcquisitions is how many acquisitions of a shard are recorded.
 	MaxRecordedAcquisitions = 8
-	// MinShardReturnDelay is the delay if there was one more acquisition than
-	// MaxUndelayedAcquisitions. It doubles with each further acquisition.
+	// MinShardReturnDelay is the delay before a home controller reclaims its shard if there was one
+	// more acquisition than MaxUndelayedAcquisitions. It doubles with each further acquisition.
 	MinShardReturnDelay = 5 * time.Second
-	// MaxShardReturnDelay bounds this delay: a machine whose worker was not answered for a minute
-	// would have been replaced.
+	// MaxShardReturnDelay is the longest delay before a home controller reclaims its shard: a
+	// machine whose worker was not answered for a minute would have been replaced.
 	MaxShardReturnDelay = time.Minute
 )
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -30,17 +30,17 @@
 	// records of the jobs show as well. Each update costs one change in the key-value store, and
 	// saves reads if another controller takes over the run.
 	RunProgressWriteInterval = 30 * time.Second
-	// RunProgressWriteJobs is how many jobs must have made progress before such an update is
-	// written.
+	// RunProgressWriteJobs is how many jobs must have made progress before an update of the run's
+	// record with their progress is written.
 	RunProgressWriteJobs = 20
 	// RunWriteRetryDelay is the pause after a write whose precondition failed. In this time the
-	// watch delivers the change that made it fail.
+	// watch delivers the change that made the write fail.
 	RunWriteRetryDelay = 2 * MinWatchRequestGap
 	// MaxConcurrentRunRequests is how many jobs may be submitted or cancelled for runs at the same
 	// time. The limit leaves capacity for the requests of users.
 	MaxConcurrentRunRequests = 16
-	// MaxCachedEndedRuns is the maximum number of ended runs that are cached; others are read from
-	// the store.
+	// MaxCachedEndedRuns is the maximum number of ended runs that are cached; other ended runs are
+	// read from the store.
 	MaxCachedEndedRuns = 200
 	// RunProgressReserveBytes is the space kept free in a run's record for the states of its
 	// jobs, including the attempts and times of some of them.
@@ -58,8 +58,8 @@
 
 // The command line as a client.
 const (
-	// CLIRequestTimeout ends a request of the command line. A controller answers or refuses
-	// within 5 s.
+	// CLIRequestTimeout is the maximum duration of a request that the command line makes. A
+	// controller answers or refuses within 5 s.
 	CLIRequestTimeout = 10 * time.Second
 	// CLIRetryTimeout is how long a request is repeated: as long as the platform's users repeat
 	// a submission.
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -12,8 +12,8 @@
 	// ProcessStallThreshold is the gap between two ticks that shows that this process was
 	// paused or starved of processor time: several times TickInterval.
 	ProcessStallThreshold = 1500 * time.Millisecond
-	// RecountInterval is how often derived counts are recomputed in full. The Kerveros paper has
-	// one minute, the design of this scheduler 5 s.
+	// RecountInterval is how often derived counts are recomputed in full. The Kerveros paper
+	// recomputes them every minute, the design of this scheduler every 5 s.
 	RecountInterval = 5 * time.Second
 	// HeapLimitFraction is the fraction of the memory allowance that is the soft limit of the
 	// heap. The rest is for memory that the runtime does not count.
@@ -39,18 +39,18 @@
 	// MaxListedQuarantinedRecords is the maximum number of listed records that cannot be
 	// interpreted.
 	MaxListedQuarantinedRecords = 100
-	// MaxQuarantinedRecordBytes is how many bytes of each such record are shown.
+	// MaxQuarantinedRecordBytes is how many bytes of each listed record are shown.
 	MaxQuarantinedRecordBytes = 200
 )
 
 // Evidence that a controller keeps of its decisions.
 const (
-	// DecisionLogEntries is how many of its latest decisions a controller keeps in memory: those of
-	// about 20 s at 100 starts and stops a second, at 250 bytes each.
+	// DecisionLogEntries is how many decisions a controller keeps in memory. At 100 starts and
+	// stops a second, these are the decisions of the last 20 s or so. Each takes 250 bytes.
 	DecisionLogEntries = 2048
-	// DecisionsLoggedOnViolation is how many of these decisions are logged when an invariant is
+	// DecisionsLoggedOnViolation is how many of the kept decisions are logged when an invariant is
 	// violated. The log line stays below 64 KiB.
 	DecisionsLoggedOnViolation = 100
-	// DecisionsShown is how many of these decisions the administration API shows.
+	// DecisionsShown is how many of the kept decisions the administration API shows.
 	DecisionsShown = 500
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -24,15 +24,15 @@
 const (
 	// JobOverdueAfter is how long a job may wait before it is overdue if none of its tasks is
 	// claimed. An overdue job takes precedence over all others, an array for its first task, a gang
-	// for all of them. Users count a day as failed if one of the largest jobs starts after four
+	// for all its tasks. Users count a day as failed if one of the largest jobs starts after four
 	// minutes. The capacity for a gang becomes free when another gang has ended, which takes about
 	// a minute.
 	JobOverdueAfter = 150 * time.Second
 	// GangReservationPeriod is how long capacity is reserved for an overdue gang at a time:
 	// two or three runs of gangs of usual length.
 	GangReservationPeriod = 2 * time.Minute
-	// DeadlineAtRiskMargin is how long before the latest start that meets an objective the
-	// objective counts as at risk. A gang whose objective is at risk takes precedence over gangs
+	// DeadlineAtRiskMargin: an objective counts as at risk when less than this time is left until
+	// the latest start that meets it. A gang whose objective is at risk takes precedence over gangs
 	// that have more time. The margin is a few times as long as it takes until capacity for a gang
 	// becomes free.
 	DeadlineAtRiskMargin = 20 * time.Second
@@ -44,28 +44,28 @@
 
 // Estimates of run times.
 const (
-	// RunTimeSpread is the fraction of the usual run time by which the slowest of many tasks
-	// runs longer.
+	// RunTimeSpread is the fraction of the usual run time by which the slowest of many tasks runs
+	// longer than usual.
 	RunTimeSpread = 0.5
-	// JobOverheadSeconds is how long a job takes besides its run time (s): the claim, the
-	// start command, the fetch of an image of one or two gigabytes, the last heartbeat and the
-	// record of the end.
+	// JobOverheadSeconds is how long a job takes besides its run time: the claim, the start
+	// command, the fetch of an image of one or two gigabytes, the last heartbeat and the record of
+	// the end.
 	JobOverheadSeconds = 6.0
 	// MinRunTimeSampleWeight is the minimum weight of a new run time in the mean that corrects the
 	// users' estimates, so that the last twenty run times count most.
 	MinRunTimeSampleWeight = 0.05
-	// MinEstimateRatio is the smallest factor of this correction. A factor outside these bounds
-	// more likely comes from a few unusual tasks.
+	// MinEstimateRatio is the smallest factor by which users' estimates are corrected. A factor
+	// below MinEstimateRatio or above MaxEstimateRatio more likely comes from a few unusual tasks.
 	MinEstimateRatio = 0.3
-	// MaxEstimateRatio is the largest factor of this correction.
+	// MaxEstimateRatio is the largest factor by which users' estimates are corrected.
 	MaxEstimateRatio = 3.0
 )
 
 // Placement of tasks on machines.
 const (
-	// TieBreakWeight is the weight of a CPU or of a machine in a cost, which decides between
-	// machines, machine types or zones of otherwise equal cost. It is small compared with every
-	// real difference.
+	// TieBreakWeight is the cost that is added for each CPU or machine to decide between machines,
+	// machine types or zones of otherwise equal cost. It is small compared with every real
+	// difference.
 	TieBreakWeight = 0.001
 	// ScoreCachedImage is added to the score of a machine that has the task's image, so that
 	// it is preferred to a fuller machine: fullness adds up to 1.
@@ -78,10 +78,11 @@
 	// more than all the other scores together.
 	ScoreGangSafe = 16.0
 	// GangCostNoCapacity is the cost of placing a gang at a controller that has no capacity for it.
-	// It is above every count of free tasks, which is the cost where the gang fits.
+	// It is above every number of fitting tasks, which is the cost at a controller where the gang
+	// fits.
 	GangCostNoCapacity = 1 << 20
 	// GangCostAfterPreemption is the base cost of placing a gang at a controller that has capacity
-	// for it only after preemption. It is also above every count of free tasks.
+	// for it only after preemption. It is also above every number of fitting tasks.
 	GangCostAfterPreemption = 1 << 18
 	// GangConsolidationDelay is how long a gang that fits no shard waits before idle workers
 	// are moved into one shard for it.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -9,8 +9,8 @@
 	// restart, so that after a crash another controller answers the workers before the crashed one
 	// is back, and longer than a slow answer of the store.
 	ControllerLeaseTTL = 4 * time.Second
-	// ControllerLeaseRenewInterval is how often that lease is renewed: three attempts fit into
-	// one ControllerLeaseTTL.
+	// ControllerLeaseRenewInterval is how often a controller's lease is renewed: three attempts fit
+	// into one ControllerLeaseTTL.
 	ControllerLeaseRenewInterval = 1200 * time.Millisecond
 	// RevisionReadInterval is how often the store's revision is read when no poll causes a read.
 	// The time of the last read shows how recent the records are on which a controller bases its
@@ -26,8 +26,8 @@
 
 // Requests to the key-value store.
 const (
-	// StoreRequestTimeout ends a request to the store. Answers take under 10 ms and
-	// occasionally a few hundred milliseconds.
+	// StoreRequestTimeout is the maximum duration of a request to the store. Answers take under 10
+	// ms and occasionally a few hundred milliseconds.
 	StoreRequestTimeout = 1500 * time.Millisecond
 	// WatchRequestWait is how long one watch request waits for changes. The store allows 60 s; with
 	// a shorter wait, a dead connection is noticed earlier.
@@ -46,7 +46,8 @@
 	MaxRetryDelay = 2 * time.Second
 	// IdleConnectionTimeout is how long an unused connection is kept open.
 	IdleConnectionTimeout = 30 * time.Second
-	// DialTimeout ends an attempt to connect, since a host that drops packets gives no error.
+	// DialTimeout is the maximum duration of an attempt to connect. It is needed because a host
+	// that drops packets gives no error.
 	DialTimeout = time.Second
 	// ListPageRows is the number of rows read in one request. The store allows 1,000.
 	ListPageRows = 500
@@ -57,9 +58,9 @@
 	// ControllerBudgetFraction is the fraction of the store's rate limits that one controller may
 	// use. It is above an equal share, since the other controllers are rarely all busy.
 	ControllerBudgetFraction = 0.5
-	// EvenBudgetFraction, divided by the number of controllers, is the lower bound of a
-	// controller's fraction of the rate limits, which is reduced while the store refuses requests.
-	// The remainder to 1 is a reserve, since the store may count bursts differently.
+	// EvenBudgetFraction, divided by the number of controllers, is the minimum to which a
+	// controller's fraction of the rate limits is reduced while the store refuses requests. The
+	// remainder to 1 is a reserve, since the store may count bursts differently.
 	EvenBudgetFraction = 0.95
 	// BusyControllerBudgetFraction is the maximum fraction that one controller uses while its peers
 	// report low usage. It is well below 1 because all of the peers may become busy at once, and
@@ -73,16 +74,18 @@
 	// BudgetUsageSmoothingPeriod is the time constant with which the usage that is reported to
 	// peers is averaged.
 	BudgetUsageSmoothingPeriod = 500 * time.Millisecond
-	// BudgetBackoffFactor multiplies a controller's fraction at each refusal.
+	// BudgetBackoffFactor is the factor by which a controller's fraction of the rate limits is
+	// multiplied at each refusal.
 	BudgetBackoffFactor = 0.85
-	// BudgetRecoveryInterval is the time without a refusal after which the fraction is divided by
-	// BudgetBackoffFactor.
+	// BudgetRecoveryInterval is the time without a refusal after which a controller's fraction of
+	// the rate limits is divided by BudgetBackoffFactor.
 	BudgetRecoveryInterval = 2 * time.Second
 	// RateLimitedAttempts is the maximum number of attempts at a request that the store
 	// refuses because of its rate limits.
 	RateLimitedAttempts = 4
-	// RateLimitedRetryDelay is the first pause between these attempts. Before the last attempt, a
-	// budget of 50 changes a second has regained a few changes.
+	// RateLimitedRetryDelay is the first pause after the store has refused a request because of its
+	// rate limits. Before the last attempt, a budget of 50 changes a second has regained a few
+	// changes.
 	RateLimitedRetryDelay = 30 * time.Millisecond
 	// BudgetPollInterval is how often a caller checks again whether it may proceed while it leaves
 	// the budget to more urgent callers.
@@ -93,7 +96,7 @@
 const (
 	// RecordValueFraction is the fraction of the maximum value size that a job's record may use.
 	// The rest is a reserve for fields that are added later, and for bytes that the store counts in
-	// addition.
+	// addition to those of the record.
 	RecordValueFraction = 0.8
 	// ValueMarginBytes is left free in every value, in case the store counts slightly more
 	// bytes than the value has.
@@ -113,13 +116,13 @@
 	// rewritten while its chunks are read.
 	MaxChunkAssembleAttempts = 4
 	// ChunkCleanupInterval is the time between two passes over all chunks. A pass deletes the
-	// chunks to which no record pointed in the previous pass either: the record of chunks that are
-	// being written is stored long before a second pass.
+	// chunks to which no record pointed in the previous pass either. Chunks that are being written
+	// are safe, since their record is stored long before a second pass.
 	ChunkCleanupInterval = time.Minute
 	// MinValueKB is the smallest limit of the value size (KiB) with which the program can
 	// work: the size of a usual job's record.
 	MinValueKB = 1.0
-	// MinTxnOps is the minimum number of changes that a transaction must allow: those at the
-	// end of a job with one task range.
+	// MinTxnOps is the minimum number of changes that a transaction must allow: the end of a job
+	// with one task range takes as many.
 	MinTxnOps = 4
 )
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -21,15 +21,14 @@
 	// which has no change to report except a preemption notice. The worker stops waiting for
 	// an answer after 4 s.
 	IdleHeartbeatAnswerDelay = 2 * time.Second
-	// HeartbeatAnswerLifetime is the time after which no answer to a heartbeat can reach its
-	// worker any more: the worker stops waiting after 4 s (protocol), and clocks drift
-	// slightly.
+	// HeartbeatAnswerLifetime is the time after which no answer to a heartbeat can reach its worker
+	// any more: by the protocol the worker stops waiting after 4 s, and clocks drift slightly.
 	HeartbeatAnswerLifetime = 4500 * time.Millisecond
 	// HeartbeatOverdueMargin is added to one and a quarter heartbeat intervals and the maximum
 	// delay of the last answer. If no heartbeat arrives for the sum, the next heartbeat is overdue.
 	HeartbeatOverdueMargin = time.Second
-	// MaxQueuedHeartbeats is how many heartbeats may wait until the records are read or a
-	// shard is acquired: those of a few thousand workers, 2 kB each.
+	// MaxQueuedHeartbeats is how many heartbeats may wait until the records are read or a shard is
+	// acquired: one heartbeat from each of a few thousand workers, at 2 kB each.
 	MaxQueuedHeartbeats = 4096
 	// WorkerReconnectPeriod is how long a worker whose heartbeats nobody answers may take to find
 	// the controller that now owns its shard: a few attempts of 4 s with pauses of 1 s.
@@ -47,8 +46,8 @@
 const (
 	// MaxStartKnowledgeAge is how old a controller's knowledge of cancellations may be when it
 	// starts a task: twice the time of a slow answer of the key-value store. The response to a
-	// cancellation waits for at most about the same time: by then each controller that owns a part
-	// of the job either knows of the cancellation or may not start tasks.
+	// cancellation waits for about this time at most: by then each controller that owns a part of
+	// the job either knows of the cancellation or may not start tasks.
 	MaxStartKnowledgeAge = 3 * time.Second
 	// StartKnowledgeMargin is added to MaxStartKnowledgeAge where the response to a user waits for
 	// that time, since timers fire in steps.
@@ -73,7 +72,7 @@
 	// MaxOpenFirstContacts is the maximum number of concurrent contacts, including the slow ones.
 	// Each takes one socket.
 	MaxOpenFirstContacts = 160
-	// FirstContactTimeout ends one contact.
+	// FirstContactTimeout is the maximum duration of one contact.
 	FirstContactTimeout = time.Second
 	// FirstContactCPUFraction is the fraction of the controller's processor limit that first
 	// contacts may use. Each contact also makes the worker send one more heartbeat, which costs as
@@ -130,23 +129,23 @@
 	// receiving nothing. A loss is an answer whose commands do not show in the next heartbeat, or a
 	// lease that expires although heartbeats were answered. A single loss may be a lost answer.
 	InboundLossThreshold = 2
-	// InboundLossReleaseDelay is how long a machine whose worker receives nothing is kept, or twice
-	// the duration of a lease if that is longer. Then it is scaled in, since it runs nothing and is
-	// charged all the same.
+	// InboundLossReleaseDelay is the time for which a machine whose worker receives nothing is
+	// kept. If twice the duration of a lease is longer, that time applies instead. Then the machine
+	// is scaled in, since it runs nothing and is charged all the same.
 	InboundLossReleaseDelay = time.Minute
 	// MinInboundSilence is the minimum time without a heartbeat from any worker after which a
 	// controller probes some workers. With few workers, the time in which three heartbeats are
 	// usually received is longer, and the controller waits for that time instead.
 	MinInboundSilence = 2 * time.Second
-	// ReachabilityProbeInterval is the time between two such probes.
+	// ReachabilityProbeInterval is the time between two probes of workers.
 	ReachabilityProbeInterval = time.Second
 	// ReachabilityProbeWorkers is how many workers one probe contacts.
 	ReachabilityProbeWorkers = 5
 	// ReachabilityProbeSuccesses is the number of successful probes in a row after which a
 	// controller that was unreachable for its workers counts as reachable again.
 	ReachabilityProbeSuccesses = 3
-	// InboundLossBackoff is the minimum time for which such a controller counts as unreachable. It
-	// doubles each time the controller becomes unreachable again.
+	// InboundLossBackoff is the minimum time for which a controller that its workers could not
+	// reach counts as unreachable. It doubles each time the controller becomes unreachable again.
 	InboundLossBackoff = 3 * time.Second
 	// InboundLossBackoffReset is the time for which a controller must be reachable before the
 	// doubling of InboundLossBackoff starts anew.
