--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -76,9 +76,9 @@
 // usageOnMachine returns the resources that a team's tasks use on a machine.
 //
 // Tasks whose needs are not known are only counted. While such a task is on a machine, the
-// machine's size is the upper bound of the usage: all its tasks together use no more than the
-// machine has, since its worker starts no task that does not fit. Such tasks must not count as
-// nothing: when they did, the new owner of a shard learned of cancelled tasks by heartbeats, found
+// machine's size is the upper bound of the usage: all tasks on the machine together use no more
+// than the machine has, since its worker starts no task that does not fit. Such tasks must not be
+// ignored: when they were, the new owner of a shard learned of cancelled tasks by heartbeats, found
 // the shard's usage below its allocation, and started as much work again
 // (docs/incidents/2026-12-quota-exceeded.md).
 func (w *Writer) usageOnMachine(machine *clusterstate.Machine, team string) machineUsage {
--- a/internal/config/leases.go
+++ b/internal/config/leases.go
@@ -6,13 +6,13 @@
 	"cherrywall/internal/tuning"
 )
 
-// This file has all rules that depend on time alone: how long after its last read of the
-// key-value store a controller may renew the leases of workers, and when the lease of a worker
-// that sends no heartbeats has expired. docs/recovery.md, "How long a worker may be kept alive",
-// shows why these rules are correct.
+// This file has all rules that depend on time alone: how long a controller may renew the leases of
+// workers after its last read of the key-value store, and when the lease of a worker that sends no
+// heartbeats has expired. docs/recovery.md, "How long a worker may be kept alive", shows why these
+// rules are correct.
 
-// HeartbeatAnswerValidity returns how long after its last read of the key-value store a controller
-// may answer heartbeats. A controller that has lost a shard, but has not read of the loss yet, may
+// HeartbeatAnswerValidity returns how long a controller may answer heartbeats after its last read
+// of the key-value store. A controller that has lost a shard, but has not read of the loss yet, may
 // answer the shard's workers for that time. The time is short enough that the tasks of a job that
 // another controller has cancelled still end in time, by the expiry of their workers' leases.
 func (c *Config) HeartbeatAnswerValidity() time.Duration {
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -26,7 +26,7 @@
 	fittingTasks int // number of tasks of the gang that fitted when the gang was last considered
 }
 
-// describe returns the reason in words, empty if it is not known.
+// describe returns the reason in words, or an empty string if the reason is not known.
 func (r waitReason) describe(job *clusterstate.Job) string {
 	switch r.kind {
 	case waitFaultyJob:
