--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -21,8 +21,8 @@
 	errInvalidRangeKey = errors.New("key: not the key of a task range")
 )
 
-// ApplyWrite applies a record and the revision at which it was written. It quarantines a record that
-// cannot be read, and ignores a write that is older than a deletion of the same key.
+// ApplyWrite applies the record that was written under key at revision. It quarantines a record
+// that cannot be read, and ignores a write that is older than a deletion of the same key.
 func (c *Cache) ApplyWrite(key string, value json.RawMessage, revision uint64) {
 	if c.tombstones[key] > revision {
 		return
@@ -68,7 +68,7 @@
 	if revision > c.appliedRevision {
 		c.tombstones[key] = max(c.tombstones[key], revision)
 	}
-	delete(c.quarantined, key)
+	delete(c.quarantinedRecords, key)
 	c.removeRecord(key, revision)
 	c.State.MarkDirty()
 }
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -31,7 +31,8 @@
 // Store is the key-value store whose records are cached.
 type Store = kvstore.Service
 
-// Hooks are the callbacks by which the cache involves other components. They are called on the actor.
+// Hooks are the callbacks by which the cache notifies and consults other components. They are
+// called on the actor.
 type Hooks struct {
 	// Reset is called after the cache was emptied and before all records are applied again.
 	Reset func()
@@ -98,15 +99,15 @@
 	lastContactAt   time.Time // last response of the store
 	// tombstones maps each key that was deleted after appliedRevision to the revision of the
 	// deletion: the watch may still deliver older writes of the key.
-	tombstones  map[string]uint64
-	quarantined map[string]QuarantinedRecord
-	readBarrier *readbarrier.Queue
+	tombstones         map[string]uint64
+	quarantinedRecords map[string]QuarantinedRecord
+	readBarrier        *readbarrier.Queue
 
 	cancelWatch      context.CancelFunc // ends the watch request in flight
-	watchBehindSince time.Time          // since when the watch lags behind a known revision; zero: it does not
+	watchBehindSince time.Time          // since when the watch has lagged behind a known revision; zero if it does not lag
 
 	finalStates             *lru.Cache[string, jobs.FinalState]
-	finalStateReadsInFlight int // those that lookUpDependencyFinalStates has started
+	finalStateReadsInFlight int // counts only reads that lookUpDependencyFinalStates has started
 
 	settings         admin.Settings
 	settingsRevision uint64
@@ -114,9 +115,9 @@
 	acquisitionsInFlight map[string]bool // by shard
 	acquisitionStopped   bool            // set by StopAcquiringShards
 
-	livenessEnabled      atomic.Bool // read by maintainLiveness
-	rewriteLiveness      atomic.Bool // read by maintainLiveness, set by checkLivenessRecord
-	livenessMissingSince time.Time   // since when checkLivenessRecord has missed the record; zero: it is not missing
+	livenessEnabled       atomic.Bool // read by maintainLiveness
+	livenessRewriteNeeded atomic.Bool // read by maintainLiveness, set by checkLivenessRecord
+	livenessMissingSince  time.Time   // since when this controller's liveness record has been missing; zero if it is not missing
 
 	versionWriteInFlight bool // a write of the version record is in flight
 	featuresEnabled      bool // hooks.FeaturesEnabled was called
@@ -127,7 +128,7 @@
 func New(mailbox *actor.Mailbox, cfg *config.Config, incarnation uint64, store Store, dependencies Dependencies, hooks Hooks, log *slog.Logger) *Cache {
 	finalStates, err := lru.New[string, jobs.FinalState](tuning.MaxCachedFinalStates)
 	if err != nil {
-		panic(err) // only a size below 1 can fail
+		panic(err) // lru.New fails only for sizes below 1
 	}
 	c := &Cache{
 		Dependencies:         dependencies,
@@ -141,7 +142,7 @@
 		settings:             admin.DefaultSettings(),
 		acquisitionsInFlight: map[string]bool{},
 		tombstones:           map[string]uint64{},
-		quarantined:          map[string]QuarantinedRecord{},
+		quarantinedRecords:   map[string]QuarantinedRecord{},
 	}
 	c.readBarrier = readbarrier.New(c.readRevision, func() {
 		mailbox.Send(func() { c.readBarrier.HandleTimer(time.Now()) })
@@ -181,8 +182,8 @@
 	return now.Sub(c.consistentAsOf) > tuning.ControllerLeaseTTL
 }
 
-// MayRenewWorkerLeases reports whether heartbeats of workers may be answered, which renews their
-// leases. The rule is explained at config.Config.MayAnswerHeartbeats.
+// MayRenewWorkerLeases reports whether this controller may answer workers' heartbeats, which renews
+// the workers' leases. The rule is explained at config.Config.MayAnswerHeartbeats.
 func (c *Cache) MayRenewWorkerLeases(now time.Time) bool {
 	return c.synced && c.cfg.MayAnswerHeartbeats(now, c.consistentAsOf)
 }
@@ -207,7 +208,7 @@
 func (c *Cache) reset() {
 	c.synced = false
 	c.tombstones = map[string]uint64{}
-	c.quarantined = map[string]QuarantinedRecord{}
+	c.quarantinedRecords = map[string]QuarantinedRecord{}
 	c.Membership.Reset()
 	c.State.Reset()
 	c.CompletionBatches.Reset()
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -22,7 +22,7 @@
 type partitionScenario struct {
 	leaseSeconds, cancelSeconds float64
 	refusalOffset               time.Duration // when the refusal begins, relative to the controller's reads
-	refusalToOutage             time.Duration // from the cancellations to the outage
+	cancellationToOutage        time.Duration // time from the cancellations to the outage
 	cutFromPeers                bool          // the refused controller is cut from its peers as well
 	restarts                    bool          // the refused controller crashes and restarts within a fraction of a second
 	othersRecoverFirst          bool          // the outage ends for the other controllers first
@@ -68,7 +68,7 @@
 			time.Sleep(300 * time.Millisecond)
 			r.cluster.StartController(s.refusedController)
 		}
-		time.Sleep(s.refusalToOutage)
+		time.Sleep(s.cancellationToOutage)
 		r.cluster.Store.SetOutage(true)
 		for range r.taskCounts {
 			if response := <-responses; response.Status != jobs.Cancelled {
@@ -124,7 +124,7 @@
 }
 
 func (r *partitionRun) refuseController() {
-	r.cluster.Store.DelayReads(r.refusedController, 2*time.Second) // longer than a client's timeout: the bound must not depend on that timeout
+	r.cluster.Store.DelayReads(r.refusedController, 2*time.Second) // longer than a client's timeout, because the bound on renewing worker leases must not depend on that timeout
 	time.Sleep(3*time.Second + r.refusalOffset)
 	r.cluster.Store.RefuseNode(r.refusedController, true)
 	if r.cutFromPeers {
@@ -192,18 +192,18 @@
 func partitionScenarios() []partitionScenario {
 	var scenarios []partitionScenario
 	for i, seconds := range []struct{ lease, cancel float64 }{{25, 45}, {35, 60}, {10, 30}} {
-		for k, refusalToOutage := range []time.Duration{0, time.Second, 1500 * time.Millisecond, 6 * time.Second, 15 * time.Second} {
+		for k, cancellationToOutage := range []time.Duration{0, time.Second, 1500 * time.Millisecond, 6 * time.Second, 15 * time.Second} {
 			for offset := range 3 {
 				n := 15*i + 3*k + offset
 				scenarios = append(scenarios, partitionScenario{
-					leaseSeconds:       seconds.lease,
-					cancelSeconds:      seconds.cancel,
-					refusalToOutage:    refusalToOutage,
-					refusalOffset:      time.Duration(n%30) * 100 * time.Millisecond,
-					cutFromPeers:       n%2 == 1,
-					restarts:           n%5 == 2,
-					othersRecoverFirst: n%3 == 1,
-					refusedController:  []string{"n0", "n0", "n1"}[n%3],
+					leaseSeconds:         seconds.lease,
+					cancelSeconds:        seconds.cancel,
+					cancellationToOutage: cancellationToOutage,
+					refusalOffset:        time.Duration(n%30) * 100 * time.Millisecond,
+					cutFromPeers:         n%2 == 1,
+					restarts:             n%5 == 2,
+					othersRecoverFirst:   n%3 == 1,
+					refusedController:    []string{"n0", "n0", "n1"}[n%3],
 				})
 			}
 		}
@@ -222,20 +222,20 @@
 	}
 }
 
-// The bound on renewing worker leases is necessary, and exact to the second: each of these mutations
-// relaxes it, and then some scenario has a violation.
+// The bound on renewing worker leases is necessary, and exact to the second: each of the mutations
+// below relaxes the bound, and then some scenario has a violation.
 func TestCancellationBoundIsNecessary(t *testing.T) {
 	requireViolation := func(mutation string, mutateConfig func(cfg *config.Config)) {
 		t.Helper()
 		for offset := range 30 { // all offsets between two successive reads
 			scenario := partitionScenario{
-				leaseSeconds:      25,
-				cancelSeconds:     45,
-				refusalOffset:     time.Duration(offset) * 100 * time.Millisecond,
-				refusalToOutage:   1500 * time.Millisecond,
-				cutFromPeers:      true,
-				refusedController: "n0",
-				mutateConfig:      mutateConfig,
+				leaseSeconds:         25,
+				cancelSeconds:        45,
+				refusalOffset:        time.Duration(offset) * 100 * time.Millisecond,
+				cancellationToOutage: 1500 * time.Millisecond,
+				cutFromPeers:         true,
+				refusedController:    "n0",
+				mutateConfig:         mutateConfig,
 			}
 			if len(scenario.findViolations(t)) > 0 {
 				return
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -46,7 +46,7 @@
 	}()
 }
 
-// applyCommitted applies the writes of a transaction that the store has executed, if the
+// applyCommitted applies the writes of a transaction that the store has processed, if the
 // transaction's conditions held.
 func (c *Cache) applyCommitted(txn kvstore.Txn, result kvstore.TxnResult) {
 	c.lastContactAt = time.Now()
--- a/internal/statecache/export_test.go
+++ b/internal/statecache/export_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// TimestampReadsByResponse is a mutation: the result of a read counts as current as of the moment at
-// which the response was received, not as of the moment at which the request was sent. The returned
-// function undoes the mutation.
+// TimestampReadsByResponse applies a mutation: the cache takes the result of a read to be current
+// at the time when the response was received, instead of the time when the request was sent. The
+// returned function undoes the mutation.
 func TimestampReadsByResponse() (restore func()) {
 	original := readTimestamp
 	readTimestamp = func(_, receivedAt time.Time) time.Time { return receivedAt }
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -13,16 +13,16 @@
 
 var errLivenessChanged = errors.New("another write has changed the liveness record")
 
-// maintainLiveness renews the lease to which this controller's liveness record is attached,
-// until the context ends.
+// maintainLiveness writes this controller's liveness record and renews the lease to which the
+// record is attached, until the context ends.
 func (c *Cache) maintainLiveness(ctx context.Context) {
-	var leaseID uint64 // 0: none
+	var leaseID uint64 // 0 while there is no lease
 	for ctx.Err() == nil {
 		var err error
 		switch {
 		case !c.livenessEnabled.Load():
 			leaseID = 0 // the lease is left to expire; ReleaseLiveness deletes the record
-		case leaseID == 0 || c.rewriteLiveness.Swap(false):
+		case leaseID == 0 || c.livenessRewriteNeeded.Swap(false):
 			leaseID, err = c.writeLivenessRecord(ctx)
 		default:
 			err = c.store.KeepAlive(ctx, leaseID)
@@ -49,7 +49,7 @@
 // acquire no more shards.
 func (c *Cache) writeLivenessRecord(ctx context.Context) (leaseID uint64, err error) {
 	key := c.livenessKey()
-	record, err := c.store.Get(ctx, kvstore.Urgent, key) // its revision is 0 if it does not exist
+	record, err := c.store.Get(ctx, kvstore.Urgent, key) // the row's revision is 0 if the record does not exist
 	if err != nil {
 		return 0, err
 	}
@@ -83,7 +83,7 @@
 	case now.Sub(c.livenessMissingSince) > tuning.ControllerLeaseTTL:
 		c.log.Info("liveness record missing, writing it anew")
 		c.livenessMissingSince = time.Time{}
-		c.rewriteLiveness.Store(true)
+		c.livenessRewriteNeeded.Store(true)
 	}
 }
 
--- a/internal/statecache/quarantine.go
+++ b/internal/statecache/quarantine.go
@@ -22,11 +22,11 @@
 // the record from quarantine.
 func (c *Cache) updateQuarantine(key string, value json.RawMessage, revision uint64, err error) {
 	if err == nil {
-		delete(c.quarantined, key)
+		delete(c.quarantinedRecords, key)
 		return
 	}
 	c.log.Error("record quarantined", "key", key, "revision", revision, "error", err)
-	c.quarantined[key] = QuarantinedRecord{
+	c.quarantinedRecords[key] = QuarantinedRecord{
 		Key:      key,
 		Revision: revision,
 		Error:    err.Error(),
@@ -38,15 +38,15 @@
 // by key.
 func (c *Cache) QuarantinedRecords() []QuarantinedRecord {
 	var records []QuarantinedRecord
-	keys := slices.Sorted(maps.Keys(c.quarantined))
+	keys := slices.Sorted(maps.Keys(c.quarantinedRecords))
 	for _, key := range keys[:min(len(keys), tuning.MaxListedQuarantinedRecords)] {
-		records = append(records, c.quarantined[key])
+		records = append(records, c.quarantinedRecords[key])
 	}
 	return records
 }
 
 // IsQuarantined reports whether the record of a key is quarantined.
 func (c *Cache) IsQuarantined(key string) bool {
-	_, quarantined := c.quarantined[key]
+	_, quarantined := c.quarantinedRecords[key]
 	return quarantined
 }
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -48,42 +48,42 @@
 // loadAndWatch loads all records and watches them for changes until the watch cannot be resumed. It
 // always returns an error, which is that of ctx if ctx has ended.
 func (c *Cache) loadAndWatch(ctx context.Context) error {
-	loaded, err := c.list(ctx)
+	fullListing, err := c.list(ctx)
 	if err != nil {
 		return err
 	}
-	c.mailbox.Send(func() { c.applyListing(loaded) })
-	return c.watch(ctx, loaded.oldestRevision)
+	c.mailbox.Send(func() { c.applyListing(fullListing) })
+	return c.watch(ctx, fullListing.oldestRevision)
 }
 
 // list lists the records of all loadedPrefixes.
 func (c *Cache) list(ctx context.Context) (listing, error) {
-	var combined listing
+	var fullListing listing
 	for i, prefix := range loadedPrefixes {
 		rows, revision, err := c.store.List(ctx, prefix)
 		if err != nil {
 			return listing{}, err
 		}
 		// The first revision of a new store is 0, so 0 cannot stand for "none yet".
-		if i == 0 || revision < combined.oldestRevision {
-			combined.oldestRevision = revision
+		if i == 0 || revision < fullListing.oldestRevision {
+			fullListing.oldestRevision = revision
 		}
-		combined.newestRevision = max(combined.newestRevision, revision)
-		combined.rows = append(combined.rows, rows...)
+		fullListing.newestRevision = max(fullListing.newestRevision, revision)
+		fullListing.rows = append(fullListing.rows, rows...)
 	}
-	return combined, nil
+	return fullListing, nil
 }
 
 // applyListing replaces the contents of the cache by a listing. If the records changed while they
 // were listed, the cache is synced only after the watch has delivered these changes.
-func (c *Cache) applyListing(loaded listing) {
+func (c *Cache) applyListing(fullListing listing) {
 	c.reset()
-	for _, row := range loaded.rows {
+	for _, row := range fullListing.rows {
 		c.ApplyWrite(row.Key, row.Value, row.Revision)
 	}
-	c.appliedRevision, c.loadedRevision = loaded.oldestRevision, loaded.newestRevision
+	c.appliedRevision, c.loadedRevision = fullListing.oldestRevision, fullListing.newestRevision
 	c.lastContactAt = time.Now()
-	if loaded.oldestRevision >= loaded.newestRevision {
+	if fullListing.oldestRevision >= fullListing.newestRevision {
 		c.markSynced()
 	}
 	c.hooks.PipelineEvents(nil, true)
@@ -113,7 +113,7 @@
 	return ctx.Err()
 }
 
-// markSynced records that the cache holds a complete load; see Synced.
+// markSynced records that the cache holds a complete load, so that Synced returns true.
 func (c *Cache) markSynced() {
 	if c.synced {
 		return
@@ -124,8 +124,8 @@
 	c.log.Info("state cache loaded", "jobs", jobCount, "workers", machineCount, "revision", c.appliedRevision)
 }
 
-// ApplyEvents applies the events that the watch has delivered, which are all changes up to a
-// revision.
+// ApplyEvents applies the events that the watch has delivered. With them, the cache contains all
+// changes up to revision.
 func (c *Cache) ApplyEvents(events []kvstore.Event, revision uint64) {
 	var pipelineEvents []kvstore.Event
 	for _, event := range events {
