--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -8,7 +8,8 @@
 )
 
 // Successor returns the controller that should own a shard: its home if that is live, else the
-// first live controller after the home in the order of names. It returns "" if no controller is live.
+// first live controller after the home in the cyclic order of names. It returns "" if no controller
+// is live.
 func (t *Table) Successor(id string) string {
 	return t.SuccessorExcluding(id, func(string) bool { return false })
 }
@@ -25,16 +26,18 @@
 	return ""
 }
 
-// ShardsToAcquire returns the shards that this controller should acquire at now. failed reports
+// ShardsToAcquire returns the shards that this controller should acquire at now. hasFailed reports
 // whether a controller is considered failed although its lease has not expired yet.
 //
-// The home of a shard acquires it at once if it has no working owner (live and not failed), and
-// after returnDelay if it has one.
+// The home of a shard acquires it at once unless the shard has a working owner, which is an owner
+// that is live and not considered failed. If there is one, the home acquires the shard after
+// returnDelay.
 //
-// Any other controller acquires a shard only if it is the shard's successor, the shard has no working
-// owner, and its own startup grace period is over. Without that period, when all controllers start
-// together, the first one up would acquire the shard of the next, which would acquire it back half a
-// second later. With each change of owner, what the owner knew about the shard's machines is lost.
+// Any other controller acquires a shard only if it is the shard's successor, the shard has no
+// working owner, and the startup grace period of that controller is over. Without that period, when
+// all controllers start together, the first one up would acquire the shard of the next, which would
+// acquire it back half a second later. With each change of owner, what the owner knew about the
+// shard's machines is lost.
 func (t *Table) ShardsToAcquire(now time.Time, hasFailed func(controller string) bool) []string {
 	var ids []string
 	for _, id := range t.controllers {
@@ -68,11 +71,12 @@
 }
 
 // returnDelay returns how long the shard's home controller waits after its own start before it
-// acquires the shard from the present owner. The delay is 0 up to tuning.MaxUndelayedAcquisitions
-// recent acquisitions, which two crashes of the home and the return in between explain. The first
-// acquisition beyond that number causes the minimum delay, and each further one doubles the delay,
-// up to a limit. Without the delay, a controller that crashed every few seconds would acquire its
-// shard at each start, and two controllers would take turns probing the shard's workers.
+// acquires the shard from the present owner. The delay is 0 if there were at most
+// tuning.MaxUndelayedAcquisitions recent acquisitions: a home that crashes, returns and crashes
+// again causes that many. The first acquisition beyond that number causes the minimum delay, and
+// each further one doubles the delay, up to a limit. Without the delay, a controller that crashed
+// every few seconds would acquire its shard at each start, and two controllers would take turns
+// probing the shard's workers.
 func (s *Shard) returnDelay(now time.Time) time.Duration {
 	recentAcquisitions := 0
 	for _, acquiredMs := range s.acquisitions {
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -10,9 +10,9 @@
 	isLocal                 bool
 	knownSince              time.Time
 	isReconciled            bool
-	acquisitions            []int64 // see shardRecord
-	gangWorkersTrustedAfter *uint64 // see shardRecord; nil: no gang's list of workers is trusted
-	previousEpoch           uint64  // 0: not known
+	acquisitions            []int64 // as in shardRecord
+	gangWorkersTrustedAfter *uint64 // as in shardRecord; nil if no gang's list of workers is trusted
+	previousEpoch           uint64  // 0 if not known
 	transferPrepared        bool
 	transferred             bool
 }
@@ -55,7 +55,7 @@
 }
 
 // PrepareTransfer records that the shard is about to be transferred to another controller: until
-// AbortTransfer none of its machines is released or moved.
+// AbortTransfer is called, none of the shard's machines is released or moved.
 func (s *Shard) PrepareTransfer() { s.transferPrepared = true }
 
 // AbortTransfer undoes PrepareTransfer.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -2,7 +2,7 @@
 // from the liveness and ownership records in the key-value store.
 //
 // The cluster's machines are divided into one shard per controller. That controller is the shard's
-// home, and the shard has its name. The package decides which shards a controller should own
+// home, and the shard is named after it. The package decides which shards a controller should own
 // (Table.ShardsToAcquire); package statecache makes the conditional write that acquires a shard.
 // Safety depends on that write alone and never on the decision, so a wrong decision costs time, but
 // cannot give a shard two owners.
@@ -20,15 +20,15 @@
 type Table struct {
 	self        string
 	incarnation uint64
-	controllers []string // all of them, sorted; each is the home of a shard
+	controllers []string // the names of all controllers, sorted; each is the home of a shard
 	liveness    map[string]liveness
 	shards      map[string]*Shard
 	// liveSince is when the liveness record of this incarnation became known, zero if it is not
 	// known.
 	liveSince time.Time
-	// transferredEpochs holds, by shard, the epoch under which it was transferred to another
-	// controller. It survives Reset: under that epoch this controller must not command the
-	// shard's workers again, even if the record is read again.
+	// transferredEpochs maps each shard that this controller has transferred, or owned before a
+	// Reset, to the epoch under which it did so. The map survives Reset: under that epoch this
+	// controller must not command the shard's workers again, even if the record is read again.
 	transferredEpochs map[string]uint64
 }
 
@@ -105,8 +105,8 @@
 // IsLive reports whether a controller has a liveness record, and, unless incarnation is 0,
 // whether the record is of that incarnation.
 func (t *Table) IsLive(controller string, incarnation uint64) bool {
-	known, ok := t.liveness[controller]
-	return ok && (incarnation == 0 || known.incarnation == incarnation)
+	record, ok := t.liveness[controller]
+	return ok && (incarnation == 0 || record.incarnation == incarnation)
 }
 
 // LivenessRevision returns the revision of a controller's liveness record, 0 if it has none.
