--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -11,7 +11,8 @@
 )
 
 // maxAnsweredReadAge bounds how long the result of a read is kept while the cache has not reached
-// the revision that was read. The callers that waited for it have failed long before that age.
+// the revision that was read. The callers that waited for that revision have failed long before
+// that age.
 const maxAnsweredReadAge = 10 * tuning.StoreRequestTimeout
 
 // Queue is the queue of callers that wait at the barrier. It is not safe for concurrent use: the actor
@@ -20,7 +21,7 @@
 	startRead func(startedAt time.Time)
 	wake      func()
 
-	waiting         []waiter       // callers for which no read was started yet
+	queuedWaiters   []waiter       // callers for which no read was started yet
 	inFlightWaiters []waiter       // callers that the read in flight will serve
 	readInFlight    bool           // true also for a periodic read, which has no waiters
 	answeredReads   []answeredRead // reads whose revisions the cache has not reached yet
@@ -58,7 +59,7 @@
 // that takes longer than tuning.StoreRequestTimeout or the read fails. Callers that are not urgent
 // wait longer before their read starts, so that more callers share it.
 func (q *Queue) Wait(now time.Time, urgent bool, done func(ok bool)) {
-	q.waiting = append(q.waiting, waiter{deadline: now.Add(tuning.StoreRequestTimeout), urgent: urgent, done: done})
+	q.queuedWaiters = append(q.queuedWaiters, waiter{deadline: now.Add(tuning.StoreRequestTimeout), urgent: urgent, done: done})
 	q.StartIfDue(now)
 }
 
@@ -66,14 +67,14 @@
 // tuning.RevisionReadInterval ago. If the minimum interval since the last read has not passed, it
 // sets the timer instead. It does nothing while a read is in flight.
 func (q *Queue) StartIfDue(now time.Time) {
-	if q.readInFlight || (len(q.waiting) == 0 && now.Sub(q.lastReadAt) < tuning.RevisionReadInterval) {
+	if q.readInFlight || (len(q.queuedWaiters) == 0 && now.Sub(q.lastReadAt) < tuning.RevisionReadInterval) {
 		return
 	}
 	dueAt := q.lastReadAt.Add(q.minReadInterval())
 	switch {
 	case !now.Before(dueAt):
 		q.readInFlight = true
-		q.inFlightWaiters, q.waiting = q.waiting, nil
+		q.inFlightWaiters, q.queuedWaiters = q.queuedWaiters, nil
 		q.startRead(now)
 	case q.nextReadAt.IsZero() || dueAt.Before(q.nextReadAt):
 		if q.timer != nil {
@@ -86,7 +87,7 @@
 
 // minReadInterval returns the minimum time between two reads, which is shorter if an urgent caller waits.
 func (q *Queue) minReadInterval() time.Duration {
-	if slices.ContainsFunc(q.waiting, func(w waiter) bool { return w.urgent }) {
+	if slices.ContainsFunc(q.queuedWaiters, func(w waiter) bool { return w.urgent }) {
 		return tuning.MinRevisionReadGap
 	}
 	return tuning.MinPollRevisionReadGap
@@ -118,9 +119,9 @@
 // which the cache has applied all changes; synced tells whether the cache is complete.
 //
 // The cache contains all changes that were committed before consistentAsOf. consistentAsOf is zero
-// if the cache has reached the revision of no read since the last call. The caller has to record
-// consistentAsOf first and then call serve, which calls the done functions of the served waiters:
-// these may depend on the recorded time.
+// if the cache has not reached the revision of any further read since the last call. The caller has
+// to record consistentAsOf first and then call serve, which calls the done functions of the served
+// waiters: these may depend on the recorded time.
 func (q *Queue) Advance(now time.Time, appliedRevision uint64, synced bool) (consistentAsOf time.Time, serve func()) {
 	var remainingReads []answeredRead
 	var servedWaiters []waiter
