--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -28,16 +28,16 @@
 
 	// The service's limits, and the number of controllers that share them.
 	totalRequestRate, totalWriteRate float64 // per second
-	controllers                      int
+	controllerCount                  int
 	minFraction                      float64 // lower bound of fraction
 
 	mu                sync.Mutex
-	fraction          float64 // this controller's fraction of the total rates, learned from rate limiting
+	fraction          float64 // fraction of the total rates that this controller may use; adaptFraction changes it
 	fractionChangedAt time.Time
 	rateLimitedAt     time.Time
-	peerUsage         map[string]usage // by controller, per second
+	peerUsage         map[string]usage // rates per second that the peers have reported, by controller
 	currentUsage      usage            // counts since currentUsage.recordedAt
-	averageUsage      usage            // per second, exponentially smoothed
+	averageUsage      usage            // rates per second, exponentially smoothed
 }
 
 // usage is a number or a rate of requests and writes.
@@ -48,9 +48,9 @@
 
 // newBudget returns the budget of one of several controllers that share the service's limits, which
 // are rates per second.
-func newBudget(totalRequestRate, totalWriteRate float64, controllers int) *budget {
-	controllers = max(controllers, 1)
-	minFraction := tuning.EvenBudgetFraction / float64(controllers)
+func newBudget(totalRequestRate, totalWriteRate float64, controllerCount int) *budget {
+	controllerCount = max(controllerCount, 1)
+	minFraction := tuning.EvenBudgetFraction / float64(controllerCount)
 	fraction := max(tuning.ControllerBudgetFraction, minFraction)
 	return &budget{
 		requestLimiter: rate.NewLimiter(rate.Limit(totalRequestRate*fraction),
@@ -59,7 +59,7 @@
 			max(minWriteBurst, int(totalWriteRate*minFraction))),
 		totalRequestRate:  totalRequestRate,
 		totalWriteRate:    totalWriteRate,
-		controllers:       controllers,
+		controllerCount:   controllerCount,
 		minFraction:       minFraction,
 		fraction:          fraction,
 		fractionChangedAt: time.Now(),
@@ -89,10 +89,11 @@
 }
 
 // updateLimits sets the rates of the limiters. If all peers have reported their usage recently, the
-// rates are the part of the service's limits that the peers do not use, see remainingRate. Otherwise,
-// the rates are the service's limits times b.fraction, which this controller has learned from being
-// rate limited. Shortly after the controller was rate limited, the lower of the two rates is used,
-// since clients other than controllers may use the service as well. The caller must hold the lock.
+// rates are the part of the service's limits that the peers do not use, as computed by
+// remainingRate. Otherwise, the rates are the service's limits times b.fraction, which is reduced
+// when the service rate limits this controller. Shortly after the controller was rate limited, the
+// lower of these two rates is used, since clients other than controllers may use the service as
+// well. The caller must hold b.mu.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
 	if peers, complete := b.totalPeerUsage(now); complete {
@@ -120,16 +121,16 @@
 			total.writes += peer.writes
 		}
 	}
-	return total, reportingControllers >= b.controllers && b.controllers > 1
+	return total, reportingControllers >= b.controllerCount && b.controllerCount > 1
 }
 
-// remainingRate returns how much of one of the service's limits this controller may use. total is the
-// limit, and used is how much of it the peers use; all rates are per second. The result is at least
-// BudgetOvercommitFactor times the controller's minimum fraction of the limit, and at most
-// BusyControllerBudgetFraction of the limit.
-func (b *budget) remainingRate(total, used float64) float64 {
-	usableRate := tuning.BudgetOvercommitFactor * total
-	return min(max(usableRate-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
+// remainingRate returns how much of one of the service's limits this controller may use.
+// usedByPeers is how much of the limit the peers use; all rates are per second. The result is at
+// least tuning.BudgetOvercommitFactor times the controller's minimum fraction of the limit, and at
+// most tuning.BusyControllerBudgetFraction of the limit.
+func (b *budget) remainingRate(limit, usedByPeers float64) float64 {
+	usableRate := tuning.BudgetOvercommitFactor * limit
+	return min(max(usableRate-usedByPeers, tuning.BudgetOvercommitFactor*b.minFraction*limit), tuning.BusyControllerBudgetFraction*limit)
 }
 
 // recordPeerUsage records the requests and writes per second that another controller reports, and
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -34,7 +34,7 @@
 
 // New returns a client for the service at an address. The rates are the service's limits of requests
 // and writes per second, which the given number of controllers share.
-func New(address string, requestRate, writeRate float64, controllers int, dial DialFunc) *Client {
+func New(address string, requestRate, writeRate float64, controllerCount int, dial DialFunc) *Client {
 	return &Client{
 		baseURL: "http://" + address,
 		httpClient: &http.Client{Transport: &http.Transport{
@@ -43,7 +43,7 @@
 			IdleConnTimeout:     tuning.IdleConnectionTimeout,
 			DisableCompression:  true,
 		}},
-		budget: newBudget(requestRate, writeRate, controllers),
+		budget: newBudget(requestRate, writeRate, controllerCount),
 	}
 }
 
@@ -54,11 +54,11 @@
 	c.budget.recordPeerUsage(controller, requests, writes)
 }
 
-// Usage returns the requests and writes per second of this controller, smoothed.
+// Usage returns the requests and writes per second of this controller, smoothed over time.
 func (c *Client) Usage() (requests, writes float64) { return c.budget.usage() }
 
-// Commit executes a transaction: see Service. Like all requests it first waits for the budget, and
-// fails after a timeout.
+// Commit implements Service. Like all requests it first waits for the budget, and fails after a
+// timeout.
 func (c *Client) Commit(ctx context.Context, priority Priority, txn Txn) (TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return TxnResult{Succeeded: status == http.StatusOK, Revision: response.Revision, FailedKeys: response.Failed}, nil
 }
 
-// Get reads a key: see Service.
+// Get implements Service.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (GetResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
@@ -97,7 +97,7 @@
 	return GetResult{Row: response.KeyValue, Found: status == http.StatusOK, StoreRevision: response.StoreRevision}, nil
 }
 
-// List reads all keys with a prefix, page by page: see Service. It returns the revision of the first
+// List implements Service. It reads the keys page by page and returns the revision of the first
 // page.
 func (c *Client) List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error) {
 	afterKey := ""
@@ -117,30 +117,30 @@
 	}
 }
 
-// listing is one page of a listing.
-type listing struct {
+// pageResponse is the service's response to a request for one page of rows.
+type pageResponse struct {
 	Rows      []KeyValue `json:"rows"`
 	Truncated bool       `json:"truncated"`
 	Revision  uint64     `json:"epoch"`
 }
 
 // listPage reads the page that begins after the key afterKey, or the first page if afterKey is empty.
-func (c *Client) listPage(ctx context.Context, prefix, afterKey string) (listing, error) {
+func (c *Client) listPage(ctx context.Context, prefix, afterKey string) (pageResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StoreRequestTimeout)
 	defer cancel()
 	if err := c.budget.waitForBudget(ctx, Normal, 0); err != nil {
-		return listing{}, err
+		return pageResponse{}, err
 	}
 	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.ListPageRows)}}
 	if afterKey != "" {
 		query.Set("from", afterKey)
 	}
-	var page listing
+	var page pageResponse
 	status, err := c.callWithRetry(ctx, http.MethodGet, "/kv?"+query.Encode(), nil, &page)
 	return page, requireOK("list", status, err)
 }
 
-// Watch waits for changes after a revision: see Service.
+// Watch implements Service.
 func (c *Client) Watch(ctx context.Context, prefix string, afterRevision uint64) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.WatchRequestWait+tuning.WatchTimeoutMargin)
 	defer cancel()
@@ -160,7 +160,7 @@
 	return response.Events, response.Revision, requireOK("watch", status, err)
 }
 
-// GrantLease obtains a lease: see Service.
+// GrantLease implements Service.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
@@ -175,7 +175,7 @@
 	return response.LeaseID, requireOK("grant", status, err)
 }
 
-// KeepAlive renews a lease: see Service.
+// KeepAlive implements Service.
 func (c *Client) KeepAlive(ctx context.Context, leaseID uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StoreRequestTimeout)
 	defer cancel()
@@ -190,8 +190,9 @@
 	return err
 }
 
-// requireOK returns err if it is not nil. Otherwise it returns ErrOutcomeUnknown if the status is not
-// 200. It is for operations to which the service should not respond with any other status.
+// requireOK returns err if it is not nil. Otherwise it returns ErrOutcomeUnknown if the status is
+// not 200. It is used for operations to which the service should respond with status 200 or an
+// error status only.
 func requireOK(operation string, status int, err error) error {
 	if err == nil && status != http.StatusOK {
 		return fmt.Errorf("%w: %s status %d", ErrOutcomeUnknown, operation, status)
@@ -217,8 +218,8 @@
 	}
 }
 
-// callOnce sends one request. A request without a complete response may have been executed: the error is
-// ErrOutcomeUnknown and the status 0.
+// callOnce sends one request. A request that gets no complete response may have been executed, so
+// the error is then ErrOutcomeUnknown, and the status is 0.
 func (c *Client) callOnce(ctx context.Context, method, path string, body any, out any) (status int, err error) {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -32,8 +32,8 @@
 func (n memoryListener) Close() error   { return nil }
 func (n memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A rate limited request was not executed, so it can be retried. When such requests failed immediately,
-// a third of the submissions were late at high load.
+// A rate limited request was not executed, so it can be retried. Without retries, a third of the
+// submissions were late at high load.
 func TestRateLimitedRequestIsRetriedAndReducesBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := make(memoryListener, 1)
@@ -62,8 +62,8 @@
 	})
 }
 
-// Without reports of the peers' usage, a controller would learn its fraction of the limits only from
-// rate limited requests, hundreds of them a day.
+// Without reports of the peers' usage, a controller would reduce its rates only after the service
+// has rate limited its requests, which happened hundreds of times a day.
 func TestBudgetLeavesReportedUsageToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := New("state:1", 300, 100, 3, nil)
