--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -16,8 +16,9 @@
 // State is the detector's assessment of a controller.
 type State string
 
-// The states of a controller. Suspected is the assessment of this controller alone and has no
-// consequences. Failed requires that all other live controllers suspect the same controller.
+// The states of a controller. Suspected is the assessment of this controller alone and causes no
+// failover. Failed requires that all other controllers that have sent a heartbeat recently share
+// the suspicion.
 const (
 	Unknown   State = "unknown" // no heartbeat received yet
 	Alive     State = "alive"
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -35,8 +35,8 @@
 	n2Jitter time.Duration
 }
 
-// run advances the time by duration in steps of simulationStep, in which the heartbeats of traffic
-// arrive.
+// run advances the time by duration in steps of simulationStep and delivers the heartbeats that
+// traffic lists.
 func (c *cluster) run(duration time.Duration, traffic traffic) {
 	var delayedAt time.Time // when the delayed heartbeat of n2 arrives
 	end := c.now.Add(duration)
--- a/internal/failuredetector/peer_state.go
+++ b/internal/failuredetector/peer_state.go
@@ -9,7 +9,7 @@
 
 // peerState is what the detector knows about one other controller.
 type peerState struct {
-	lastHeartbeatAt time.Time // zero: none received
+	lastHeartbeatAt time.Time // zero if none was received
 	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time between
 	// two heartbeats and of its absolute deviation from the mean, over gapSamples gaps.
 	meanGapSeconds, gapDeviationSeconds float64
@@ -18,7 +18,7 @@
 	isProvenAlive                       bool      // it has acquired a shard since its last heartbeat
 	isLeaving                           bool
 	suspects                            []string  // according to its last heartbeat
-	suspectedSince                      time.Time // zero: not suspected
+	suspectedSince                      time.Time // zero if not suspected
 }
 
 // recordGap updates the statistics of gaps with the time between the last heartbeat and one that
@@ -49,7 +49,8 @@
 
 func (p *peerState) isSuspected() bool { return !p.suspectedSince.IsZero() }
 
-// isOverdue reports whether the peer has sent nothing for so long that it should be suspected.
+// isOverdue reports whether the peer has neither sent a heartbeat nor written to the key-value
+// store for so long that it should be suspected.
 func (p *peerState) isOverdue(now time.Time) bool {
 	if p.gapSamples < tuning.MinHeartbeatGapSamples || p.isLeaving || p.isProvenAlive {
 		return false
