--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -23,8 +23,8 @@
 	"cherrywall/internal/workersession"
 )
 
-// Dependencies are the parts of the controller whose state transfers read and change. They belong
-// to the same actor as the Coordinator.
+// Dependencies are the components whose state a transfer reads or changes. They belong to the same
+// actor as the Coordinator.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
@@ -51,8 +51,8 @@
 	payloads    map[string]*payload  // received from the old owner, or sent by this controller
 
 	// The transfers in which this controller is the old owner, by shard.
-	outgoing map[string]*outgoingTransfer
-	failedAt map[string]time.Time // when a transfer of the shard last failed
+	outgoingTransfers map[string]*outgoingTransfer
+	failedAt          map[string]time.Time // when a transfer of the shard last failed
 
 	isLeaving      bool       // whether this controller is shutting down
 	endedTransfers []Transfer // transfers that have ended, the latest last
@@ -70,7 +70,7 @@
 func (c *Coordinator) Reset() {
 	c.requestedAt = map[string]time.Time{}
 	c.payloads = map[string]*payload{}
-	c.outgoing = map[string]*outgoingTransfer{}
+	c.outgoingTransfers = map[string]*outgoingTransfer{}
 	c.failedAt = map[string]time.Time{}
 }
 
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -216,7 +216,7 @@
 			}
 			time.Sleep(4 * time.Second)
 			cluster.StartController(leavingController)
-			time.Sleep(8 * time.Second) // its shard may return late, after four changes of owner in two minutes
+			time.Sleep(8 * time.Second) // the return of its shard may be delayed because the shard's owner changed four times in two minutes
 			if owner := cluster.OwnerOf(leavingController); owner != leavingController {
 				t.Errorf("%s has started again, but %s owns its shard", leavingController, owner)
 			}
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -35,7 +35,7 @@
 	AgeSeconds      float64   `json:"ago_s"` // since the end of the transfer
 }
 
-// recordEnded adds a transfer that has ended to the list, and drops the oldest ones beyond
+// recordEnded adds an ended transfer to endedTransfers, and drops the oldest entries beyond
 // tuning.MaxListedNames.
 func (c *Coordinator) recordEnded(shard, recipient string, outcome Outcome, startedAt, now time.Time) {
 	c.endedTransfers = append(c.endedTransfers, Transfer{
@@ -48,11 +48,11 @@
 	c.endedTransfers = c.endedTransfers[max(0, len(c.endedTransfers)-tuning.MaxListedNames):]
 }
 
-// Transfers lists the transfers under way, sorted by shard name, followed by the last transfers
-// that have ended, the latest first.
+// Transfers lists the transfers under way, sorted by shard name, followed by the transfers that
+// have ended recently, the latest first.
 func (c *Coordinator) Transfers(now time.Time) []Transfer {
 	list := []Transfer{}
-	for id, outgoing := range c.outgoing {
+	for id, outgoing := range c.outgoingTransfers {
 		transfer := Transfer{Shard: id, To: outgoing.recipient, Outcome: OutcomePreparing,
 			DurationSeconds: now.Sub(outgoing.requestedAt).Seconds()}
 		if outgoing.isSent() {
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -14,14 +14,14 @@
 	"cherrywall/internal/workersession"
 )
 
-// minMisdirectedWorkerLimit is the number of workers of a small shard that may send their heartbeats
-// to this controller before it stops waiting for the shard's owner. A few workers may have broken
-// links of their own.
+// minMisdirectedWorkerLimit is the number of workers of a small shard that may send their
+// heartbeats to this controller before this controller stops waiting for the shard's owner. A few
+// workers may have broken links of their own.
 const minMisdirectedWorkerLimit = 2
 
 // payload is the state of a shard under one epoch, as its owner knew it when it stopped responding
-// to the shard's workers. The controller that acquires the shard under the next epoch can continue
-// from it.
+// to the shard's workers. The controller that acquires the shard under the next epoch can restore
+// the state of the tasks from the payload.
 type payload struct {
 	epoch                       uint64
 	totalChunks, receivedChunks int
@@ -166,7 +166,7 @@
 	}
 }
 
-// ApplyPayloads continues from the payloads of shards that this controller has acquired, once the
+// ApplyPayloads applies the payloads of the shards that this controller has acquired, once the
 // cache has applied all revisions up to the acquisition.
 func (c *Coordinator) ApplyPayloads(now time.Time) {
 	for id, p := range c.payloads {
@@ -186,9 +186,9 @@
 	return p.isComplete() && shard.IsLocal() && shard.PreviousEpoch() == p.epoch && c.Cache.HasReachedEpoch(shard)
 }
 
-// applyPayload restores the tasks of a transferred shard from its payload, which lists the tasks on
-// the machines, so that their workers need no probe. Machines that have changed since the acquisition,
-// or whose workers have sent a heartbeat since then, are left to reconciliation.
+// applyPayload restores the state of a transferred shard's tasks and workers from the shard's
+// payload, so that the workers need not be probed. Machines that have changed since the
+// acquisition, or whose workers have sent a heartbeat since then, are left to reconciliation.
 func (c *Coordinator) applyPayload(p *payload, shard *membership.Shard, now time.Time) {
 	restoredWorkers := 0
 	for _, chunk := range p.chunks {
@@ -217,7 +217,7 @@
 		!machine.HasReported() && !machine.IsLost()
 }
 
-// markCompleted marks those tasks as done that the old owner listed as done but had not recorded as
+// markCompleted marks tasks as done that the old owner knew to be done but had not recorded as
 // done.
 func (c *Coordinator) markCompleted(shard *membership.Shard, tasks []peer.TaskSnapshot) {
 	for _, task := range tasks {
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -18,21 +18,21 @@
 
 // controllerState is what a controller knows of the shard. It may be out of date.
 type controllerState struct {
-	ownedEpoch  uint8   // the epoch under which it considers itself the owner; 0: it does not
-	knownEpoch  uint8   // the latest epoch that it has seen
-	transferred bool    // whether it has transferred the shard under ownedEpoch
-	location    int8    // of the task
-	heartbeats  [2]bool // whether each worker has sent one under ownedEpoch
+	ownedEpoch        uint8   // the epoch under which it considers itself the owner; 0 if it does not
+	knownEpoch        uint8   // the latest epoch that it has seen
+	transferred       bool    // whether it has transferred the shard under ownedEpoch
+	location          int8    // the location of the task
+	heartbeatReceived [2]bool // whether each worker has sent a heartbeat under ownedEpoch
 }
 
 // modelState is the state of the shard, the controllers and the workers.
 type modelState struct {
-	epoch       uint8 // of the shard's record
+	epoch       uint8 // the shard's current epoch
 	owner       int8
 	controllers [3]controllerState
 	tokens      [2]uint8 // the highest fencing token that each worker has seen
 	runs        [2]bool  // whether each worker runs the task
-	payloads    [5]int8  // by epoch: the location that a transfer contained, whichever controller received it
+	payloads    [5]int8  // by epoch: the task's location in the payload sent under that epoch, whichever controller received the payload
 	payloadSent [5]bool
 	// pendingAcquisition is, by controller, the condition of an acquisition that was sent and may
 	// be applied at any time: the acquisition succeeds only if this is still the shard's epoch.
@@ -54,7 +54,7 @@
 	acquirer := controllerState{ownedEpoch: m.epoch, knownEpoch: m.epoch, location: locationUnknown}
 	for epoch := previousEpoch; epoch > 0; epoch-- {
 		if m.payloadSent[epoch] && (epoch == previousEpoch || mutation.usesAnyPayload) {
-			acquirer.location, acquirer.heartbeats = m.payloads[epoch], [2]bool{true, true}
+			acquirer.location, acquirer.heartbeatReceived = m.payloads[epoch], [2]bool{true, true}
 			break
 		}
 	}
@@ -81,7 +81,8 @@
 	return m
 }
 
-// afterWatchEvent returns the state after a controller has learned of the current epoch.
+// afterWatchEvent returns the state after a controller has learned of the current epoch, or none if
+// the controller knows that epoch already.
 func (m modelState) afterWatchEvent(controller int) []modelState {
 	view := m.controllers[controller]
 	if view.knownEpoch >= m.epoch {
@@ -168,12 +169,12 @@
 func (m modelState) afterHeartbeat(controller, worker int) []modelState {
 	receivedState := m
 	owner := &receivedState.controllers[controller]
-	owner.heartbeats[worker] = true
+	owner.heartbeatReceived[worker] = true
 	switch {
 	case m.runs[worker]:
 		owner.location = int8(worker)
 	case owner.location == int8(worker),
-		owner.location == locationUnknown && owner.heartbeats[0] && owner.heartbeats[1]:
+		owner.location == locationUnknown && owner.heartbeatReceived[0] && owner.heartbeatReceived[1]:
 		owner.location = notRunning
 	}
 	if m.controllers[controller].location != notRunning {
@@ -207,7 +208,7 @@
 	for controller := range start.controllers {
 		start.controllers[controller] = controllerState{knownEpoch: 1, location: locationUnknown}
 	}
-	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
+	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeatReceived: [2]bool{true, true}}
 	seen := map[modelState]bool{start: true}
 	frontier := []modelState{start}
 	for range maxEvents {
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -26,7 +26,7 @@
 		if !c.canTransfer(shard, id, sender, now) {
 			continue
 		}
-		c.outgoing[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: sender, requestedAt: now}
+		c.outgoingTransfers[id] = &outgoingTransfer{epoch: shard.Epoch(), recipient: sender, requestedAt: now}
 		shard.PrepareTransfer() // prevents new releases and moves of the shard's machines
 		c.sendShard(shard, now)
 	}
@@ -43,7 +43,7 @@
 		return false
 	case shard == nil || !shard.IsLocal() || !shard.IsReconciled() || shard.IsTransferred():
 		return false
-	case c.outgoing[id] != nil || c.Cache.IsStale(now) || !c.Membership.IsLive(recipient, 0):
+	case c.outgoingTransfers[id] != nil || c.Cache.IsStale(now) || !c.Membership.IsLive(recipient, 0):
 		return false
 	}
 	return now.Sub(c.failedAt[id]) >= tuning.TransferRetryDelay
@@ -52,7 +52,7 @@
 // advanceOutgoing sends the shards that could not be sent before, and ends transfers that are done
 // or have timed out.
 func (c *Coordinator) advanceOutgoing(now time.Time) {
-	for id, transfer := range c.outgoing {
+	for id, transfer := range c.outgoingTransfers {
 		shard := c.Membership.Shard(id)
 		switch {
 		case shard == nil || !shard.IsLocal() || shard.Epoch() != transfer.epoch:
@@ -61,7 +61,7 @@
 			c.sendShard(shard, now)
 		case !transfer.isSent(): // releases or moves took too long: this controller keeps the shard
 			shard.AbortTransfer()
-			delete(c.outgoing, id)
+			delete(c.outgoingTransfers, id)
 		case now.Sub(transfer.sentAt) > tuning.TransferTimeout:
 			// The recipient has not acquired the shard, but its write may still arrive. A new
 			// epoch of this controller makes that write fail. Otherwise both controllers could
@@ -74,7 +74,7 @@
 // endOutgoing ends a transfer after its shard got another owner or a new epoch. shard is nil if the
 // shard's record no longer exists.
 func (c *Coordinator) endOutgoing(id string, transfer *outgoingTransfer, shard *membership.Shard, now time.Time) {
-	delete(c.outgoing, id)
+	delete(c.outgoingTransfers, id)
 	if !transfer.isSent() || shard == nil {
 		return
 	}
@@ -89,12 +89,12 @@
 	}
 }
 
-// reacquireUntracked acquires again the local shards that are marked as transferred but have no
-// outgoing transfer. This happens if the records were read again during a transfer: then Reset drops
-// the outgoing transfer, but membership.Table keeps the mark.
+// reacquireUntracked reacquires the local shards that are marked as transferred but have no
+// outgoing transfer. This happens if the records were read again during a transfer: then Reset
+// drops the outgoing transfer, but membership.Table keeps the mark.
 func (c *Coordinator) reacquireUntracked(now time.Time) {
 	for _, shard := range c.Membership.LocalShards() {
-		if shard.IsTransferred() && c.outgoing[shard.ID()] == nil {
+		if shard.IsTransferred() && c.outgoingTransfers[shard.ID()] == nil {
 			c.Cache.ReacquireShard(shard, now)
 		}
 	}
@@ -105,7 +105,7 @@
 // Tick calls it again: the result is not known yet, so the snapshot could be wrong about the
 // machine. If the shard is too large for a transfer, this controller keeps it.
 func (c *Coordinator) sendShard(shard *membership.Shard, now time.Time) {
-	transfer := c.outgoing[shard.ID()]
+	transfer := c.outgoingTransfers[shard.ID()]
 	var machines []*clusterstate.Machine
 	for machine := range c.State.OwnedMachinesIn(shard.ID()) {
 		if (machine.IsReleasing() || machine.IsMoving()) && !machine.IsReleased() {
@@ -117,13 +117,13 @@
 	chunks := c.buildChunks(shard, machines, now)
 	if chunks == nil {
 		shard.AbortTransfer()
-		delete(c.outgoing, shard.ID())
+		delete(c.outgoingTransfers, shard.ID())
 		c.failedAt[shard.ID()] = now
 		return
 	}
 	c.Membership.MarkTransferred(shard)
 	transfer.sentAt = now
-	// This controller continues from the payload if the recipient does not acquire the shard.
+	// This controller applies the payload itself if the recipient does not acquire the shard.
 	c.payloads[shard.ID()] = newCompletePayload(shard.Epoch(), chunks, now)
 	allQueued := c.send(transfer.recipient, chunks)
 	c.log.Info("shard transfer sent", "shard", shard.ID(), "recipient", transfer.recipient,
