--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -75,8 +75,8 @@
 	return heartbeat, nil
 }
 
-// hasPlausibleLengths reports whether no vector claims more items than the frame has bytes, so
-// that a malformed frame cannot make the decoder run or allocate without bound.
+// hasPlausibleLengths reports whether each vector claims at most as many items as the frame has
+// bytes, so that a malformed frame cannot make the decoder run or allocate without bound.
 func hasPlausibleLengths(message *wire.Beat, frameBytes int) bool {
 	return max(message.SharesLength(), message.CountsLength(), message.BlamedLength(),
 		message.WantsLength(), message.SuspectsLength(), message.CancelledLength()) <= frameBytes
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -28,7 +28,8 @@
 	return append(frame, body...)
 }
 
-// encoder builds the tables of a heartbeat. Its methods return the offsets of the tables in the buffer.
+// encoder builds the tables of a heartbeat. Its methods return the offset of what they have built
+// in the buffer.
 type encoder struct{ *flatbuffers.Builder }
 
 func (e encoder) heartbeat(heartbeat Heartbeat) flatbuffers.UOffsetT {
--- a/internal/peer/encoded_form_test.go
+++ b/internal/peer/encoded_form_test.go
@@ -13,7 +13,7 @@
 
 // Controllers of different versions exchange frames, so a frame that an earlier version wrote must
 // still be readable and be encoded to the same bytes.
-func TestEncodedFrame(t *testing.T) {
+func TestFrameEncodingIsUnchanged(t *testing.T) {
 	const goldenFile = "testdata/encoded_frame.hex"
 	heartbeat := encodedform.Fill(Heartbeat{}).(Heartbeat)
 	frame := Encode(heartbeat)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -36,8 +36,8 @@
 	AppliedRevision uint64
 	// CancelledJobs are the jobs that were cancelled recently.
 	CancelledJobs []CancelledJob
-	// TransferChunk is a part of a shard that is transferred to the recipient, nil if there is
-	// none.
+	// TransferChunk is a part of the state of a shard that the sender transfers to the
+	// recipient, nil if there is none.
 	TransferChunk *TransferChunk
 }
 
@@ -49,7 +49,7 @@
 
 // ShapeCapacity is how many more tasks of a shape fit on the sender's machines in a zone.
 type ShapeCapacity struct {
-	CPU, GPU, Mem float64 // the shape: cores, devices, GB
+	CPU, GPU, Mem float64 // the shape: CPU cores, GPUs and GB of memory for each task
 	Zone          string
 	Free          int // tasks that fit without preemption
 	Preemptible   int // further tasks that fit if less urgent ones are preempted
@@ -59,7 +59,7 @@
 type CancelledJob struct {
 	Ref            string
 	Revision       uint64
-	CompletedTasks int // at that revision
+	CompletedTasks int // number of the job's tasks that were done at Revision
 	// WorkersNotified reports whether the sender has notified its workers, as far as it can reach
 	// them.
 	WorkersNotified bool
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -4,7 +4,7 @@
 
 // Outbox queues transfer chunks, by recipient, until SendHeartbeats sends them. A nil chunk makes
 // SendHeartbeats send a heartbeat immediately. Chunks are lost if the queue is full or there is no
-// connection; the handover then ends by its timeout.
+// connection; the transfer then times out.
 type Outbox map[string]chan *TransferChunk
 
 // NewOutbox returns an empty outbox for the given recipients.
--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -26,8 +26,8 @@
 }
 
 // HandlePeerHeartbeat records the sender's usage and passes the heartbeat on to the Controller. The
-// usage of unknown senders and invalid rates are ignored: a rate that is not a number would make
-// this controller's limit not a number, and no further request would pass.
+// usage of unknown senders and invalid rates are ignored: a rate of NaN would make this
+// controller's limit NaN, and no further request would pass.
 func (r RateSharing) HandlePeerHeartbeat(heartbeat Heartbeat) {
 	isValid := isValidRate(heartbeat.RequestsPerSecond) && isValidRate(heartbeat.WritesPerSecond)
 	if r.Peers[heartbeat.Node] && isValid {
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -10,7 +10,7 @@
 // controller that is to own the shard next.
 type TransferChunk struct {
 	Shard        string
-	Epoch        uint64 // under which the sender owns the shard
+	Epoch        uint64 // the epoch under which the sender owns the shard
 	Index, Total int    // the number of this chunk, from 0, and the number of chunks
 	Machines     []MachineSnapshot
 }
@@ -40,5 +40,5 @@
 	StopSent      bool                // a stop command was sent
 	GraceSeconds  float64
 	Foreign       bool          // not a task of the shard; the worker only has to stop it
-	RunningFor    time.Duration // 0: not known to run
+	RunningFor    time.Duration // 0 if the task is not known to run
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -62,8 +62,8 @@
 }
 
 // SendHeartbeats sends heartbeats to another controller until ctx ends, and reconnects whenever the
-// connection fails. It sends a heartbeat every tuning.PeerHeartbeatInterval. As soon as it receives a
-// chunk from chunks, it sends one that carries the chunk.
+// connection fails. It sends a heartbeat every tuning.PeerHeartbeatInterval. As soon as it receives
+// a chunk from chunks, it sends a further heartbeat that carries the chunk.
 func SendHeartbeats(ctx context.Context, addr string, chunks <-chan *TransferChunk, controller Controller) {
 	dialer := net.Dialer{Timeout: tuning.PeerTimeout}
 	for ctx.Err() == nil {
