--- a/internal/peerstatus/rank.go
+++ b/internal/peerstatus/rank.go
@@ -14,9 +14,9 @@
 // Capacities returns the capacities that connected controllers have announced.
 func (t *Tracker) Capacities(now time.Time) []peer.ShapeCapacity {
 	var capacities []peer.ShapeCapacity
-	for _, last := range t.latest {
-		if last.isRecent(now) && last.heartbeat.Synced {
-			capacities = append(capacities, last.heartbeat.Capacities...)
+	for _, latest := range t.latestHeartbeats {
+		if latest.isRecent(now) && latest.heartbeat.Synced {
+			capacities = append(capacities, latest.heartbeat.Capacities...)
 		}
 	}
 	return capacities
@@ -32,9 +32,9 @@
 		cost       int
 	}
 	candidates := []candidate{{t.self, gangPlacementCost(record, need, ownCapacities)}}
-	for controller, last := range t.latest {
-		if last.isCurrent(now) && last.heartbeat.Synced {
-			candidates = append(candidates, candidate{controller, gangPlacementCost(record, need, last.heartbeat.Capacities)})
+	for controller, latest := range t.latestHeartbeats {
+		if latest.isCurrent(now) && latest.heartbeat.Synced {
+			candidates = append(candidates, candidate{controller, gangPlacementCost(record, need, latest.heartbeat.Capacities)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -16,8 +16,8 @@
 // Tracker keeps the latest heartbeat of each other controller. It is not safe for concurrent use:
 // a single actor owns it.
 type Tracker struct {
-	self   string
-	latest map[string]receivedHeartbeat // by controller, for all others
+	self             string
+	latestHeartbeats map[string]receivedHeartbeat // by controller; has an entry for each other controller
 }
 
 // maxCurrentHeartbeatAge is the age of the latest heartbeat beyond which more than two heartbeats in
@@ -26,7 +26,7 @@
 
 type receivedHeartbeat struct {
 	heartbeat  peer.Heartbeat
-	receivedAt time.Time // zero: none received
+	receivedAt time.Time // zero if none was received
 }
 
 func (r receivedHeartbeat) age(now time.Time) time.Duration { return now.Sub(r.receivedAt) }
@@ -47,10 +47,10 @@
 
 // New returns the tracker that the controller self uses for all other controllers.
 func New(self string, controllers []string) *Tracker {
-	t := &Tracker{self: self, latest: map[string]receivedHeartbeat{}}
+	t := &Tracker{self: self, latestHeartbeats: map[string]receivedHeartbeat{}}
 	for _, controller := range controllers {
 		if controller != self {
-			t.latest[controller] = receivedHeartbeat{}
+			t.latestHeartbeats[controller] = receivedHeartbeat{}
 		}
 	}
 	return t
@@ -59,24 +59,24 @@
 // Observe records a heartbeat, without the transfer chunk that it may carry. It reports whether
 // the sender is a known controller; heartbeats of others are ignored.
 func (t *Tracker) Observe(heartbeat peer.Heartbeat, now time.Time) (known bool) {
-	if _, known = t.latest[heartbeat.Node]; !known {
+	if _, known = t.latestHeartbeats[heartbeat.Node]; !known {
 		return false
 	}
 	heartbeat.TransferChunk = nil // it can be large, and package handover handles it on receipt
-	t.latest[heartbeat.Node] = receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
+	t.latestHeartbeats[heartbeat.Node] = receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	return true
 }
 
 // Latest returns a controller's latest heartbeat and its age; ok is false if there was none.
 func (t *Tracker) Latest(controller string, now time.Time) (heartbeat peer.Heartbeat, age time.Duration, ok bool) {
-	last := t.latest[controller]
-	return last.heartbeat, last.age(now), !last.receivedAt.IsZero()
+	latest := t.latestHeartbeats[controller]
+	return latest.heartbeat, latest.age(now), !latest.receivedAt.IsZero()
 }
 
 // HasConnectedPeer reports whether any other controller is connected.
 func (t *Tracker) HasConnectedPeer(now time.Time) bool {
-	for _, last := range t.latest {
-		if last.isRecent(now) {
+	for _, latest := range t.latestHeartbeats {
+		if latest.isRecent(now) {
 			return true
 		}
 	}
@@ -85,20 +85,20 @@
 
 // IsLeaving reports whether a connected controller has announced its shutdown.
 func (t *Tracker) IsLeaving(controller string, now time.Time) bool {
-	last := t.latest[controller]
-	return last.heartbeat.Leaving && last.isRecent(now)
+	latest := t.latestHeartbeats[controller]
+	return latest.heartbeat.Leaving && latest.isRecent(now)
 }
 
 // HasApplied reports whether a controller knows all changes up to a revision, according to its latest
 // heartbeat.
 func (t *Tracker) HasApplied(controller string, revision uint64) bool {
-	return t.latest[controller].heartbeat.AppliedRevision >= revision
+	return t.latestHeartbeats[controller].heartbeat.AppliedRevision >= revision
 }
 
 // HasNotifiedWorkers reports whether, according to its latest heartbeat, a controller has notified
 // its workers that a job is cancelled, as far as it can reach them.
 func (t *Tracker) HasNotifiedWorkers(controller, ref string) bool {
-	return slices.ContainsFunc(t.latest[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
+	return slices.ContainsFunc(t.latestHeartbeats[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
 		return job.Ref == ref && job.WorkersNotified
 	})
 }
@@ -106,8 +106,8 @@
 // IsFaultyJob reports whether a connected controller attributes the failures of a job's tasks to
 // the job itself. Each controller judges the tasks of its own machines only.
 func (t *Tracker) IsFaultyJob(ref string, now time.Time) bool {
-	for _, last := range t.latest {
-		if last.isRecent(now) && slices.Contains(last.heartbeat.FaultyJobs, ref) {
+	for _, latest := range t.latestHeartbeats {
+		if latest.isRecent(now) && slices.Contains(latest.heartbeat.FaultyJobs, ref) {
 			return true
 		}
 	}
@@ -117,8 +117,8 @@
 // IsStoreDownForAll reports whether no other connected controller reaches the key-value store. There
 // is then no point in sending this controller's users to another controller.
 func (t *Tracker) IsStoreDownForAll(now time.Time) bool {
-	for _, last := range t.latest {
-		if last.isRecent(now) && last.heartbeat.Synced && last.storeSilentFor(now) < tuning.HealthGracePeriod {
+	for _, latest := range t.latestHeartbeats {
+		if latest.isRecent(now) && latest.heartbeat.Synced && latest.storeSilentFor(now) < tuning.HealthGracePeriod {
 			return false
 		}
 	}
@@ -130,9 +130,9 @@
 // has confirmed a cancellation in that time, and this controller knows the cancellations that were
 // confirmed before.
 func (t *Tracker) NoPeerReachesStore(now time.Time, silentFor time.Duration) bool {
-	for _, last := range t.latest {
-		if last.receivedAt.IsZero() || last.age(now) > maxCurrentHeartbeatAge ||
-			last.heartbeat.StoreSilentFor < silentFor {
+	for _, latest := range t.latestHeartbeats {
+		if latest.receivedAt.IsZero() || latest.age(now) > maxCurrentHeartbeatAge ||
+			latest.heartbeat.StoreSilentFor < silentFor {
 			return false
 		}
 	}
@@ -148,9 +148,9 @@
 	}
 	// Even in an outage, the last responses to two controllers are some time apart.
 	const margin = tuning.IsolatedHealthGracePeriod / 2
-	for _, last := range t.latest {
-		reachesStore := last.storeSilentFor(now) < silentFor-margin && last.heartbeat.StoreSilentFor < margin
-		if last.isCurrent(now) && last.heartbeat.Synced && reachesStore {
+	for _, latest := range t.latestHeartbeats {
+		reachesStore := latest.storeSilentFor(now) < silentFor-margin && latest.heartbeat.StoreSilentFor < margin
+		if latest.isCurrent(now) && latest.heartbeat.Synced && reachesStore {
 			return true
 		}
 	}
@@ -161,8 +161,8 @@
 // controller knows of such an owner. The owner under the given epoch then stops responding to the
 // shard's workers, so that they find the new owner before their leases expire.
 func (t *Tracker) NewerOwner(id string, epoch uint64) (owner string, ok bool) {
-	for _, last := range t.latest {
-		for _, shard := range last.heartbeat.Shards {
+	for _, latest := range t.latestHeartbeats {
+		for _, shard := range latest.heartbeat.Shards {
 			if shard.ID == id && shard.Epoch > epoch && shard.Owner != t.self {
 				return shard.Owner, true
 			}
