--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -112,7 +112,7 @@
 	settings         admin.Settings
 	settingsRevision uint64
 
-	acquisitionsInFlight map[string]bool // by shard
+	acquisitionsInFlight map[string]bool // the shards that are being acquired
 	acquisitionStopped   bool            // set by StopAcquiringShards
 
 	livenessEnabled       atomic.Bool // read by maintainLiveness
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -23,8 +23,8 @@
 	leaseSeconds, cancelSeconds float64
 	refusalOffset               time.Duration // when the refusal begins, relative to the controller's reads
 	cancellationToOutage        time.Duration // time from the cancellations to the outage
-	cutFromPeers                bool          // the refused controller is cut from its peers as well
-	restarts                    bool          // the refused controller crashes and restarts within a fraction of a second
+	cutsPeerLinks               bool          // the refused controller is cut from its peers as well
+	restartsRefusedController   bool          // the refused controller crashes and restarts within a fraction of a second
 	othersRecoverFirst          bool          // the outage ends for the other controllers first
 	refusedController           string
 	mutateConfig                func(cfg *config.Config)
@@ -63,7 +63,7 @@
 		r.refuseController()
 		responses := r.cancelJobs()
 		r.checkTaskStarts()
-		if s.restarts {
+		if s.restartsRefusedController {
 			r.cluster.CrashController(s.refusedController)
 			time.Sleep(300 * time.Millisecond)
 			r.cluster.StartController(s.refusedController)
@@ -76,7 +76,7 @@
 			}
 		}
 		time.Sleep(config.Seconds(s.cancelSeconds + 12))
-		r.recover()
+		r.endFaults()
 		r.checkStatuses()
 		for _, violation := range r.cluster.Violations() {
 			t.Error("invariant violated:", violation)
@@ -127,7 +127,7 @@
 	r.cluster.Store.DelayReads(r.refusedController, 2*time.Second) // longer than a client's timeout, because the bound on renewing worker leases must not depend on that timeout
 	time.Sleep(3*time.Second + r.refusalOffset)
 	r.cluster.Store.RefuseNode(r.refusedController, true)
-	if r.cutFromPeers {
+	if r.cutsPeerLinks {
 		r.cluster.SetPeerLink(fake.PeerLink{Isolated: r.refusedController})
 	}
 }
@@ -164,9 +164,9 @@
 	})
 }
 
-// recover ends the refusal and the outage. If othersRecoverFirst is set, the refusal ends 10 s after
+// endFaults ends the refusal and the outage. If othersRecoverFirst is set, the refusal ends 10 s after
 // the outage.
-func (r *partitionRun) recover() {
+func (r *partitionRun) endFaults() {
 	store := r.cluster.Store
 	store.RefuseNode(r.refusedController, r.othersRecoverFirst)
 	store.SetOutage(false)
@@ -196,14 +196,14 @@
 			for offset := range 3 {
 				n := 15*i + 3*k + offset
 				scenarios = append(scenarios, partitionScenario{
-					leaseSeconds:         seconds.lease,
-					cancelSeconds:        seconds.cancel,
-					cancellationToOutage: cancellationToOutage,
-					refusalOffset:        time.Duration(n%30) * 100 * time.Millisecond,
-					cutFromPeers:         n%2 == 1,
-					restarts:             n%5 == 2,
-					othersRecoverFirst:   n%3 == 1,
-					refusedController:    []string{"n0", "n0", "n1"}[n%3],
+					leaseSeconds:              seconds.lease,
+					cancelSeconds:             seconds.cancel,
+					cancellationToOutage:      cancellationToOutage,
+					refusalOffset:             time.Duration(n%30) * 100 * time.Millisecond,
+					cutsPeerLinks:             n%2 == 1,
+					restartsRefusedController: n%5 == 2,
+					othersRecoverFirst:        n%3 == 1,
+					refusedController:         []string{"n0", "n0", "n1"}[n%3],
 				})
 			}
 		}
@@ -233,7 +233,7 @@
 				cancelSeconds:        45,
 				refusalOffset:        time.Duration(offset) * 100 * time.Millisecond,
 				cancellationToOutage: 1500 * time.Millisecond,
-				cutFromPeers:         true,
+				cutsPeerLinks:        true,
 				refusedController:    "n0",
 				mutateConfig:         mutateConfig,
 			}
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -64,8 +64,8 @@
 	c.acquireShard(shard.ID(), now)
 }
 
-// acquireShard replaces a shard's record, provided that the stored record is the cached one and the
-// given conditions hold. It does nothing if such a write is already in flight.
+// acquireShard replaces a shard's record, provided that the stored record is still the cached one
+// and the given conditions hold. It does nothing if such a write is already in flight.
 func (c *Cache) acquireShard(id string, now time.Time, conditions ...kvstore.Condition) {
 	if c.acquisitionsInFlight[id] {
 		return
