--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -13,8 +13,8 @@
 	acquisitions            []int64 // as in shardRecord
 	gangWorkersTrustedAfter *uint64 // as in shardRecord; nil if no gang's list of workers is trusted
 	previousEpoch           uint64  // 0 if not known
-	transferPrepared        bool
-	transferred             bool
+	isTransferPrepared      bool
+	isTransferred           bool
 }
 
 // ID returns the shard's name, which is that of its home controller.
@@ -43,7 +43,7 @@
 // epoch or is known to be gone. From then on, a task that no heartbeat lists is running nowhere.
 func (s *Shard) IsReconciled() bool { return s.isReconciled }
 
-// MarkReconciled records that the shard is reconciled; see IsReconciled.
+// MarkReconciled records that the shard is reconciled, as defined at IsReconciled.
 func (s *Shard) MarkReconciled() { s.isReconciled = true }
 
 // TrustsGangWorkers reports whether a gang's tasks can have been started only on the workers that
@@ -56,14 +56,14 @@
 
 // PrepareTransfer records that the shard is about to be transferred to another controller: until
 // AbortTransfer is called, none of the shard's machines is released or moved.
-func (s *Shard) PrepareTransfer() { s.transferPrepared = true }
+func (s *Shard) PrepareTransfer() { s.isTransferPrepared = true }
 
 // AbortTransfer undoes PrepareTransfer.
-func (s *Shard) AbortTransfer() { s.transferPrepared = false }
+func (s *Shard) AbortTransfer() { s.isTransferPrepared = false }
 
 // IsTransferring reports whether a transfer of the shard is prepared or done.
-func (s *Shard) IsTransferring() bool { return s.transferPrepared || s.transferred }
+func (s *Shard) IsTransferring() bool { return s.isTransferPrepared || s.isTransferred }
 
 // IsTransferred reports whether the shard was transferred to another controller, which may not
 // have acquired it yet.
-func (s *Shard) IsTransferred() bool { return s.transferred }
+func (s *Shard) IsTransferred() bool { return s.isTransferred }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -60,11 +60,11 @@
 
 // Reset drops all records. The caller has to read them again.
 //
-// The shards that this incarnation owned count as transferred from now on, so that it acquires
-// them under a new epoch before it commands their workers. Commands sent before the reset may
-// still be in flight, and workers accept them as long as the fencing token is the same, but after
-// the reset this controller no longer knows which commands it has sent. A task whose start command
-// was in flight would be missing from the worker's first heartbeat, be taken for not running, and be
+// The shards that this incarnation owned count as transferred from now on, so that it acquires them
+// under a new epoch before it commands their workers. Commands sent before the reset may still be
+// in flight, and workers accept them as long as the fencing token is the same, but after the reset
+// this controller no longer knows which commands it has sent. A task whose start command was in
+// flight would be missing from the worker's first heartbeat, be considered not running, and be
 // started a second time.
 func (t *Table) Reset() {
 	for id, shard := range t.shards {
@@ -159,7 +159,7 @@
 	if previous != nil {
 		shard.previousEpoch = previous.epoch
 	}
-	shard.transferred = shard.isLocal && t.transferredEpochs[id] == revision
+	shard.isTransferred = shard.isLocal && t.transferredEpochs[id] == revision
 	t.shards[id] = shard
 	return shard, nil
 }
@@ -167,7 +167,7 @@
 // MarkTransferred records that a shard was transferred to another controller. This controller does
 // not respond to the shard's workers as long as the shard has its present epoch.
 func (t *Table) MarkTransferred(shard *Shard) {
-	shard.transferred = true
+	shard.isTransferred = true
 	t.transferredEpochs[shard.id] = shard.epoch
 }
 
@@ -180,10 +180,10 @@
 // LocalShards returns the shards that this incarnation owns, in the order of their names.
 func (t *Table) LocalShards() []*Shard { return t.filterShards((*Shard).IsLocal) }
 
-func (t *Table) filterShards(include func(*Shard) bool) []*Shard {
+func (t *Table) filterShards(isIncluded func(*Shard) bool) []*Shard {
 	var selected []*Shard
 	for _, id := range t.controllers {
-		if shard := t.shards[id]; shard != nil && include(shard) {
+		if shard := t.shards[id]; shard != nil && isIncluded(shard) {
 			selected = append(selected, shard)
 		}
 	}
