--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// minReadInterval returns the minimum time between two reads, which is shorter if an urgent caller waits.
+// minReadInterval returns the minimum time between two reads, which is shorter if an urgent caller
+// waits.
 func (q *Queue) minReadInterval() time.Duration {
 	if slices.ContainsFunc(q.queuedWaiters, func(w waiter) bool { return w.urgent }) {
 		return tuning.MinRevisionReadGap
