--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// adaptFraction changes this controller's fraction of the service's limits after a request: it reduces the
-// fraction if the request was rate limited, and raises it slowly otherwise.
+// adaptFraction changes this controller's fraction of the service's limits after a request: it
+// reduces the fraction if the request was rate limited, and raises it slowly otherwise.
 func (b *budget) adaptFraction(rateLimited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +96,7 @@
 // well. The caller must hold b.mu.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
-	if peers, complete := b.totalPeerUsage(now); complete {
+	if peers, allReported := b.totalPeerUsage(now); allReported {
 		remainingRequests := b.remainingRate(b.totalRequestRate, peers.requests)
 		remainingWrites := b.remainingRate(b.totalWriteRate, peers.writes)
 		if now.Sub(b.rateLimitedAt) < tuning.BudgetRecoveryInterval {
@@ -112,7 +112,7 @@
 // totalPeerUsage returns the sum of the rates that the peers have reported within
 // tuning.PeerIdleTimeout; complete is false if there are no peers, or if one of them has not reported
 // within that time.
-func (b *budget) totalPeerUsage(now time.Time) (total usage, complete bool) {
+func (b *budget) totalPeerUsage(now time.Time) (total usage, allReported bool) {
 	reportingControllers := 1 // this controller
 	for _, peer := range b.peerUsage {
 		if now.Sub(peer.recordedAt) < tuning.PeerIdleTimeout {
@@ -172,7 +172,7 @@
 // ErrUnavailable, since the request was not sent.
 func (b *budget) waitForBudget(ctx context.Context, priority Priority, writes int) error {
 	b.recordRequest(writes) // before waiting, so that the usage reported to the peers includes requests that wait
-	for b.burstReserved(priority, writes) {
+	for b.isBurstReserved(priority, writes) {
 		if err := Sleep(ctx, tuning.BudgetPollInterval); err != nil {
 			return budgetError(err)
 		}
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// burstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
-func (b *budget) burstReserved(priority Priority, writes int) bool {
+// isBurstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
+func (b *budget) isBurstReserved(priority Priority, writes int) bool {
 	reservedFraction := priority.reservedBurstFraction()
 	if b.requestLimiter.Tokens() < reservedFraction*float64(b.requestLimiter.Burst()) {
 		return true
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -47,14 +47,14 @@
 		})}
 		go func() { _ = server.Serve(network) }()
 		client := New("state:1", 150, 50, 3, network.dial)
-		requestLimit := client.budget.requestLimiter.Limit
-		limitBefore := requestLimit()
+		currentRequestLimit := client.budget.requestLimiter.Limit
+		limitBefore := currentRequestLimit()
 		result, err := client.Commit(t.Context(), Urgent, Txn{Writes: []Write{{DeleteKey: "cw/x"}}})
 		if err != nil || !result.Succeeded || result.Revision != 9 || requests != 3 {
 			t.Errorf("%+v after %d requests: %v", result, requests, err)
 		}
-		if requestLimit() >= limitBefore || float64(requestLimit()) < 150/3*0.9 {
-			t.Errorf("limit %v, before %v", requestLimit(), limitBefore)
+		if currentRequestLimit() >= limitBefore || float64(currentRequestLimit()) < 150/3*0.9 {
+			t.Errorf("limit %v, before %v", currentRequestLimit(), limitBefore)
 		}
 		close(network)
 		client.httpClient.CloseIdleConnections()
@@ -70,10 +70,10 @@
 		limits := func() (requests, writes float64) {
 			return float64(client.budget.requestLimiter.Limit()), float64(client.budget.writeLimiter.Limit())
 		}
-		withoutPeers, _ := limits()
+		limitWithoutPeers, _ := limits()
 		client.RecordPeerUsage("n1", 10, 2)
-		if requests, _ := limits(); requests != withoutPeers {
-			t.Errorf("%v requests/s after a report of one of two peers, %v before", requests, withoutPeers)
+		if requests, _ := limits(); requests != limitWithoutPeers {
+			t.Errorf("%v requests/s after a report of one of two peers, %v before", requests, limitWithoutPeers)
 		}
 		client.RecordPeerUsage("n2", 20, 3)
 		if requests, writes := limits(); requests != 180 || writes != 60 {
@@ -99,8 +99,8 @@
 		client.budget.mu.Lock()
 		client.budget.updateLimits(time.Now())
 		client.budget.mu.Unlock()
-		if requests, _ := limits(); requests != withoutPeers {
-			t.Errorf("%v requests/s after the reports are outdated, %v before the first report", requests, withoutPeers)
+		if requests, _ := limits(); requests != limitWithoutPeers {
+			t.Errorf("%v requests/s after the reports are outdated, %v before the first report", requests, limitWithoutPeers)
 		}
 	})
 }
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -106,8 +106,8 @@
 	DeletedKey string          `json:"drop"`
 }
 
-// MustEncode returns the stored form of a record. It panics on an error: records are plain data that can
-// always be encoded, so an error is a programming mistake.
+// MustEncode returns the stored form of a record. It panics on an error: records are plain data
+// that can always be encoded, so an error is a programming mistake.
 func MustEncode(record any) json.RawMessage {
 	raw, err := json.Marshal(record)
 	if err != nil {
