--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -14,8 +14,8 @@
 // isResponsible reports whether this controller currently has to do that for the cluster.
 //
 // The write of a record that points to new chunks may still be in progress. Therefore chunks are
-// deleted only if no record pointed to them in two successive passes, and their record has not changed
-// since the second pass read it.
+// deleted only if no record pointed to them in two successive passes, and the record for which they
+// were written has not changed since the second pass read it.
 func (s *Store) RunGarbageCollector(ctx context.Context, isResponsible func() bool) {
 	for kvstore.Sleep(ctx, tuning.ChunkCleanupInterval) == nil {
 		if !s.chunkingEnabled.Load() || !isResponsible() {
@@ -27,7 +27,8 @@
 	}
 }
 
-// chunkSet holds the chunks that have the same id, in order.
+// chunkSet holds the chunks of one record that were written together and so have the same id, in
+// order.
 type chunkSet struct {
 	recordKey string
 	chunks    []kvstore.KeyValue
@@ -80,8 +81,8 @@
 }
 
 // deleteChunks deletes chunks, provided that their record still has the given revision. It deletes
-// the first chunk first: a write of the record that is still in flight has the precondition that the
-// first chunk exists (see Commit), so the write cannot succeed once any chunk is missing.
+// the first chunk first: a write of the record that is still in flight has the precondition that
+// the first chunk exists, which Commit adds. So the write cannot succeed once any chunk is missing.
 func (s *Store) deleteChunks(ctx context.Context, set *chunkSet, recordRevision uint64) error {
 	for batch := range slices.Chunk(set.chunks, s.maxTxnOps) {
 		txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: set.recordKey, Revision: recordRevision}}}
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -25,11 +25,11 @@
 	refs    []string // refs of the submitted small jobs
 }
 
-// The store lowers its limits to values of 2 KiB, 5 writes a transaction and 35 writes a second while
-// all kinds of records are written, and some existing records exceed the new limits. All writers must
-// continue, and no write may be rejected for its size. Records that are too large for one value are
-// written in chunks. Controllers that start later, with empty caches, must be able to read and write
-// these records, too.
+// The store lowers its limits to 2 KiB a value, 5 writes a transaction and 35 writes a second while
+// all kinds of records are written, and some existing records exceed the new limits. All writers
+// must continue, and no write may be rejected for its size. Records that are too large for one
+// value are written in chunks. Controllers that start later, with empty caches, must be able to
+// read and write these records, too.
 func TestStoreLimitsAreLoweredWhileInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -90,7 +90,7 @@
 	s.cluster.Store.SetMaxWriteRate(35)
 }
 
-// submit submits a job, and retries for up to a minute until the job is accepted.
+// submit submits a job. It retries until the job is accepted, and fails the test after a minute.
 func (s *limitsScenario) submit(spec jobs.Spec, runTime time.Duration) {
 	s.t.Helper()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Second) {
@@ -109,12 +109,12 @@
 func (s *limitsScenario) submitWave(wave int) {
 	s.t.Helper()
 	for i := range 12 {
-		ref := func(k int) string { return fmt.Sprintf("wk-%d", wave*1000+10*i+k) }
+		refOf := func(k int) string { return fmt.Sprintf("wk-%d", wave*1000+10*i+k) }
 		for k, spec := range []jobs.Spec{
-			fake.JobSpec(ref(0), jobs.Array, 2, 0.2),                   // small job: completion batches
-			fake.JobSpec(ref(1), jobs.Array, 60, 0.3),                  // task ranges, compaction
-			fake.JobSpec(ref(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, transfers of machines between shards
-			fake.JobSpec(ref(3), jobs.Array, 4, 0.5),                   // a quota allocation
+			fake.JobSpec(refOf(0), jobs.Array, 2, 0.2),                   // small job: completion batches
+			fake.JobSpec(refOf(1), jobs.Array, 60, 0.3),                  // task ranges, compaction
+			fake.JobSpec(refOf(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, transfers of machines between shards
+			fake.JobSpec(refOf(3), jobs.Array, 4, 0.5),                   // a quota allocation
 		} {
 			if k == 3 {
 				spec.Team = "capped"
@@ -137,7 +137,7 @@
 }
 
 // drainManyMachines adds so many drained machines to the settings that the record of the settings
-// exceeds one value.
+// does not fit one value.
 func (s *limitsScenario) drainManyMachines() {
 	s.t.Helper()
 	err := s.cluster.ChangeSettings("n2", func(settings *admin.Settings) {
@@ -194,8 +194,8 @@
 	}
 }
 
-// checkRecords checks that no write was rejected for its size, that the large settings were read, and that no
-// invariant was violated.
+// checkRecords checks that no write was rejected for its size, that the large settings were read,
+// and that no invariant was violated.
 func (s *limitsScenario) checkRecords() {
 	s.t.Helper()
 	if keys := s.cluster.Store.OversizedKeys(); len(keys) > 0 {
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -19,7 +19,7 @@
 // chunkValues holds the stored values of chunks that have been read already, by key.
 type chunkValues map[string]json.RawMessage
 
-// Get reads a key: see kvstore.Service.
+// Get implements kvstore.Service.
 func (s *Store) Get(ctx context.Context, priority kvstore.Priority, key string) (kvstore.GetResult, error) {
 	result, err := s.Service.Get(ctx, priority, key)
 	if err != nil || !result.Found {
@@ -29,8 +29,8 @@
 	return result, err
 }
 
-// List reads all keys with a prefix: see kvstore.Service. Records that are deleted while their
-// chunks are read are left out.
+// List implements kvstore.Service. Records that are deleted while their chunks are read are left
+// out.
 func (s *Store) List(ctx context.Context, prefix string) ([]kvstore.KeyValue, uint64, error) {
 	rows, revision, err := s.Service.List(ctx, prefix)
 	if err != nil {
@@ -74,9 +74,8 @@
 	return values, nil
 }
 
-// Watch waits for changes after a revision: see kvstore.Service. If a chunked record has changed again
-// since an event, the event may contain the newer value and revision. Changes of chunks are not
-// delivered.
+// Watch implements kvstore.Service. If a chunked record has changed again since an event, the event
+// may contain the newer value and revision. Changes of chunks are not delivered.
 func (s *Store) Watch(ctx context.Context, prefix string, afterRevision uint64) ([]kvstore.Event, uint64, error) {
 	events, revision, err := s.Service.Watch(ctx, prefix, afterRevision)
 	if err != nil {
@@ -124,11 +123,11 @@
 		if !errors.Is(err, errChunkMissing) {
 			return kvstore.KeyValue{}, false, err
 		}
-		current, err := s.Service.Get(ctx, priority, row.Key)
-		if err != nil || !current.Found {
+		currentRecord, err := s.Service.Get(ctx, priority, row.Key)
+		if err != nil || !currentRecord.Found {
 			return kvstore.KeyValue{}, false, err
 		}
-		row = current.Row
+		row = currentRecord.Row
 	}
 	return kvstore.KeyValue{}, false, fmt.Errorf("%w: %s was changed during each attempt to read its chunks", kvstore.ErrUnavailable, row.Key)
 }
--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -36,10 +36,10 @@
 	maxValueBytes   int                                 // longer values are stored in chunks
 	maxTxnOps       int                                 // maximum number of chunks that a transaction writes or deletes
 	chunkingEnabled atomic.Bool                         // whether large records are written in chunks
-	sequence        atomic.Uint64                       // last number used in an id of chunks
+	sequence        atomic.Uint64                       // last number that was used in a chunkRef.ID
 	recordCache     *lru.Cache[string, json.RawMessage] // records by the id of their chunks
 
-	orphanCandidates map[string]bool // by id of the chunks, see collectGarbage
+	orphanCandidates map[string]bool // ids of chunks to which no record pointed in the last pass of collectGarbage
 }
 
 // chunkRef refers to the chunks of a record, which are numbered from 0 to Count-1.
