--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -20,11 +20,11 @@
 // failover. Failed requires that all other controllers that have sent a heartbeat recently share
 // the suspicion.
 const (
-	Unknown   State = "unknown" // no heartbeat received yet
+	Unknown   State = "unknown" // no heartbeat was received yet
 	Alive     State = "alive"
 	Suspected State = "suspected"
 	Failed    State = "failed"
-	Left      State = "left" // it announced its shutdown
+	Left      State = "left" // the controller has announced its shutdown
 )
 
 // Detector is one controller's view of the others. It is not safe for concurrent use: a single
--- a/internal/failuredetector/peer_state.go
+++ b/internal/failuredetector/peer_state.go
@@ -14,10 +14,10 @@
 	// two heartbeats and of its absolute deviation from the mean, over gapSamples gaps.
 	meanGapSeconds, gapDeviationSeconds float64
 	gapSamples                          int
-	lastActivityAt                      time.Time // when it last wrote to the key-value store, as far as known
-	isProvenAlive                       bool      // it has acquired a shard since its last heartbeat
+	lastActivityAt                      time.Time // when the peer last wrote to the key-value store, as far as known
+	isProvenAlive                       bool      // the peer has acquired a shard since its last heartbeat
 	isLeaving                           bool
-	suspects                            []string  // according to its last heartbeat
+	suspects                            []string  // the controllers that the peer suspected in its last heartbeat
 	suspectedSince                      time.Time // zero if not suspected
 }
 
@@ -39,8 +39,8 @@
 	p.gapSamples++
 }
 
-// heartbeatTimeout returns the time after the last heartbeat from which the next one is overdue: the
-// mean gap plus a multiple of the deviation, within fixed bounds.
+// heartbeatTimeout returns how long after the last heartbeat the next one becomes overdue: the mean
+// gap plus a multiple of the deviation, within fixed bounds.
 func (p *peerState) heartbeatTimeout() time.Duration {
 	seconds := p.meanGapSeconds + tuning.HeartbeatGapDeviations*p.gapDeviationSeconds
 	timeout := time.Duration(seconds * float64(time.Second))
