--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -3,9 +3,9 @@
 //
 // The old owner sends the state of the shard's machines and tasks to the recipient and stops
 // responding to the shard's workers. The recipient acquires the shard by the usual conditional
-// write and continues from the received state (docs/membership.md). If the transfer fails at any
-// point, one of the two controllers still ends up as the owner, and reconciliation establishes the
-// missing state of the workers, as it does after a crash.
+// write and restores the received state (docs/membership.md). If the transfer fails at any point,
+// one of the two controllers still ends up as the owner, and reconciliation establishes the missing
+// state of the workers, as it does after a crash.
 package handover
 
 import (
@@ -74,8 +74,8 @@
 	c.failedAt = map[string]time.Time{}
 }
 
-// PrepareShutdown prepares the shutdown of this controller. From then on the controller acquires no more
-// shards, and transfers its own shards to any controller that requests them.
+// PrepareShutdown prepares the shutdown of this controller. From then on the controller acquires no
+// more shards, and transfers its own shards to any controller that requests them.
 func (c *Coordinator) PrepareShutdown() {
 	c.isLeaving = true
 	c.Cache.StopAcquiringShards()
@@ -83,16 +83,17 @@
 
 // Tick advances all transfers. It must be called several times a second.
 func (c *Coordinator) Tick(now time.Time) {
-	c.advanceOutgoing(now)
-	c.reacquireUntracked(now)
+	c.advanceOutgoingTransfers(now)
+	c.reacquireUntrackedShards(now)
 	c.requestFromLeavingOwners(now)
 	c.advanceRequests(now)
 	c.dropExpiredPayloads(now)
 	c.ApplyPayloads(now)
 }
 
-// HandleCacheAdvance continues transfers that waited for the cache to apply later revisions. Waiting for
-// the next Tick would double the time during which no controller responds to the shard's workers.
+// HandleCacheAdvance continues transfers that waited for the cache to apply later revisions.
+// Waiting for the next Tick would double the time during which no controller responds to the
+// shard's workers.
 func (c *Coordinator) HandleCacheAdvance(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
@@ -100,8 +101,8 @@
 	c.ApplyPayloads(now)
 }
 
-// ownedByLivePeer reports whether the shard's owner is another controller that is live.
-func (c *Coordinator) ownedByLivePeer(shard *membership.Shard) bool {
+// isOwnedByLivePeer reports whether the shard's owner is another controller that is live.
+func (c *Coordinator) isOwnedByLivePeer(shard *membership.Shard) bool {
 	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
 }
 
@@ -111,8 +112,8 @@
 }
 
 // dropExpiredPayloads drops payloads that are too old to be used. A payload that this controller
-// sent is kept until the shard has another owner, because this controller continues from it if no
-// other controller acquires the shard.
+// sent is kept until the shard has another owner, because this controller applies the payload
+// itself if no other controller acquires the shard.
 func (c *Coordinator) dropExpiredPayloads(now time.Time) {
 	for id, payload := range c.payloads {
 		shard := c.Membership.Shard(id)
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -97,9 +97,9 @@
 	if !ok {
 		return false
 	}
-	for _, listed := range view.([]reconciliation.View) {
-		if listed.Shard == shard {
-			return listed.Stage == "settled"
+	for _, shardView := range view.([]reconciliation.View) {
+		if shardView.Shard == shard {
+			return shardView.Stage == "settled"
 		}
 	}
 	return false
@@ -159,7 +159,7 @@
 // After any failure between the old owner's last response and the recipient's acquisition, one of
 // the two controllers owns the shard and has reconciled it.
 func TestShardIsOwnedAndReconciledAfterFailureDuringTransfer(t *testing.T) {
-	for name, fail := range map[string]func(cluster *fake.Cluster){
+	for name, injectFault := range map[string]func(cluster *fake.Cluster){
 		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropChunks: 1}) },
 		"chunks delayed": func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{Delay: 3 * time.Second}) },
 		"link cut":       func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{IsCut: true}) },
@@ -183,7 +183,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runFailback(t, func(cluster *fake.Cluster) {
-				fail(cluster)
+				injectFault(cluster)
 				time.Sleep(20 * time.Second)
 				removeFaults(cluster)
 				time.Sleep(8 * time.Second)
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -32,12 +32,12 @@
 	// last response to the shard's workers.
 	DurationSeconds float64   `json:"took_s"`
 	EndedAt         time.Time `json:"-"`
-	AgeSeconds      float64   `json:"ago_s"` // since the end of the transfer
+	AgeSeconds      float64   `json:"ago_s"` // time since the end of the transfer
 }
 
-// recordEnded adds an ended transfer to endedTransfers, and drops the oldest entries beyond
+// recordEndedTransfer adds an ended transfer to endedTransfers, and drops the oldest entries beyond
 // tuning.MaxListedNames.
-func (c *Coordinator) recordEnded(shard, recipient string, outcome Outcome, startedAt, now time.Time) {
+func (c *Coordinator) recordEndedTransfer(shard, recipient string, outcome Outcome, startedAt, now time.Time) {
 	c.endedTransfers = append(c.endedTransfers, Transfer{
 		Shard:           shard,
 		To:              recipient,
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -25,7 +25,7 @@
 type payload struct {
 	epoch                       uint64
 	totalChunks, receivedChunks int
-	chunks                      [][]peer.MachineSnapshot // by index; nil if not received yet
+	chunks                      [][]peer.MachineSnapshot // by chunk index; an element is nil until its chunk is received
 	updatedAt                   time.Time
 }
 
@@ -36,13 +36,13 @@
 func newCompletePayload(epoch uint64, chunks []*peer.TransferChunk, now time.Time) *payload {
 	p := newPayload(epoch, len(chunks))
 	for i, chunk := range chunks {
-		p.add(i, chunk.Machines, now)
+		p.addChunk(i, chunk.Machines, now)
 	}
 	return p
 }
 
-// add stores a chunk unless it was received before, and reports whether the chunk was new.
-func (p *payload) add(index int, machines []peer.MachineSnapshot, now time.Time) bool {
+// addChunk stores a chunk unless it was received before, and reports whether the chunk was new.
+func (p *payload) addChunk(index int, machines []peer.MachineSnapshot, now time.Time) bool {
 	if p.chunks[index] != nil {
 		return false
 	}
@@ -94,7 +94,7 @@
 func (c *Coordinator) RequestedShards(now time.Time) []string {
 	var ids []string
 	for id, startedAt := range c.requestedAt {
-		if now.Sub(startedAt) < tuning.TransferRequestTimeout && c.ownedByLivePeer(c.Membership.Shard(id)) {
+		if now.Sub(startedAt) < tuning.TransferRequestTimeout && c.isOwnedByLivePeer(c.Membership.Shard(id)) {
 			ids = append(ids, id)
 		}
 	}
@@ -107,7 +107,7 @@
 func (c *Coordinator) requestFromLeavingOwners(now time.Time) {
 	isLeaving := c.leavingPredicate(now)
 	for _, shard := range c.Membership.Shards() {
-		if c.ownedByLivePeer(shard) && isLeaving(shard.Owner()) &&
+		if c.isOwnedByLivePeer(shard) && isLeaving(shard.Owner()) &&
 			c.Membership.SuccessorExcluding(shard.ID(), isLeaving) == c.cfg.Node {
 			c.requestShard(shard.ID(), now)
 		}
@@ -119,7 +119,7 @@
 func (c *Coordinator) advanceRequests(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
-		if !c.ownedByLivePeer(c.Membership.Shard(id)) {
+		if !c.isOwnedByLivePeer(c.Membership.Shard(id)) {
 			delete(c.requestedAt, id)
 		}
 	}
@@ -136,7 +136,7 @@
 		p = newPayload(chunk.Epoch, chunk.Total)
 		c.payloads[chunk.Shard] = p
 	}
-	if p.add(chunk.Index, chunk.Machines, now) {
+	if p.addChunk(chunk.Index, chunk.Machines, now) {
 		c.acquireIfComplete(chunk.Shard, now)
 	}
 }
@@ -194,7 +194,7 @@
 	for _, chunk := range p.chunks {
 		for _, snapshot := range chunk {
 			if snapshot.Host == "" {
-				c.markCompleted(shard, snapshot.Tasks)
+				c.markTasksDone(shard, snapshot.Tasks)
 			} else if machine := c.State.Machine(snapshot.Host); isUnchanged(machine, shard) {
 				c.applySnapshot(machine, snapshot, now)
 				restoredWorkers++
@@ -206,7 +206,7 @@
 	if !wasRequested { // this controller reacquired the shard after a failed transfer
 		startedAt = p.updatedAt
 	}
-	c.recordEnded(shard.ID(), c.cfg.Node, OutcomeApplied, startedAt, now)
+	c.recordEndedTransfer(shard.ID(), c.cfg.Node, OutcomeApplied, startedAt, now)
 	c.log.Info("transferred shard continued", "shard", shard.ID(), "workers", restoredWorkers, "reconciled", shard.IsReconciled())
 }
 
@@ -217,9 +217,9 @@
 		!machine.HasReported() && !machine.IsLost()
 }
 
-// markCompleted marks tasks as done that the old owner knew to be done but had not recorded as
+// markTasksDone marks tasks as done that the old owner knew to be done but had not recorded as
 // done.
-func (c *Coordinator) markCompleted(shard *membership.Shard, tasks []peer.TaskSnapshot) {
+func (c *Coordinator) markTasksDone(shard *membership.Shard, tasks []peer.TaskSnapshot) {
 	for _, task := range tasks {
 		ref, index, ok := jobs.ParseTaskName(task.Name)
 		if !ok {
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -18,9 +18,9 @@
 
 // controllerState is what a controller knows of the shard. It may be out of date.
 type controllerState struct {
-	ownedEpoch        uint8   // the epoch under which it considers itself the owner; 0 if it does not
-	knownEpoch        uint8   // the latest epoch that it has seen
-	transferred       bool    // whether it has transferred the shard under ownedEpoch
+	ownedEpoch        uint8   // the epoch under which the controller considers itself the owner; 0 if it does not
+	knownEpoch        uint8   // the latest epoch that the controller has seen
+	transferred       bool    // whether the controller has transferred the shard under ownedEpoch
 	location          int8    // the location of the task
 	heartbeatReceived [2]bool // whether each worker has sent a heartbeat under ownedEpoch
 }
@@ -31,7 +31,7 @@
 	owner       int8
 	controllers [3]controllerState
 	tokens      [2]uint8 // the highest fencing token that each worker has seen
-	runs        [2]bool  // whether each worker runs the task
+	runsTask    [2]bool  // whether each worker runs the task
 	payloads    [5]int8  // by epoch: the task's location in the payload sent under that epoch, whichever controller received the payload
 	payloadSent [5]bool
 	// pendingAcquisition is, by controller, the condition of an acquisition that was sent and may
@@ -43,7 +43,7 @@
 // mutation selects faults that are added to the model to check that the test detects them.
 type mutation struct {
 	respondsAfterTransfer bool // the old owner still commands workers
-	usesAnyPayload        bool // the recipient continues from a payload of any older epoch
+	usesAnyPayload        bool // the recipient applies a payload of any older epoch
 }
 
 // afterAppliedAcquisition returns the state after a controller's acquisition is applied.
@@ -62,8 +62,8 @@
 	return m
 }
 
-// next returns all states that one event can lead to.
-func (m modelState) next(mutation mutation) []modelState {
+// successors returns all states that one event can lead to.
+func (m modelState) successors(mutation mutation) []modelState {
 	var states []modelState
 	for controller := range m.controllers {
 		states = append(states, m.afterRestart(controller))
@@ -171,7 +171,7 @@
 	owner := &receivedState.controllers[controller]
 	owner.heartbeatReceived[worker] = true
 	switch {
-	case m.runs[worker]:
+	case m.runsTask[worker]:
 		owner.location = int8(worker)
 	case owner.location == int8(worker),
 		owner.location == locationUnknown && owner.heartbeatReceived[0] && owner.heartbeatReceived[1]:
@@ -183,17 +183,17 @@
 	lostCommandState := receivedState
 	lostCommandState.controllers[controller].location = int8(worker)
 	startedState := lostCommandState
-	startedState.runs[worker] = true
+	startedState.runsTask[worker] = true
 	return []modelState{receivedState, lostCommandState, startedState}
 }
 
 // afterTaskEnd returns the states after the task was stopped or lost on one of the workers.
 func (m modelState) afterTaskEnd() []modelState {
 	var states []modelState
-	for worker, runs := range m.runs {
+	for worker, runs := range m.runsTask {
 		if runs {
 			state := m
-			state.runs[worker] = false
+			state.runsTask[worker] = false
 			states = append(states, state)
 		}
 	}
@@ -214,12 +214,12 @@
 	for range maxEvents {
 		var nextFrontier []modelState
 		for _, state := range frontier {
-			for _, next := range state.next(mutation) {
+			for _, next := range state.successors(mutation) {
 				if seen[next] {
 					continue
 				}
 				seen[next] = true
-				if next.runs[0] && next.runs[1] {
+				if next.runsTask[0] && next.runsTask[1] {
 					return len(seen), &next
 				}
 				nextFrontier = append(nextFrontier, next)
@@ -231,8 +231,8 @@
 }
 
 // The two workers never run the task at the same time, whatever the order of events. The test must
-// find a violation if the old owner still responds after a transfer, or if a recipient continues from
-// the payload of an older epoch.
+// find a violation if the old owner still responds after a transfer, or if a recipient applies the
+// payload of an older epoch.
 func TestModelNeverRunsTaskTwice(t *testing.T) {
 	stateCount, violation := explore(mutation{}, 10)
 	if violation != nil {
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -49,14 +49,14 @@
 	return now.Sub(c.failedAt[id]) >= tuning.TransferRetryDelay
 }
 
-// advanceOutgoing sends the shards that could not be sent before, and ends transfers that are done
-// or have timed out.
-func (c *Coordinator) advanceOutgoing(now time.Time) {
+// advanceOutgoingTransfers sends the shards that could not be sent before, and ends transfers that
+// are done or have timed out.
+func (c *Coordinator) advanceOutgoingTransfers(now time.Time) {
 	for id, transfer := range c.outgoingTransfers {
 		shard := c.Membership.Shard(id)
 		switch {
 		case shard == nil || !shard.IsLocal() || shard.Epoch() != transfer.epoch:
-			c.endOutgoing(id, transfer, shard, now)
+			c.endOutgoingTransfer(id, transfer, shard, now)
 		case !transfer.isSent() && now.Sub(transfer.requestedAt) < tuning.TransferTimeout:
 			c.sendShard(shard, now)
 		case !transfer.isSent(): // releases or moves took too long: this controller keeps the shard
@@ -71,28 +71,28 @@
 	}
 }
 
-// endOutgoing ends a transfer after its shard got another owner or a new epoch. shard is nil if the
-// shard's record no longer exists.
-func (c *Coordinator) endOutgoing(id string, transfer *outgoingTransfer, shard *membership.Shard, now time.Time) {
+// endOutgoingTransfer ends a transfer after its shard got another owner or a new epoch. shard is
+// nil if the shard's record no longer exists.
+func (c *Coordinator) endOutgoingTransfer(id string, transfer *outgoingTransfer, shard *membership.Shard, now time.Time) {
 	delete(c.outgoingTransfers, id)
 	if !transfer.isSent() || shard == nil {
 		return
 	}
 	switch {
 	case shard.Owner() == transfer.recipient:
-		c.recordEnded(id, transfer.recipient, OutcomeTransferred, transfer.sentAt, now)
+		c.recordEndedTransfer(id, transfer.recipient, OutcomeTransferred, transfer.sentAt, now)
 		c.log.Info("shard transferred", "shard", id, "recipient", transfer.recipient, "after_s", now.Sub(transfer.sentAt).Seconds())
 	case shard.IsLocal():
 		c.failedAt[id] = now
-		c.recordEnded(id, transfer.recipient, OutcomeReacquired, transfer.sentAt, now)
+		c.recordEndedTransfer(id, transfer.recipient, OutcomeReacquired, transfer.sentAt, now)
 		c.log.Info("shard transfer failed, shard reacquired", "shard", id, "recipient", transfer.recipient)
 	}
 }
 
-// reacquireUntracked reacquires the local shards that are marked as transferred but have no
+// reacquireUntrackedShards reacquires the local shards that are marked as transferred but have no
 // outgoing transfer. This happens if the records were read again during a transfer: then Reset
 // drops the outgoing transfer, but membership.Table keeps the mark.
-func (c *Coordinator) reacquireUntracked(now time.Time) {
+func (c *Coordinator) reacquireUntrackedShards(now time.Time) {
 	for _, shard := range c.Membership.LocalShards() {
 		if shard.IsTransferred() && c.outgoingTransfers[shard.ID()] == nil {
 			c.Cache.ReacquireShard(shard, now)
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -76,7 +76,7 @@
 	session := c.Sessions.SessionState(machine)
 	snapshot.AgentEpoch, snapshot.HeartbeatSeq, snapshot.EndedAgentEpoch = session.AgentEpoch, session.Sequence, session.EndedAgentEpoch
 	for assignment := range machine.Assignments() {
-		if assignment.Status().IsPlanned() && !gangStarted(assignment.Job()) {
+		if assignment.Status().IsPlanned() && !hasGangStarted(assignment.Job()) {
 			continue
 		}
 		snapshot.Tasks = append(snapshot.Tasks, taskSnapshot(assignment, now))
@@ -103,9 +103,9 @@
 	return snapshot
 }
 
-// gangStarted reports whether a start command was sent for any task of a gang. It returns false for
+// hasGangStarted reports whether a start command was sent for any task of a gang. It returns false for
 // nil and for jobs that are not gangs.
-func gangStarted(job *clusterstate.Job) bool {
+func hasGangStarted(job *clusterstate.Job) bool {
 	if job == nil || job.Record().Kind != jobs.Gang {
 		return false
 	}
