--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -22,7 +22,7 @@
 // change, so that a heartbeat has the same bytes in all versions.
 func Encode(heartbeat Heartbeat) []byte {
 	e := encoder{flatbuffers.NewBuilder(initialBufferBytes)}
-	e.Finish(e.heartbeat(heartbeat))
+	e.Finish(e.encodeHeartbeat(heartbeat))
 	body := e.FinishedBytes()
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	return append(frame, body...)
@@ -32,22 +32,22 @@
 // in the buffer.
 type encoder struct{ *flatbuffers.Builder }
 
-func (e encoder) heartbeat(heartbeat Heartbeat) flatbuffers.UOffsetT {
-	shardTables := encodeAll(heartbeat.Shards, e.shard)
-	capacityTables := encodeAll(heartbeat.Capacities, e.capacity)
+func (e encoder) encodeHeartbeat(heartbeat Heartbeat) flatbuffers.UOffsetT {
+	shardTables := encodeAll(heartbeat.Shards, e.encodeShard)
+	capacityTables := encodeAll(heartbeat.Capacities, e.encodeCapacity)
 	faultyJobNames := encodeAll(heartbeat.FaultyJobs, e.CreateString)
 	requestedNames := encodeAll(heartbeat.RequestedShards, e.CreateString)
 	suspectNames := encodeAll(heartbeat.Suspects, e.CreateString)
 	var chunk flatbuffers.UOffsetT
 	if heartbeat.TransferChunk != nil {
-		chunk = e.chunk(heartbeat.TransferChunk)
+		chunk = e.encodeChunk(heartbeat.TransferChunk)
 	}
-	faultyJobs := e.vector(wire.BeatStartBlamedVector, faultyJobNames)
-	shards := e.vector(wire.BeatStartSharesVector, shardTables)
-	capacities := e.vector(wire.BeatStartCountsVector, capacityTables)
-	requestedShards := e.vector(wire.BeatStartWantsVector, requestedNames)
-	suspects := e.optionalVector(wire.BeatStartSuspectsVector, suspectNames)
-	cancelledJobs := e.optionalVector(wire.BeatStartCancelledVector, encodeAll(heartbeat.CancelledJobs, e.cancelledJob))
+	faultyJobs := e.encodeVector(wire.BeatStartBlamedVector, faultyJobNames)
+	shards := e.encodeVector(wire.BeatStartSharesVector, shardTables)
+	capacities := e.encodeVector(wire.BeatStartCountsVector, capacityTables)
+	requestedShards := e.encodeVector(wire.BeatStartWantsVector, requestedNames)
+	suspects := e.encodeOptionalVector(wire.BeatStartSuspectsVector, suspectNames)
+	cancelledJobs := e.encodeOptionalVector(wire.BeatStartCancelledVector, encodeAll(heartbeat.CancelledJobs, e.encodeCancelledJob))
 	node := e.CreateString(heartbeat.Node)
 	wire.BeatStart(e.Builder)
 	wire.BeatAddNode(e.Builder, node)
@@ -74,7 +74,7 @@
 	return wire.BeatEnd(e.Builder)
 }
 
-func (e encoder) shard(shard Shard) flatbuffers.UOffsetT {
+func (e encoder) encodeShard(shard Shard) flatbuffers.UOffsetT {
 	id, owner := e.CreateString(shard.ID), e.CreateString(shard.Owner)
 	wire.ShareStart(e.Builder)
 	wire.ShareAddId(e.Builder, id)
@@ -83,7 +83,7 @@
 	return wire.ShareEnd(e.Builder)
 }
 
-func (e encoder) capacity(capacity ShapeCapacity) flatbuffers.UOffsetT {
+func (e encoder) encodeCapacity(capacity ShapeCapacity) flatbuffers.UOffsetT {
 	zone := e.CreateString(capacity.Zone)
 	wire.CountStart(e.Builder)
 	wire.CountAddCpu(e.Builder, capacity.CPU)
@@ -95,7 +95,7 @@
 	return wire.CountEnd(e.Builder)
 }
 
-func (e encoder) cancelledJob(job CancelledJob) flatbuffers.UOffsetT {
+func (e encoder) encodeCancelledJob(job CancelledJob) flatbuffers.UOffsetT {
 	ref := e.CreateString(job.Ref)
 	wire.CancelledStart(e.Builder)
 	wire.CancelledAddJob(e.Builder, ref)
@@ -105,8 +105,8 @@
 	return wire.CancelledEnd(e.Builder)
 }
 
-func (e encoder) chunk(chunk *TransferChunk) flatbuffers.UOffsetT {
-	machines := e.vector(wire.PieceStartMachinesVector, encodeAll(chunk.Machines, e.machine))
+func (e encoder) encodeChunk(chunk *TransferChunk) flatbuffers.UOffsetT {
+	machines := e.encodeVector(wire.PieceStartMachinesVector, encodeAll(chunk.Machines, e.encodeMachine))
 	shard := e.CreateString(chunk.Shard)
 	wire.PieceStart(e.Builder)
 	wire.PieceAddShare(e.Builder, shard)
@@ -117,8 +117,8 @@
 	return wire.PieceEnd(e.Builder)
 }
 
-func (e encoder) machine(machine MachineSnapshot) flatbuffers.UOffsetT {
-	tasks := e.vector(wire.StandingStartTasksVector, encodeAll(machine.Tasks, e.task))
+func (e encoder) encodeMachine(machine MachineSnapshot) flatbuffers.UOffsetT {
+	tasks := e.encodeVector(wire.StandingStartTasksVector, encodeAll(machine.Tasks, e.encodeTask))
 	host := e.CreateString(machine.Host)
 	wire.StandingStart(e.Builder)
 	wire.StandingAddHost(e.Builder, host)
@@ -130,7 +130,7 @@
 	return wire.StandingEnd(e.Builder)
 }
 
-func (e encoder) task(task TaskSnapshot) flatbuffers.UOffsetT {
+func (e encoder) encodeTask(task TaskSnapshot) flatbuffers.UOffsetT {
 	name, status := e.CreateString(task.Name), e.CreateSharedString(string(task.Status))
 	wire.TaskStart(e.Builder)
 	wire.TaskAddName(e.Builder, name)
@@ -151,10 +151,10 @@
 	return offsets
 }
 
-// startVector is a generated function that starts a vector with a number of items.
-type startVector func(builder *flatbuffers.Builder, items int) flatbuffers.UOffsetT
+// startVectorFunc is a generated function that starts a vector with a number of items.
+type startVectorFunc func(builder *flatbuffers.Builder, items int) flatbuffers.UOffsetT
 
-func (e encoder) vector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+func (e encoder) encodeVector(start startVectorFunc, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	start(e.Builder, len(offsets))
 	for i := len(offsets) - 1; i >= 0; i-- {
 		e.PrependUOffsetT(offsets[i])
@@ -162,11 +162,11 @@
 	return e.EndVector(len(offsets))
 }
 
-// optionalVector is like vector, but returns 0 if there are no items. The caller then leaves out the
-// field.
-func (e encoder) optionalVector(start startVector, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+// encodeOptionalVector is like encodeVector, but returns 0 if there are no items. The caller then
+// leaves out the field.
+func (e encoder) encodeOptionalVector(start startVectorFunc, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	if len(offsets) == 0 {
 		return 0
 	}
-	return e.vector(start, offsets)
+	return e.encodeVector(start, offsets)
 }
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -19,13 +19,13 @@
 // Host lists tasks that are done but not recorded as done.
 type MachineSnapshot struct {
 	Host                     string
-	AgentEpoch, HeartbeatSeq uint64 // those of its last heartbeat
+	AgentEpoch, HeartbeatSeq uint64 // as in the machine's last heartbeat
 	EndedAgentEpoch          uint64 // agent sessions up to this one have ended
-	Lost                     bool   // its lease has expired
-	Preempted                bool   // a spot machine that the cloud reclaims
+	Lost                     bool   // the machine's lease has expired
+	Preempted                bool   // the machine is a spot machine that the cloud reclaims
 	Drained                  bool
-	Empty                    bool // its last heartbeat listed no task
-	AwaitingHeartbeat        bool // enrolled, but has sent no heartbeat yet
+	Empty                    bool // the machine's last heartbeat listed no task
+	AwaitingHeartbeat        bool // the machine is enrolled, but has sent no heartbeat yet
 	Tasks                    []TaskSnapshot
 }
 
@@ -35,10 +35,10 @@
 	Attempt       uint64
 	Status        workerapi.TaskState // as last reported by the worker
 	StartSent     bool                // a start command was sent
-	Reported      bool                // a heartbeat of the worker has listed it
+	Reported      bool                // a heartbeat of the worker has listed the task
 	StopRequested bool                // the task is to be stopped, with GraceSeconds to save its checkpoint
 	StopSent      bool                // a stop command was sent
 	GraceSeconds  float64
-	Foreign       bool          // not a task of the shard; the worker only has to stop it
+	Foreign       bool          // the task does not belong to the shard, and the worker only has to stop it
 	RunningFor    time.Duration // 0 if the task is not known to run
 }
