--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -62,7 +62,7 @@
 	if _, known = t.latestHeartbeats[heartbeat.Node]; !known {
 		return false
 	}
-	heartbeat.TransferChunk = nil // it can be large, and package handover handles it on receipt
+	heartbeat.TransferChunk = nil // the chunk can be large, and package handover handles it on receipt
 	t.latestHeartbeats[heartbeat.Node] = receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	return true
 }
