--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -31,7 +31,7 @@
 	ScaleOut(ctx context.Context, request cloud.ScaleOutRequest) ([]string, error)
 	// Release returns machines to the cloud. Releasing a machine twice does no harm.
 	Release(ctx context.Context, hosts []string) error
-	// List reads the cloud's list of machines, which may lag behind.
+	// List reads the cloud's list of machines, which may lag behind their actual state.
 	List(ctx context.Context) ([]cloud.Machine, error)
 }
 
@@ -46,9 +46,9 @@
 // Controller is the part of the controller that the autoscaler uses. Its methods may be called from any
 // goroutine.
 type Controller interface {
-	// SetMachineTypes passes on the machine types that the cloud offers.
+	// SetMachineTypes tells the controller which machine types the cloud offers.
 	SetMachineTypes(machineTypes []cloud.MachineType)
-	// SetBootTimes passes on the learned boot times in seconds, by machine type.
+	// SetBootTimes tells the controller the learned boot times, in seconds, by machine type.
 	SetBootTimes(bootSeconds map[string]float64)
 	// Demand returns the jobs that wait for capacity and the existing machines.
 	Demand() scheduler.Demand
@@ -74,15 +74,16 @@
 	machineTypesReadAt time.Time
 	listedAt           time.Time // when the machine list was last read
 
-	pending         map[string]*pendingMachine   // by host
+	pendingMachines map[string]*pendingMachine   // by host
 	refusedAt       map[capacity.Group]time.Time // when the cloud last had no capacity, by group
-	unreportedSince map[string]time.Time         // since when a machine is listed as running without a heartbeat, by host
-	// hasReported holds the machines that have sent a heartbeat, by host. The cloud's list may show
-	// them as booting long afterwards, and they must not count as pending once they are released.
-	hasReported map[string]bool
+	unreportedSince map[string]time.Time         // since when a machine has been listed as running without having sent a heartbeat, by host
+	// reportedHosts holds the hosts of the machines that have sent a heartbeat. The cloud's
+	// list may show these machines as booting long after their first heartbeat, and they must
+	// not count as pending once they are released.
+	reportedHosts map[string]bool
 
 	bootTimes           forecast.BootTimes
-	expectedBootSeconds map[forecast.TypeZone]float64 // by machine type and zone, as of this cycle
+	expectedBootSeconds map[forecast.TypeZone]float64 // by machine type and zone, as last estimated
 }
 
 // pendingMachine is a machine that was requested and has not sent a heartbeat yet.
@@ -103,14 +104,15 @@
 		controller:      controller,
 		log:             log,
 		machineTypes:    map[string]cloud.MachineType{},
-		pending:         map[string]*pendingMachine{},
+		pendingMachines: map[string]*pendingMachine{},
 		refusedAt:       map[capacity.Group]time.Time{},
 		unreportedSince: map[string]time.Time{},
-		hasReported:     map[string]bool{},
+		reportedHosts:   map[string]bool{},
 	}
 }
 
-// Run reads the machine types, keeps the lease and runs scaling cycles until ctx ends.
+// Run reads the machine types and tries to hold the autoscaler lease until ctx ends. While it holds
+// the lease, it runs scaling cycles.
 func (a *Autoscaler) Run(ctx context.Context) {
 	retryDelay := tuning.MinRetryDelay
 	for ctx.Err() == nil {
@@ -158,11 +160,11 @@
 	if time.Since(a.listedAt) > tuning.MachineListInterval {
 		a.refreshListing(ctx, demand)
 	}
-	a.updatePending(demand)
+	a.updatePendingMachines(demand)
 	a.updateBootTimes(demand)
 	a.logDemand(demand)
-	// Refused capacity is requested elsewhere in the same cycle: a zone or machine type without
-	// capacity must not delay the request by a cycle.
+	// Capacity that the cloud refuses is requested in another zone or of another machine type
+	// within the same cycle, so that a refusal does not delay the request by a cycle.
 	for range tuning.ScaleOutPlanAttempts {
 		if !a.planAndRequest(ctx, demand) {
 			return
@@ -193,6 +195,6 @@
 	for _, work := range demand.Running {
 		arrayCPU += work.CPU
 	}
-	a.log.Debug("demand", "jobs", len(demand.Jobs), "tasks", tasks, "machines", len(demand.LiveMachines), "pending", len(a.pending),
+	a.log.Debug("demand", "jobs", len(demand.Jobs), "tasks", tasks, "machines", len(demand.LiveMachines), "pending", len(a.pendingMachines),
 		"array_cpu", arrayCPU, "gang_cpu", demand.GangCPU, "reserve_cpu", demand.BackgroundReserveCPU)
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -37,8 +37,8 @@
 	return count
 }
 
-// An estimated run time of zero makes the needed CPUs zero. A machine must be requested nevertheless
-// if there is none.
+// An estimated run time of zero makes the needed CPUs zero. If no machine exists, one must be
+// requested nevertheless.
 func TestArrayWithoutEstimateGetsMachine(t *testing.T) {
 	demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{waitingJob(jobs.Array, 5, 1, 0)}}
 	if n := machineCount(newTestAutoscaler().planScaleOut(demand)); n != 1 {
@@ -57,7 +57,7 @@
 	}
 	// Pending machines are not requested again.
 	for _, host := range []string{"i-1", "i-2"} {
-		a.pending[host] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now()}
+		a.pendingMachines[host] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now()}
 	}
 	demand.FittingTasks = map[capacity.Resources]map[string]int{job.Need: {"a": 5, "b": 2}}
 	if repeatedRequests := a.planScaleOut(demand); len(repeatedRequests) != 0 {
@@ -75,7 +75,7 @@
 			t.Errorf("on-demand machine requested: %+v", request)
 		}
 	}
-	countWithoutLive := machineCount(requests)
+	countWithoutLiveMachines := machineCount(requests)
 	// Three machines are live. On-demand machines count as capacity if urgent gangs need them.
 	// Otherwise spot machines are requested to take over the work of the on-demand machines, but no
 	// further on-demand machines are requested.
@@ -85,10 +85,10 @@
 		urgentGangCPU float64
 		want          int
 	}{
-		{"spot machines", true, 0, countWithoutLive - 3},
-		{"on-demand machines for urgent gangs", false, 12, countWithoutLive - 3},
-		{"one on-demand machine for urgent gangs", false, 4, countWithoutLive - 1},
-		{"excess on-demand machines", false, 0, countWithoutLive},
+		{"spot machines", true, 0, countWithoutLiveMachines - 3},
+		{"on-demand machines for urgent gangs", false, 12, countWithoutLiveMachines - 3},
+		{"one on-demand machine for urgent gangs", false, 4, countWithoutLiveMachines - 1},
+		{"excess on-demand machines", false, 0, countWithoutLiveMachines},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			liveMachines := map[string]capacity.Group{}
@@ -97,11 +97,11 @@
 			}
 			demand := scheduler.Demand{Settings: admin.DefaultSettings(), Jobs: []scheduler.PendingJob{job}, LiveMachines: liveMachines, CPULeftByUrgentGangs: test.urgentGangCPU}
 			if count := machineCount(a.planScaleOut(demand)); count != test.want {
-				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, countWithoutLive)
+				t.Errorf("%d requested, want %d; %d without live machines", count, test.want, countWithoutLiveMachines)
 			}
 			markSpotUnavailable(a)
-			if count := machineCount(a.planScaleOut(demand)); count != countWithoutLive-3 {
-				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, countWithoutLive-3)
+			if count := machineCount(a.planScaleOut(demand)); count != countWithoutLiveMachines-3 {
+				t.Errorf("%d on-demand machines requested without spot capacity, want %d", count, countWithoutLiveMachines-3)
 			}
 			clear(a.refusedAt)
 		})
@@ -134,14 +134,14 @@
 // next cycle, a burst of jobs would wait 15 s for its machines.
 func TestLargeShortfallIsRequestedInOneCycle(t *testing.T) {
 	a := newTestAutoscaler()
-	provider := &limitedCloud{remaining: map[bool]int{true: 30, false: 1000}}
+	provider := &limitedCloud{remainingMachines: map[bool]int{true: 30, false: 1000}}
 	a.provider, a.controller = provider, fixedDemandController{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings(),
 		Jobs: []scheduler.PendingJob{waitingJob(jobs.Array, 4000, 1, 60)}}}
 	a.controller.(fixedDemandController).demand.Jobs[0].Record.Spot = true
 	a.listedAt, a.leaseID, a.leaseRenewedAt = time.Now(), 1, time.Now()
 	a.runCycle(t.Context())
-	if len(a.pending) < 200 || provider.remaining[true] != 0 || provider.largestRequest > 50 {
-		t.Errorf("%d pending machines, %d spot machines left, largest request %d", len(a.pending), provider.remaining[true], provider.largestRequest)
+	if len(a.pendingMachines) < 200 || provider.remainingMachines[true] != 0 || provider.largestRequest > 50 {
+		t.Errorf("%d pending machines, %d spot machines left, largest request %d", len(a.pendingMachines), provider.remainingMachines[true], provider.largestRequest)
 	}
 }
 
@@ -154,21 +154,21 @@
 
 // limitedCloud is a Cloud with a limited number of machines.
 type limitedCloud struct {
-	remaining               map[bool]int // by whether they are spot machines
-	created, largestRequest int
-	listing                 []cloud.Machine
+	remainingMachines            map[bool]int // by whether they are spot machines
+	createdCount, largestRequest int
+	listing                      []cloud.Machine
 }
 
 func (c *limitedCloud) ScaleOut(_ context.Context, request cloud.ScaleOutRequest) ([]string, error) {
 	c.largestRequest = max(c.largestRequest, request.Count)
-	if c.remaining[request.Spot] == 0 {
+	if c.remainingMachines[request.Spot] == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
 	var hosts []string
-	for range min(request.Count, c.remaining[request.Spot]) {
-		c.created++
-		c.remaining[request.Spot]--
-		hosts = append(hosts, fmt.Sprintf("i-%d", c.created))
+	for range min(request.Count, c.remainingMachines[request.Spot]) {
+		c.createdCount++
+		c.remainingMachines[request.Spot]--
+		hosts = append(hosts, fmt.Sprintf("i-%d", c.createdCount))
 	}
 	return hosts, nil
 }
@@ -211,11 +211,11 @@
 	}
 }
 
-// When all machines are late, a late machine must not be requested again.
+// When all requested machines are late, no replacements must be requested.
 func TestLateMachinesAreRequestedAgainOnlyIfOthersBooted(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		missing          int // machines that do not boot while the others did; 0 if all are late
+		missing          int // number of machines that have not booted although the others have; 0 if no machine has booted
 		minimum, maximum int // bounds of the number of machines requested again
 	}{
 		{"all machines late", 0, 0, 0},
@@ -228,7 +228,7 @@
 			a.controller = fixedDemandController{demand}
 			initialCount := machineCount(a.planScaleOut(demand))
 			for i := range initialCount {
-				a.pending[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
+				a.pendingMachines[fmt.Sprintf("i-%d", i)] = &pendingMachine{capacity.Group{Zone: "a", MachineType: "m4"}, time.Now().Add(-100 * time.Second)}
 			}
 			bootedCount := 0
 			if test.missing > 0 {
@@ -237,9 +237,9 @@
 			liveMachines := map[string]capacity.Group{}
 			for i := range bootedCount {
 				host := fmt.Sprintf("i-%d", i)
-				liveMachines[host] = a.pending[host].group
+				liveMachines[host] = a.pendingMachines[host].group
 				a.bootTimes.Observe(forecast.TypeZone{MachineType: "m4", Zone: "a"}, time.Now().Add(-100*time.Second), 20*time.Second)
-				delete(a.pending, host)
+				delete(a.pendingMachines, host)
 			}
 			demand.LiveMachines = liveMachines
 			a.updateBootTimes(demand)
@@ -254,8 +254,8 @@
 	}
 }
 
-// A machine that boots in a second and is released at once is still listed as booting. It must not
-// be added to the pending machines, where it would stay for minutes.
+// A machine that boots in a second and is released at once may still be listed as booting. It must
+// not be added to the pending machines, where it would stay for minutes.
 func TestReleasedMachineInLaggingListIsNotPending(t *testing.T) {
 	a := newTestAutoscaler()
 	a.provider = &limitedCloud{listing: []cloud.Machine{{Host: "i-1", MachineType: "m4", Zone: "a", Status: "booting", AgeS: 3},
@@ -265,7 +265,7 @@
 	a.runCycle(t.Context())
 	a.controller, a.listedAt = fixedDemandController{scheduler.Demand{IsCurrent: true, Settings: admin.DefaultSettings()}}, time.Time{}
 	a.runCycle(t.Context())
-	if a.pending["i-1"] != nil || a.pending["i-2"] == nil {
-		t.Errorf("pending: %v", a.pending)
+	if a.pendingMachines["i-1"] != nil || a.pendingMachines["i-2"] == nil {
+		t.Errorf("pending: %v", a.pendingMachines)
 	}
 }
--- a/internal/autoscaler/boottimes.go
+++ b/internal/autoscaler/boottimes.go
@@ -14,21 +14,21 @@
 	return forecast.TypeZone{MachineType: group.MachineType, Zone: group.Zone}
 }
 
-// updatePending removes the pending machines that have sent a heartbeat, and learns from their boot
-// times. It also removes those that are older than the boot timeout plus a grace period.
-func (a *Autoscaler) updatePending(demand scheduler.Demand) {
-	for host, pending := range a.pending {
+// updatePendingMachines removes the pending machines that have sent a heartbeat, and learns from
+// their boot times. It also removes those that are older than the boot timeout plus a grace period.
+func (a *Autoscaler) updatePendingMachines(demand scheduler.Demand) {
+	for host, pending := range a.pendingMachines {
 		age := time.Since(pending.requestedAt)
 		switch {
 		case demand.RecordedMachines[host]:
 			a.bootTimes.Observe(typeZoneOf(pending.group), pending.requestedAt, age)
-			delete(a.pending, host)
+			delete(a.pendingMachines, host)
 		case age.Seconds() > a.bootTimeoutSeconds(pending.group)+tuning.PendingMachineGracePeriod.Seconds():
-			delete(a.pending, host)
+			delete(a.pendingMachines, host)
 		}
 	}
 	for host := range demand.RecordedMachines {
-		a.hasReported[host] = true
+		a.reportedHosts[host] = true
 	}
 }
 
@@ -36,7 +36,7 @@
 // and from the ages of the pending machines.
 func (a *Autoscaler) updateBootTimes(demand scheduler.Demand) {
 	pendingAges := map[forecast.TypeZone][]float64{}
-	for _, pending := range a.pending {
+	for _, pending := range a.pendingMachines {
 		typeZone := typeZoneOf(pending.group)
 		pendingAges[typeZone] = append(pendingAges[typeZone], time.Since(pending.requestedAt).Seconds())
 	}
@@ -56,8 +56,8 @@
 	a.controller.SetBootTimes(longestByType)
 }
 
-// bootSeconds returns the expected boot time of a group in seconds, or the time that the cloud
-// states if none was learned.
+// bootSeconds returns the expected boot time of a group in seconds. If no boot time was learned, it
+// returns the one that the cloud states.
 func (a *Autoscaler) bootSeconds(group capacity.Group) float64 {
 	if seconds, ok := a.expectedBootSeconds[typeZoneOf(group)]; ok {
 		return seconds
@@ -72,8 +72,8 @@
 	return min(tuning.BootTimeoutFactor*max(a.bootSeconds(group), statedSeconds), tuning.MaxBootTimeoutFactor*statedSeconds)
 }
 
-// pendingWeight returns the fraction, from 0 to 1, as which a pending machine counts in the available
-// capacity. The longer the machine is overdue, the lower is the fraction.
+// pendingWeight returns the weight, from 0 to 1, with which a pending machine counts as available
+// capacity. The longer the machine is overdue, the lower the weight.
 func (a *Autoscaler) pendingWeight(pending *pendingMachine) float64 {
 	return forecast.PendingWeight(time.Since(pending.requestedAt).Seconds(), a.bootSeconds(pending.group))
 }
@@ -81,7 +81,7 @@
 // expectedMachineCounts returns the number of pending machines that are likely to boot soon, by group.
 func (a *Autoscaler) expectedMachineCounts() map[capacity.Group]int {
 	weights := map[capacity.Group]float64{}
-	for _, pending := range a.pending {
+	for _, pending := range a.pendingMachines {
 		weights[pending.group] += a.pendingWeight(pending)
 	}
 	counts := map[capacity.Group]int{}
--- a/internal/autoscaler/lease.go
+++ b/internal/autoscaler/lease.go
@@ -27,8 +27,8 @@
 	return a.acquireLease(ctx)
 }
 
-// renewLease renews the lease when that is due. After an error that does not mean that the lease has
-// expired, the next call tries again to renew it.
+// renewLease renews the lease when that is due, and reports whether this controller still holds it.
+// If the renewal fails for another reason than the expiry of the lease, the next call retries it.
 func (a *Autoscaler) renewLease(ctx context.Context) bool {
 	now := time.Now()
 	if now.Sub(a.leaseRenewedAt) < tuning.AutoscalerLeaseTTL/leaseRenewalsPerTTL {
@@ -70,7 +70,7 @@
 	}
 	a.log.Info("autoscaler lease acquired")
 	a.leaseID, a.leaseRenewedAt = leaseID, now
-	a.pending = map[string]*pendingMachine{}
+	a.pendingMachines = map[string]*pendingMachine{}
 	a.listedAt = time.Time{}
 	return true
 }
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -27,16 +27,16 @@
 // without sending a heartbeat, and adds unknown booting machines to the pending ones.
 func (a *Autoscaler) reviewListing(ctx context.Context, listing []cloud.Machine, demand scheduler.Demand) {
 	now := time.Now()
-	var unusable []string
+	var unusableHosts []string
 	listedHosts := map[string]bool{}
 	for _, machine := range listing {
 		listedHosts[machine.Host] = true
 		if a.reviewMachine(machine, demand, now) {
-			unusable = append(unusable, machine.Host)
+			unusableHosts = append(unusableHosts, machine.Host)
 		}
 	}
-	a.dropUnlisted(listedHosts, demand, now)
-	a.releaseUnusable(ctx, unusable)
+	a.dropUnlistedMachines(listedHosts, demand, now)
+	a.releaseUnusableMachines(ctx, unusableHosts)
 }
 
 // reviewMachine updates what is known of a listed machine. It reports whether the machine is
@@ -52,13 +52,13 @@
 		delete(a.unreportedSince, host)
 	case machine.Status == cloud.StatusBooting && machine.AgeS > bootTimeout:
 		return true
-	case a.hasReported[host]:
+	case a.reportedHosts[host]:
 		// The machine has sent heartbeats and has been released since: the list lags behind.
 	case machine.Status == cloud.StatusBooting:
-		if a.pending[host] == nil {
+		if a.pendingMachines[host] == nil {
 			age := time.Duration(machine.AgeS * float64(time.Second))
 			group := capacity.Group{Zone: machine.Zone, MachineType: machine.MachineType, Spot: machine.Spot}
-			a.pending[host] = &pendingMachine{group: group, requestedAt: now.Add(-age)}
+			a.pendingMachines[host] = &pendingMachine{group: group, requestedAt: now.Add(-age)}
 		}
 	case a.unreportedSince[host].IsZero():
 		// The machine runs, but its worker has sent no heartbeat yet.
@@ -69,29 +69,29 @@
 	return false
 }
 
-// dropUnlisted drops the state of machines that the cloud no longer lists.
-func (a *Autoscaler) dropUnlisted(listedHosts map[string]bool, demand scheduler.Demand, now time.Time) {
+// dropUnlistedMachines drops the state of machines that the cloud no longer lists.
+func (a *Autoscaler) dropUnlistedMachines(listedHosts map[string]bool, demand scheduler.Demand, now time.Time) {
 	for host := range a.unreportedSince {
 		if !listedHosts[host] {
 			delete(a.unreportedSince, host)
 		}
 	}
-	for host := range a.hasReported {
+	for host := range a.reportedHosts {
 		if !listedHosts[host] && !demand.RecordedMachines[host] {
-			delete(a.hasReported, host)
+			delete(a.reportedHosts, host)
 		}
 	}
-	for host, pending := range a.pending {
+	for host, pending := range a.pendingMachines {
 		// The machine was preempted or released before it sent a heartbeat.
 		if !listedHosts[host] && now.Sub(pending.requestedAt) > 2*a.listLag+tuning.ListAbsenceMargin {
-			delete(a.pending, host)
+			delete(a.pendingMachines, host)
 		}
 	}
 }
 
-// releaseUnusable releases unusable machines, at most as many as one request may name. The next
+// releaseUnusableMachines releases unusable machines, at most as many as one request may name. The next
 // review of the machine list finds the others again.
-func (a *Autoscaler) releaseUnusable(ctx context.Context, hosts []string) {
+func (a *Autoscaler) releaseUnusableMachines(ctx context.Context, hosts []string) {
 	if len(hosts) == 0 {
 		return
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	for _, host := range hosts {
-		delete(a.pending, host)
+		delete(a.pendingMachines, host)
 		delete(a.unreportedSince, host)
 	}
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -48,9 +48,9 @@
 func (a *Autoscaler) planScaleOut(demand scheduler.Demand) []cloud.ScaleOutRequest {
 	p := a.newPlanner(demand)
 	for _, job := range demand.Jobs {
-		p.addJob(job)
+		p.planJob(job)
 	}
-	return p.requests()
+	return p.scaleOutRequests()
 }
 
 func (a *Autoscaler) newPlanner(demand scheduler.Demand) *planner {
@@ -80,23 +80,24 @@
 	return p
 }
 
-// addJob plans the machines for one job.
-func (p *planner) addJob(job scheduler.PendingJob) {
-	unplacedTasks, spotOnly, zone := job.Tasks, 0, ""
+// planJob plans the machines for one job.
+func (p *planner) planJob(job scheduler.PendingJob) {
+	unplacedTasks, spotOnlyTasks, zone := job.Tasks, 0, ""
 	switch job.Record.Kind {
 	case jobs.Array:
 		shortfall := p.computeArrayShortfall(job)
-		unplacedTasks, spotOnly = shortfall.tasks, shortfall.spotOnly
+		unplacedTasks, spotOnlyTasks = shortfall.tasks, shortfall.spotOnlyTasks
 	case jobs.Gang:
 		shortfall := p.computeGangShortfall(job)
 		unplacedTasks, zone = shortfall.tasks, shortfall.zone
 	}
 	unplacedTasks, zone = p.placeOnPlannedMachines(job, unplacedTasks, zone)
-	p.requestMachines(job, unplacedTasks, spotOnly, zone)
+	p.requestMachines(job, unplacedTasks, spotOnlyTasks, zone)
 }
 
-// placeOnPlannedMachines places tasks on machines that do not run yet. It returns the number of tasks
-// that remain and the zone of the last machine used.
+// placeOnPlannedMachines places tasks on machines that do not run yet. It returns the number of
+// tasks that remain and the zone of the last machine used, or the given zone if no machine was
+// used.
 func (p *planner) placeOnPlannedMachines(job scheduler.PendingJob, unplacedTasks int, zone string) (remainingTasks int, lastZone string) {
 	for _, machine := range p.machines {
 		if unplacedTasks <= 0 {
@@ -117,13 +118,14 @@
 	return unplacedTasks, zone
 }
 
-// requestMachines adds machines to the plan for tasks that fit on no existing, pending or planned
-// machine. The last spotOnly tasks get spot machines only. It stops when no machine can be requested.
-func (p *planner) requestMachines(job scheduler.PendingJob, unplacedTasks, spotOnly int, zone string) {
-	remainingTasks := unplacedTasks + spotOnly
+// requestMachines adds machines to the plan for unplacedTasks tasks, which fit on no existing,
+// pending or planned machine, and spot machines for spotOnlyTasks further tasks. It stops when no
+// machine can be requested.
+func (p *planner) requestMachines(job scheduler.PendingJob, unplacedTasks, spotOnlyTasks int, zone string) {
+	remainingTasks := unplacedTasks + spotOnlyTasks
 	for remainingTasks > 0 {
 		candidate := job
-		candidate.IsBestEffort = candidate.IsBestEffort || remainingTasks <= spotOnly
+		candidate.IsBestEffort = candidate.IsBestEffort || remainingTasks <= spotOnlyTasks
 		group, ok := p.chooseGroup(candidate, p.demand.Settings.Spot, p.machinesInZone, zone, remainingTasks)
 		if !ok {
 			return
@@ -138,15 +140,15 @@
 	}
 }
 
-// requests returns the requests for the planned machines, within the operators' limits and no
+// scaleOutRequests returns the requests for the planned machines, within the operators' limits and no
 // larger than the cloud accepts.
-func (p *planner) requests() []cloud.ScaleOutRequest {
-	total := len(p.pending) + len(p.demand.LiveMachines)
+func (p *planner) scaleOutRequests() []cloud.ScaleOutRequest {
+	total := len(p.pendingMachines) + len(p.demand.LiveMachines)
 	countByType := map[string]int{}
 	for _, group := range p.demand.LiveMachines {
 		countByType[group.MachineType]++
 	}
-	for _, pending := range p.pending {
+	for _, pending := range p.pendingMachines {
 		countByType[pending.group.MachineType]++
 	}
 	var requests []cloud.ScaleOutRequest
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -20,8 +20,8 @@
 	// capacityRefused means that the cloud provided fewer machines than requested. Other zones or
 	// machine types may have capacity.
 	capacityRefused
-	// scaleOutFailed means that the cloud did not answer. Requests for other zones or machine types
-	// would fail as well.
+	// scaleOutFailed means that the request failed, but not for lack of capacity. Requests for
+	// other zones or machine types would fail as well.
 	scaleOutFailed
 )
 
@@ -67,7 +67,7 @@
 	a.log.Info("machines requested", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot,
 		"requested", request.Count, "received", len(hosts))
 	for _, host := range hosts {
-		a.pending[host] = &pendingMachine{group: group, requestedAt: time.Now()}
+		a.pendingMachines[host] = &pendingMachine{group: group, requestedAt: time.Now()}
 	}
 	if len(hosts) < request.Count {
 		a.refusedAt[group] = time.Now()
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -10,16 +10,17 @@
 	"cherrywall/internal/tuning"
 )
 
-// gangShortfall is the number of a gang's tasks for which there is no capacity, and the zone to place
-// them in ("" for any).
+// gangShortfall is the number of a gang's tasks for which there is no capacity, and the zone in
+// which to place them. The zone is "" if any zone will do.
 type gangShortfall struct {
 	tasks int
 	zone  string
 }
 
-// computeGangShortfall counts the tasks of a gang for which the existing machines have no capacity, in
-// the zone with the smallest shortfall. It subtracts the slots that the gang uses from
-// p.freeGangSlots. Capacity on pending machines is allocated later, by placeOnPlannedMachines.
+// computeGangShortfall counts the tasks of a gang for which the existing machines have no capacity:
+// in the zone with the smallest shortfall if the gang needs a single zone, and otherwise in all
+// zones together. It subtracts the slots that the gang uses from p.freeGangSlots. Capacity on
+// pending machines is allocated later, by placeOnPlannedMachines.
 func (p *planner) computeGangShortfall(job scheduler.PendingJob) gangShortfall {
 	pendingSlots := map[string]int{}
 	for _, machine := range p.machines {
@@ -78,8 +79,8 @@
 }
 
 // arrayShortfall is the number of an array's tasks that need new machines: tasks may be placed on
-// machines of any kind, and spotOnly further ones on spot machines only.
-type arrayShortfall struct{ tasks, spotOnly int }
+// machines of any kind, and spotOnlyTasks further ones on spot machines only.
+type arrayShortfall struct{ tasks, spotOnlyTasks int }
 
 // computeArrayShortfall counts the tasks of an array that need new machines so that the array and all
 // preceding work are done within the array's time budget. Existing machines count with the work that
@@ -94,14 +95,14 @@
 	if job.Need.CPU <= 0 {
 		return arrayShortfall{tasks: job.Tasks}
 	}
-	available := p.availableCPU(job)
-	needed := p.neededCPU(job)
-	tasks := p.tasksWithoutCapacity(job, needed, available)
+	availableCPUs := p.availableCPU(job)
+	neededCPUs := p.neededCPU(job)
+	tasks := p.tasksWithoutCapacity(job, neededCPUs, availableCPUs)
 	if !job.Record.Spot || !p.demand.Settings.Spot {
 		return arrayShortfall{tasks: tasks}
 	}
-	totalTasks := p.tasksWithoutCapacity(job, needed, p.cpuWithoutExcessOnDemand(job, available))
-	return arrayShortfall{tasks: tasks, spotOnly: totalTasks - tasks}
+	totalTasks := p.tasksWithoutCapacity(job, neededCPUs, p.cpuWithoutExcessOnDemand(job, availableCPUs))
+	return arrayShortfall{tasks: tasks, spotOnlyTasks: totalTasks - tasks}
 }
 
 // tasksWithoutCapacity returns the number of an array's tasks for which the available CPUs do not
@@ -110,7 +111,7 @@
 	missingCPU := neededCPU - max(availableCPU, 0)
 	count := max(0, int(math.Ceil(missingCPU/job.Need.CPU)))
 	waitsTooLong := availableCPU <= 0 || job.Waiting > tuning.NoCapacityScaleOutDelay
-	if count == 0 && waitsTooLong && !p.hasPendingFor(job) {
+	if count == 0 && waitsTooLong && !p.hasPendingMachineFor(job) {
 		// A job that finds no capacity for so long gets a machine regardless of the estimates: an
 		// estimate of zero must not keep it waiting forever.
 		count = 1
@@ -133,17 +134,17 @@
 // availableCPU returns the number of CPUs that a job's tasks can use on live and pending machines. The
 // CPUs that gangs use are subtracted, and for a background job also the reserve of the other classes.
 func (p *planner) availableCPU(job scheduler.PendingJob) float64 {
-	available := -p.demand.GangCPU
+	availableCPUs := -p.demand.GangCPU
 	if job.IsBackground {
-		available -= p.demand.BackgroundReserveCPU
+		availableCPUs -= p.demand.BackgroundReserveCPU
 	}
 	for _, group := range p.demand.LiveMachines {
-		available += p.usableCPU(job, group)
+		availableCPUs += p.usableCPU(job, group)
 	}
-	for _, pending := range p.pending {
-		available += p.pendingWeight(pending) * p.usableCPU(job, pending.group)
+	for _, pending := range p.pendingMachines {
+		availableCPUs += p.pendingWeight(pending) * p.usableCPU(job, pending.group)
 	}
-	return available
+	return availableCPUs
 }
 
 // usableCPU returns the number of CPUs of a machine that a job's tasks can use.
@@ -166,9 +167,9 @@
 	return availableCPU - max(0, onDemandCPU-p.demand.CPULeftByUrgentGangs)
 }
 
-// hasPendingFor reports whether a pending machine can run the job.
-func (a *Autoscaler) hasPendingFor(job scheduler.PendingJob) bool {
-	for _, pending := range a.pending {
+// hasPendingMachineFor reports whether a pending machine can run the job.
+func (a *Autoscaler) hasPendingMachineFor(job scheduler.PendingJob) bool {
+	for _, pending := range a.pendingMachines {
 		if a.fits(job, pending.group) {
 			return true
 		}
