--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -26,8 +26,9 @@
 	// MachineTypes reads the machine types on offer.
 	MachineTypes(ctx context.Context) ([]cloud.MachineType, error)
 	// ScaleOut requests machines and returns the hosts that will boot, which may be fewer than
-	// requested. A repeated call with the same idempotency key starts nothing twice. The error is
-	// cloud.ErrNoCapacity if no machine is available, cloud.ErrUnavailable if the result is unknown.
+	// requested. A repeated call with the same idempotency key starts nothing twice. The error
+	// is cloud.ErrNoCapacity if no machine is available, and cloud.ErrUnavailable if the result
+	// is unknown.
 	ScaleOut(ctx context.Context, request cloud.ScaleOutRequest) ([]string, error)
 	// Release returns machines to the cloud. Releasing a machine twice does no harm.
 	Release(ctx context.Context, hosts []string) error
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -43,8 +43,8 @@
 	return gangShortfall{tasks: job.Tasks - usedSlots, zone: zone}
 }
 
-// useSlotsInAllZones subtracts the slots that a number of tasks use from freeSlots, in any zones. It
-// returns how many tasks find no slot.
+// useSlotsInAllZones allocates slots in any zones to the given number of tasks, and subtracts these
+// slots from freeSlots. It returns the number of tasks that get no slot.
 func useSlotsInAllZones(freeSlots map[string]int, tasks int) (unplacedTasks int) {
 	for zone, slots := range freeSlots {
 		usedSlots := min(tasks, slots)
@@ -55,8 +55,8 @@
 }
 
 // zoneWithLeastShortfall returns the zone in which the fewest tasks of a gang lack capacity. Ties
-// are broken by the most free slots now, then by name. A zone that has a shortfall is left out if no
-// machine can be requested in it. It returns "" if no zone remains.
+// are broken by the most free slots now, then by name. A zone that has a shortfall is left out if
+// no machine can be requested in it. If no zone remains, zoneWithLeastShortfall returns "".
 func (p *planner) zoneWithLeastShortfall(job scheduler.PendingJob, freeSlots, pendingSlots map[string]int) string {
 	best, leastShortfall := "", 0
 	for zone := range p.zones() {
--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -80,9 +80,10 @@
 	return sets
 }
 
-// deleteChunks deletes chunks, provided that their record still has the given revision. It deletes
-// the first chunk first: a write of the record that is still in flight has the precondition that
-// the first chunk exists, which Commit adds. So the write cannot succeed once any chunk is missing.
+// deleteChunks deletes chunks, provided that the record for which they were written still has the
+// given revision. It deletes the first chunk first: Commit adds the precondition that the first
+// chunk exists to each write that points to chunks, so a delayed write of the record cannot succeed
+// once any chunk is missing.
 func (s *Store) deleteChunks(ctx context.Context, set *chunkSet, recordRevision uint64) error {
 	for batch := range slices.Chunk(set.chunks, s.maxTxnOps) {
 		txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: set.recordKey, Revision: recordRevision}}}
--- a/internal/failuredetector/peer_state.go
+++ b/internal/failuredetector/peer_state.go
@@ -10,8 +10,9 @@
 // peerState is what the detector knows about one other controller.
 type peerState struct {
 	lastHeartbeatAt time.Time // zero if none was received
-	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time between
-	// two heartbeats and of its absolute deviation from the mean, over gapSamples gaps.
+	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time
+	// between two heartbeats and of the absolute deviation of that time from its mean, over
+	// gapSamples gaps.
 	meanGapSeconds, gapDeviationSeconds float64
 	gapSamples                          int
 	lastActivityAt                      time.Time // when the peer last wrote to the key-value store, as far as known
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -110,8 +110,8 @@
 }
 
 // totalPeerUsage returns the sum of the rates that the peers have reported within
-// tuning.PeerIdleTimeout; complete is false if there are no peers, or if one of them has not reported
-// within that time.
+// tuning.PeerIdleTimeout; allReported is false if there are no peers, or if one of them has not
+// reported within that time.
 func (b *budget) totalPeerUsage(now time.Time) (total usage, allReported bool) {
 	reportingControllers := 1 // this controller
 	for _, peer := range b.peerUsage {
--- a/internal/peerstatus/rank.go
+++ b/internal/peerstatus/rank.go
@@ -23,9 +23,9 @@
 }
 
 // GangRank returns how many other controllers have a better placement for a gang than this one.
-// ownCapacities are the capacities of this controller, and need is the demand of one task. The
-// tightest placement that fits the gang without preemption ranks first, so that small gangs leave
-// the large capacities to large gangs.
+// ownCapacities are the capacities of this controller, and need is the resources that one task
+// needs. The tightest placement that fits the gang without preemption ranks first, so that small
+// gangs leave the large capacities to large gangs.
 func (t *Tracker) GangRank(record *jobs.JobRecord, need capacity.Resources, ownCapacities []peer.ShapeCapacity, now time.Time) int {
 	type candidate struct {
 		controller string
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -95,8 +95,8 @@
 	return t.latestHeartbeats[controller].heartbeat.AppliedRevision >= revision
 }
 
-// HasNotifiedWorkers reports whether, according to its latest heartbeat, a controller has notified
-// its workers that a job is cancelled, as far as it can reach them.
+// HasNotifiedWorkers reports whether a controller, according to its latest heartbeat, has told all
+// workers that it can reach that a job is cancelled.
 func (t *Tracker) HasNotifiedWorkers(controller, ref string) bool {
 	return slices.ContainsFunc(t.latestHeartbeats[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
 		return job.Ref == ref && job.WorkersNotified
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -96,7 +96,7 @@
 	appliedRevision uint64    // all changes up to this revision were applied
 	loadedRevision  uint64    // the newest revision whose changes the last load may contain
 	consistentAsOf  time.Time // all changes committed before this time were applied
-	lastContactAt   time.Time // last response of the store
+	lastContactAt   time.Time // time of the last response of the store
 	// tombstones maps each key that was deleted after appliedRevision to the revision of the
 	// deletion: the watch may still deliver older writes of the key.
 	tombstones         map[string]uint64
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -105,7 +105,7 @@
 func (r *partitionRun) addMachines() {
 	for range 24 {
 		r.cluster.AddMachine("a", false)
-		time.Sleep(63 * time.Millisecond) // spreads their heartbeats over time
+		time.Sleep(63 * time.Millisecond) // spreads the machines' heartbeats over time
 	}
 	time.Sleep(8 * time.Second)
 }
