--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -120,9 +120,9 @@
 	return suspects
 }
 
-// HasFailed reports whether a controller is considered failed: this controller suspects that one,
-// at least one further controller has sent a heartbeat recently, and all further controllers that
-// have done so share the suspicion.
+// HasFailed reports whether a controller is considered failed. That is the case if this controller
+// suspects it, a further controller has sent a heartbeat recently, and every further controller
+// with a recent heartbeat suspects it too.
 func (d *Detector) HasFailed(controller string, now time.Time) bool {
 	suspect := d.peers[controller]
 	if suspect == nil || !suspect.isSuspected() {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -20,8 +20,8 @@
 
 // budget limits the requests and writes of this controller. All controllers share the limits of the
 // service, and some need more than others. Therefore each controller may use more than an equal
-// fraction until the service responds that its limits are exceeded. budget is safe for concurrent
-// use.
+// fraction of them until the service responds that its limits are exceeded. budget is safe for
+// concurrent use.
 type budget struct {
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
