--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -16,14 +16,15 @@
 // State is the detector's assessment of a controller.
 type State string
 
-// The states of a controller. Suspected is the assessment of this controller alone and has no
-// consequences. Failed requires that all other live controllers suspect the same controller.
+// The states of a controller. Suspected is the assessment of this controller alone and causes no
+// failover. Failed requires that all other controllers that have sent a heartbeat recently share
+// the suspicion.
 const (
-	Unknown   State = "unknown" // no heartbeat received yet
+	Unknown   State = "unknown" // no heartbeat was received yet
 	Alive     State = "alive"
 	Suspected State = "suspected"
 	Failed    State = "failed"
-	Left      State = "left" // it announced its shutdown
+	Left      State = "left" // the controller has announced its shutdown
 )
 
 // Detector is one controller's view of the others. It is not safe for concurrent use: a single
@@ -119,8 +120,9 @@
 	return suspects
 }
 
-// HasFailed reports whether a controller is considered failed: this controller suspects it, at least
-// one further controller has sent a heartbeat recently, and all such controllers suspect it too.
+// HasFailed reports whether a controller is considered failed. That is the case if this controller
+// suspects it, a further controller has sent a heartbeat recently, and every further controller
+// with a recent heartbeat suspects it too.
 func (d *Detector) HasFailed(controller string, now time.Time) bool {
 	suspect := d.peers[controller]
 	if suspect == nil || !suspect.isSuspected() {
--- a/internal/failuredetector/peer_state.go
+++ b/internal/failuredetector/peer_state.go
@@ -9,16 +9,17 @@
 
 // peerState is what the detector knows about one other controller.
 type peerState struct {
-	lastHeartbeatAt time.Time // zero: none received
-	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time between
-	// two heartbeats and of its absolute deviation from the mean, over gapSamples gaps.
+	lastHeartbeatAt time.Time // zero if none was received
+	// meanGapSeconds and gapDeviationSeconds are exponentially weighted means of the time
+	// between two heartbeats and of the absolute deviation of that time from its mean, over
+	// gapSamples gaps.
 	meanGapSeconds, gapDeviationSeconds float64
 	gapSamples                          int
-	lastActivityAt                      time.Time // when it last wrote to the key-value store, as far as known
-	isProvenAlive                       bool      // it has acquired a shard since its last heartbeat
+	lastActivityAt                      time.Time // when the peer last wrote to the key-value store, as far as known
+	isProvenAlive                       bool      // the peer has acquired a shard since its last heartbeat
 	isLeaving                           bool
-	suspects                            []string  // according to its last heartbeat
-	suspectedSince                      time.Time // zero: not suspected
+	suspects                            []string  // the controllers that the peer suspected in its last heartbeat
+	suspectedSince                      time.Time // zero if not suspected
 }
 
 // recordGap updates the statistics of gaps with the time between the last heartbeat and one that
@@ -39,8 +40,8 @@
 	p.gapSamples++
 }
 
-// heartbeatTimeout returns the time after the last heartbeat from which the next one is overdue: the
-// mean gap plus a multiple of the deviation, within fixed bounds.
+// heartbeatTimeout returns how long after the last heartbeat the next one becomes overdue: the mean
+// gap plus a multiple of the deviation, within fixed bounds.
 func (p *peerState) heartbeatTimeout() time.Duration {
 	seconds := p.meanGapSeconds + tuning.HeartbeatGapDeviations*p.gapDeviationSeconds
 	timeout := time.Duration(seconds * float64(time.Second))
@@ -49,7 +50,8 @@
 
 func (p *peerState) isSuspected() bool { return !p.suspectedSince.IsZero() }
 
-// isOverdue reports whether the peer has sent nothing for so long that it should be suspected.
+// isOverdue reports whether the peer has neither sent a heartbeat nor written to the key-value
+// store for so long that it should be suspected.
 func (p *peerState) isOverdue(now time.Time) bool {
 	if p.gapSamples < tuning.MinHeartbeatGapSamples || p.isLeaving || p.isProvenAlive {
 		return false
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -3,9 +3,9 @@
 //
 // The old owner sends the state of the shard's machines and tasks to the recipient and stops
 // responding to the shard's workers. The recipient acquires the shard by the usual conditional
-// write and continues from the received state (docs/membership.md). If the transfer fails at any
-// point, one of the two controllers still ends up as the owner, and reconciliation establishes the
-// missing state of the workers, as it does after a crash.
+// write and restores the received state (docs/membership.md). If the transfer fails at any point,
+// one of the two controllers still ends up as the owner, and reconciliation establishes the missing
+// state of the workers, as it does after a crash.
 package handover
 
 import (
@@ -23,8 +23,8 @@
 	"cherrywall/internal/workersession"
 )
 
-// Dependencies are the parts of the controller whose state transfers read and change. They belong
-// to the same actor as the Coordinator.
+// Dependencies are the components whose state a transfer reads or changes. They belong to the same
+// actor as the Coordinator.
 type Dependencies struct {
 	State      *clusterstate.State
 	Membership *membership.Table
@@ -51,8 +51,8 @@
 	payloads    map[string]*payload  // received from the old owner, or sent by this controller
 
 	// The transfers in which this controller is the old owner, by shard.
-	outgoing map[string]*outgoingTransfer
-	failedAt map[string]time.Time // when a transfer of the shard last failed
+	outgoingTransfers map[string]*outgoingTransfer
+	failedAt          map[string]time.Time // when a transfer of the shard last failed
 
 	isLeaving      bool       // whether this controller is shutting down
 	endedTransfers []Transfer // transfers that have ended, the latest last
@@ -70,12 +70,12 @@
 func (c *Coordinator) Reset() {
 	c.requestedAt = map[string]time.Time{}
 	c.payloads = map[string]*payload{}
-	c.outgoing = map[string]*outgoingTransfer{}
+	c.outgoingTransfers = map[string]*outgoingTransfer{}
 	c.failedAt = map[string]time.Time{}
 }
 
-// PrepareShutdown prepares the shutdown of this controller. From then on the controller acquires no more
-// shards, and transfers its own shards to any controller that requests them.
+// PrepareShutdown prepares the shutdown of this controller. From then on the controller acquires no
+// more shards, and transfers its own shards to any controller that requests them.
 func (c *Coordinator) PrepareShutdown() {
 	c.isLeaving = true
 	c.Cache.StopAcquiringShards()
@@ -83,16 +83,17 @@
 
 // Tick advances all transfers. It must be called several times a second.
 func (c *Coordinator) Tick(now time.Time) {
-	c.advanceOutgoing(now)
-	c.reacquireUntracked(now)
+	c.advanceOutgoingTransfers(now)
+	c.reacquireUntrackedShards(now)
 	c.requestFromLeavingOwners(now)
 	c.advanceRequests(now)
 	c.dropExpiredPayloads(now)
 	c.ApplyPayloads(now)
 }
 
-// HandleCacheAdvance continues transfers that waited for the cache to apply later revisions. Waiting for
-// the next Tick would double the time during which no controller responds to the shard's workers.
+// HandleCacheAdvance continues transfers that waited for the cache to apply later revisions.
+// Waiting for the next Tick would double the time during which no controller responds to the
+// shard's workers.
 func (c *Coordinator) HandleCacheAdvance(now time.Time) {
 	for id := range c.requestedAt {
 		c.acquireIfComplete(id, now)
@@ -100,8 +101,8 @@
 	c.ApplyPayloads(now)
 }
 
-// ownedByLivePeer reports whether the shard's owner is another controller that is live.
-func (c *Coordinator) ownedByLivePeer(shard *membership.Shard) bool {
+// isOwnedByLivePeer reports whether the shard's owner is another controller that is live.
+func (c *Coordinator) isOwnedByLivePeer(shard *membership.Shard) bool {
 	return c.Membership.OwnerIsLive(shard) && !shard.IsLocal()
 }
 
@@ -111,8 +112,8 @@
 }
 
 // dropExpiredPayloads drops payloads that are too old to be used. A payload that this controller
-// sent is kept until the shard has another owner, because this controller continues from it if no
-// other controller acquires the shard.
+// sent is kept until the shard has another owner, because this controller applies the payload
+// itself if no other controller acquires the shard.
 func (c *Coordinator) dropExpiredPayloads(now time.Time) {
 	for id, payload := range c.payloads {
 		shard := c.Membership.Shard(id)
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -18,21 +18,21 @@
 
 // controllerState is what a controller knows of the shard. It may be out of date.
 type controllerState struct {
-	ownedEpoch  uint8   // the epoch under which it considers itself the owner; 0: it does not
-	knownEpoch  uint8   // the latest epoch that it has seen
-	transferred bool    // whether it has transferred the shard under ownedEpoch
-	location    int8    // of the task
-	heartbeats  [2]bool // whether each worker has sent one under ownedEpoch
+	ownedEpoch        uint8   // the epoch under which the controller considers itself the owner; 0 if it does not
+	knownEpoch        uint8   // the latest epoch that the controller has seen
+	transferred       bool    // whether the controller has transferred the shard under ownedEpoch
+	location          int8    // the location of the task
+	heartbeatReceived [2]bool // whether each worker has sent a heartbeat under ownedEpoch
 }
 
 // modelState is the state of the shard, the controllers and the workers.
 type modelState struct {
-	epoch       uint8 // of the shard's record
+	epoch       uint8 // the shard's current epoch
 	owner       int8
 	controllers [3]controllerState
 	tokens      [2]uint8 // the highest fencing token that each worker has seen
-	runs        [2]bool  // whether each worker runs the task
-	payloads    [5]int8  // by epoch: the location that a transfer contained, whichever controller received it
+	runsTask    [2]bool  // whether each worker runs the task
+	payloads    [5]int8  // by epoch: the task's location in the payload sent under that epoch, whichever controller received the payload
 	payloadSent [5]bool
 	// pendingAcquisition is, by controller, the condition of an acquisition that was sent and may
 	// be applied at any time: the acquisition succeeds only if this is still the shard's epoch.
@@ -43,7 +43,7 @@
 // mutation selects faults that are added to the model to check that the test detects them.
 type mutation struct {
 	respondsAfterTransfer bool // the old owner still commands workers
-	usesAnyPayload        bool // the recipient continues from a payload of any older epoch
+	usesAnyPayload        bool // the recipient applies a payload of any older epoch
 }
 
 // afterAppliedAcquisition returns the state after a controller's acquisition is applied.
@@ -54,7 +54,7 @@
 	acquirer := controllerState{ownedEpoch: m.epoch, knownEpoch: m.epoch, location: locationUnknown}
 	for epoch := previousEpoch; epoch > 0; epoch-- {
 		if m.payloadSent[epoch] && (epoch == previousEpoch || mutation.usesAnyPayload) {
-			acquirer.location, acquirer.heartbeats = m.payloads[epoch], [2]bool{true, true}
+			acquirer.location, acquirer.heartbeatReceived = m.payloads[epoch], [2]bool{true, true}
 			break
 		}
 	}
@@ -62,8 +62,8 @@
 	return m
 }
 
-// next returns all states that one event can lead to.
-func (m modelState) next(mutation mutation) []modelState {
+// successors returns all states that one event can lead to.
+func (m modelState) successors(mutation mutation) []modelState {
 	var states []modelState
 	for controller := range m.controllers {
 		states = append(states, m.afterRestart(controller))
@@ -81,7 +81,8 @@
 	return m
 }
 
-// afterWatchEvent returns the state after a controller has learned of the current epoch.
+// afterWatchEvent returns the state after a controller has learned of the current epoch, or none if
+// the controller knows that epoch already.
 func (m modelState) afterWatchEvent(controller int) []modelState {
 	view := m.controllers[controller]
 	if view.knownEpoch >= m.epoch {
@@ -168,12 +169,12 @@
 func (m modelState) afterHeartbeat(controller, worker int) []modelState {
 	receivedState := m
 	owner := &receivedState.controllers[controller]
-	owner.heartbeats[worker] = true
+	owner.heartbeatReceived[worker] = true
 	switch {
-	case m.runs[worker]:
+	case m.runsTask[worker]:
 		owner.location = int8(worker)
 	case owner.location == int8(worker),
-		owner.location == locationUnknown && owner.heartbeats[0] && owner.heartbeats[1]:
+		owner.location == locationUnknown && owner.heartbeatReceived[0] && owner.heartbeatReceived[1]:
 		owner.location = notRunning
 	}
 	if m.controllers[controller].location != notRunning {
@@ -182,17 +183,17 @@
 	lostCommandState := receivedState
 	lostCommandState.controllers[controller].location = int8(worker)
 	startedState := lostCommandState
-	startedState.runs[worker] = true
+	startedState.runsTask[worker] = true
 	return []modelState{receivedState, lostCommandState, startedState}
 }
 
 // afterTaskEnd returns the states after the task was stopped or lost on one of the workers.
 func (m modelState) afterTaskEnd() []modelState {
 	var states []modelState
-	for worker, runs := range m.runs {
+	for worker, runs := range m.runsTask {
 		if runs {
 			state := m
-			state.runs[worker] = false
+			state.runsTask[worker] = false
 			states = append(states, state)
 		}
 	}
@@ -207,18 +208,18 @@
 	for controller := range start.controllers {
 		start.controllers[controller] = controllerState{knownEpoch: 1, location: locationUnknown}
 	}
-	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeats: [2]bool{true, true}}
+	start.controllers[0] = controllerState{ownedEpoch: 1, knownEpoch: 1, location: notRunning, heartbeatReceived: [2]bool{true, true}}
 	seen := map[modelState]bool{start: true}
 	frontier := []modelState{start}
 	for range maxEvents {
 		var nextFrontier []modelState
 		for _, state := range frontier {
-			for _, next := range state.next(mutation) {
+			for _, next := range state.successors(mutation) {
 				if seen[next] {
 					continue
 				}
 				seen[next] = true
-				if next.runs[0] && next.runs[1] {
+				if next.runsTask[0] && next.runsTask[1] {
 					return len(seen), &next
 				}
 				nextFrontier = append(nextFrontier, next)
@@ -230,8 +231,8 @@
 }
 
 // The two workers never run the task at the same time, whatever the order of events. The test must
-// find a violation if the old owner still responds after a transfer, or if a recipient continues from
-// the payload of an older epoch.
+// find a violation if the old owner still responds after a transfer, or if a recipient applies the
+// payload of an older epoch.
 func TestModelNeverRunsTaskTwice(t *testing.T) {
 	stateCount, violation := explore(mutation{}, 10)
 	if violation != nil {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -20,24 +20,24 @@
 
 // budget limits the requests and writes of this controller. All controllers share the limits of the
 // service, and some need more than others. Therefore each controller may use more than an equal
-// fraction until the service responds that its limits are exceeded. budget is safe for concurrent
-// use.
+// fraction of them until the service responds that its limits are exceeded. budget is safe for
+// concurrent use.
 type budget struct {
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 
 	// The service's limits, and the number of controllers that share them.
 	totalRequestRate, totalWriteRate float64 // per second
-	controllers                      int
+	controllerCount                  int
 	minFraction                      float64 // lower bound of fraction
 
 	mu                sync.Mutex
-	fraction          float64 // this controller's fraction of the total rates, learned from rate limiting
+	fraction          float64 // fraction of the total rates that this controller may use; adaptFraction changes it
 	fractionChangedAt time.Time
 	rateLimitedAt     time.Time
-	peerUsage         map[string]usage // by controller, per second
+	peerUsage         map[string]usage // rates per second that the peers have reported, by controller
 	currentUsage      usage            // counts since currentUsage.recordedAt
-	averageUsage      usage            // per second, exponentially smoothed
+	averageUsage      usage            // rates per second, exponentially smoothed
 }
 
 // usage is a number or a rate of requests and writes.
@@ -48,9 +48,9 @@
 
 // newBudget returns the budget of one of several controllers that share the service's limits, which
 // are rates per second.
-func newBudget(totalRequestRate, totalWriteRate float64, controllers int) *budget {
-	controllers = max(controllers, 1)
-	minFraction := tuning.EvenBudgetFraction / float64(controllers)
+func newBudget(totalRequestRate, totalWriteRate float64, controllerCount int) *budget {
+	controllerCount = max(controllerCount, 1)
+	minFraction := tuning.EvenBudgetFraction / float64(controllerCount)
 	fraction := max(tuning.ControllerBudgetFraction, minFraction)
 	return &budget{
 		requestLimiter: rate.NewLimiter(rate.Limit(totalRequestRate*fraction),
@@ -59,7 +59,7 @@
 			max(minWriteBurst, int(totalWriteRate*minFraction))),
 		totalRequestRate:  totalRequestRate,
 		totalWriteRate:    totalWriteRate,
-		controllers:       controllers,
+		controllerCount:   controllerCount,
 		minFraction:       minFraction,
 		fraction:          fraction,
 		fractionChangedAt: time.Now(),
@@ -68,8 +68,8 @@
 	}
 }
 
-// adaptFraction changes this controller's fraction of the service's limits after a request: it reduces the
-// fraction if the request was rate limited, and raises it slowly otherwise.
+// adaptFraction changes this controller's fraction of the service's limits after a request: it
+// reduces the fraction if the request was rate limited, and raises it slowly otherwise.
 func (b *budget) adaptFraction(rateLimited bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,13 +89,14 @@
 }
 
 // updateLimits sets the rates of the limiters. If all peers have reported their usage recently, the
-// rates are the part of the service's limits that the peers do not use, see remainingRate. Otherwise,
-// the rates are the service's limits times b.fraction, which this controller has learned from being
-// rate limited. Shortly after the controller was rate limited, the lower of the two rates is used,
-// since clients other than controllers may use the service as well. The caller must hold the lock.
+// rates are the part of the service's limits that the peers do not use, as computed by
+// remainingRate. Otherwise, the rates are the service's limits times b.fraction, which is reduced
+// when the service rate limits this controller. Shortly after the controller was rate limited, the
+// lower of these two rates is used, since clients other than controllers may use the service as
+// well. The caller must hold b.mu.
 func (b *budget) updateLimits(now time.Time) {
 	requestRate, writeRate := b.totalRequestRate*b.fraction, b.totalWriteRate*b.fraction
-	if peers, complete := b.totalPeerUsage(now); complete {
+	if peers, allReported := b.totalPeerUsage(now); allReported {
 		remainingRequests := b.remainingRate(b.totalRequestRate, peers.requests)
 		remainingWrites := b.remainingRate(b.totalWriteRate, peers.writes)
 		if now.Sub(b.rateLimitedAt) < tuning.BudgetRecoveryInterval {
@@ -109,9 +110,9 @@
 }
 
 // totalPeerUsage returns the sum of the rates that the peers have reported within
-// tuning.PeerIdleTimeout; complete is false if there are no peers, or if one of them has not reported
-// within that time.
-func (b *budget) totalPeerUsage(now time.Time) (total usage, complete bool) {
+// tuning.PeerIdleTimeout; allReported is false if there are no peers, or if one of them has not
+// reported within that time.
+func (b *budget) totalPeerUsage(now time.Time) (total usage, allReported bool) {
 	reportingControllers := 1 // this controller
 	for _, peer := range b.peerUsage {
 		if now.Sub(peer.recordedAt) < tuning.PeerIdleTimeout {
@@ -120,16 +121,16 @@
 			total.writes += peer.writes
 		}
 	}
-	return total, reportingControllers >= b.controllers && b.controllers > 1
+	return total, reportingControllers >= b.controllerCount && b.controllerCount > 1
 }
 
-// remainingRate returns how much of one of the service's limits this controller may use. total is the
-// limit, and used is how much of it the peers use; all rates are per second. The result is at least
-// BudgetOvercommitFactor times the controller's minimum fraction of the limit, and at most
-// BusyControllerBudgetFraction of the limit.
-func (b *budget) remainingRate(total, used float64) float64 {
-	usableRate := tuning.BudgetOvercommitFactor * total
-	return min(max(usableRate-used, tuning.BudgetOvercommitFactor*b.minFraction*total), tuning.BusyControllerBudgetFraction*total)
+// remainingRate returns how much of one of the service's limits this controller may use.
+// usedByPeers is how much of the limit the peers use; all rates are per second. The result is at
+// least tuning.BudgetOvercommitFactor times the controller's minimum fraction of the limit, and at
+// most tuning.BusyControllerBudgetFraction of the limit.
+func (b *budget) remainingRate(limit, usedByPeers float64) float64 {
+	usableRate := tuning.BudgetOvercommitFactor * limit
+	return min(max(usableRate-usedByPeers, tuning.BudgetOvercommitFactor*b.minFraction*limit), tuning.BusyControllerBudgetFraction*limit)
 }
 
 // recordPeerUsage records the requests and writes per second that another controller reports, and
@@ -171,7 +172,7 @@
 // ErrUnavailable, since the request was not sent.
 func (b *budget) waitForBudget(ctx context.Context, priority Priority, writes int) error {
 	b.recordRequest(writes) // before waiting, so that the usage reported to the peers includes requests that wait
-	for b.burstReserved(priority, writes) {
+	for b.isBurstReserved(priority, writes) {
 		if err := Sleep(ctx, tuning.BudgetPollInterval); err != nil {
 			return budgetError(err)
 		}
@@ -188,8 +189,8 @@
 	return nil
 }
 
-// burstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
-func (b *budget) burstReserved(priority Priority, writes int) bool {
+// isBurstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
+func (b *budget) isBurstReserved(priority Priority, writes int) bool {
 	reservedFraction := priority.reservedBurstFraction()
 	if b.requestLimiter.Tokens() < reservedFraction*float64(b.requestLimiter.Burst()) {
 		return true
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -2,7 +2,7 @@
 // from the liveness and ownership records in the key-value store.
 //
 // The cluster's machines are divided into one shard per controller. That controller is the shard's
-// home, and the shard has its name. The package decides which shards a controller should own
+// home, and the shard is named after it. The package decides which shards a controller should own
 // (Table.ShardsToAcquire); package statecache makes the conditional write that acquires a shard.
 // Safety depends on that write alone and never on the decision, so a wrong decision costs time, but
 // cannot give a shard two owners.
@@ -20,15 +20,15 @@
 type Table struct {
 	self        string
 	incarnation uint64
-	controllers []string // all of them, sorted; each is the home of a shard
+	controllers []string // the names of all controllers, sorted; each is the home of a shard
 	liveness    map[string]liveness
 	shards      map[string]*Shard
 	// liveSince is when the liveness record of this incarnation became known, zero if it is not
 	// known.
 	liveSince time.Time
-	// transferredEpochs holds, by shard, the epoch under which it was transferred to another
-	// controller. It survives Reset: under that epoch this controller must not command the
-	// shard's workers again, even if the record is read again.
+	// transferredEpochs maps each shard that this controller has transferred, or owned before a
+	// Reset, to the epoch under which it did so. The map survives Reset: under that epoch this
+	// controller must not command the shard's workers again, even if the record is read again.
 	transferredEpochs map[string]uint64
 }
 
@@ -60,11 +60,11 @@
 
 // Reset drops all records. The caller has to read them again.
 //
-// The shards that this incarnation owned count as transferred from now on, so that it acquires
-// them under a new epoch before it commands their workers. Commands sent before the reset may
-// still be in flight, and workers accept them as long as the fencing token is the same, but after
-// the reset this controller no longer knows which commands it has sent. A task whose start command
-// was in flight would be missing from the worker's first heartbeat, be taken for not running, and be
+// The shards that this incarnation owned count as transferred from now on, so that it acquires them
+// under a new epoch before it commands their workers. Commands sent before the reset may still be
+// in flight, and workers accept them as long as the fencing token is the same, but after the reset
+// this controller no longer knows which commands it has sent. A task whose start command was in
+// flight would be missing from the worker's first heartbeat, be considered not running, and be
 // started a second time.
 func (t *Table) Reset() {
 	for id, shard := range t.shards {
@@ -105,8 +105,8 @@
 // IsLive reports whether a controller has a liveness record, and, unless incarnation is 0,
 // whether the record is of that incarnation.
 func (t *Table) IsLive(controller string, incarnation uint64) bool {
-	known, ok := t.liveness[controller]
-	return ok && (incarnation == 0 || known.incarnation == incarnation)
+	record, ok := t.liveness[controller]
+	return ok && (incarnation == 0 || record.incarnation == incarnation)
 }
 
 // LivenessRevision returns the revision of a controller's liveness record, 0 if it has none.
@@ -159,7 +159,7 @@
 	if previous != nil {
 		shard.previousEpoch = previous.epoch
 	}
-	shard.transferred = shard.isLocal && t.transferredEpochs[id] == revision
+	shard.isTransferred = shard.isLocal && t.transferredEpochs[id] == revision
 	t.shards[id] = shard
 	return shard, nil
 }
@@ -167,7 +167,7 @@
 // MarkTransferred records that a shard was transferred to another controller. This controller does
 // not respond to the shard's workers as long as the shard has its present epoch.
 func (t *Table) MarkTransferred(shard *Shard) {
-	shard.transferred = true
+	shard.isTransferred = true
 	t.transferredEpochs[shard.id] = shard.epoch
 }
 
@@ -180,10 +180,10 @@
 // LocalShards returns the shards that this incarnation owns, in the order of their names.
 func (t *Table) LocalShards() []*Shard { return t.filterShards((*Shard).IsLocal) }
 
-func (t *Table) filterShards(include func(*Shard) bool) []*Shard {
+func (t *Table) filterShards(isIncluded func(*Shard) bool) []*Shard {
 	var selected []*Shard
 	for _, id := range t.controllers {
-		if shard := t.shards[id]; shard != nil && include(shard) {
+		if shard := t.shards[id]; shard != nil && isIncluded(shard) {
 			selected = append(selected, shard)
 		}
 	}
--- a/internal/peerstatus/rank.go
+++ b/internal/peerstatus/rank.go
@@ -14,27 +14,27 @@
 // Capacities returns the capacities that connected controllers have announced.
 func (t *Tracker) Capacities(now time.Time) []peer.ShapeCapacity {
 	var capacities []peer.ShapeCapacity
-	for _, last := range t.latest {
-		if last.isRecent(now) && last.heartbeat.Synced {
-			capacities = append(capacities, last.heartbeat.Capacities...)
+	for _, latest := range t.latestHeartbeats {
+		if latest.isRecent(now) && latest.heartbeat.Synced {
+			capacities = append(capacities, latest.heartbeat.Capacities...)
 		}
 	}
 	return capacities
 }
 
 // GangRank returns how many other controllers have a better placement for a gang than this one.
-// ownCapacities are the capacities of this controller, and need is the demand of one task. The
-// tightest placement that fits the gang without preemption ranks first, so that small gangs leave
-// the large capacities to large gangs.
+// ownCapacities are the capacities of this controller, and need is the resources that one task
+// needs. The tightest placement that fits the gang without preemption ranks first, so that small
+// gangs leave the large capacities to large gangs.
 func (t *Tracker) GangRank(record *jobs.JobRecord, need capacity.Resources, ownCapacities []peer.ShapeCapacity, now time.Time) int {
 	type candidate struct {
 		controller string
 		cost       int
 	}
 	candidates := []candidate{{t.self, gangPlacementCost(record, need, ownCapacities)}}
-	for controller, last := range t.latest {
-		if last.isCurrent(now) && last.heartbeat.Synced {
-			candidates = append(candidates, candidate{controller, gangPlacementCost(record, need, last.heartbeat.Capacities)})
+	for controller, latest := range t.latestHeartbeats {
+		if latest.isCurrent(now) && latest.heartbeat.Synced {
+			candidates = append(candidates, candidate{controller, gangPlacementCost(record, need, latest.heartbeat.Capacities)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
