--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -6,9 +6,9 @@
 	"cherrywall/internal/membership"
 )
 
-// NewTentativeRange returns a range for a shard's claim of a job's tasks that is not durable yet. It
-// is not part of the state until AddTentativeRange is called, but its tasks may already be placed. zone
-// is the zone in which the tasks have to run, "" for any zone.
+// NewTentativeRange returns a range for a shard's claim of a job's tasks. The claim is not durable yet.
+// The range is not part of the state until AddTentativeRange is called, but its tasks may already be
+// placed. zone is the zone in which the tasks have to run, "" for any zone.
 func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
 	record := jobs.RangeRecord{Shard: shard.ID(), Count: interval.Count, Zone: zone}
 	return entity.NewTentativeTaskRange(job, interval.First, record)
@@ -151,9 +151,9 @@
 	s.clearUnreliableGangWorkers(taskRange)
 }
 
-// clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if a later
-// owner of the shard may have started the gang's tasks on other workers without recording them (see
-// membership.Shard.TrustsGangWorkers).
+// clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if, since the
+// record was written, an owner of the shard may have started the gang's tasks on workers that it did not
+// record (see membership.Shard.TrustsGangWorkers).
 func (s *State) clearUnreliableGangWorkers(taskRange *TaskRange) {
 	shard := s.shards.Shard(taskRange.Record().Shard)
 	if shard == nil || !shard.TrustsGangWorkers(taskRange.Revision()) {
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -23,8 +23,8 @@
 
 // IsBackground reports whether a job is background work: an array of the lowest priority without a
 // deadline or objective. Background work gets only capacity that no other job needs. Without this
-// distinction, 3,800 long tasks of one team within seconds took every machine that could be added, and
-// for four minutes no deadline of other teams was met.
+// distinction, 3,800 long tasks of one team took, within seconds, every machine that could be added, and
+// no deadline of other teams was met for four minutes.
 func (s *State) IsBackground(record *jobs.JobRecord) bool {
 	return record.Kind == jobs.Array && record.Priority() == 0 && record.DeadlineSeconds == nil &&
 		!s.cfg.HasObjective(record.Class)
@@ -100,7 +100,7 @@
 }
 
 // EndJob marks a job as ended, since it is done or cancelled, and stops its tasks that are still on
-// machines. The caller still has to delete the records of its ranges in shards owned here.
+// machines. The caller still has to delete the records of the job's ranges in shards owned here.
 func (s *State) EndJob(job *Job) {
 	entity.SetEnded(job)
 	s.attributor.ForgetJob(job.Ref())
@@ -109,7 +109,7 @@
 		s.abandonTasks(taskRange)
 	}
 	if taskRange := job.TaskRange(0); taskRange != nil && taskRange.IsInline() {
-		entity.RemoveTaskRange(job, 0) // it has no record of its own
+		entity.RemoveTaskRange(job, 0) // an inline range has no record of its own
 	}
 	s.removeIfEnded(job)
 }
--- a/internal/clusterstate/apply_machine.go
+++ b/internal/clusterstate/apply_machine.go
@@ -9,7 +9,7 @@
 )
 
 // The Apply methods update the state from records of the key-value store. A record is applied only
-// if its revision is higher than the known one.
+// if its revision is higher than the revision that is already known.
 
 // ApplyMachineRecord updates the state from a machine's record. moved reports whether a machine that
 // was already known has changed to another shard.
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -8,7 +8,7 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Place plans an attempt of a task, numbered within its range, on a machine.
+// Place plans an attempt of a task on a machine. index is the task's number within the range.
 func (s *State) Place(taskRange *TaskRange, index int, machine *Machine, attempt uint64) *Assignment {
 	job := taskRange.Job()
 	name := jobs.TaskName(job.Ref(), taskRange.First()+index)
@@ -92,9 +92,9 @@
 }
 
 // PreemptForClaim stops a task once a claim is durable, to free resources for the tasks of the
-// claim. If the task were stopped earlier and another controller's claim of the same job came
-// first, the preemption would be useless: over slow links 248 tasks were preempted for 160 urgent
-// ones.
+// claim. If the task were stopped before the claim is durable, and another controller's claim of the
+// same job came first, the preemption would be useless: over slow links, 248 tasks were preempted for
+// 160 urgent ones.
 func (s *State) PreemptForClaim(taskRange *TaskRange, assignment *Assignment) {
 	if !taskRange.IsTentative() || assignment.Status().IsPlanned() {
 		s.Preempt(assignment)
@@ -142,15 +142,15 @@
 
 // UpdateStatus sets a task's status as reported by its worker, and reports whether it is the same as
 // before.
-func (s *State) UpdateStatus(assignment *Assignment, workerStatus workerapi.TaskState, now time.Time) (unchanged bool) {
+func (s *State) UpdateStatus(assignment *Assignment, workerStatus workerapi.TaskState, now time.Time) (isUnchanged bool) {
 	status := entity.MutableStatus(assignment)
-	unchanged = status.Reported && status.WorkerStatus == workerStatus
+	isUnchanged = status.Reported && status.WorkerStatus == workerStatus
 	if workerStatus == workerapi.StatusRunning && status.WorkerStatus != workerapi.StatusRunning {
 		status.RunningSince = now
 	}
 	status.Reported, status.StartSent, status.WorkerStatus = true, true, workerStatus
 	recordImage(assignment)
-	return unchanged
+	return isUnchanged
 }
 
 // recordImage records that a task's machine has the task's image, if the worker has reported a status
@@ -170,8 +170,8 @@
 	s.markMachineChanged(assignment.Machine())
 }
 
-// MarkDone marks a task, numbered within its range, as done. assignment is the one that RemoveExited
-// has removed for the task, or nil if there is none.
+// MarkDone marks a task as done. index is the task's number within the range. assignment is the one that
+// RemoveExited has removed for the task, or nil if there is none.
 func (s *State) MarkDone(taskRange *TaskRange, index int, assignment *Assignment) {
 	if assignment != nil && taskRange.Assignment(index) == assignment {
 		entity.SetTask(taskRange, index, TaskReady, nil)
@@ -180,7 +180,7 @@
 }
 
 // markTaskDone marks a task as done unless it already is. If the task still has an assignment, the
-// task is stopped there. If the task belongs to a gang, the whole gang is done.
+// task is stopped on the assigned machine. If the task belongs to a gang, the whole gang is done.
 func (s *State) markTaskDone(taskRange *TaskRange, index int) {
 	if taskRange.TaskState(index) == TaskFinished {
 		return
--- a/internal/clusterstate/clusterstate.go
+++ b/internal/clusterstate/clusterstate.go
@@ -21,8 +21,8 @@
 	TaskState = entity.TaskState
 	// Machine is this controller's view of a worker.
 	Machine = entity.Machine
-	// Assignment is the assignment of a task to a machine. It exists from when the task is planned
-	// there until the task has left the machine.
+	// Assignment is the assignment of a task to a machine. It exists from the time at which the task
+	// is planned on the machine until the task has left the machine.
 	Assignment = entity.Assignment
 	// AssignmentStatus is the progress of a task on a machine.
 	AssignmentStatus = entity.AssignmentStatus
@@ -30,16 +30,16 @@
 
 // The states of a task.
 const (
-	// TaskUnknown is a task that may be running on some machine: it was claimed before this
+	// TaskUnknown is the state of a task that may be running on some machine: it was claimed before this
 	// controller acquired its shard, or its machine moved to another shard, and no heartbeat has
 	// shown yet whether it runs.
 	TaskUnknown = entity.TaskUnknown
-	// TaskReady is a task that is not on any machine and may be started.
+	// TaskReady is the state of a task that is not on any machine and may be started.
 	TaskReady = entity.TaskReady
-	// TaskPlaced is a task with an assignment to a machine.
+	// TaskPlaced is the state of a task with an assignment to a machine.
 	TaskPlaced = entity.TaskPlaced
-	// TaskFinished is a task that is done.
+	// TaskFinished is the state of a task that is done.
 	TaskFinished = entity.TaskFinished
-	// TaskUnclaiming is a task whose claim is being withdrawn, so that any shard can claim it.
+	// TaskUnclaiming is the state of a task whose claim is being withdrawn, so that any shard can claim it.
 	TaskUnclaiming = entity.TaskUnclaiming
 )
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -48,8 +48,8 @@
 		t.Errorf("planned: %d fit, %d pending commands", c.fitCount(), state.PendingCommands(machine))
 	}
 	state.MarkStartSent(assignment)
-	if unchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); unchanged || state.PendingCommands(machine) != 0 {
-		t.Errorf("running: unchanged %v, %d pending commands", unchanged, state.PendingCommands(machine))
+	if isUnchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); isUnchanged || state.PendingCommands(machine) != 0 {
+		t.Errorf("running: unchanged %v, %d pending commands", isUnchanged, state.PendingCommands(machine))
 	}
 	state.Stop(assignment, 5)
 	if c.fitCount() != 4 || state.FreeNow(machine).CPU != 16 { // without checkpoints, the task stops as soon as the command arrives
@@ -128,7 +128,7 @@
 
 // An assignment of the shard's previous owner is restored unchanged, unless its job is not known: then
 // the task is stopped if it runs, and the assignment is ignored if it was only planned.
-func TestRestoreAssignment(t *testing.T) {
+func TestRestoreAssignmentStopsTasksOfUnknownJobs(t *testing.T) {
 	now := time.Now()
 	runningStatus := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
 	previousAssignment := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -53,8 +53,8 @@
 	s.MarkLost(machine)
 }
 
-// RecordContact records the time of a heartbeat whose content is not used. It is ignored for a lost
-// machine, which stays lost: the heartbeat may be a delayed duplicate.
+// RecordContact records the time of a heartbeat whose content is not used. It does nothing for a lost
+// machine, which stays lost, since the heartbeat may be a delayed duplicate.
 func (s *State) RecordContact(machine *Machine, at time.Time) {
 	if !machine.IsLost() {
 		entity.MutableTimes(machine).LastHeartbeatAt = at
@@ -77,8 +77,8 @@
 
 // MarkHeartbeatOverdue marks a machine that should have reported and has not. Tasks that are only
 // planned there are unplaced, so that they are placed elsewhere, and no tasks are planned there until
-// the machine reports. Otherwise these tasks would wait for the 28 s until the lease expires, while
-// other machines have free capacity.
+// the machine reports. Otherwise these tasks would wait 28 s, until the lease expires, while other
+// machines have free capacity.
 func (s *State) MarkHeartbeatOverdue(machine *Machine) {
 	s.setFlag(machine, &entity.MutableFlags(machine).HeartbeatOverdue, true)
 	s.unplacePlanned(machine)
@@ -111,17 +111,17 @@
 }
 
 // EndHeartbeat records that all tasks listed by a heartbeat were processed, and reports whether the
-// heartbeat is the machine's first under the current fencing token. empty tells whether the heartbeat
-// listed no tasks. unchanged tells whether it contained nothing new, which is the usual case; the
-// machine is then marked as changed only if the heartbeat is the first.
-func (s *State) EndHeartbeat(machine *Machine, empty, unchanged bool) (first bool) {
+// heartbeat is the machine's first under the current fencing token. isEmpty tells whether the heartbeat
+// listed no tasks. isUnchanged tells whether the heartbeat contained nothing new, which is the usual
+// case; the machine is then marked as changed only if the heartbeat is the first.
+func (s *State) EndHeartbeat(machine *Machine, isEmpty, isUnchanged bool) (isFirst bool) {
 	flags := entity.MutableFlags(machine)
-	first = !flags.Reported
-	flags.Reported, flags.ReportedEmpty = true, empty
-	if first || !unchanged {
+	isFirst = !flags.Reported
+	flags.Reported, flags.ReportedEmpty = true, isEmpty
+	if isFirst || !isUnchanged {
 		s.markMachineChanged(machine)
 	}
-	return first
+	return isFirst
 }
 
 // MarkProbeUnanswered marks a machine that did not answer a probe, unless the machine has sent a
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Total returns the total resources of a machine, by its machine type. known is false as long as the
-// type is not known.
+// Total returns the total resources of a machine, according to its machine type. known is false as long
+// as the type is not known.
 func (s *State) Total(machine *Machine) (total capacity.Resources, known bool) {
 	return s.machineTypes.Capacity(machine.Record().MachineType)
 }
@@ -27,14 +27,15 @@
 // left it.
 func (s *State) Free(machine *Machine) capacity.Resources { return s.machineUsage(machine).Free }
 
-// FreeBelow returns Free plus the resources of the tasks below a priority. Tasks of gangs are not
-// included, since they cannot be stopped one by one.
+// FreeBelow returns Free plus the resources of the tasks whose priority is lower than the given one.
+// Tasks of gangs are not included, since they cannot be stopped one by one.
 func (s *State) FreeBelow(machine *Machine, priority jobs.Priority) capacity.Resources {
 	return s.machineUsage(machine).FreeBelowWithoutGangs[priority]
 }
 
-// FreeNow returns the resources that are free on a machine when the commands of the current scheduling
-// cycle are executed. Tasks that save a checkpoint before they exit still take their resources then.
+// FreeNow returns the resources that are free on a machine as soon as the commands of the current
+// scheduling cycle have been executed. Tasks that save a checkpoint before they exit still take their
+// resources at that time.
 func (s *State) FreeNow(machine *Machine) capacity.Resources {
 	free, _ := s.Total(machine)
 	for assignment := range machine.Assignments() {
@@ -119,15 +120,16 @@
 	}
 }
 
-// FreeCapacityBelow returns the table of how many tasks would fit if all tasks below a priority,
-// gangs included, were preempted.
+// FreeCapacityBelow returns the table of how many tasks would fit if all tasks whose priority is lower
+// than the given one, gangs included, were preempted.
 func (s *State) FreeCapacityBelow(priority jobs.Priority) *capacity.Table {
 	s.FreeCapacity()
 	return s.freeCapacityBelow[priority]
 }
 
-// RecountCapacity recomputes the counts for all task shapes that jobs need, and drops the counts for
-// other shapes. It also determines again which jobs are best-effort work; spotInUse tells whether the
+// RecountCapacity recomputes the counts for all task shapes that unfinished jobs need, and drops the
+// counts for other shapes. The shape of a task is the resources that it takes. RecountCapacity also
+// determines again which jobs are best-effort work; spotInUse tells whether the
 // autoscaler may use spot machines.
 func (s *State) RecountCapacity(now time.Time, spotInUse bool) {
 	neededShapes := map[capacity.Resources]bool{}
@@ -139,7 +141,7 @@
 	}
 	s.FreeCapacity().Recount(neededShapes)
 	for p := range s.freeCapacityBelow {
-		s.freeCapacityBelow[p].Recount(nil) // filled again when it is requested
+		s.freeCapacityBelow[p].Recount(nil) // the counts are computed again when they are requested
 	}
 	s.dirty = true
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -46,14 +46,15 @@
 
 // StartGang marks a gang's attempt as started when a start command is sent for one of its tasks, and
 // reports whether it is the first start command of the attempt.
-func (s *State) StartGang(job *Job) (first bool) {
+func (s *State) StartGang(job *Job) (isFirst bool) {
 	gang := entity.MutableGang(job)
-	first = !gang.Started
+	isFirst = !gang.Started
 	gang.Started = true
-	return first
+	return isFirst
 }
 
-// StopGang fails a gang's attempt and stops all its tasks, with time to save a checkpoint.
+// StopGang marks a gang's attempt as failed and stops all the gang's tasks, with time to save a
+// checkpoint.
 func (s *State) StopGang(job *Job) {
 	entity.MutableGang(job).Failed = true
 	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -8,8 +8,8 @@
 	"cherrywall/internal/workerapi"
 )
 
-// Assignment is the assignment of a task to a machine. It exists from when the task is planned there
-// until the task has left the machine.
+// Assignment is the assignment of a task to a machine. It exists from the time at which the task is
+// planned on the machine until the task has left the machine.
 type Assignment struct {
 	machine *Machine
 	name    string
@@ -24,9 +24,11 @@
 	// checkpointIntervalSeconds is the checkpoint interval of the job; 0 if it saves no checkpoints.
 	checkpointIntervalSeconds float64
 	status                    AssignmentStatus
-	// preemptingClaim is the claim that preempts the task as soon as the claim is durable; nil for none.
+	// preemptingClaim is the claim that preempts the task as soon as the claim is durable; nil if there
+	// is none.
 	preemptingClaim *TaskRange
-	// lastStartRefusal is the reason why the start command was last not sent, shown to operators.
+	// lastStartRefusal is the latest reason why the start command was not sent, shown to operators;
+	// empty if there is none or the command was sent since.
 	lastStartRefusal string
 }
 
@@ -46,7 +48,8 @@
 // the worker has not reported the task.
 func (s AssignmentStatus) IsPlanned() bool { return !s.StartSent && !s.Reported }
 
-// HasStarted reports whether the worker has reported the task in any state after pulling its image.
+// HasStarted reports whether the worker has reported the task in a state that follows the pulling of
+// the task's image.
 func (s AssignmentStatus) HasStarted() bool {
 	return s.Reported && s.WorkerStatus != workerapi.StatusPulling
 }
@@ -59,9 +62,9 @@
 	return !s.StartSent
 }
 
-// NewAssignment returns the assignment of an attempt of a task, given by its name, to a machine. The
-// caller has to add it to the machine with AddAssignment and, if the task belongs to this controller,
-// to the task with AssignTask.
+// NewAssignment returns the assignment of an attempt of the named task to a machine. The caller has to
+// add the assignment to the machine with AddAssignment and, if the task belongs to this controller, to
+// the task with AssignTask.
 func NewAssignment(machine *Machine, name string, attempt uint64, status AssignmentStatus) *Assignment {
 	return &Assignment{machine: machine, name: name, attempt: attempt, status: status}
 }
@@ -91,8 +94,8 @@
 	return r != nil && a.index < len(r.tasks) && r.tasks[a.index].assignment == a
 }
 
-// LastRefusal returns why the start of the task was last refused, or an empty string if it was not
-// refused.
+// LastRefusal returns the latest reason why the start command was not sent, or an empty string if there
+// is none or the command was sent since.
 func (a *Assignment) LastRefusal() string { return a.lastStartRefusal }
 
 // IsTentative reports whether the task's claim is not durable yet.
@@ -161,15 +164,16 @@
 	a.needKnown = true
 }
 
-// AssignTask makes an assignment the current one of a task, numbered within its range, and sets the
-// task's state to TaskPlaced.
+// AssignTask makes an assignment the current one of a task and sets the task's state to TaskPlaced.
+// index is the task's number within the range.
 func AssignTask(a *Assignment, r *TaskRange, index int) {
 	a.taskRange, a.index = r, index
 	SetTask(r, index, TaskPlaced, a)
 }
 
-// DetachFromTask detaches an assignment from its task, so that the assignment only has to be stopped. The
-// task's state and its link to the assignment do not change.
+// DetachFromTask removes the link from an assignment to its task: all that remains to be done for the
+// assignment is to stop the task on the machine. The task's state and the link from the task to the
+// assignment do not change.
 func DetachFromTask(a *Assignment) { a.taskRange = nil }
 
 // ReleaseTask removes an assignment from its task and sets the task's state. It does nothing and
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -50,7 +50,7 @@
 	return states
 }
 
-func TestResetTasksUsesRecordedDone(t *testing.T) {
+func TestResetTasksRestoresRecordedDoneTasks(t *testing.T) {
 	record := jobs.RangeRecord{Shard: "n0", Count: 3}
 	record.Done = record.Done.With(1)
 	r := NewTaskRange(newTestJob(jobs.Array, 3), 0, record, 5)
@@ -81,8 +81,8 @@
 		revision uint64
 		want     bool
 	}{
-		{"record of the tasks before", 10, 1, 6, true},
-		{"record of the tasks after", 13, 3, 6, true},
+		{"record of the tasks before the unclaimed ones", 10, 1, 6, true},
+		{"record of the tasks after the unclaimed ones", 13, 3, 6, true},
 		{"another length", 10, 2, 6, false},
 		{"another first task", 12, 4, 6, false},
 		{"not newer than the range", 10, 1, 5, false},
@@ -142,7 +142,7 @@
 		{"not all planned", []string{"i-9"}, func(r *TaskRange) { ReleaseTask(r.Assignment(1), TaskReady) }, false},
 		{"claim not durable", []string{"i-9"}, func(r *TaskRange) { r.tentative = true }, false},
 		{"last write unanswered", []string{"i-0", "i-1"}, func(r *TaskRange) { r.EndHostsWrite(false) }, true},
-		{"record new since an unanswered write", []string{"i-0", "i-1"}, func(r *TaskRange) {
+		{"new revision of the record since an unanswered write", []string{"i-0", "i-1"}, func(r *TaskRange) {
 			r.EndHostsWrite(false)
 			SetRangeRevision(r, 6)
 		}, false},
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -6,8 +6,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// The record of a gang's range names the workers on which the range's tasks may have been started: its
-// gang workers (jobs.RangeRecord.GangWorkers). After a failover, unreachable workers therefore block
+// The record of a gang's range names the workers on which the range's tasks may have been started. These
+// are the range's gang workers (jobs.RangeRecord.GangWorkers). After a failover, unreachable workers therefore block
 // only the tasks that may be on them. The names are written with the claim, and written again before a
 // later attempt is started on other workers. docs/recovery.md shows why this is safe.
 
@@ -34,7 +34,8 @@
 	return hosts
 }
 
-// SetPlannedHosts sets the planned workers in the record of a tentative claim, before it is written.
+// SetPlannedHosts sets the gang workers in the record of a tentative claim to PlannedHosts, before the
+// record is written. It does nothing for a durable claim.
 func (r *TaskRange) SetPlannedHosts() {
 	if r.tentative {
 		r.record.GangWorkers = r.PlannedHosts()
@@ -42,7 +43,7 @@
 }
 
 // NeedsHostsWrite reports whether the planned workers have to be recorded before the range's tasks
-// may be started: all tasks are planned, none was started in this attempt, and either one is
+// may be started: all tasks are planned, none was started in this attempt, and either some task is
 // planned on a worker that the record does not name, or it is not known which workers the record
 // names.
 func (r *TaskRange) NeedsHostsWrite() bool {
@@ -65,8 +66,8 @@
 }
 
 // MayBeOn reports whether, according to the range's record, a task of the range may ever have been
-// started on a worker. If the record names gang workers, this is so only for these; otherwise it is so
-// for all workers.
+// started on a worker. A record without gang workers allows every worker; any other record allows only
+// the gang workers that it names.
 func (r *TaskRange) MayBeOn(host string) bool {
 	return len(r.record.GangWorkers) == 0 || slices.Contains(r.record.GangWorkers, host)
 }
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -29,7 +29,7 @@
 	awaitedRevision uint64
 
 	gangAttempt   GangAttempt
-	gangPlannedAt time.Time // when the current attempt was planned; its tasks wait for free resources since
+	gangPlannedAt time.Time // when the current attempt was planned and its tasks began to wait for free resources
 
 	dependencyNode     *jobdag.Node // nil if the job has neither dependencies nor dependents
 	priority           jobs.Priority
@@ -174,7 +174,7 @@
 			continue
 		}
 		done += taskRange.recordedDoneCount
-		active += taskRange.activeTasks()
+		active += taskRange.activeTaskCount()
 	}
 	return done, active
 }
@@ -193,9 +193,9 @@
 func (j *Job) BeginTransaction() { j.inTransaction = true }
 
 // EndTransaction marks the end of the job's transaction. If its preconditions failed, the next
-// transaction waits until the cache shows what has changed. If it began earlier, it would fail as well:
-// each gang that two controllers claimed at the same moment cost six requests and twelve
-// changes without any effect.
+// transaction waits until the cache shows what has changed. If it began earlier, it would fail as well.
+// Without this wait, each gang that two controllers claimed at the same moment cost six requests and
+// twelve changes without any effect.
 func (j *Job) EndTransaction(result kvstore.TxnResult, err error) {
 	j.inTransaction = false
 	if err == nil && !result.Succeeded {
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -51,7 +51,8 @@
 	return isReachable && !isLeaving && !f.Cordoned && !f.Suspected
 }
 
-// MachineTimes are the moments at which a machine's condition last changed.
+// MachineTimes holds the times of the latest events that concern a machine's condition. The methods of
+// Machine document each time.
 type MachineTimes struct {
 	JoinedShardAt      time.Time
 	LastHeartbeatAt    time.Time
@@ -142,7 +143,7 @@
 	return time.Duration(now.UnixMilli()-m.record.RegisteredAtMS) * time.Millisecond
 }
 
-// HasImage reports whether a task with an image was seen on the machine in this agent session.
+// HasImage reports whether a task with an image was seen on the machine in the current agent session.
 func (m *Machine) HasImage(image string) bool { return m.images[image] }
 
 // AssignmentCount returns the number of the machine's assignments.
@@ -189,7 +190,7 @@
 	return true
 }
 
-// ResetImages removes all known images of the machine, because the agent's session is new.
+// ResetImages removes all known images of the machine. It is called when a new agent session begins.
 func (m *Machine) ResetImages() { m.images = map[string]bool{} }
 
 // MutableFlags returns a machine's flags for modification.
@@ -232,8 +233,8 @@
 	}
 }
 
-// BeginRecount marks a machine as being on the list of machines to be counted again, and reports
-// whether it was not on the list before.
+// BeginRecount marks a machine as being on the list of machines whose free capacity is to be counted
+// again, and reports whether the machine is new on the list.
 func BeginRecount(m *Machine) bool {
 	if m.recountPending {
 		return false
@@ -242,5 +243,6 @@
 	return true
 }
 
-// EndRecount marks a machine as removed from the list of machines to be counted again.
+// EndRecount marks a machine as removed from the list of machines whose free capacity is to be counted
+// again.
 func EndRecount(m *Machine) { m.recountPending = false }
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -21,8 +21,8 @@
 	tasks        []task // nil unless the shard is owned here
 	taskCounts   [taskStateCount]int
 	lastPlacedAt time.Time
-	// unclaimInterval is the interval of tasks whose claim is being withdrawn. It contains numbers
-	// within the range.
+	// unclaimInterval is the interval of tasks whose claim is being withdrawn. Its first task is
+	// numbered within the range.
 	unclaimInterval jobs.TaskInterval
 	// pendingPreemptions are assignments of other jobs that are stopped once the claim is durable.
 	pendingPreemptions []*Assignment
@@ -75,18 +75,19 @@
 // Len returns the number of the range's tasks, or 0 if the shard is not owned here.
 func (r *TaskRange) Len() int { return len(r.tasks) }
 
-// TaskState returns the state of a task, numbered within the range.
+// TaskState returns the state of a task. index is the task's number within the range.
 func (r *TaskRange) TaskState(index int) TaskState { return r.tasks[index].state }
 
-// Assignment returns the assignment of a task, numbered within the range, or nil if it has none.
+// Assignment returns the assignment of a task, or nil if the task has none. index is the task's number
+// within the range.
 func (r *TaskRange) Assignment(index int) *Assignment { return r.tasks[index].assignment }
 
 // CountTasks returns how many of the range's tasks are in a state.
 func (r *TaskRange) CountTasks(state TaskState) int { return r.taskCounts[state] }
 
-// activeTasks returns how many tasks are on workers. If the shard is not owned here, all tasks that
+// activeTaskCount returns how many tasks are on workers. If the shard is not owned here, all tasks that
 // are not recorded as done are counted.
-func (r *TaskRange) activeTasks() int {
+func (r *TaskRange) activeTaskCount() int {
 	if !r.IsOwned() {
 		return r.record.Count - r.recordedDoneCount
 	}
@@ -139,9 +140,10 @@
 	}
 }
 
-// ResetTasks clears the state of a range's tasks, and forgets done tasks that are not recorded, a
-// withdrawal of claims in progress and a write in flight. If the shard is owned here, it then sets the
-// tasks that are recorded as done to TaskFinished and the others to the given state.
+// ResetTasks clears the state of a range's tasks, and forgets which tasks are done but not recorded as
+// done, which claims are being withdrawn, and whether a write is in flight. If the shard is owned here,
+// ResetTasks then sets the tasks that are recorded as done to TaskFinished and the others to the given
+// state.
 func ResetTasks(r *TaskRange, isOwned bool, state TaskState) {
 	r.tasks, r.unrecordedDone, r.recordWriteInFlight, r.unclaimInterval = nil, map[int]bool{}, false, jobs.TaskInterval{}
 	r.taskCounts = [taskStateCount]int{}
@@ -160,7 +162,7 @@
 	}
 }
 
-// SetTask sets a task's state and assignment. Every change of a task's state goes through it, so that
+// SetTask sets a task's state and assignment. index is the task's number within the range. Every change of a task's state goes through it, so that
 // the counts by state are always up to date. The scheduler reads these counts, so that its cost does
 // not grow with the number of tasks.
 func SetTask(r *TaskRange, index int, state TaskState, assignment *Assignment) {
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -39,7 +39,7 @@
 	return record
 }
 
-// HasWriteInFlight reports whether a write of the range's record begun with BeginWrite is in flight.
+// HasWriteInFlight reports whether a write of the range's record, begun with BeginWrite, is in flight.
 func (r *TaskRange) HasWriteInFlight() bool { return r.recordWriteInFlight }
 
 // BeginWrite marks the beginning of a write of the range's record.
@@ -48,8 +48,8 @@
 // EndWrite marks the end of a write of the range's record that does not record done tasks.
 func (r *TaskRange) EndWrite() { r.recordWriteInFlight = false }
 
-// EndDoneWrite marks the end of a write that records done tasks. For tasks that are still not
-// recorded as done, UnrecordedDone then returns the present time.
+// EndDoneWrite marks the end of a write that records done tasks. The wait of the done tasks that are
+// still not recorded, which UnrecordedDone returns, starts again at the present time.
 func (r *TaskRange) EndDoneWrite() {
 	r.recordWriteInFlight, r.unrecordedSince = false, time.Now()
 	if len(r.unrecordedDone) == 0 {
@@ -57,7 +57,8 @@
 	}
 }
 
-// MarkTaskDone marks a task, numbered within its range, as done but not yet recorded as done.
+// MarkTaskDone marks a task as done but not yet recorded as done. index is the task's number within the
+// range.
 func MarkTaskDone(r *TaskRange, index int) {
 	SetTask(r, index, TaskFinished, nil)
 	r.unrecordedDone[index] = true
--- a/internal/clusterstate/internal/entity/taskrange_unclaim.go
+++ b/internal/clusterstate/internal/entity/taskrange_unclaim.go
@@ -54,9 +54,9 @@
 		count == r.unclaimInterval.First && r.firstAfterUnclaimed() < len(r.tasks)
 }
 
-// IsSplitBy reports whether a range record shows that a split of the range is durable. This may be
-// either the record of the tasks before the unclaimed ones or the record of the tasks after them,
-// whichever arrives first.
+// IsSplitBy reports whether a range record shows that a split of the range is durable. It may be the
+// record of the tasks before the unclaimed ones or the record of the tasks after them, whichever arrives
+// first.
 func IsSplitBy(r *TaskRange, first int, record jobs.RangeRecord, revision uint64) bool {
 	if revision <= r.revision || record.Shard != r.record.Shard {
 		return false
--- a/internal/clusterstate/internal/entity/taskstate.go
+++ b/internal/clusterstate/internal/entity/taskstate.go
@@ -7,17 +7,17 @@
 
 // The states of a task.
 const (
-	// TaskUnknown is a task that may be running on some machine: it was claimed before this
+	// TaskUnknown is the state of a task that may be running on some machine: it was claimed before this
 	// controller acquired its shard, or its machine moved to another shard, and no heartbeat has
 	// shown yet whether it runs.
 	TaskUnknown TaskState = iota
-	// TaskReady is a task that is not on any machine and may be started.
+	// TaskReady is the state of a task that is not on any machine and may be started.
 	TaskReady
-	// TaskPlaced is a task with an assignment to a machine.
+	// TaskPlaced is the state of a task with an assignment to a machine.
 	TaskPlaced
-	// TaskFinished is a task that is done.
+	// TaskFinished is the state of a task that is done.
 	TaskFinished
-	// TaskUnclaiming is a task whose claim is being withdrawn, so that any shard can claim it.
+	// TaskUnclaiming is the state of a task whose claim is being withdrawn, so that any shard can claim it.
 	TaskUnclaiming
 
 	taskStateCount = iota
--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -10,20 +10,21 @@
 type Usage struct {
 	// Free is the resources that are free once all tasks that are to be stopped have left.
 	Free capacity.Resources
-	// FreeBelow is, for each priority, Free plus the resources of the tasks below the priority.
+	// FreeBelow is, for each priority, Free plus the resources of the tasks of lower priorities.
 	FreeBelow [jobs.PriorityCount]capacity.Resources
 	// FreeBelowWithoutGangs is FreeBelow without the resources of gangs' tasks, which cannot be
 	// stopped one by one.
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
-	// PendingCommands is how many start and stop commands still have to be sent.
+	// PendingCommands is the number of start and stop commands still have to be sent.
 	PendingCommands int
-	// ServiceReplicas is how many replicas of services the machine runs, except those that are to
-	// be stopped.
+	// ServiceReplicas is the number of replicas of services that the machine runs, except those that
+	// are to be stopped.
 	ServiceReplicas int
-	// OnDemandOnlyTasks is how many tasks, including stopping ones, may not run on a spot machine.
+	// OnDemandOnlyTasks is the number of tasks, including stopping ones, that may not run on a spot
+	// machine.
 	OnDemandOnlyTasks int
-	// ForegroundTasks is how many tasks, except those that are to be stopped, are not background
-	// work and are therefore a reason to keep the machine.
+	// ForegroundTasks is the number of tasks, except those that are to be stopped, that are not
+	// background work and are therefore a reason to keep the machine.
 	ForegroundTasks int
 }
 
--- a/internal/clusterstate/restore.go
+++ b/internal/clusterstate/restore.go
@@ -39,7 +39,7 @@
 	return lookup
 }
 
-// AdoptTask adds an assignment for a task that a worker reports and that has no assignment there. If
+// AdoptTask adds an assignment for a task that a worker reports and that is not assigned to the worker. If
 // keepsRunning is false, the assignment only accounts for the task's resources until the task has
 // stopped; these resources are not known if the job's record was deleted (see Assignment.NeedKnown).
 func (s *State) AdoptTask(machine *Machine, reportedTask workerapi.TaskStatus, keepsRunning bool) *Assignment {
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -31,7 +31,8 @@
 	jobs     map[string]*Job
 
 	// freeCapacity counts the tasks that fit into free capacity. freeCapacityBelow[p] counts the
-	// tasks that would fit if all tasks below priority p were preempted. See FreeCapacity.
+	// tasks that would fit if all tasks of priorities lower than p were preempted. FreeCapacity updates
+	// these tables.
 	freeCapacity      *capacity.Table
 	freeCapacityBelow [jobs.PriorityCount]*capacity.Table
 	changedMachines   []*Machine // machines whose entries in these tables have to be updated
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -20,7 +20,9 @@
 // missing. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready to
 // use.
 type Monitor struct {
-	lastContactAt time.Time // time of the last heartbeat or successful probe
+	// lastContactAt is the time of the last heartbeat or successful probe. Tick and ShouldProbe set it to a
+	// later time if the silence since then does not show that workers are unreachable.
+	lastContactAt time.Time
 	lastTickAt    time.Time
 
 	isProbing   bool
@@ -29,7 +31,7 @@
 	isUnreachable    bool
 	changedAt        time.Time // when isUnreachable last changed
 	recentLosses     int       // losses of contact that count for the backoff, see markUnreachable
-	successfulProbes int       // in succession, while isUnreachable
+	successfulProbes int       // number of successful probes in succession while isUnreachable is set
 }
 
 // ObserveHeartbeat records that a worker's heartbeat has arrived.
@@ -61,7 +63,7 @@
 		return false
 	}
 	// If the heartbeats are spread evenly, one arrives every interval/workers. A silence of three
-	// times that, plus one second for delays, is normal.
+	// times that period, plus one second for delays, is normal.
 	normalSilence := 3*interval/time.Duration(workers) + time.Second
 	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
 }
@@ -103,7 +105,7 @@
 		return NoTransition
 	}
 	if m.isUnreachable {
-		return m.probeFinishedWhileUnreachable(anyResponse, now)
+		return m.recordResultWhileUnreachable(anyResponse, now)
 	}
 	if anyResponse {
 		m.lastContactAt = now
@@ -129,9 +131,9 @@
 	m.successfulProbes = 0
 }
 
-// probeFinishedWhileUnreachable records a probe's result while workers are unreachable. It returns
+// recordResultWhileUnreachable records a probe's result while workers are unreachable. It returns
 // Restored once enough probes in succession have succeeded and the backoff has passed.
-func (m *Monitor) probeFinishedWhileUnreachable(anyResponse bool, now time.Time) Transition {
+func (m *Monitor) recordResultWhileUnreachable(anyResponse bool, now time.Time) Transition {
 	if !anyResponse {
 		m.successfulProbes = 0
 		return NoTransition
--- a/internal/reconciliation/discrepancy.go
+++ b/internal/reconciliation/discrepancy.go
@@ -29,7 +29,7 @@
 	ActionStop                           // the task is stopped
 	ActionStart                          // the task may be started
 	ActionRecordCompletion               // the completion is recorded, and afterwards the worker may drop the task
-	ActionRegisterWorker                 // the worker is recorded before its heartbeat is answered
+	ActionRegisterWorker                 // a record of the worker is written before its heartbeat is answered
 	ActionAwaitWorker                    // nothing is decided until the worker reports or its lease has expired
 )
 
--- a/internal/reconciliation/fault_injection_test.go
+++ b/internal/reconciliation/fault_injection_test.go
@@ -43,7 +43,7 @@
 
 // Combinations of faults that have violated invariants in the past (docs/meetings.md) violate none now.
 // The lease duration and the time limit for cancellations depend on the seed. NIGHT_SEEDS="from to"
-// replaces the default seeds.
+// replaces the default seeds; the last seed is to-1.
 func TestCombinedFaultsKeepInvariants(t *testing.T) {
 	from, to := uint64(0), uint64(8)
 	if seeds := os.Getenv("NIGHT_SEEDS"); seeds != "" {
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -40,7 +40,7 @@
 type FirstContact struct {
 	Dependencies
 	mailbox  *actor.Mailbox
-	prober   Prober // nil: no worker is probed
+	prober   Prober // nil if no worker is to be probed
 	sessions AgentSessions
 	limiter  *rate.Limiter
 
@@ -48,12 +48,13 @@
 	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was last answered with the token
 	probeQueue       []*clusterstate.Machine
 	isProbeQueued    map[*clusterstate.Machine]bool
-	timer            *time.Timer // calls Run at timerDueAt
+	timer            *time.Timer // calls Run at timerDueAt; nil if no call is scheduled
 	timerDueAt       time.Time
-	// Numbers of probes in flight. Slow probes will most likely not be answered, and count only
-	// against the larger limit in isAtProbeLimit. Otherwise they would delay the probes of reachable
-	// workers: while 230 workers of a shard were behind a network partition, it took 15 s to probe the
-	// others.
+	// recentProbes and slowProbes are the numbers of probes in flight. A probe is slow once
+	// tuning.SlowFirstContactAfter has passed without an answer. Slow probes will most likely not be
+	// answered, and count only against the larger limit in isAtProbeLimit. Otherwise they would delay
+	// the probes of reachable workers: while 230 workers of a shard were behind a network partition,
+	// it took 15 s to probe the others.
 	recentProbes, slowProbes int
 }
 
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -137,13 +137,13 @@
 	}
 }
 
-// isReconciling reports whether a shard's records are read and the shard's recovery is not
+// isReconciling reports whether a shard's records have been read and the shard's recovery is not
 // complete.
 //
-// This controller knows of the write that acquired the shard before the watch has delivered earlier
-// changes. A worker or task range that was recorded just before that write may still be missing in
-// the cache, and a task on that worker would be started a second time. So nothing is decided before
-// the cache has reached the shard's epoch.
+// This controller knows at once that it has acquired the shard, possibly before the watch has delivered
+// changes from before the acquisition. A worker or task range that was recorded shortly before may then
+// still be missing in the cache, and a task on that worker would be started a second time. So nothing is
+// decided before the cache has reached the shard's epoch.
 func (r *Reconciler) isReconciling(shard *membership.Shard) bool {
 	return !shard.IsReconciled() && r.Cache.HasReachedEpoch(shard)
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-// reconcileRanges completes single task ranges while some workers are unconfirmed. Every controller
+// reconcileRanges completes the recovery of single task ranges while some workers are unconfirmed. Every controller
 // sends a task only to a worker that is large enough and that the job allows. If no unconfirmed worker
 // meets both conditions, none of them runs the task, and the confirmed workers did not list it. So the
 // loss of many spot machines does not delay tasks that may not run on spot machines.
@@ -232,9 +232,9 @@
 // previous owner may have sent tasks of the shard.
 //
 // Workers whose record is newer than the shard's epoch are left out: they have registered since the
-// acquisition, or have come from another shard without tasks. When a shard was acquired while hundreds
-// of machines started, the wait for the last of them ended only 12 s after all other workers were
-// confirmed.
+// acquisition, or have come from another shard without tasks. Otherwise, when a shard was acquired while
+// hundreds of machines started, the wait for the last of them ended only 12 s after all other workers
+// were confirmed.
 //
 // The order is that of State.Machines, which is random. A fixed order would make reconcileShard slow:
 // it could pass thousands of confirmed workers before it finds the first unconfirmed one.
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -20,7 +20,7 @@
 type Stage int
 
 // The stages. From StageReconciling on, the shard's owner uses the confirmed workers to run tasks
-// of jobs that no controller had claimed, and of task ranges in which the location of every task is
+// of jobs that no controller has claimed yet, and of task ranges in which the location of every task is
 // known.
 const (
 	StageReadingRecords Stage = iota // the cache has not reached the shard's epoch
--- a/internal/reconciliation/view.go
+++ b/internal/reconciliation/view.go
@@ -13,16 +13,16 @@
 type View struct {
 	Shard              string         `json:"share"`
 	Stage              string         `json:"stage"`
-	SinceS             float64        `json:"since_s"`        // since the shard was acquired
-	ReconciledAfterS   float64        `json:"settled_s"`      // from the acquisition to the end of the recovery; 0: not reconciled yet
-	RecordedWorkers    int            `json:"machines"`       // workers that had a record when the shard was acquired
-	ConfirmedWorkers   int            `json:"heard"`          // includes workers that registered after the acquisition
-	UnconfirmedWorkers int            `json:"waits_for"`      // workers that are neither confirmed nor lost
+	SinceS             float64        `json:"since_s"`        // time since the shard was acquired
+	ReconciledAfterS   float64        `json:"settled_s"`      // time from the acquisition to the end of the recovery; 0 if the recovery has not ended
+	RecordedWorkers    int            `json:"machines"`       // number of workers that had a record when the shard was acquired
+	ConfirmedWorkers   int            `json:"heard"`          // number of confirmed workers, including workers that registered after the acquisition
+	UnconfirmedWorkers int            `json:"waits_for"`      // number of workers that are neither confirmed nor lost
 	UnconfirmedSample  []string       `json:"some,omitempty"` // host names, tuning.MaxListedNames at most
-	LongestWaitS       float64        `json:"within_s"`       // until the leases of all unconfirmed workers have expired
-	UnaccountedTasks   int            `json:"unaccounted"`    // tasks whose location is unknown
-	Discrepancies      map[string]int `json:"outcomes"`
-	CommandsSent       map[string]int `json:"orders"` // by verb, counted for tuning.AcquisitionTrackingPeriod after the acquisition
+	LongestWaitS       float64        `json:"within_s"`       // time until the leases of all unconfirmed workers have expired
+	UnaccountedTasks   int            `json:"unaccounted"`    // number of tasks whose location is unknown
+	Discrepancies      map[string]int `json:"outcomes"`       // number of occurrences by name
+	CommandsSent       map[string]int `json:"orders"`         // number of commands by verb, counted for tuning.AcquisitionTrackingPeriod after the acquisition
 }
 
 // Views returns the recoveries of the local shards.
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -24,7 +24,8 @@
 // Unwrap returns the error in the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// The errors in a field, except for a field of the wrong type.
+// The errors in a field. recordWrongType creates the error for a field of the wrong type, which names the
+// type.
 var (
 	errMissing          = errors.New("missing")
 	errMissingOrTooLong = errors.New("missing or too long")
@@ -186,7 +187,8 @@
 	return readField(r, name, (*fastjson.Value).Array)
 }
 
-// taskState reads a task state. Nearly all states are constants of the protocol, for which it allocates no memory.
+// taskState reads a task state. Nearly all states are constants of the protocol, for which taskState allocates no
+// memory.
 func (r *objectReader) taskState(name string) TaskState {
 	text := r.bytes(name)
 	switch TaskState(text) { // the compiler does not copy the bytes for the comparison
@@ -204,7 +206,7 @@
 	return TaskState(text)
 }
 
-// exitCause reads an exit cause. It allocates no memory for CauseDone, which is the most frequent cause.
+// exitCause reads an exit cause. It allocates no memory for CauseDone, the most frequent cause.
 func (r *objectReader) exitCause(name string) ExitCause {
 	text := r.bytes(name)
 	if ExitCause(text) == CauseDone { // the compiler does not copy the bytes for the comparison
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -44,7 +44,7 @@
 	Zone          string       `json:"valley"`
 	Spot          bool         `json:"loaners"`
 	AgentEpoch    uint64       `json:"watch"`   // starts at 1 and grows each time the worker's lease expires
-	Sequence      uint64       `json:"tick"`    // grows with every heartbeat; the heartbeat with the larger (AgentEpoch, Sequence) is newer
+	Sequence      uint64       `json:"tick"`    // grows with every heartbeat; of two heartbeats, the one with the larger (AgentEpoch, Sequence) is newer
 	FencingToken  uint64       `json:"baton"`   // the highest token that the worker has seen
 	PreemptionInS *float64     `json:"recallS"` // seconds until the cloud takes the machine back; nil without a preemption notice
 	Tasks         []TaskStatus `json:"shifts"`  // all tasks on the worker, including ended ones that are not acknowledged yet
