--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -16,7 +16,7 @@
 	"cherrywall/internal/workerapi"
 )
 
-// unavailableCloud is a cloud that fails every request.
+// unavailableCloud is a cloud that answers every request with an error.
 type unavailableCloud struct{}
 
 func (unavailableCloud) Release(context.Context, []string) error { return cloud.ErrUnavailable }
@@ -24,7 +24,8 @@
 	return nil, cloud.ErrUnavailable
 }
 
-// unavailableStore is a key-value store that answers only reads of single keys, as if no key existed.
+// unavailableStore is a key-value store that answers every request with an error, except for reads of
+// single keys, which it answers as if no key existed.
 type unavailableStore struct{}
 
 func (unavailableStore) Commit(context.Context, kvstore.Priority, kvstore.Txn) (kvstore.TxnResult, error) {
@@ -246,7 +247,8 @@
 }
 
 // BenchmarkStartup measures the application of all records and of the first heartbeats of all workers. It
-// also reports the heap size in bytes for each machine with its 16 running and 84 waiting tasks.
+// also reports the heap size, in bytes per machine, including the machine's 16 running and 84 waiting
+// tasks.
 func BenchmarkStartup(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
 		var before, after runtime.MemStats
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -40,9 +40,10 @@
 	})
 }
 
-// excludeAndCancel excludes a job from completion batches and then cancels it. It is needed for a job
-// whose completion its owner may write to a batch: such a completion does not change the job's record,
-// so that the preconditions of the cancellation would hold and the job would be both done and cancelled.
+// excludeAndCancel excludes a job from completion batches and then cancels it. This is needed if the
+// controller that owns the job's shard may write the job's completion to a batch: such a write does not
+// change the job's record, so the preconditions of the cancellation would hold, and the job would be both
+// done and cancelled.
 func (c *Controller) excludeAndCancel(job *clusterstate.Job, reply chan Response, retries int) {
 	ref := job.Ref()
 	c.claims.ExcludeFromBatches(job, func(err error) {
@@ -58,8 +59,8 @@
 // record has changed.
 func (c *Controller) storeCancellation(job *clusterstate.Job, reply chan Response, retries int) {
 	ref := job.Ref()
-	final := jobs.FinalState{Status: jobs.Cancelled, Tasks: unfinishedResponse(job).DoneTasks}
-	c.cache.Commit(kvstore.Urgent, cancelTxn(job, final), func(result kvstore.TxnResult, err error) {
+	finalState := jobs.FinalState{Status: jobs.Cancelled, Tasks: unfinishedResponse(job).DoneTasks}
+	c.cache.Commit(kvstore.Urgent, cancelTxn(job, finalState), func(result kvstore.TxnResult, err error) {
 		switch {
 		case err != nil:
 			reply <- unavailable(reasonStoreUnavailable)
@@ -75,10 +76,10 @@
 
 // cancelTxn returns the transaction that replaces the record of an unfinished job by its final state, on
 // the precondition that the record has not changed.
-func cancelTxn(job *clusterstate.Job, final jobs.FinalState) kvstore.Txn {
+func cancelTxn(job *clusterstate.Job, finalState jobs.FinalState) kvstore.Txn {
 	jobKey, finalKey := jobs.JobKey(job.Ref()), jobs.FinalKey(job.Ref())
 	return kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: jobKey, Revision: job.Revision()}, {Key: finalKey}},
-		Writes:     []kvstore.Write{{Key: finalKey, Value: kvstore.MustEncode(final)}, {DeleteKey: jobKey}},
+		Writes:     []kvstore.Write{{Key: finalKey, Value: kvstore.MustEncode(finalState)}, {DeleteKey: jobKey}},
 	}
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/jobs"
 )
 
-// The tasks of a cancelled job have stopped after 30 s, also if the controller that owns them is cut off
+// The tasks of a cancelled job have stopped after 30 s, even if the controller that owns them is cut off
 // from the key-value store and is the only one that reaches the worker.
 func TestCancelledTasksStopInTime(t *testing.T) {
 	for _, isCutOff := range []bool{false, true} {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -12,7 +12,7 @@
 	"cherrywall/internal/tuning"
 )
 
-// Once a user has been answered that a job is cancelled, no task of the job starts (docs/recovery.md,
+// Once a user has been told that a job is cancelled, no task of the job starts (docs/recovery.md,
 // "No start after a cancellation"). Therefore the answer waits until each controller that owns tasks of
 // the job has notified its workers, or may no longer start tasks based on state from before the
 // cancellation.
@@ -54,9 +54,9 @@
 	})
 }
 
-// recordCancellation records that a job is cancelled, so that the peers are notified, and that users are
-// answered only after the confirmation. The cache calls it when it learns of the cancellation, before it
-// removes the job's claims from the cluster state. doneTasks is the number of tasks that were done, and
+// recordCancellation records that a job is cancelled, so that the peers are notified and users are
+// answered only after the confirmation. The cache calls recordCancellation when it learns of the
+// cancellation, before it removes the job's claims from the cluster state. doneTasks is the number of tasks that were done, and
 // revision is that of the final state.
 func (c *Controller) recordCancellation(ref string, doneTasks int, revision uint64) {
 	now := time.Now()
@@ -83,8 +83,8 @@
 
 // taskOwners returns the other controllers that own tasks of a job, and whether any task of the job is
 // placed on a worker of this controller.
-func (c *Controller) taskOwners(job *clusterstate.Job) (others map[string]bool, isPlacedLocally bool) {
-	others = map[string]bool{}
+func (c *Controller) taskOwners(job *clusterstate.Job) (otherOwners map[string]bool, isPlacedLocally bool) {
+	otherOwners = map[string]bool{}
 	for taskRange := range job.TaskRanges() {
 		shard := c.members.Shard(taskRange.Record().Shard)
 		switch {
@@ -92,10 +92,10 @@
 		case shard.IsLocal():
 			isPlacedLocally = isPlacedLocally || taskRange.CountTasks(clusterstate.TaskPlaced) > 0
 		default:
-			others[shard.Owner()] = true
+			otherOwners[shard.Owner()] = true
 		}
 	}
-	return others, isPlacedLocally
+	return otherOwners, isPlacedLocally
 }
 
 // confirmCancellations answers the requests about jobs whose cancellation is confirmed. As long as any
@@ -135,8 +135,8 @@
 }
 
 // isConfirmed reports whether no controller will command the start of a task of a cancelled job any more.
-// Once tuning.CancellationConfirmWait has passed, the workers' confirmations of the stop are no longer
-// needed.
+// Once tuning.CancellationConfirmWait has passed, the workers no longer need to confirm that the job's
+// tasks have stopped.
 func (c *Controller) isConfirmed(pending *unconfirmedCancellation, now time.Time) bool {
 	elapsed := now.Sub(pending.knownAt)
 	if elapsed < tuning.CancellationConfirmWait && c.sessions.HasUnconfirmedStop(pending.ref) {
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -40,8 +40,8 @@
 	for _, event := range events {
 		rangeKey, isRange := strings.CutPrefix(event.Key, jobs.RangePrefix)
 		if ref, _, ok := strings.Cut(rangeKey, "/"); ok && isRange {
-			final := kvstore.MustEncode(jobs.FinalState{Status: jobs.Done})
-			events = append(events, kvstore.Event{Key: jobs.FinalKey(ref), Value: final, Revision: event.Revision})
+			finalState := kvstore.MustEncode(jobs.FinalState{Status: jobs.Done})
+			events = append(events, kvstore.Event{Key: jobs.FinalKey(ref), Value: finalState, Revision: event.Revision})
 		}
 	}
 	return events, revision, err
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -39,8 +39,8 @@
 
 // Cancellations, polls and repeated submissions are sent to different controllers at about the time when
 // a job's last task completes, before and after the completion is durable. The job must have one final
-// state that never changes, and a job that is answered as done must have no unfinished task.
-func TestUserRequestsDuringJobCompletion(t *testing.T) {
+// state that never changes, and a job that is reported as done must have no unfinished task.
+func TestUserRequestsDuringCompletionSeeOneFinalState(t *testing.T) {
 	for seed := range uint64(5) {
 		runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) { requestDuringCompletion(t, cluster, seed) })
 	}
@@ -97,7 +97,7 @@
 
 // send sends one request at about the time of a job's completion and records the answer. If delay is
 // negative, the request is sent 2 s after the call, which is before the completion or close to it;
-// otherwise it is sent that long after the completion.
+// otherwise it is sent when delay has passed since the completion.
 func (r *completionRequests) send(t *testing.T, node string, spec jobs.Spec, request int, delay time.Duration) {
 	if delay < 0 {
 		time.Sleep(2 * time.Second)
@@ -140,21 +140,21 @@
 }
 
 // checkAnswers checks the answers about one job. No answer may contradict a final status that was received
-// before the request was sent; all tasks must be complete when the job is answered as done; and each final
+// before the request was sent; all tasks must be complete when the job is reported as done; and each final
 // status must equal finalStatus.
 func checkAnswers(t *testing.T, seed uint64, ref string, answers []answer, finalStatus jobs.Status) {
 	t.Helper()
 	for i, laterAnswer := range answers {
 		for _, earlierAnswer := range answers[:i] {
 			if isFinal(earlierAnswer.status) && laterAnswer.requestedAt.After(earlierAnswer.receivedAt) && laterAnswer.status != earlierAnswer.status {
-				t.Errorf("seed %d: %s was answered as %s, and later as %s", seed, ref, earlierAnswer.status, laterAnswer.status)
+				t.Errorf("seed %d: %s was reported as %s, and later as %s", seed, ref, earlierAnswer.status, laterAnswer.status)
 			}
 		}
 		switch {
 		case laterAnswer.status == jobs.Done && !laterAnswer.isComplete:
-			t.Errorf("seed %d: %s was answered as done before all its tasks were done", seed, ref)
+			t.Errorf("seed %d: %s was reported as done before all its tasks were done", seed, ref)
 		case isFinal(laterAnswer.status) && laterAnswer.status != finalStatus:
-			t.Errorf("seed %d: %s was answered as %s, but its final status is %s", seed, ref, laterAnswer.status, finalStatus)
+			t.Errorf("seed %d: %s was reported as %s, but its final status is %s", seed, ref, laterAnswer.status, finalStatus)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,7 +67,7 @@
 	// inFlightClaimedTasks is the number of tasks that the acceptance transactions in flight claim.
 	inFlightClaimedTasks int
 	cancellations        cancellationLog
-	// inFlightDependentCancels is the number of transactions of cancelDependents in flight.
+	// inFlightDependentCancels is the number of transactions in flight that cancelDependents has begun.
 	inFlightDependentCancels int
 
 	health    atomic.Pointer[healthStatus]
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// resolveFromStore looks up in the key-value store the dependencies that the cache does not know. It may
-// be called only when the cache is current.
+// resolveFromStore looks up a submission's dependencies, and reads those that the cache does not know
+// from the key-value store. It may be called only when the cache is current.
 func (c *Controller) resolveFromStore(sub submission) {
 	unknownRefs := c.resolveLocally(&sub)
 	c.fetchFinalStates(unknownRefs, func(finalStates map[string]jobdag.FinalState, err error) {
@@ -71,8 +71,8 @@
 func (c *Controller) resolveLocally(sub *submission) (unknownRefs []string) {
 	sub.dependencies = make(map[string]jobdag.FinalState, len(sub.spec.DependsOn))
 	for _, ref := range sub.spec.DependsOn {
-		if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
-			sub.dependencies[ref] = jobdag.FinalStateOf(final.Status)
+		if finalState, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
+			sub.dependencies[ref] = jobdag.FinalStateOf(finalState.Status)
 			continue
 		}
 		job := c.state.Job(ref)
@@ -117,13 +117,13 @@
 	for fetch.inFlight < tuning.MaxConcurrentFinalStateReads && fetch.nextIndex < len(fetch.refs) && fetch.err == nil {
 		ref := fetch.refs[fetch.nextIndex]
 		fetch.inFlight++
-		c.cache.ReadFinalState(ref, func(final jobs.FinalState, exists bool, err error) {
+		c.cache.ReadFinalState(ref, func(finalState jobs.FinalState, exists bool, err error) {
 			fetch.inFlight--
 			switch {
 			case err != nil:
 				fetch.err = err
 			case exists:
-				fetch.finalStates[ref] = jobdag.FinalStateOf(final.Status)
+				fetch.finalStates[ref] = jobdag.FinalStateOf(finalState.Status)
 			}
 			if fetch.inFlight == 0 && (fetch.err != nil || fetch.nextIndex == len(fetch.refs)) {
 				fetch.done(fetch.finalStates, fetch.err)
@@ -138,7 +138,7 @@
 // cancelDependents stores a final state for jobs that depend on a cancelled one. This is not urgent, since
 // users are answered from the dependency graph as soon as the cancellation is known. Only the first live
 // member does it, which saves writes (see IsFirstLiveMember). If two controllers consider themselves the
-// first live member, the preconditions make the second transaction fail.
+// first live member, the preconditions make the later transaction fail.
 func (c *Controller) cancelDependents(now time.Time) {
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
 		return
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -52,9 +52,9 @@
 }
 
 // A submission that depends on an unknown job or on a service is rejected. A dependency on an accepted job
-// is valid, also after a restart of the controllers. During an outage of the store, a submission with an
+// is valid, even after a restart of the controllers. During an outage of the store, a submission with an
 // unknown dependency is refused as unavailable.
-func TestSubmissionDependencyValidation(t *testing.T) {
+func TestSubmissionsWithInvalidDependenciesAreRejected(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 2)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 1, 1), time.Second)
@@ -88,7 +88,7 @@
 	})
 }
 
-// A job that is blocked by its dependencies uses nothing of the team's quota, and runs like any other job
+// A job that is blocked by its dependencies uses none of the team's quota, and runs like any other job
 // once it is unblocked.
 func TestBlockedJobUsesNoQuota(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
@@ -118,7 +118,8 @@
 		}
 		time.Sleep(8 * time.Second)
 		requireCancelled(t, cluster, "n1", "wk-4")
-		cluster.CrashController("n1") // followed by an outage of the store, before the dependents' final states are stored
+		// The crash and the outage of the store come before the dependents' final states are stored.
+		cluster.CrashController("n1")
 		cluster.Store.SetOutage(true)
 		time.Sleep(10 * time.Second)
 		cluster.Store.SetOutage(false)
@@ -154,9 +155,9 @@
 	}
 }
 
-// Hundreds of jobs depend on one job. Another job depends on all of them, so that its record is stored in
-// chunks.
-func TestWideDependencyFanInAndFanOut(t *testing.T) {
+// Hundreds of jobs depend on one job, and another job depends on all of these hundreds, so that its record
+// is stored in chunks. All jobs complete.
+func TestJobsWithHundredsOfDependenciesComplete(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 8)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 1, 1), 90*time.Second)
@@ -193,7 +194,7 @@
 	return violations, endedJobs
 }
 
-func TestDependencyGraphsUnderRandomFaults(t *testing.T) {
+func TestDependencyGraphsKeepInvariantsUnderRandomFaults(t *testing.T) {
 	totalEndedJobs := 0
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-5", jobs.Gang, 2, 4), 90*time.Second)
 		time.Sleep(30 * time.Second)
-		cluster.CrashController("n2") // n0 is next in the order of the names and becomes the successor
+		cluster.CrashController("n2") // n0 becomes the successor: in the order of the names, the first follows the last
 		time.Sleep(40 * time.Second)
 		cluster.StartController("n2")
 		requireDone(t, cluster, "n1", "wk-5", 40*time.Second)
@@ -40,7 +40,7 @@
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n1", fake.JobSpec("wk-6", jobs.Array, 60, 1), 20*time.Second)
 		time.Sleep(3 * time.Second)
-		unreachableHost := "i-000007" // must not delay the probes of the other workers
+		unreachableHost := "i-000007" // its probe must not delay the probes of the other workers
 		cutLinks(cluster, unreachableHost, true, controllerNames...)
 		cluster.CrashController("n0")
 		time.Sleep(5500 * time.Millisecond)
@@ -125,9 +125,9 @@
 
 // A shard's owner crashes, or is isolated together with its workers, while the machines run long tasks.
 // The links between the machines and the other controllers are cut. In some cases, half of the machines
-// keep their links instead, but receive neither commands nor answers, while their heartbeats still
-// arrive. No task may start a second time before its first run has ended, and all tasks must complete.
-func TestOwnerCrashWithUnreachableMachines(t *testing.T) {
+// keep their links instead: their heartbeats still arrive, but they receive neither commands nor
+// answers. No task may start a second time before its first run has ended, and all tasks must complete.
+func TestNoTaskRunsTwiceAfterOwnerCrashWithUnreachableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		isIsolated        bool // the owner is isolated instead of crashed
--- a/internal/controller/failuredetection_test.go
+++ b/internal/controller/failuredetection_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// A controller whose heartbeats are lost and that writes no records is considered failed, but only once.
-// After it has acquired its shard again, it is not suspected any more.
+// A controller whose heartbeats are lost and that writes no records is considered failed, but only once:
+// after it has acquired its shard again, its peers do not suspect it any more.
 func TestShardDoesNotFlapDuringOneWayPartition(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
--- a/internal/controller/localstate.go
+++ b/internal/controller/localstate.go
@@ -59,8 +59,8 @@
 		result.DoneTasks, result.ActiveTasks = job.Progress()
 		return result
 	}
-	if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
-		return LocalJob{FinalStatus: final.Status, DoneTasks: final.Tasks}
+	if finalState, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
+		return LocalJob{FinalStatus: finalState.Status, DoneTasks: finalState.Tasks}
 	}
 	return LocalJob{}
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -17,7 +17,7 @@
 		runningJob, waitingGang := fake.JobSpec("wk-3", jobs.Array, 1, 4), fake.JobSpec("wk-2", jobs.Gang, 1, 4)
 		runningJob.Team, waitingGang.Team = "capped", "capped"
 		requireAccepted(t, cluster, "n0", runningJob, 10*time.Minute)
-		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Gang, 40, 3), time.Second) // fits nowhere
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Gang, 40, 3), time.Second) // fits on no machines
 		time.Sleep(4 * time.Second)
 		requireAccepted(t, cluster, "n1", waitingGang, time.Second)
 		time.Sleep(160 * time.Second)
@@ -66,10 +66,10 @@
 // Jobs of high and normal priority need more than the capacity, and the links are slow. Jobs of high
 // priority go first, the other tasks start in bounded time, no task is preempted again and again, and all jobs
 // complete.
-func TestOverloadOverSlowLinks(t *testing.T) {
+func TestAllJobsCompleteInOverloadOverSlowLinks(t *testing.T) {
 	const gangCount = 40
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
-		addMachines(cluster, 4) // 16 CPUs
+		addMachines(cluster, 4) // with 16 CPUs in total
 		slowAllLinks(cluster)
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-900", jobs.Array, 30, 1), 15*time.Second)
 		submittedAt := time.Now()
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -86,7 +86,7 @@
 		}
 		blockOutbound(cluster, hosts, false)
 		time.Sleep(5 * time.Second)
-		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-4", jobs.Array, 32, 1), 2*time.Second) // on all machines at once
+		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-4", jobs.Array, 32, 1), 2*time.Second) // needs all machines at the same time
 		requireDone(t, cluster, "n0", "wk-4", 8*time.Second)
 		blockOutbound(cluster, hosts[:2], true)
 		time.Sleep(3 * time.Minute)
@@ -155,8 +155,8 @@
 
 // A zone with workers and a controller is cut off for longer than a worker lease; packets are held back,
 // or connections are refused. Users outside the zone cancel and submit jobs. The zone's controller may
-// let the workers in the zone run on as long as the rules allow, but no task may run both in the zone
-// and outside.
+// renew the leases of the workers in the zone as long as no other controller relies on the expiry of these
+// leases, but no task may run both in the zone and outside.
 func TestZonePartitionRunsNoTaskTwice(t *testing.T) {
 	for _, holdsPackets := range []bool{false, true} {
 		t.Run(fmt.Sprint("packets held ", holdsPackets), func(t *testing.T) {
--- a/internal/controller/quota_test.go
+++ b/internal/controller/quota_test.go
@@ -52,14 +52,14 @@
 		runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 			addMachinesPerController(cluster, 1)
 			time.Sleep(5 * time.Second)
-			for i := range 3 { // each shard is full except for one task
+			for i := range 3 { // each shard has room for one more task
 				requireAccepted(t, cluster, controllerName(i), fake.JobSpec(jobRef(10+i), jobs.Array, 3, 1), 4*time.Minute)
 			}
 			time.Sleep(4 * time.Second)
 			cluster.AddMachine("b", false)
 			time.Sleep(2 * time.Second)
 			requireAccepted(t, cluster, "n0", quotaJob("wk-20", kind, 4), 4*time.Second)
-			requireDone(t, cluster, "n1", "wk-20", 14*time.Second) // one task at a time would take longer
+			requireDone(t, cluster, "n1", "wk-20", 14*time.Second) // would take longer with one task at a time
 		})
 	}
 }
@@ -81,7 +81,7 @@
 	addMachinesPerController(cluster, 3)
 	time.Sleep(5 * time.Second)
 	setSpareMachines(t, cluster, "n0", 9)
-	var acceptedRefs, unansweredRefs []string
+	var acceptedRefs, uncertainRefs []string
 	for i := range 24 {
 		spec := randomQuotaJob(rnd, i)
 		node := controllerNames[rnd.IntN(3)]
@@ -93,7 +93,7 @@
 			if response.Code == http.StatusCreated {
 				acceptedRefs = append(acceptedRefs, spec.Ref)
 			} else {
-				unansweredRefs = append(unansweredRefs, spec.Ref)
+				uncertainRefs = append(uncertainRefs, spec.Ref)
 			}
 		}
 		injectRandomFault(cluster, rnd)
@@ -102,7 +102,7 @@
 	for _, node := range controllerNames {
 		cluster.Store.DelayWatch(node, 0)
 	}
-	for _, ref := range unansweredRefs { // the job may have been accepted although no answer arrived
+	for _, ref := range uncertainRefs { // the job may have been accepted although the answer did not say so
 		if cluster.Poll("n1", ref).Code == http.StatusOK {
 			acceptedRefs = append(acceptedRefs, ref)
 		}
@@ -129,8 +129,8 @@
 	return spec
 }
 
-// injectRandomFault selects a random controller and crashes it for a while, has the store refuse it, loses
-// answers of the store, delays its watch, or does nothing.
+// injectRandomFault selects a random controller and crashes it for a while, has the store refuse it for a
+// while, drops some of the store's answers to it, delays its watch, or does nothing.
 func injectRandomFault(cluster *fake.Cluster, rnd *rand.Rand) {
 	node := controllerNames[rnd.IntN(3)]
 	isRunning := cluster.Nodes[node] != nil
@@ -155,7 +155,7 @@
 }
 
 // A team has used up its quota when the owner of its tasks crashes, some of the machines can't be
-// reached, and the jobs are cancelled during the failover. Tasks that may still run count against the
+// reached, and the team's jobs are cancelled during the failover. Tasks that may still run count against the
 // quota until they have certainly stopped, and the quota is available again soon after. The simulated
 // workers check that the quota is not exceeded.
 func TestQuotaIsNotExceededAcrossOwnerCrash(t *testing.T) {
--- a/internal/controller/quota_unknown_test.go
+++ b/internal/controller/quota_unknown_test.go
@@ -10,8 +10,8 @@
 
 // These scenarios fill a team's quota with the tasks of a job, cancel the job while the machines do not
 // receive the stop commands, and change the owner of the shard. The cancelled job's record is deleted by
-// then, so the new owner does not know how many resources the tasks use. The tasks must use up the quota
-// until they have stopped. The simulated workers check the quota.
+// then, so the new owner does not know how many resources the tasks use. The tasks must count against
+// the quota until they have stopped. The simulated workers check the quota.
 
 // fillQuotaAndCancel runs a job that uses the whole quota, blocks inbound messages to the job's machines
 // and cancels the job. It submits a second job of the team, which waits for the quota. It returns the
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -36,7 +36,7 @@
 }
 
 // measureProcessorTime submits random jobs for two minutes and logs the processor time used per minute. load
-// scales the submission rate: at a load of 1, it is 1.54 jobs a second for 1200 machines.
+// scales the submission rate: at a load of 1, the rate is 1.54 jobs a second for 1200 machines.
 func measureProcessorTime(t *testing.T, cluster *fake.Cluster, size int, load float64) {
 	t.Helper()
 	defer startAutoscalers(t, cluster)()
@@ -140,7 +140,7 @@
 	return 0
 }
 
-// isolateEveryNth isolates every n-th machine, or reconnects it.
+// isolateEveryNth isolates every n-th machine, or reconnects these machines.
 func isolateEveryNth(cluster *fake.Cluster, n int, isIsolated bool) {
 	for i, host := range cluster.Hosts() {
 		if i%n == 0 {
@@ -151,7 +151,7 @@
 
 // All controllers restart while a thousand workers run tasks, and all workers send heartbeats at the
 // same time. Every task continues on its machine, and new tasks start within seconds.
-func TestRestartWithThousandWorkers(t *testing.T) {
+func TestTasksContinueAfterRestartWithThousandWorkers(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 40*time.Second)
 		startedTasksBefore := len(cluster.StartCounts())
@@ -180,7 +180,7 @@
 // seconds, and no task is stopped and no machine released because of incomplete information. A task is
 // started only if it is new, or if its previous run has ended or the lease of that run's worker has
 // expired.
-func TestRestartWithQuarterOfMachinesUnreachable(t *testing.T) {
+func TestNoTaskStartedAgainAfterRestartWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 60*time.Second)
 		startsBefore := cluster.StartCounts()
@@ -217,7 +217,7 @@
 // A controller crashes while a quarter of all machines can't be reached. The new owner reaches the other
 // machines of the shard within seconds, since the timeouts of the probes of unreachable machines do not add
 // up.
-func TestFailoverWithQuarterOfMachinesUnreachable(t *testing.T) {
+func TestFailoverReachesWorkersWithQuarterOfMachinesUnreachable(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 50*time.Second)
 		isolateEveryNth(cluster, 4, true)
@@ -253,8 +253,8 @@
 }
 
 // The number of writes for a job does not depend on the number of machines. A gang needs six writes for its
-// acceptance, its claim and its completion. An array needs two writes for each shard's claim, and those that
-// record the done tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may
+// acceptance, its claim and its completion. An array needs two writes for each shard's claim, and further
+// writes that record the done tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may
 // claim tasks of the same job at the same moment.
 func TestWritesPerJobIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{120, 900} {
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -39,7 +39,7 @@
 		if cluster.Nodes["n0"].Controller.Healthy() {
 			t.Error("the controller is healthy according to a status from before the stall")
 		}
-		for range 40 { // from the moment it resumes
+		for range 40 { // for at least 2 s from the moment at which the controller resumes
 			if response := cluster.Poll("n0", "wk-1"); response.Code == http.StatusOK && response.Status != jobs.Cancelled {
 				t.Fatalf("an outdated status was answered: %+v", response)
 			}
@@ -88,7 +88,7 @@
 			t.Error("the shard of the cut-off controller was not acquired")
 		}
 		cluster.Store.RefuseNode("n0", false)
-		cluster.Store.SetOutage(true) // for all controllers; a single controller cannot know this
+		cluster.Store.SetOutage(true) // affects all controllers, which a single controller cannot see by itself
 		time.Sleep(8 * time.Second)
 		if !cluster.Nodes["n1"].Controller.Healthy() {
 			t.Error("a controller is unhealthy in an outage for all, when users can be sent to no other")
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -51,8 +51,8 @@
 		pending.waiters = append(pending.waiters, retry)
 		return
 	}
-	if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
-		done(finalResponse(ref, final))
+	if finalState, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
+		done(finalResponse(ref, finalState))
 		return
 	}
 	if !c.cache.Synced() {
@@ -68,8 +68,8 @@
 			retry()
 			return
 		}
-		if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
-			done(finalResponse(ref, final))
+		if finalState, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
+			done(finalResponse(ref, finalState))
 			return
 		}
 		c.answerFromCurrentCache(ref, done)
@@ -109,8 +109,8 @@
 
 // statusFromCache returns the status of a job from the current content of the cache.
 func (c *Controller) statusFromCache(ref string) Response {
-	if final, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
-		return finalResponse(ref, final)
+	if finalState, hasEnded := c.cache.CachedFinalState(ref); hasEnded {
+		return finalResponse(ref, finalState)
 	}
 	if job := c.state.Job(ref); job != nil && !job.HasEnded() {
 		return unfinishedResponse(job)
@@ -122,20 +122,20 @@
 // hold all final states. It may be called only when the cache is current and holds no unfinished job with
 // this reference: if there is no final state in the store either, the job was never accepted.
 func (c *Controller) answerFromStore(ref string, done func(Response)) {
-	c.cache.ReadFinalState(ref, func(final jobs.FinalState, exists bool, err error) {
+	c.cache.ReadFinalState(ref, func(finalState jobs.FinalState, exists bool, err error) {
 		switch {
 		case err != nil:
 			done(unavailable(reasonStoreUnavailable))
 		case !exists:
 			done(Response{Code: http.StatusNotFound, Error: "no such job"})
 		default:
-			done(finalResponse(ref, final))
+			done(finalResponse(ref, finalState))
 		}
 	})
 }
 
-func finalResponse(ref string, final jobs.FinalState) Response {
-	return Response{Code: http.StatusOK, Ref: ref, Status: final.Status, DoneTasks: final.Tasks}
+func finalResponse(ref string, finalState jobs.FinalState) Response {
+	return Response{Code: http.StatusOK, Ref: ref, Status: finalState.Status, DoneTasks: finalState.Tasks}
 }
 
 func unfinishedResponse(job *clusterstate.Job) Response {
--- a/internal/controller/submission_test.go
+++ b/internal/controller/submission_test.go
@@ -221,7 +221,7 @@
 
 // As long as no machine types are known, a controller can't tell which jobs can never run, and refuses
 // new jobs. It still answers the repeated submission of a known job.
-func TestRequestsBeforeMachineTypesAreKnown(t *testing.T) {
+func TestNewJobsRefusedBeforeMachineTypesAreKnown(t *testing.T) {
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 2, 1), 20*time.Second)
 		cluster.Store.Delete(jobs.MachineTypesKey)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// SubmitIf accepts a job if a condition on another record of the key-value store holds, which is checked
-// in the transaction that stores the job. If it does not hold, the answer has the code 409. If this
+// SubmitIf accepts a job if a condition on another record of the key-value store holds. The condition is
+// checked in the transaction that stores the job. If it does not hold, the answer has the code 409. If this
 // controller already knows the job, the answer is the job's status, whether or not the condition holds.
 // Submissions of users have priority over this one. The answer is sent to reply, which must have room
 // for it.
@@ -219,9 +219,9 @@
 	return newJob
 }
 
-// claimImmediately adds to an acceptance the claim of all tasks of a small job for a shard of this
-// controller whose machines have room for them, on the precondition that this controller still owns the
-// shard. It changes nothing if there is no such shard.
+// claimImmediately adds a claim of all tasks of a small job to the job's acceptance. The claim is for a
+// shard of this controller whose machines have room for the tasks, on the precondition that this
+// controller still owns the shard. claimImmediately changes nothing if there is no such shard.
 func (c *Controller) claimImmediately(newJob *acceptance) {
 	shard := c.scheduler.ShardForImmediateClaim(&newJob.record, c.inFlightClaimedTasks)
 	if shard == nil {
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(time.Second)
 		writesBefore := cluster.Store.WriteCount()
 		const jobCount = 240
-		for i := range jobCount { // 12 a second
+		for i := range jobCount { // 12 submissions a second
 			requireAccepted(t, cluster, controllerName(i), tinyJob(i), 8*time.Second)
 			time.Sleep(83 * time.Millisecond)
 		}
@@ -119,7 +119,7 @@
 // Tiny jobs are submitted, submitted again, polled and cancelled at random controllers, while controllers
 // crash, are refused by the store, receive the store's changes late and lose its answers. No answer may
 // contradict an earlier one, and every accepted job reaches a final state.
-func TestTinyJobsUnderRandomFaults(t *testing.T) {
+func TestTinyJobAnswersConsistentUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
