--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if taskRange != nil && taskRange.IsTentative() && !claimsSameTasks(taskRange.Record(), &record) {
-		// Another claim came first: one of another controller, or an earlier one of this
+		// Another claim came first: a claim of another controller, or an earlier claim of this
 		// controller.
 		s.UnplaceRange(taskRange)
 		taskRange = nil
--- a/internal/clusterstate/apply_job.go
+++ b/internal/clusterstate/apply_job.go
@@ -31,7 +31,7 @@
 }
 
 // ApplyJobRecord updates the state from a job's record. initialLoadDone tells whether the first load
-// of all records is over, see ApplyRangeRecord. spotInUse tells whether the autoscaler may use spot
+// of all records is over, as in ApplyRangeRecord. spotInUse tells whether the autoscaler may use spot
 // machines.
 func (s *State) ApplyJobRecord(record *jobs.JobRecord, revision uint64, initialLoadDone, spotInUse bool) {
 	job := s.jobs[record.Ref]
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -68,8 +68,8 @@
 // PendingCommands returns how many start and stop commands have not been sent to a machine yet.
 func (s *State) PendingCommands(machine *Machine) int { return s.machineUsage(machine).PendingCommands }
 
-// markMachineChanged records that a machine or the tasks on it have changed. The tables of free
-// capacity are updated when they are next requested, see FreeCapacity.
+// markMachineChanged records that a machine or the tasks on it have changed. FreeCapacity updates
+// the tables of free capacity when they are next requested.
 func (s *State) markMachineChanged(machine *Machine) {
 	entity.MarkUsageStale(machine)
 	if entity.BeginRecount(machine) {
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -23,12 +23,12 @@
 	if !job.IsGang() {
 		return
 	}
-	gang := entity.MutableGang(job)
+	gangAttempt := entity.MutableGang(job)
 	switch {
-	case gang.Attempt == 0 || !gang.Started:
-		*gang = entity.GangAttempt{Attempt: attempt, Started: true}
-	case gang.Attempt != attempt:
-		gang.Failed = true
+	case gangAttempt.Attempt == 0 || !gangAttempt.Started:
+		*gangAttempt = entity.GangAttempt{Attempt: attempt, Started: true}
+	case gangAttempt.Attempt != attempt:
+		gangAttempt.Failed = true
 	}
 }
 
@@ -39,17 +39,17 @@
 	if !job.IsGang() {
 		return
 	}
-	if gang := entity.MutableGang(job); gang.Started && assignment.Attempt() == gang.Attempt {
-		gang.Failed = true
+	if gangAttempt := entity.MutableGang(job); gangAttempt.Started && assignment.Attempt() == gangAttempt.Attempt {
+		gangAttempt.Failed = true
 	}
 }
 
 // StartGang marks a gang's attempt as started when a start command is sent for one of its tasks, and
 // reports whether it is the first start command of the attempt.
 func (s *State) StartGang(job *Job) (isFirst bool) {
-	gang := entity.MutableGang(job)
-	isFirst = !gang.Started
-	gang.Started = true
+	gangAttempt := entity.MutableGang(job)
+	isFirst = !gangAttempt.Started
+	gangAttempt.Started = true
 	return isFirst
 }
 
@@ -88,11 +88,11 @@
 // Once one task was started, the others may be started without this check. If the attempt has failed,
 // no task may be started.
 func (s *State) GangCanStart(job *Job) bool {
-	gang := entity.MutableGang(job)
-	if gang.Failed {
+	gangAttempt := entity.MutableGang(job)
+	if gangAttempt.Failed {
 		return false
 	}
-	if gang.Started {
+	if gangAttempt.Started {
 		return true
 	}
 	needByMachine := map[*Machine]capacity.Resources{}
@@ -132,7 +132,7 @@
 	if !job.IsGang() {
 		return
 	}
-	gang := entity.MutableGang(job)
+	gangAttempt := entity.MutableGang(job)
 	tasks := countGangTasks(job)
 	if tasks.placed == 0 {
 		if tasks.unknown == 0 {
@@ -144,12 +144,12 @@
 		// Some tasks are placed and some are not, since a machine was lost. If the gang still waits for
 		// free resources, it would never start, and its placed tasks would occupy their machines
 		// forever.
-		gang.Failed = true
+		gangAttempt.Failed = true
 	}
-	if !gang.Started && tasks.ready == 0 && entity.TimeSinceGangPlanned(job) > tuning.MaxPreemptionWait {
-		gang.Failed = true // the resources that the gang waited for did not become free in time
+	if !gangAttempt.Started && tasks.ready == 0 && entity.TimeSinceGangPlanned(job) > tuning.MaxPreemptionWait {
+		gangAttempt.Failed = true // the resources that the gang waited for did not become free in time
 	}
-	if gang.Failed {
+	if gangAttempt.Failed {
 		s.stopGangTasks(job, 0)
 	}
 }
--- a/internal/clusterstate/internal/entity/assignment.go
+++ b/internal/clusterstate/internal/entity/assignment.go
@@ -18,7 +18,8 @@
 	taskRange *TaskRange
 	index     int
 	attempt   uint64
-	// need is the resources that the task takes; zero unless needKnown is set, see SetNeedFromJob.
+	// need is the resources that the task takes; zero unless needKnown is set. SetNeedFromJob sets
+	// both.
 	need      capacity.Resources
 	needKnown bool
 	// checkpointIntervalSeconds is the checkpoint interval of the job; 0 if it saves no checkpoints.
@@ -104,7 +105,7 @@
 // Attempt returns the number of the task's attempt.
 func (a *Assignment) Attempt() uint64 { return a.attempt }
 
-// Need returns the resources that the task takes, or zero if they are not known, see NeedKnown.
+// Need returns the resources that the task takes, or zero if NeedKnown is false.
 func (a *Assignment) Need() capacity.Resources { return a.need }
 
 // NeedKnown reports whether the resources that the task takes are known. Workers do not report
--- a/internal/clusterstate/internal/entity/gangworkers.go
+++ b/internal/clusterstate/internal/entity/gangworkers.go
@@ -91,6 +91,5 @@
 // the range's gang workers is in flight, and none is needed.
 func (r *TaskRange) HostsAreRecorded() bool { return !r.hostsWriteInFlight && !r.NeedsHostsWrite() }
 
-// ClearGangWorkers clears the workers that a range's record names, so that its tasks may be on any
-// worker.
+// ClearGangWorkers clears the workers that a range's record names, so that MayBeOn allows every worker.
 func ClearGangWorkers(r *TaskRange) { r.record.GangWorkers = nil }
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -33,7 +33,7 @@
 
 	dependencyNode     *jobdag.Node // nil if the job has neither dependencies nor dependents
 	priority           jobs.Priority
-	ownDeadlines       jobdag.Deadlines // without the deadlines of dependents, see Deadlines
+	ownDeadlines       jobdag.Deadlines // without the deadlines of dependents, which Deadlines includes
 	blockedAtLastCheck bool             // whether the job was blocked by dependencies when UpdateBlocked or Unblock last checked
 
 	background bool
@@ -59,8 +59,8 @@
 // Ref returns the job's reference, which is unique.
 func (j *Job) Ref() string { return j.ref }
 
-// Record returns the job's record, for reading only. The record is empty as long as only claimed
-// ranges of the job are known, see HasRecord.
+// Record returns the job's record, for reading only. The record is empty as long as HasRecord returns
+// false.
 func (j *Job) Record() *jobs.JobRecord { return &j.record }
 
 // HasRecord reports whether the job's record is known. If not, only claimed ranges of the job are
@@ -94,8 +94,8 @@
 func (j *Job) Priority() jobs.Priority { return j.priority }
 
 // IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run
-// since one of them is cancelled. A blocked job is not included in quotas, reservations, counts or
-// claims.
+// since one of them is cancelled. A blocked job is left out of quotas, reservations, the demand for
+// capacity and claims.
 func (j *Job) IsBlocked() bool { return j.dependencyNode.IsBlocked() }
 
 // IsRunnable reports whether the job's tasks may be claimed and run: the job has not ended and is not
@@ -107,7 +107,7 @@
 func (j *Job) IsCancelledByDependency() bool { return j.dependencyNode.IsCancelledByDependency() }
 
 // DependencyNode returns the job's node in the dependency graph. It returns nil if the job has neither
-// dependencies nor dependents; the methods of the nil node may be called.
+// dependencies nor dependents; methods may be called on the nil node.
 func (j *Job) DependencyNode() *jobdag.Node { return j.dependencyNode }
 
 // Deadlines returns the times by which the job should be done, according to its own deadlines and
@@ -135,7 +135,7 @@
 	return j.record.WithDependenciesDone(time.UnixMilli(j.RunnableSinceMS()))
 }
 
-// Age returns the time since the job became runnable, see RunnableSinceMS.
+// Age returns the time since the job became runnable, which RunnableSinceMS returns.
 func (j *Job) Age(now time.Time) time.Duration {
 	return time.Duration(now.UnixMilli()-j.RunnableSinceMS()) * time.Millisecond
 }
@@ -233,7 +233,7 @@
 // SetEnded marks a job as ended: done or cancelled.
 func SetEnded(j *Job) { j.ended = true }
 
-// UpdateBestEffort determines whether a job is best-effort work now, see Job.IsBestEffort.
+// UpdateBestEffort determines whether a job is best-effort work now, for Job.IsBestEffort.
 func UpdateBestEffort(j *Job, now time.Time, spotInUse bool) {
 	j.bestEffort = j.background && j.record.Spot && spotInUse && j.Age(now) < tuning.BackgroundSpotOnlyPeriod
 }
--- a/internal/clusterstate/internal/entity/machine.go
+++ b/internal/clusterstate/internal/entity/machine.go
@@ -134,8 +134,8 @@
 // NoInboundChangedAt returns when HasNoInbound last changed.
 func (m *Machine) NoInboundChangedAt() time.Time { return m.times.NoInboundChangedAt }
 
-// IdleSince returns since when the machine has been empty or used only by work that is no reason to
-// keep it, see RunsOnlyBestEffort. It returns zero while other work uses the machine.
+// IdleSince returns since when RunsOnlyBestEffort has been true: the machine has been empty, or used only
+// by work that is no reason to keep the machine. It returns zero while other work uses the machine.
 func (m *Machine) IdleSince() time.Time { return m.times.IdleSince }
 
 // TimeSinceRegistration returns the time since the machine was registered.
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -29,10 +29,10 @@
 
 	recordedDoneCount   int          // number of tasks that the record lists as done
 	unrecordedDone      map[int]bool // tasks that are done but not yet recorded as done
-	unrecordedSince     time.Time    // see UnrecordedDone
-	recordWriteInFlight bool         // see HasWriteInFlight
+	unrecordedSince     time.Time    // second result of UnrecordedDone
+	recordWriteInFlight bool         // result of HasWriteInFlight
 
-	hostsWriteInFlight bool // see HasHostsWriteInFlight
+	hostsWriteInFlight bool // result of HasHostsWriteInFlight
 	// uncertainHostsRevision is the record's revision when a write of its gang workers got no
 	// answer: the recorded workers are not known until the record has a new revision.
 	uncertainHostsRevision uint64
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -37,15 +37,15 @@
 	freeCapacityBelow [jobs.PriorityCount]*capacity.Table
 	changedMachines   []*Machine // machines whose entries in these tables have to be updated
 
-	ownedMachines      []*Machine // see OwnedMachines
+	ownedMachines      []*Machine // cached result of OwnedMachines
 	ownedMachinesStale bool       // ownedMachines is outdated: a machine or the owner of a shard has changed
 	// machineCounts is the cached result of MachineCounts; nil if it has to be computed again.
 	machineCounts map[ShardGroup]int
 
-	dirty            bool        // see MarkDirty
-	changeCount      uint64      // see ChangeCount
-	urgentStops      []*Machine  // see TakeUrgentStops
-	failureTimes     []time.Time // when machines were lost, see RecentMachineFailures
+	dirty            bool        // result of IsDirty
+	changeCount      uint64      // result of ChangeCount
+	urgentStops      []*Machine  // next result of TakeUrgentStops
+	failureTimes     []time.Time // when machines were lost, for RecentMachineFailures
 	lastJobArrivedAt time.Time
 }
 
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -140,7 +140,7 @@
 }
 
 // newLoadedController returns a controller whose load grows with the number of machines: a hundred tasks
-// for each machine, see machineCounts, and one waiting gang for every ten machines.
+// for each machine, of which 16 run, and one waiting gang for every ten machines.
 func newLoadedController(b *testing.B, machines int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	return NewBenchController(b, machines, 100*machines, machines/10)
--- a/internal/controller/completion_test.go
+++ b/internal/controller/completion_test.go
@@ -21,7 +21,7 @@
 
 func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
-// completionRequests sends requests about jobs at about the time of their completion and collects the
+// completionRequests sends requests about jobs close to the time of their completion and collects the
 // answers by job.
 type completionRequests struct {
 	cluster *fake.Cluster
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -137,7 +137,7 @@
 
 // cancelDependents stores a final state for jobs that depend on a cancelled one. This is not urgent, since
 // users are answered from the dependency graph as soon as the cancellation is known. Only the first live
-// member does it, which saves writes (see IsFirstLiveMember). If two controllers consider themselves the
+// member (see IsFirstLiveMember) does it, which saves writes. If two controllers consider themselves the
 // first live member, the preconditions make the later transaction fail.
 func (c *Controller) cancelDependents(now time.Time) {
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -69,7 +69,7 @@
 
 // One task of a job completes long before the others. Before the others complete, the owner that knew of
 // the completion crashes, and in one case the machine that ran the task is lost as well. No completion may
-// be lost or counted twice, and no job may be answered as done before all its tasks are done.
+// be lost or counted twice, and no job may be reported as done before all its tasks are done.
 func TestOwnerCrashKeepsTaskCompletions(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// checkNoRecords checks that the store has no keys with these prefixes.
+// checkNoRecords checks that the store has no keys with the given prefixes.
 func checkNoRecords(t *testing.T, cluster *fake.Cluster, prefixes ...string) {
 	t.Helper()
 	var keys []string
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -88,7 +88,7 @@
 			t.Error("the shard of the cut-off controller was not acquired")
 		}
 		cluster.Store.RefuseNode("n0", false)
-		cluster.Store.SetOutage(true) // affects all controllers, which a single controller cannot see by itself
+		cluster.Store.SetOutage(true) // for all controllers, which a controller can only learn from its peers
 		time.Sleep(8 * time.Second)
 		if !cluster.Nodes["n1"].Controller.Healthy() {
 			t.Error("a controller is unhealthy in an outage for all, when users can be sent to no other")
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -16,8 +16,8 @@
 const maxBackoffDoublings = 4
 
 // Monitor tracks the controller's contact with workers by their heartbeats and by probes. A probe sends
-// a request to each worker of a sample; the owner of the Monitor starts one when heartbeats are
-// missing. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready to
+// a request to each worker of a sample; the owner of the Monitor starts a probe when heartbeats
+// are missing. A Monitor is not safe for concurrent use: a single actor owns it. Its zero value is ready to
 // use.
 type Monitor struct {
 	// lastContactAt is the time of the last heartbeat or successful probe. Tick and ShouldProbe set it to a
@@ -28,10 +28,10 @@
 	isProbing   bool
 	lastProbeAt time.Time
 
-	isUnreachable    bool
-	changedAt        time.Time // when isUnreachable last changed
-	recentLosses     int       // losses of contact that count for the backoff, see markUnreachable
-	successfulProbes int       // number of successful probes in succession while isUnreachable is set
+	isUnreachable        bool
+	changedAt            time.Time // when isUnreachable last changed
+	recentLossCount      int       // number of losses of contact that count for the backoff
+	successfulProbeCount int       // number of successful probes in succession while isUnreachable is set
 }
 
 // ObserveHeartbeat records that a worker's heartbeat has arrived.
@@ -123,26 +123,26 @@
 // passed since the last loss or restoration.
 func (m *Monitor) markUnreachable(now time.Time) {
 	if now.Sub(m.changedAt) > tuning.InboundLossBackoffReset {
-		m.recentLosses = 0
+		m.recentLossCount = 0
 	}
-	m.recentLosses++
+	m.recentLossCount++
 	m.isUnreachable = true
 	m.changedAt = now
-	m.successfulProbes = 0
+	m.successfulProbeCount = 0
 }
 
 // recordResultWhileUnreachable records a probe's result while workers are unreachable. It returns
 // Restored once enough probes in succession have succeeded and the backoff has passed.
 func (m *Monitor) recordResultWhileUnreachable(anyResponse bool, now time.Time) Transition {
 	if !anyResponse {
-		m.successfulProbes = 0
+		m.successfulProbeCount = 0
 		return NoTransition
 	}
-	m.successfulProbes++
+	m.successfulProbeCount++
 	// The backoff grows with each loss, so that an unstable link does not make the shards change
 	// owners each time it recovers.
-	backoff := tuning.InboundLossBackoff << min(m.recentLosses-1, maxBackoffDoublings)
-	if m.successfulProbes < tuning.ReachabilityProbeSuccesses || now.Sub(m.changedAt) <= backoff {
+	backoff := tuning.InboundLossBackoff << min(m.recentLossCount-1, maxBackoffDoublings)
+	if m.successfulProbeCount < tuning.ReachabilityProbeSuccesses || now.Sub(m.changedAt) <= backoff {
 		return NoTransition
 	}
 	m.isUnreachable = false
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -50,12 +50,12 @@
 	isProbeQueued    map[*clusterstate.Machine]bool
 	timer            *time.Timer // calls Run at timerDueAt; nil if no call is scheduled
 	timerDueAt       time.Time
-	// recentProbes and slowProbes are the numbers of probes in flight. A probe is slow once
+	// recentProbeCount and slowProbeCount are the numbers of probes in flight. A probe is slow once
 	// tuning.SlowFirstContactAfter has passed without an answer. Slow probes will most likely not be
 	// answered, and count only against the larger limit in isAtProbeLimit. Otherwise they would delay
 	// the probes of reachable workers: while 230 workers of a shard were behind a network partition,
 	// it took 15 s to probe the others.
-	recentProbes, slowProbes int
+	recentProbeCount, slowProbeCount int
 }
 
 // NewFirstContact returns a FirstContact with empty queues. prober may be nil: then no worker is
@@ -203,8 +203,8 @@
 }
 
 func (c *FirstContact) isAtProbeLimit() bool {
-	return c.recentProbes >= tuning.MaxConcurrentFirstContacts ||
-		c.recentProbes+c.slowProbes >= tuning.MaxOpenFirstContacts
+	return c.recentProbeCount >= tuning.MaxConcurrentFirstContacts ||
+		c.recentProbeCount+c.slowProbeCount >= tuning.MaxOpenFirstContacts
 }
 
 // heartbeatWait returns how much longer to wait for a worker's next heartbeat before the worker is
@@ -254,7 +254,7 @@
 // sendProbe probes a worker in a goroutine, which ends with the mailbox's context at the latest.
 func (c *FirstContact) sendProbe(machine *clusterstate.Machine, fencingToken uint64) {
 	p := &probe{}
-	c.recentProbes++
+	c.recentProbeCount++
 	slowTimer := c.mailbox.SendAfter(tuning.SlowFirstContactAfter, func() { c.markSlow(p) })
 	addr, agentEpoch := machine.Record().Addr, max(1, c.sessions.AgentEpoch(machine))
 	go func() {
@@ -281,16 +281,16 @@
 		return // the probe completed while the timer's message was queued
 	}
 	p.isSlow = true
-	c.recentProbes--
-	c.slowProbes++
+	c.recentProbeCount--
+	c.slowProbeCount++
 	c.Run()
 }
 
 func (c *FirstContact) markDone(p *probe) {
 	p.isDone = true
 	if p.isSlow {
-		c.slowProbes--
+		c.slowProbeCount--
 	} else {
-		c.recentProbes--
+		c.recentProbeCount--
 	}
 }
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -52,11 +52,11 @@
 		return recovery
 	}
 	recovery = &shardRecovery{
-		epoch:           shard.Epoch(),
-		acquiredAt:      shard.KnownSince(),
-		recordedWorkers: r.State.MachineCountIn(shard.ID()),
-		commandsSent:    map[string]int{},
-		exemptWorkers:   map[*clusterstate.Machine]bool{},
+		epoch:               shard.Epoch(),
+		acquiredAt:          shard.KnownSince(),
+		recordedWorkerCount: r.State.MachineCountIn(shard.ID()),
+		commandsSent:        map[string]int{},
+		exemptWorkers:       map[*clusterstate.Machine]bool{},
 	}
 	r.recoveries[shard.ID()] = recovery
 	return recovery
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -36,12 +36,12 @@
 
 // shardRecovery is the recovery of one shard under one epoch.
 type shardRecovery struct {
-	epoch            uint64
-	acquiredAt       time.Time
-	reconciledAt     time.Time
-	recordedWorkers  int    // number of workers that had a record when the shard was acquired
-	confirmedWorkers int    // number of workers that reported under the epoch or were part of a transfer
-	lastConfirmed    string // host name of the worker that was confirmed last
+	epoch                uint64
+	acquiredAt           time.Time
+	reconciledAt         time.Time
+	recordedWorkerCount  int    // number of workers that had a record when the shard was acquired
+	confirmedWorkerCount int    // number of workers that reported under the epoch or were part of a transfer
+	lastConfirmed        string // host name of the worker that was confirmed last
 	// exemptWorkers need not be confirmed, because no command was ever sent to them.
 	exemptWorkers map[*clusterstate.Machine]bool
 	discrepancies [discrepancyCount]int // number of occurrences
@@ -50,7 +50,7 @@
 
 // confirm counts a worker as confirmed.
 func (s *shardRecovery) confirm(machine *clusterstate.Machine) {
-	s.confirmedWorkers++
+	s.confirmedWorkerCount++
 	s.lastConfirmed = machine.Host()
 }
 
@@ -81,8 +81,8 @@
 // logAttributes returns the figures of the recovery for a log line.
 func (s *shardRecovery) logAttributes() []any {
 	return []any{
-		slog.Int("recorded_workers", s.recordedWorkers),
-		slog.Int("confirmed_workers", s.confirmedWorkers),
+		slog.Int("recorded_workers", s.recordedWorkerCount),
+		slog.Int("confirmed_workers", s.confirmedWorkerCount),
 		slog.String("last_confirmed", s.lastConfirmed),
 		slog.Any("discrepancies", s.discrepancyCounts()),
 		slog.Any("commands_sent", s.commandsSent),
--- a/internal/reconciliation/view.go
+++ b/internal/reconciliation/view.go
@@ -41,8 +41,8 @@
 		Shard:            shard.ID(),
 		Stage:            stage.String(),
 		SinceS:           now.Sub(recovery.acquiredAt).Seconds(),
-		RecordedWorkers:  recovery.recordedWorkers,
-		ConfirmedWorkers: recovery.confirmedWorkers,
+		RecordedWorkers:  recovery.recordedWorkerCount,
+		ConfirmedWorkers: recovery.confirmedWorkerCount,
 		Discrepancies:    recovery.discrepancyCounts(),
 		CommandsSent:     recovery.commandsSent,
 	}
