--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -80,7 +80,7 @@
 	isFromOtherEpoch := shard == nil || claim.Epoch != shard.Epoch()
 	if taskRange != nil && taskRange.IsTentative() && isFromOtherEpoch {
 		// The durable claim was not made in the shard's current epoch, even if it looks like the
-		// tentative claim: its tasks may be running.
+		// tentative claim, so the tasks of the durable claim may be running.
 		s.UnplaceRange(taskRange)
 		entity.RemoveTaskRange(job, 0)
 		taskRange = nil
--- a/internal/clusterstate/assignments.go
+++ b/internal/clusterstate/assignments.go
@@ -140,8 +140,8 @@
 	entity.MutableStatus(assignment).StartSent = false
 }
 
-// UpdateStatus sets a task's status as reported by its worker, and reports whether it is the same as
-// before.
+// UpdateStatus sets a task's status as reported by its worker, and reports whether the status is the same
+// as before.
 func (s *State) UpdateStatus(assignment *Assignment, workerStatus workerapi.TaskState, now time.Time) (isUnchanged bool) {
 	status := entity.MutableStatus(assignment)
 	isUnchanged = status.Reported && status.WorkerStatus == workerStatus
--- a/internal/clusterstate/internal/entity/taskrange_done.go
+++ b/internal/clusterstate/internal/entity/taskrange_done.go
@@ -45,7 +45,7 @@
 // BeginWrite marks the beginning of a write of the range's record.
 func (r *TaskRange) BeginWrite() { r.recordWriteInFlight = true }
 
-// EndWrite marks the end of a write of the range's record that does not record done tasks.
+// EndWrite marks the end of a write, begun with BeginWrite, that records no done tasks.
 func (r *TaskRange) EndWrite() { r.recordWriteInFlight = false }
 
 // EndDoneWrite marks the end of a write that records done tasks. The wait of the done tasks that are
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -55,7 +55,7 @@
 		h.AddJob(jobs.Spec{Ref: ref, Kind: jobs.Array, Urgency: "normal", Tasks: 2, CPU: cpu, Spot: spot}, 0, 4)
 		h.AddTaskRange(ref, "n1", 2, 5)
 	}
-	addJob("wk-1", 7, false) // cannot be on i-2, a spot machine; may be on i-3 while its type is unknown
+	addJob("wk-1", 7, false) // cannot be on i-2, a spot machine; may be on i-3 while the type of i-3 is unknown
 	addJob("wk-2", 7, true)  // could be on i-2
 	addJob("wk-3", 1, false) // could be on i-3
 	h.SetOwner("n1", harness.Self, 6)
@@ -77,8 +77,8 @@
 	}
 }
 
-// A shard was acquired while many new machines started. At any time one of them had not sent two
-// heartbeats yet, so tasks that had been claimed before the acquisition waited for the last of these
+// A shard was acquired while many new machines started. At any time at least one of them had not sent
+// two heartbeats yet, so tasks that had been claimed before the acquisition waited for the last of these
 // machines. No previous owner can have sent a command to a worker that registered after the
 // acquisition.
 func TestMachinesRegisteredSinceAcquisitionAreNotAwaited(t *testing.T) {
--- a/internal/workerapi/command_client.go
+++ b/internal/workerapi/command_client.go
@@ -152,7 +152,7 @@
 
 // encodeRequest returns an HTTP request in its wire form. body is JSON, or nil for a request without a body.
 func encodeRequest(method, addr, path string, body []byte) []byte {
-	const headersSize = 256 // bytes; longer headers only cost another allocation
+	const headersSize = 256 // in bytes; longer headers only cost another allocation
 	request := make([]byte, 0, headersSize+len(body))
 	request = append(request, method+" "+path+" HTTP/1.1\r\nHost: "+addr+"\r\nConnection: close\r\n"...)
 	if body != nil {
