--- a/internal/clusterstate/apply_claim.go
+++ b/internal/clusterstate/apply_claim.go
@@ -6,9 +6,9 @@
 	"cherrywall/internal/membership"
 )
 
-// NewTentativeRange returns a range for a shard's claim of a job's tasks that is not durable yet. It
-// is not part of the state until AddTentativeRange is called, but its tasks may already be placed. zone
-// is the zone in which the tasks have to run, "" for any zone.
+// NewTentativeRange returns a range for a shard's claim of a job's tasks. The claim is not durable yet.
+// The range is not part of the state until AddTentativeRange is called, but its tasks may already be
+// placed. zone is the zone in which the tasks have to run, "" for any zone.
 func (s *State) NewTentativeRange(job *Job, shard *membership.Shard, interval jobs.TaskInterval, zone string) *TaskRange {
 	record := jobs.RangeRecord{Shard: shard.ID(), Count: interval.Count, Zone: zone}
 	return entity.NewTentativeTaskRange(job, interval.First, record)
@@ -80,7 +80,7 @@
 	isFromOtherEpoch := shard == nil || claim.Epoch != shard.Epoch()
 	if taskRange != nil && taskRange.IsTentative() && isFromOtherEpoch {
 		// The durable claim was not made in the shard's current epoch, even if it looks like the
-		// tentative claim: its tasks may be running.
+		// tentative claim, so the tasks of the durable claim may be running.
 		s.UnplaceRange(taskRange)
 		entity.RemoveTaskRange(job, 0)
 		taskRange = nil
@@ -106,7 +106,7 @@
 		return
 	}
 	if taskRange != nil && taskRange.IsTentative() && !claimsSameTasks(taskRange.Record(), &record) {
-		// Another claim came first: one of another controller, or an earlier one of this
+		// Another claim came first: a claim of another controller, or an earlier claim of this
 		// controller.
 		s.UnplaceRange(taskRange)
 		taskRange = nil
@@ -151,9 +151,9 @@
 	s.clearUnreliableGangWorkers(taskRange)
 }
 
-// clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if a later
-// owner of the shard may have started the gang's tasks on other workers without recording them (see
-// membership.Shard.TrustsGangWorkers).
+// clearUnreliableGangWorkers clears the list of workers in the record of a gang's range if, since the
+// record was written, an owner of the shard may have started the gang's tasks on workers that it did not
+// record (see membership.Shard.TrustsGangWorkers).
 func (s *State) clearUnreliableGangWorkers(taskRange *TaskRange) {
 	shard := s.shards.Shard(taskRange.Record().Shard)
 	if shard == nil || !shard.TrustsGangWorkers(taskRange.Revision()) {
