--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -44,7 +44,7 @@
 }
 
 // Ask has the actor call compute, waits for the call and returns its result. ok is false if the actor ends
-// before that. The actor itself must not call Ask, since it would deadlock.
+// before the result is available. The actor itself must not call Ask, since it would deadlock.
 func Ask[T any](m *Mailbox, compute func() T) (answer T, ok bool) {
 	answers := make(chan T, 1)
 	m.Send(func() { answers <- compute() })
--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -15,15 +15,15 @@
 // by which the class is likely to grow while a machine boots.
 type GrowthBuffer struct {
 	Record *jobs.JobRecord    // the latest job of the class
-	Need   capacity.Resources // of one task
-	Tasks  float64            // a statistical estimate, not a whole number
+	Need   capacity.Resources // resources that one task needs
+	Tasks  float64            // number of tasks; a statistical estimate, which need not be a whole number
 }
 
 // RunningJob is a running gang or service.
 type RunningJob struct {
 	Class              string
 	Tasks              int
-	ExpectedRunSeconds float64 // expected run time
+	ExpectedRunSeconds float64 // expected run time of each task
 }
 
 // GrowthBuffers returns the growth buffers of the classes of urgent gangs. The other classes have none:
@@ -52,7 +52,7 @@
 }
 
 // expectedArrivals returns the expected number of tasks that arrive during a boot, and the variance of
-// that number. The class must have arrivals: a class for which isInactive is false has some.
+// that number. The class must have at least one arrival, as it has if isInactive returns false.
 func (c *classStats) expectedArrivals(now time.Time, bootSeconds float64) (tasks, variance float64) {
 	sum, sumOfSquares := 0.0, 0.0
 	for _, arrival := range c.arrivals {
@@ -73,10 +73,10 @@
 	return size * probability, size * size * probability * (1 - probability)
 }
 
-// ExpectedLoad is the expected load of the arriving jobs of a class of arrays.
+// ExpectedLoad is the load that the arriving jobs of a class of arrays are expected to cause.
 type ExpectedLoad struct {
 	Record  *jobs.JobRecord // the latest job of the class
-	PeakCPU float64         // CPUs in use at the same time
+	PeakCPU float64         // number of CPUs that are used at the same time
 }
 
 // ExpectedLoads returns the expected loads by class, for the classes of arrays that have a service-level
--- a/internal/classstats/stats.go
+++ b/internal/classstats/stats.go
@@ -16,7 +16,7 @@
 
 // classStats are the statistics of one class.
 type classStats struct {
-	runTimeRatio float64   // moving mean of actual over estimated run time
+	runTimeRatio float64   // moving mean of the ratio of actual to estimated run times
 	sampleCount  int       // number of tasks that contributed to runTimeRatio
 	arrivals     []arrival // in the order of arrivedAt
 	lastJob      *jobs.JobRecord
@@ -61,9 +61,9 @@
 
 // addArrival inserts an arrival after all arrivals of the same or an earlier time, and drops the earliest
 // arrival if there are more than tuning.MaxRecordedArrivals.
-func (c *classStats) addArrival(added arrival) {
-	index, _ := slices.BinarySearchFunc(c.arrivals, added.arrivedAt.Add(1), func(a arrival, at time.Time) int { return a.arrivedAt.Compare(at) })
-	c.arrivals = slices.Insert(c.arrivals, index, added)
+func (c *classStats) addArrival(newArrival arrival) {
+	index, _ := slices.BinarySearchFunc(c.arrivals, newArrival.arrivedAt.Add(1), func(a arrival, at time.Time) int { return a.arrivedAt.Compare(at) })
+	c.arrivals = slices.Insert(c.arrivals, index, newArrival)
 	if len(c.arrivals) > tuning.MaxRecordedArrivals {
 		c.arrivals = c.arrivals[1:]
 	}
--- a/internal/cronschedule/schedule.go
+++ b/internal/cronschedule/schedule.go
@@ -75,13 +75,13 @@
 // five years.
 func (s *Schedule) Next(after time.Time) time.Time {
 	if s.matchesEveryHour {
-		return s.nextIn(s.zone, after.In(s.zone))
+		return s.nextInLocation(s.zone, after.In(s.zone))
 	}
 	// Search in wall clock time, as if the zone never changed its clocks. In the zone itself, the cron library
 	// would skip times that do not exist, and would return both occurrences of times that occur twice.
 	wallClock := toWallClock(after.In(s.zone))
 	for {
-		wallClock = s.nextIn(time.UTC, wallClock)
+		wallClock = s.nextInLocation(time.UTC, wallClock)
 		if wallClock.IsZero() {
 			return wallClock
 		}
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Schedule) nextIn(location *time.Location, after time.Time) time.Time {
+func (s *Schedule) nextInLocation(location *time.Location, after time.Time) time.Time {
 	spec := s.spec
 	spec.Location = location
 	return spec.Next(after)
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -14,7 +14,7 @@
 // the result does not overflow before it is limited to tuning.MaxJobBackoff.
 const maxBackoffShift = 10
 
-// Thresholds are the operators' settings.
+// Thresholds are the operators' settings for the attribution of faults.
 type Thresholds struct {
 	// MachineFailures is the number of failures of a single job that are sufficient evidence
 	// against a machine. Failures of two jobs are always sufficient.
@@ -177,9 +177,9 @@
 }
 
 // markMachineIfFaulty marks a machine as faulty if the evidence is sufficient. It reports whether
-// it has marked the machine, which is false if the machine was already marked. Several faulty jobs
-// that meet on a machine must not be sufficient, however many they are. Therefore at least one of
-// the jobs must have succeeded elsewhere.
+// it has marked the machine, which is false if the machine was already marked. Faulty jobs alone
+// must never make a machine count as faulty, however many of them fail on it. Therefore at least
+// one of the jobs must have succeeded elsewhere.
 func (a *Attributor) markMachineIfFaulty(machine *machineEvidence, thresholds Thresholds) bool {
 	if machine.isFaulty {
 		return false
@@ -189,8 +189,9 @@
 	return machine.isFaulty
 }
 
-// RecordSuccess records that a job's task was done, or runs well, on a machine. It returns the
-// machines that are found at fault for the job's earlier failures due to this success.
+// RecordSuccess records that a job's task was done, or runs well, on a machine. This success may
+// show that other machines are at fault for the job's earlier failures there; RecordSuccess returns
+// these machines.
 func (a *Attributor) RecordSuccess(ref, host string, thresholds Thresholds) (faultyHosts []string) {
 	if machine := a.machines[host]; machine != nil {
 		clear(machine.failuresByJob)
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -8,8 +8,9 @@
 
 var thresholds = Thresholds{MachineFailures: 3, JobFaultMachines: 3}
 
-// Guards against a fault in which two faulty arrays that met on a machine caused its quarantine,
-// and a faulty job was paused only after it had caused the quarantine of several machines.
+// Guards against a fault in which two faulty arrays that failed on the same machine caused its
+// quarantine, and a faulty job was paused only after it had caused the quarantine of several
+// machines.
 func TestFaultyJobsDoNotMakeHealthyMachinesFaulty(t *testing.T) {
 	attributor, now := New(), time.Now()
 	pausedJobs := map[string]bool{}
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -11,7 +11,7 @@
 var jobKinds = map[string]jobs.Kind{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang}
 
 // compileSpec makes the spec that is submitted to the cluster. It reports fields that are missing or out of
-// range, exceeded limits of the job's class, and the reason why the cluster cannot run the job if that is so.
+// range, exceeded limits of the job's class and, if the cluster cannot run the job, the reason.
 func (j *jobCompiler) compileSpec() {
 	keys, spec := &j.keys.Cluster, &j.job.Spec
 	*spec = newSpec(&j.keys)
--- a/internal/pipeline/needs.go
+++ b/internal/pipeline/needs.go
@@ -41,8 +41,8 @@
 }
 
 // addNeeds adds needed jobs to a job, and reports needed jobs that are in later stages.
-func (c *compiler) addNeeds(job *Job, entry need, needed []int) {
-	for _, i := range needed {
+func (c *compiler) addNeeds(job *Job, entry need, neededJobs []int) {
+	for _, i := range neededJobs {
 		if stage := c.plan.Jobs[i].Stage; stage > job.Stage {
 			c.addProblem(entry.node, "%s.needs: %q is in the later stage %s", job.Name, entry.Job, c.plan.Stages[stage])
 		}
--- a/internal/pipeline/node.go
+++ b/internal/pipeline/node.go
@@ -70,14 +70,14 @@
 // treeCopier copies trees of nodes. It limits the number of copied nodes, because a small file with nested
 // aliases grows exponentially when they are resolved.
 type treeCopier struct {
-	copiedNodes int // total of all calls of copyTree
+	copiedNodeCount int // number of nodes that all calls of copyTree together have copied
 }
 
 // copyTree copies a node and the tree below it, with aliases resolved and merge keys applied. The caller may
 // change the copy. copyTree returns an error if the copies exceed the limits on nodes or depth.
 func (c *treeCopier) copyTree(node *yaml.Node, depth int) (*yaml.Node, error) {
 	node = resolveAlias(node)
-	if c.copiedNodes++; c.copiedNodes > tuning.MaxPipelineNodes || depth > tuning.MaxPipelineDepth {
+	if c.copiedNodeCount++; c.copiedNodeCount > tuning.MaxPipelineNodes || depth > tuning.MaxPipelineDepth {
 		return nil, newPositionError(node, "the file unfolds to too much data; use fewer or smaller aliases and extends")
 	}
 	if node.Tag == "!reference" {
--- a/internal/pipeline/parse_test.go
+++ b/internal/pipeline/parse_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// A file with nested aliases that grow exponentially when they are resolved, and jobs that extend each other,
-// are rejected within a few seconds.
+// A file with nested aliases that grow exponentially when they are resolved is rejected within a few seconds.
+// A file whose jobs extend each other is rejected, too.
 func TestExponentialAliasesAndExtendsCyclesAreRejected(t *testing.T) {
 	var nestedAliases strings.Builder
 	nestedAliases.WriteString("v0: &v0 {script: [x, x, x, x, x, x, x, x, x]}\n")
--- a/internal/pipeline/problem.go
+++ b/internal/pipeline/problem.go
@@ -93,8 +93,8 @@
 	c.addProblem(node, "%s: %s", key, describeDecodeError(err))
 }
 
-// expectedTypes maps parts of the YAML library's texts of type errors to texts for users.
-var expectedTypes = []struct{ libraryText, text string }{
+// typeErrorTexts maps parts of the YAML library's texts of type errors to texts for users.
+var typeErrorTexts = []struct{ libraryText, text string }{
 	{"into int", "must be a whole number"},
 	{"into float64", "must be a number"},
 	{"into bool", "must be true or false"},
@@ -110,7 +110,7 @@
 		return err.Error()
 	}
 	libraryText := strings.Join(typeError.Errors, "; ")
-	for _, expected := range expectedTypes {
+	for _, expected := range typeErrorTexts {
 		if strings.Contains(libraryText, expected.libraryText) {
 			return expected.text
 		}
--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -32,18 +32,19 @@
 // ObserveFunc returns the observation of the current attempt of a job, which is given by its index in the plan.
 type ObserveFunc func(job int) Observation
 
-// Action is a submission or cancellation of a job's current attempt. Before an action is performed, those parts
-// of the job states after Step that another controller could not determine by itself must be recorded.
-// Otherwise a controller that continues the run might decide differently.
+// Action is a submission or cancellation of a job's current attempt. Step has also changed the job states.
+// Before an action is performed, those changes that another controller could not determine by itself must be
+// recorded. Otherwise a controller that continues the run might decide differently.
 type Action struct {
 	Job           int  // index in the plan
 	Submit        bool // true for a submission, false for a cancellation
 	RequiresGroup bool // submit only while the job owns its resource group
 }
 
-// Step advances the run as far as the observations allow, and returns the actions that are due. Each call
-// returns an action again until its effect is observed. Step is deterministic: a controller that continues
-// the run from the same record with the same observations reaches the same states.
+// Step advances the run as far as the observations allow, and returns the actions that are due. An action
+// is returned again by each call until the observations show its effect. Step is deterministic: a
+// controller that continues the run from the same record with the same observations reaches the same
+// states.
 func (e *Execution) Step(nowMS int64, observe ObserveFunc) []Action {
 	for {
 		var actions []Action
--- a/internal/pipelineexec/progress.go
+++ b/internal/pipelineexec/progress.go
@@ -15,7 +15,7 @@
 type JobState struct {
 	Status          Status
 	Attempt         int                   // number of the current attempt, from 0
-	Salt            int                   // number of ids of the attempt that were already taken by jobs of other users; see JobRef
+	Salt            int                   // how many previous ids of the attempt were already taken by jobs of other users; JobRef uses it to make a new id
 	DelayedUntilMS  int64                 // Unix ms; 0 if the current attempt was never Delayed
 	Cause           pipeline.FailureCause // why the job is being cancelled, was cancelled or failed
 	ManuallyStarted bool
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -12,8 +12,8 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-// The controller that leads the run crashes after each write to the store in turn. Every job must
-// still be done, and no task may run twice.
+// In each subtest, the controller that leads the run crashes after one more write to the store than
+// in the previous subtest. Every job must still be done, and no task may run twice.
 func TestRunSucceedsDespiteLeaderCrashAfterEachWrite(t *testing.T) {
 	for step := range 16 {
 		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
@@ -174,10 +174,10 @@
 
 // A run succeeds although the store is down for 12 seconds while its jobs are submitted or end.
 func TestRunSucceedsDespiteStoreOutage(t *testing.T) {
-	for _, after := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
+	for _, delay := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
 		runScenario(t, func(_ *testing.T, c *testCluster) {
 			c.create("n0", "run-6", diamond)
-			time.Sleep(after * time.Millisecond)
+			time.Sleep(delay * time.Millisecond)
 			c.Store.SetOutage(true)
 			time.Sleep(12 * time.Second)
 			c.Store.SetOutage(false)
--- a/internal/pipelinerun/groups.go
+++ b/internal/pipelinerun/groups.go
@@ -6,7 +6,7 @@
 // belong to several runs, only the owner may be in progress.
 type resourceGroup struct {
 	groupOwner
-	revision uint64 // of the group's record
+	revision uint64 // revision of the group's record
 }
 
 // acquireGroup reports whether a job owns its group. If the group is free or its owner has
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// awaitResponse waits in a goroutine of its own for the controller's response to a call for an
+// awaitResponse waits in a goroutine of its own for the controller's response to a call about an
 // attempt. It passes the response to handle on the actor's goroutine, unless the run is no longer
 // known.
 func (l *Leader) awaitResponse(run *runState, ref string, reply <-chan controller.Response, handle func(response controller.Response)) {
--- a/internal/pipelinerun/jobs_test.go
+++ b/internal/pipelinerun/jobs_test.go
@@ -138,7 +138,8 @@
 	starts   map[string]int
 }
 
-// recordPlacements records the machines on which the tasks of a plan run now.
+// recordPlacements records the machines on which the tasks of a plan run now, and then waits for 10
+// ms.
 func (history *runHistory) recordPlacements(c *testCluster, plan *pipeline.Plan, runID string) {
 	for i, job := range plan.Jobs {
 		for k := range job.Spec.Tasks {
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -57,11 +57,11 @@
 	log        *slog.Logger
 	metrics    *leaderMetrics
 
-	inbox          inbox
-	isSynced       bool            // set once all records have been listed for the first time
-	isLoading      bool            // set while a listing is in flight
-	reloadRequests int             // how often events were missed; a change during a listing makes the listing obsolete
-	pendingEvents  []kvstore.Event // received, but not applied yet
+	inbox              inbox
+	isSynced           bool            // set once all records have been listed for the first time
+	isLoading          bool            // set while a listing is in flight
+	reloadRequestCount int             // how often events were missed; if the count changes during a listing, the listing is obsolete
+	pendingEvents      []kvstore.Event // received, but not applied yet
 
 	runs           map[string]*runState          // unfinished, by id
 	resourceGroups map[string]resourceGroup      // by key
--- a/internal/pipelinerun/load_test.go
+++ b/internal/pipelinerun/load_test.go
@@ -11,7 +11,7 @@
 )
 
 // A run with 500 jobs in one file succeeds, and small runs take at most 3.5 writes to the store
-// each.
+// each on average.
 func TestLargeRunSucceedsAndSmallRunsNeedFewWrites(t *testing.T) {
 	var file strings.Builder
 	file.WriteString(fileHeader)
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -17,7 +17,7 @@
 type runState struct {
 	id       string
 	record   runRecord
-	revision uint64 // of the record
+	revision uint64 // revision of the record
 	// epoch is the home shard's epoch in which this controller leads the run, or 0 if it does not
 	// lead the run.
 	epoch         uint64
@@ -205,7 +205,8 @@
 
 // finishRun replaces the record of a run by its final record, which never changes. In the same
 // transaction it releases as many of the run's resource groups as the limits of the store allow.
-// The other groups become free as well, since an owner whose run is not known counts as finished.
+// The other groups become free as well, since acquireGroup treats an owner whose run is unknown as
+// finished.
 func (l *Leader) finishRun(run *runState, status pipelineexec.RunStatus, now time.Time) {
 	run.execution.SkipOptional()
 	record := run.record
--- a/internal/pipelinerun/schedule_test.go
+++ b/internal/pipelinerun/schedule_test.go
@@ -22,7 +22,7 @@
 func TestScheduleStartsOneRunPerTimeDespiteOutageAndFailover(t *testing.T) {
 	const file = fileHeader + "a: {stage: one}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) { // the simulated time starts on 2000-01-01 at 00:00:08 UTC
-		// prevents a scale-out
+		// With six spare machines in each shard, no idle machine is released.
 		if err := c.ChangeSettings("n0", func(s *admin.Settings) { s.SpareMachines = 6 }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -25,7 +25,7 @@
 // scheduleState is this controller's state of a schedule.
 type scheduleState struct {
 	scheduleRecord
-	revision      uint64 // of the record
+	revision      uint64 // revision of the record
 	writeInFlight bool
 	pausedUntil   time.Time
 }
--- a/internal/pipelinerun/sync.go
+++ b/internal/pipelinerun/sync.go
@@ -21,7 +21,7 @@
 // records have to be listed again.
 func (l *Leader) handleEvents(events []kvstore.Event, needsReload bool) {
 	if needsReload {
-		l.reloadRequests++
+		l.reloadRequestCount++
 		if !l.isLoading {
 			l.isLoading = true
 			go l.loadRecords(l.mailbox.Context())
@@ -49,7 +49,7 @@
 // context ends. It lists them again if events were missed during the listing.
 func (l *Leader) loadRecords(ctx context.Context) {
 	for ctx.Err() == nil {
-		reloadRequests, _ := actor.Ask(l.mailbox, func() int { return l.reloadRequests })
+		reloadRequestCount, _ := actor.Ask(l.mailbox, func() int { return l.reloadRequestCount })
 		rows, err := l.listRecords(ctx)
 		if err != nil {
 			if kvstore.Sleep(ctx, tuning.MaxRetryDelay) != nil {
@@ -58,7 +58,7 @@
 			continue
 		}
 		isApplied, _ := actor.Ask(l.mailbox, func() bool {
-			if l.reloadRequests != reloadRequests {
+			if l.reloadRequestCount != reloadRequestCount {
 				return false
 			}
 			l.applyListing(rows)
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -49,7 +49,8 @@
 	return ScheduleView{Name: s.Name, Cron: s.Cron, Zone: s.Zone, NextAtMS: s.NextAtMS, LastRun: s.LastRun}
 }
 
-// observeFunc returns what is known about a job's current attempt. job is its index in the plan.
+// observeFunc returns what is known about a job's current attempt. job is the job's index in the
+// plan.
 type observeFunc func(job int) pipelineexec.Observation
 
 // newRunView returns the view of a run. execution is nil if the plan was not read. observe is nil
