--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -41,13 +41,13 @@
 	return spec, e.workload.runTimes[ref], true
 }
 
-func (e environment) AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer {
+func (e environment) AfterFetch(fetchTime time.Duration, onFetched func()) *time.Timer {
 	return time.AfterFunc(fetchTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		host := e.worker.Host
 		if !e.IsFrozen(host) && e.workers[host] == e.worker && e.ctx.Err() == nil {
-			fetched()
+			onFetched()
 		}
 	})
 }
@@ -71,7 +71,8 @@
 	return runTime
 }
 
-// TaskDone records that a task is done. The first task of a gang that is done completes all tasks of the gang.
+// TaskDone records that a task is done. When the first task of a gang is done, all tasks of the gang count as
+// done.
 func (e environment) TaskDone(task *workeragent.Task) {
 	spec := task.Spec
 	doneTasks := e.workload.doneTasks[spec.Ref]
--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -52,7 +52,7 @@
 func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
 // checkTasksRan checks that all tasks of a done job were started. For a gang one started task is enough,
-// since in fake.Cluster the first task of a gang that is done completes all tasks of the gang.
+// since fake.Cluster regards all tasks of a gang as done when the first of them is done.
 func (r *FaultRun) checkTasksRan(ref string) {
 	ranCount, startCounts := 0, r.StartCounts()
 	for i := range r.taskCounts[ref] {
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -62,7 +62,7 @@
 }
 
 // FaultRun is a cluster and its users. The responses that the users get are checked against each other. Only
-// the scenario's goroutine may use a FaultRun, except for the fields that mu protects.
+// the scenario's goroutine may use a FaultRun; other goroutines may use only the fields that mu protects.
 type FaultRun struct {
 	*fake.Cluster
 	CombineFaults    bool // InjectFaults also injects the faults of FaultKind
@@ -79,10 +79,10 @@
 	isGang          map[string]bool // by job
 	// lastStatus has, by job, the last final status that a user got in a response, or statusAccepted if
 	// there was none. It has no entry for a job that may not have been accepted.
-	lastStatus      map[string]jobs.Status
-	dependents      map[string][]string // by job: the jobs that depend on it
-	cancelRequested map[string]bool     // by job: whether a user asked to cancel it
-	pendingCancels  sync.WaitGroup      // cancellation requests of cancelAsync that have no response yet
+	lastStatus        map[string]jobs.Status
+	dependents        map[string][]string // by job: the jobs that depend on it
+	isCancelRequested map[string]bool     // by job: whether a user asked to cancel it
+	pendingCancels    sync.WaitGroup      // cancellation requests of cancelAsync that have no response yet
 	// mustBeCancelledBy has the deadlines, by job, after which cancelled jobs and the jobs that depend on them
 	// must be reported as cancelled.
 	mustBeCancelledBy map[string]time.Time
@@ -108,7 +108,7 @@
 		isGang:            map[string]bool{},
 		lastStatus:        map[string]jobs.Status{},
 		dependents:        map[string][]string{},
-		cancelRequested:   map[string]bool{},
+		isCancelRequested: map[string]bool{},
 		mustBeCancelledBy: map[string]time.Time{},
 		cancellations:     map[string]cancellation{},
 	}
--- a/internal/fake/faultinjection/users.go
+++ b/internal/fake/faultinjection/users.go
@@ -75,14 +75,14 @@
 
 // cancel asks a controller to cancel a job and checks the response.
 func (r *FaultRun) cancel(node, ref string) {
-	r.cancelRequested[ref] = true
+	r.isCancelRequested[ref] = true
 	r.checkCancelResponse(ref, r.Cancel(node, ref))
 }
 
 // cancelAsync asks a controller to cancel a job without waiting for the response. awaitCancelResponses waits
 // for it and checks it.
 func (r *FaultRun) cancelAsync(node, ref string) {
-	r.cancelRequested[ref] = true
+	r.isCancelRequested[ref] = true
 	r.pendingCancels.Go(func() {
 		response := r.Cancel(node, ref)
 		if response.Code != http.StatusOK {
@@ -120,7 +120,7 @@
 
 // isCancellationExpected reports whether a user asked to cancel a job or one that it depends on.
 func (r *FaultRun) isCancellationExpected(ref string) bool {
-	if r.cancelRequested[ref] {
+	if r.isCancelRequested[ref] {
 		return true
 	}
 	for dependency, dependents := range r.dependents {
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -30,7 +30,7 @@
 
 	// ImageFetchTime returns how long fetching a task's image takes. With 0, tasks start at once.
 	ImageFetchTime() time.Duration
-	// AfterFetch calls fetched after fetchTime unless the machine is frozen or released by then. The
+	// AfterFetch calls onFetched after fetchTime unless the machine is frozen or released by then. The
 	// lock that protects the agent is held during the call.
 	AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer
 
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -53,7 +53,7 @@
 
 // cancellationTiming contains the times at which a run is cancelled, its leader crashes and its
 // last job ends. The times are numbers of milliseconds after a common start.
-type cancellationTiming struct{ cancel, crash, end time.Duration }
+type cancellationTiming struct{ cancelDelay, crashDelay, endDelay time.Duration }
 
 // A run is cancelled while its first stage is in progress, its leader crashes, and the last job ends,
 // all within a second and in various orders. All controllers must report the same final state, and nothing may
@@ -80,16 +80,16 @@
 	if leaderNode == otherNode {
 		otherNode = "n2"
 	}
-	time.Sleep(3*time.Second + timing.end*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
+	time.Sleep(3*time.Second + timing.endDelay*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
 	leader, answerSignal := c.leader(otherNode), make(chan bool)
 	go func() {
-		time.Sleep(timing.cancel * time.Millisecond)
+		time.Sleep(timing.cancelDelay * time.Millisecond)
 		for leader.Cancel("run-3", mode).Code != 200 {
 			time.Sleep(time.Second)
 		}
 		close(answerSignal)
 	}()
-	time.Sleep(timing.crash * time.Millisecond)
+	time.Sleep(timing.crashDelay * time.Millisecond)
 	c.CrashController(leaderNode)
 	<-answerSignal
 	countBefore := len(c.StartCounts())
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -29,8 +29,8 @@
 type process struct {
 	command        *exec.Cmd
 	logPath        string
-	exited         chan struct{} // closed when it has exited
-	isExitExpected bool          // it was killed or told to exit
+	exited         chan struct{} // closed when the process has exited
+	isExitExpected bool          // the process was killed or told to exit
 }
 
 func newProcesses(program, dir string, settings map[string]string, onUnexpectedExit func(node, logPath string, err error)) *processes {
