--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -52,7 +52,7 @@
 func isFinal(status jobs.Status) bool { return status == jobs.Done || status == jobs.Cancelled }
 
 // checkTasksRan checks that all tasks of a done job were started. For a gang one started task is enough,
-// since in fake.Cluster the first task of a gang that is done completes all tasks of the gang.
+// since fake.Cluster regards all tasks of a gang as done when the first of them is done.
 func (r *FaultRun) checkTasksRan(ref string) {
 	ranCount, startCounts := 0, r.StartCounts()
 	for i := range r.taskCounts[ref] {
@@ -65,7 +65,8 @@
 	}
 }
 
-// checkCancelResponse checks the response to a cancellation, which must be a final status or an error.
+// checkCancelResponse checks the response to a cancellation request. The response must contain a final
+// status or an error.
 func (r *FaultRun) checkCancelResponse(ref string, response controller.Response) {
 	if response.Code != http.StatusOK {
 		return
--- a/internal/fake/faultinjection/faultinjection.go
+++ b/internal/fake/faultinjection/faultinjection.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	controllerStartTime = 3 * time.Second // from the start of the controllers until machines are added
-	machineStartTime    = 8 * time.Second // from the addition of the machines until the scenario begins
+	controllerStartTime = 3 * time.Second // time from the start of the controllers until machines are added
+	machineStartTime    = 8 * time.Second // time from the addition of the machines until the scenario begins
 	addedMachineCount   = 12              // machines that each call of addMachines adds, once the faults are over
 )
 
@@ -62,7 +62,7 @@
 }
 
 // FaultRun is a cluster and its users. The responses that the users get are checked against each other. Only
-// the scenario's goroutine may use a FaultRun, except for the fields that mu protects.
+// the scenario's goroutine may use a FaultRun; other goroutines may use only the fields that mu protects.
 type FaultRun struct {
 	*fake.Cluster
 	CombineFaults    bool // InjectFaults also injects the faults of FaultKind
@@ -72,17 +72,17 @@
 	faults singleFaults
 
 	onlyKind        *FaultKind // nil: all kinds
-	jobRefs         []string   // of all submitted jobs
-	maxDependencies int        // how many random dependencies submit draws for the next job; it may use fewer of them
+	jobRefs         []string   // ids of all submitted jobs
+	maxDependencies int        // number of dependencies that submit draws at random for the next job, some of which it may discard
 	longestRunTime  time.Duration
 	taskCounts      map[string]int  // by job
 	isGang          map[string]bool // by job
 	// lastStatus has, by job, the last final status that a user got in a response, or statusAccepted if
 	// there was none. It has no entry for a job that may not have been accepted.
-	lastStatus      map[string]jobs.Status
-	dependents      map[string][]string // by job: the jobs that depend on it
-	cancelRequested map[string]bool     // by job: whether a user asked to cancel it
-	pendingCancels  sync.WaitGroup      // cancellation requests of cancelAsync that have no response yet
+	lastStatus        map[string]jobs.Status
+	dependents        map[string][]string // by job: the jobs that depend on it
+	isCancelRequested map[string]bool     // by job: whether a user asked to cancel it
+	pendingCancels    sync.WaitGroup      // cancellation requests of cancelAsync that have no response yet
 	// mustBeCancelledBy has the deadlines, by job, after which cancelled jobs and the jobs that depend on them
 	// must be reported as cancelled.
 	mustBeCancelledBy map[string]time.Time
@@ -108,7 +108,7 @@
 		isGang:            map[string]bool{},
 		lastStatus:        map[string]jobs.Status{},
 		dependents:        map[string][]string{},
-		cancelRequested:   map[string]bool{},
+		isCancelRequested: map[string]bool{},
 		mustBeCancelledBy: map[string]time.Time{},
 		cancellations:     map[string]cancellation{},
 	}
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -30,7 +30,7 @@
 
 	// ImageFetchTime returns how long fetching a task's image takes. With 0, tasks start at once.
 	ImageFetchTime() time.Duration
-	// AfterFetch calls fetched after fetchTime unless the machine is frozen or released by then. The
+	// AfterFetch calls onFetched after fetchTime unless the machine is frozen or released by then. The
 	// lock that protects the agent is held during the call.
 	AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer
 
@@ -48,7 +48,7 @@
 // Machine is the description of a machine that its agent reports.
 type Machine struct {
 	Host        string
-	Addr        string // for direct commands, empty for none
+	Addr        string // address for direct commands, empty if the agent accepts none
 	MachineType string
 	Zone        string
 	Spot        bool
@@ -59,7 +59,7 @@
 type Agent struct {
 	Machine
 	FailTasks        bool     // every task ends with an error
-	PreemptionNotice *float64 // in seconds; nil: heartbeats contain no notice
+	PreemptionNotice *float64 // seconds until the preemption that heartbeats announce; nil if they announce none
 
 	env            Environment
 	epoch          uint64 // the agent epoch, which is incremented when the lease expires
--- a/internal/pipeline/needs.go
+++ b/internal/pipeline/needs.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// findNeededJobs returns the indexes of the jobs that an entry of needs names: all copies of a job, or the one
-// copy with that name. If there is none, it reports a problem, unless the entry is optional.
+// findNeededJobs returns the indexes of the jobs that an entry of a "needs" key names: all copies of a job, or
+// the one copy with that name. If there is none, it reports a problem, unless the entry is optional.
 func (c *compiler) findNeededJobs(job *Job, entry need) []int {
 	if copies := c.copyIndexes[entry.Job]; copies != nil {
 		return copies
@@ -41,8 +41,8 @@
 }
 
 // addNeeds adds needed jobs to a job, and reports needed jobs that are in later stages.
-func (c *compiler) addNeeds(job *Job, entry need, needed []int) {
-	for _, i := range needed {
+func (c *compiler) addNeeds(job *Job, entry need, neededJobs []int) {
+	for _, i := range neededJobs {
 		if stage := c.plan.Jobs[i].Stage; stage > job.Stage {
 			c.addProblem(entry.node, "%s.needs: %q is in the later stage %s", job.Name, entry.Job, c.plan.Stages[stage])
 		}
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -12,8 +12,8 @@
 	"cherrywall/internal/pipelineexec"
 )
 
-// The controller that leads the run crashes after each write to the store in turn. Every job must
-// still be done, and no task may run twice.
+// In each subtest, the controller that leads the run crashes after one more write to the store than
+// in the previous subtest. Every job must still be done, and no task may run twice.
 func TestRunSucceedsDespiteLeaderCrashAfterEachWrite(t *testing.T) {
 	for step := range 16 {
 		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
@@ -53,7 +53,7 @@
 
 // cancellationTiming contains the times at which a run is cancelled, its leader crashes and its
 // last job ends. The times are numbers of milliseconds after a common start.
-type cancellationTiming struct{ cancel, crash, end time.Duration }
+type cancellationTiming struct{ cancelDelay, crashDelay, endDelay time.Duration }
 
 // A run is cancelled while its first stage is in progress, its leader crashes, and the last job ends,
 // all within a second and in various orders. All controllers must report the same final state, and nothing may
@@ -80,18 +80,18 @@
 	if leaderNode == otherNode {
 		otherNode = "n2"
 	}
-	time.Sleep(3*time.Second + timing.end*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
-	leader, answered := c.leader(otherNode), make(chan bool)
+	time.Sleep(3*time.Second + timing.endDelay*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
+	leader, answerSignal := c.leader(otherNode), make(chan bool)
 	go func() {
-		time.Sleep(timing.cancel * time.Millisecond)
+		time.Sleep(timing.cancelDelay * time.Millisecond)
 		for leader.Cancel("run-3", mode).Code != 200 {
 			time.Sleep(time.Second)
 		}
-		close(answered)
+		close(answerSignal)
 	}()
-	time.Sleep(timing.crash * time.Millisecond)
+	time.Sleep(timing.crashDelay * time.Millisecond)
 	c.CrashController(leaderNode)
-	<-answered
+	<-answerSignal
 	countBefore := len(c.StartCounts())
 	run := c.awaitFinished(otherNode, "run-3", 60*time.Second)
 	if startCount := len(c.StartCounts()); startCount != countBefore {
@@ -115,8 +115,8 @@
 }
 
 // A submission that a crashed leader still has in flight must not take effect after the next
-// leader's steps. Its precondition is the revision of the run's record, which the next leader has
-// written anew.
+// leader's steps. The precondition of the submission is the revision of the run's record, which the
+// next leader has written anew.
 func TestLateSubmissionOfFormerLeaderIsRejected(t *testing.T) {
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		c.create("n0", "run-2", diamond)
@@ -156,7 +156,7 @@
 		leaderNode := c.leadingController("run-4")
 		otherNode := otherController[leaderNode]
 		c.Store.RefuseNode(leaderNode, true)
-		time.Sleep(8 * time.Second) // after this time its shard has another owner
+		time.Sleep(8 * time.Second) // after this time, the shard of the former leader has another owner
 		if c.OwnerOf(leaderNode) == leaderNode {
 			t.Fatal("no controller has acquired its shard")
 		}
@@ -174,10 +174,10 @@
 
 // A run succeeds although the store is down for 12 seconds while its jobs are submitted or end.
 func TestRunSucceedsDespiteStoreOutage(t *testing.T) {
-	for _, after := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
+	for _, delay := range []time.Duration{0, 100, 300, 2500, 3500, 4200} {
 		runScenario(t, func(_ *testing.T, c *testCluster) {
 			c.create("n0", "run-6", diamond)
-			time.Sleep(after * time.Millisecond)
+			time.Sleep(delay * time.Millisecond)
 			c.Store.SetOutage(true)
 			time.Sleep(12 * time.Second)
 			c.Store.SetOutage(false)
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -57,16 +57,16 @@
 	log        *slog.Logger
 	metrics    *leaderMetrics
 
-	inbox          inbox
-	isSynced       bool            // set once all records have been listed for the first time
-	isLoading      bool            // set while a listing is in flight
-	reloadRequests int             // how often events were missed; a change during a listing makes the listing obsolete
-	pendingEvents  []kvstore.Event // received, but not applied yet
+	inbox              inbox
+	isSynced           bool            // set once all records have been listed for the first time
+	isLoading          bool            // set while a listing is in flight
+	reloadRequestCount int             // how often events were missed; if the count changes during a listing, the listing is obsolete
+	pendingEvents      []kvstore.Event // received, but not applied yet
 
 	runs           map[string]*runState          // unfinished, by id
 	resourceGroups map[string]resourceGroup      // by key
 	schedules      map[string]*scheduleState     // by key
-	finalRuns      *lru.Cache[string, runRecord] // of finished runs, by id
+	finalRuns      *lru.Cache[string, runRecord] // final records of finished runs, by id
 	callsInFlight  map[string]bool               // submissions, cancellations and polls, by job id
 }
 
