--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -89,9 +89,9 @@
 	return total
 }
 
-// Allocable returns how many tasks of a shape fit on the machines of the allowed groups if the
+// AllocableCount returns how many tasks of a shape fit on the machines of the allowed groups if the
 // buffers are left free. It returns 0 if the buffers need more than the free capacity.
-func (t *Table) Allocable(shape Resources, allow func(Group) bool, buffers []Buffer) int {
+func (t *Table) AllocableCount(shape Resources, allow func(Group) bool, buffers []Buffer) int {
 	fittingTasks := t.Count(shape, allow)
 	remaining := fittingTasks
 	for _, buffer := range Aggregate(buffers) {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,10 +16,10 @@
 	for _, host := range []string{"x", "y"} {
 		table.Set(host, Group{Zone: "a"}, Resources{CPU: 100})
 	}
-	if n := table.Allocable(medium, allowAll, []Buffer{{large, 2}}); n != 0 {
+	if n := table.AllocableCount(medium, allowAll, []Buffer{{large, 2}}); n != 0 {
 		t.Errorf("with a buffer of two large tasks, %d medium tasks fit, want 0", n)
 	}
-	if n := table.Allocable(medium, allowAll, []Buffer{{small, 6}}); n != 1 {
+	if n := table.AllocableCount(medium, allowAll, []Buffer{{small, 6}}); n != 1 {
 		t.Errorf("with a buffer of six small tasks, %d medium tasks fit, want 1", n)
 	}
 }
@@ -69,8 +69,8 @@
 				t.Fatalf("count %d, want %d", got, want)
 			}
 			bufferedTasks := rnd.Float64() * 5
-			allocableWithLarger := table.Allocable(shape, allowAll, []Buffer{{shapes[0], bufferedTasks + 1}})
-			if allocableWithLarger > table.Allocable(shape, allowAll, []Buffer{{shapes[0], bufferedTasks}}) {
+			allocableWithLarger := table.AllocableCount(shape, allowAll, []Buffer{{shapes[0], bufferedTasks + 1}})
+			if allocableWithLarger > table.AllocableCount(shape, allowAll, []Buffer{{shapes[0], bufferedTasks}}) {
 				t.Fatal("a larger buffer left more capacity")
 			}
 		}
--- a/internal/claims/quotausage.go
+++ b/internal/claims/quotausage.go
@@ -247,10 +247,10 @@
 	Team  string `json:"team"`
 	Shard string `json:"shard"`
 	Epoch uint64 `json:"epoch"`
-	// Reconciled is true if all tasks that run in the shard are known.
-	Reconciled bool    `json:"reconciled"`
-	LimitCPU   float64 `json:"limit_cpu"`
-	LimitGPU   float64 `json:"limit_gpu"`
+	// IsReconciled is true if all tasks that run in the shard are known.
+	IsReconciled bool    `json:"reconciled"`
+	LimitCPU     float64 `json:"limit_cpu"`
+	LimitGPU     float64 `json:"limit_gpu"`
 	// AllocatedCPU and AllocatedGPU are the amounts that the team may use in the shard.
 	AllocatedCPU float64 `json:"allocated_cpu"`
 	AllocatedGPU float64 `json:"allocated_gpu"`
@@ -271,7 +271,7 @@
 		for _, shard := range w.Membership.LocalShards() {
 			available, usage := w.Quotas.Available(team, shard.ID()), w.usageOf(team, shard.ID())
 			usages = append(usages, QuotaUsage{
-				Team: team.Name, Shard: shard.ID(), Epoch: shard.Epoch(), Reconciled: shard.IsReconciled(),
+				Team: team.Name, Shard: shard.ID(), Epoch: shard.Epoch(), IsReconciled: shard.IsReconciled(),
 				LimitCPU: team.MaxCPUs, LimitGPU: team.MaxGPUs,
 				AllocatedCPU: available.CPU, AllocatedGPU: available.GPU,
 				UsedCPU: usage.sentUpperBound.CPU, UsedGPU: usage.sentUpperBound.GPU,
--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -44,12 +44,12 @@
 		t.Fatalf("claimed in the current epoch: %d of 3 are ready, %d fit", taskRange.CountTasks(clusterstate.TaskReady), c.fitCount())
 	}
 	assignment := state.Place(taskRange, 1, machine, 9)
-	if c.fitCount() != 3 || !assignment.Status().IsPlanned() || state.PendingCommands(machine) != 1 {
-		t.Errorf("planned: %d fit, %d pending commands", c.fitCount(), state.PendingCommands(machine))
+	if c.fitCount() != 3 || !assignment.Status().IsPlanned() || state.PendingCommandCount(machine) != 1 {
+		t.Errorf("planned: %d fit, %d pending commands", c.fitCount(), state.PendingCommandCount(machine))
 	}
 	state.MarkStartSent(assignment)
-	if isUnchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); isUnchanged || state.PendingCommands(machine) != 0 {
-		t.Errorf("running: unchanged %v, %d pending commands", isUnchanged, state.PendingCommands(machine))
+	if isUnchanged := state.UpdateStatus(assignment, workerapi.StatusRunning, time.Now()); isUnchanged || state.PendingCommandCount(machine) != 0 {
+		t.Errorf("running: unchanged %v, %d pending commands", isUnchanged, state.PendingCommandCount(machine))
 	}
 	state.Stop(assignment, 5)
 	if c.fitCount() != 4 || state.FreeNow(machine).CPU != 16 { // without checkpoints, the task stops as soon as the command arrives
--- a/internal/clusterstate/condition.go
+++ b/internal/clusterstate/condition.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// RecentMachineFailures returns how many machines were lost without being released within
+// RecentMachineFailureCount returns how many machines were lost without being released within
 // tuning.MachineFailureWindow before now.
-func (s *State) RecentMachineFailures(now time.Time) int {
+func (s *State) RecentMachineFailureCount(now time.Time) int {
 	count := 0
 	for _, at := range s.failureTimes {
 		if now.Sub(at) < tuning.MachineFailureWindow {
--- a/internal/clusterstate/freecapacity.go
+++ b/internal/clusterstate/freecapacity.go
@@ -56,17 +56,21 @@
 	return 1 - s.Free(machine).CPU/total.CPU
 }
 
-// OnDemandOnlyTasks returns how many tasks on a machine, including stopping ones, may not run on a spot
+// OnDemandOnlyTaskCount returns how many tasks on a machine, including stopping ones, may not run on a spot
 // machine.
-func (s *State) OnDemandOnlyTasks(machine *Machine) int {
+func (s *State) OnDemandOnlyTaskCount(machine *Machine) int {
 	return s.machineUsage(machine).OnDemandOnlyTasks
 }
 
-// ServiceReplicas returns how many replicas of services run on a machine and are not to be stopped.
-func (s *State) ServiceReplicas(machine *Machine) int { return s.machineUsage(machine).ServiceReplicas }
+// ServiceReplicaCount returns how many replicas of services run on a machine and are not to be stopped.
+func (s *State) ServiceReplicaCount(machine *Machine) int {
+	return s.machineUsage(machine).ServiceReplicas
+}
 
-// PendingCommands returns how many start and stop commands have not been sent to a machine yet.
-func (s *State) PendingCommands(machine *Machine) int { return s.machineUsage(machine).PendingCommands }
+// PendingCommandCount returns how many start and stop commands have not been sent to a machine yet.
+func (s *State) PendingCommandCount(machine *Machine) int {
+	return s.machineUsage(machine).PendingCommands
+}
 
 // markMachineChanged records that a machine or the tasks on it have changed. FreeCapacity updates
 // the tables of free capacity when they are next requested.
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -13,7 +13,7 @@
 
 // ResetGangAttempt removes a gang's attempt. It is called when the gang's claim failed or was
 // withdrawn, when its tasks have left their machines, and when their state is no longer known.
-func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGang(job) = entity.GangAttempt{} }
+func (s *State) ResetGangAttempt(job *Job) { *entity.MutableGangAttempt(job) = entity.GangAttempt{} }
 
 // adoptGangAttempt updates a gang's attempt from the attempt number of a task that a worker
 // reports. An attempt that was not started is replaced by the reported one. A started attempt fails
@@ -23,7 +23,7 @@
 	if !job.IsGang() {
 		return
 	}
-	gangAttempt := entity.MutableGang(job)
+	gangAttempt := entity.MutableGangAttempt(job)
 	switch {
 	case gangAttempt.Attempt == 0 || !gangAttempt.Started:
 		*gangAttempt = entity.GangAttempt{Attempt: attempt, Started: true}
@@ -39,7 +39,7 @@
 	if !job.IsGang() {
 		return
 	}
-	if gangAttempt := entity.MutableGang(job); gangAttempt.Started && assignment.Attempt() == gangAttempt.Attempt {
+	if gangAttempt := entity.MutableGangAttempt(job); gangAttempt.Started && assignment.Attempt() == gangAttempt.Attempt {
 		gangAttempt.Failed = true
 	}
 }
@@ -47,7 +47,7 @@
 // StartGang marks a gang's attempt as started when a start command is sent for one of its tasks, and
 // reports whether it is the first start command of the attempt.
 func (s *State) StartGang(job *Job) (isFirst bool) {
-	gangAttempt := entity.MutableGang(job)
+	gangAttempt := entity.MutableGangAttempt(job)
 	isFirst = !gangAttempt.Started
 	gangAttempt.Started = true
 	return isFirst
@@ -56,7 +56,7 @@
 // StopGang marks a gang's attempt as failed and stops all the gang's tasks, with time to save a
 // checkpoint.
 func (s *State) StopGang(job *Job) {
-	entity.MutableGang(job).Failed = true
+	entity.MutableGangAttempt(job).Failed = true
 	s.stopGangTasks(job, job.Record().CheckpointSaveSeconds+s.cfg.Cluster.Workers.GangPeerTimeoutSeconds)
 }
 
@@ -88,7 +88,7 @@
 // Once one task was started, the others may be started without this check. If the attempt has failed,
 // no task may be started.
 func (s *State) GangCanStart(job *Job) bool {
-	gangAttempt := entity.MutableGang(job)
+	gangAttempt := entity.MutableGangAttempt(job)
 	if gangAttempt.Failed {
 		return false
 	}
@@ -132,7 +132,7 @@
 	if !job.IsGang() {
 		return
 	}
-	gangAttempt := entity.MutableGang(job)
+	gangAttempt := entity.MutableGangAttempt(job)
 	tasks := countGangTasks(job)
 	if tasks.placed == 0 {
 		if tasks.unknown == 0 {
--- a/internal/clusterstate/internal/entity/entity_test.go
+++ b/internal/clusterstate/internal/entity/entity_test.go
@@ -138,7 +138,7 @@
 		{"planned as recorded", []string{"i-0", "i-1"}, func(*TaskRange) {}, false},
 		{"planned elsewhere", []string{"i-0", "i-9"}, func(*TaskRange) {}, true},
 		{"none recorded", nil, func(*TaskRange) {}, false},
-		{"started already", []string{"i-9"}, func(r *TaskRange) { MutableGang(r.job).Started = true }, false},
+		{"started already", []string{"i-9"}, func(r *TaskRange) { MutableGangAttempt(r.job).Started = true }, false},
 		{"not all planned", []string{"i-9"}, func(r *TaskRange) { ReleaseTask(r.Assignment(1), TaskReady) }, false},
 		{"claim not durable", []string{"i-9"}, func(r *TaskRange) { r.tentative = true }, false},
 		{"last write unanswered", []string{"i-0", "i-1"}, func(r *TaskRange) { r.EndHostsWrite(false) }, true},
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -156,8 +156,8 @@
 	return false
 }
 
-// OpenTasks returns how many of the job's tasks are claimed by any shard and not done.
-func (j *Job) OpenTasks() int {
+// OpenTaskCount returns how many of the job's tasks are claimed by any shard and not done.
+func (j *Job) OpenTaskCount() int {
 	count := 0
 	for _, taskRange := range j.taskRanges {
 		count += taskRange.record.Count - taskRange.DoneTaskCount()
@@ -274,8 +274,8 @@
 	return true
 }
 
-// MutableGang returns a job's current gang attempt for modification.
-func MutableGang(j *Job) *GangAttempt { return &j.gangAttempt }
+// MutableGangAttempt returns a job's current gang attempt for modification.
+func MutableGangAttempt(j *Job) *GangAttempt { return &j.gangAttempt }
 
 // BeginGangAttempt begins an attempt to place a gang, under an attempt number.
 func BeginGangAttempt(j *Job, attempt uint64) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -188,7 +188,7 @@
 		MachineOwnerChanged: func(machine *clusterstate.Machine) { c.sessions.HandleOwnerChange(machine) },
 		MachineMoved:        func(machine *clusterstate.Machine) { c.sessions.FirstContact().EnqueueProbe(machine) },
 		MachineRemoved:      func(machine *clusterstate.Machine) { c.sessions.RemoveWorker(machine) },
-		AwaitHandover: func(shard string, now time.Time) bool {
+		ShouldAwaitHandover: func(shard string, now time.Time) bool {
 			return c.sendToPeer != nil && c.handover.ShouldAwaitTransfer(shard, now)
 		},
 		WatchEventsApplied: func() {
@@ -196,8 +196,8 @@
 			c.sessions.ProcessDeferredHeartbeats()
 			c.sessions.FirstContact().Run()
 		},
-		ControllerFailed: c.detector.HasFailed,
-		ShardAcquired:    c.detector.ObserveAcquisition,
+		HasControllerFailed: c.detector.HasFailed,
+		ShardAcquired:       c.detector.ObserveAcquisition,
 		OwnerRecordWritten: func(shardID string) {
 			if shard := c.members.Shard(shardID); shard != nil && c.cache.Synced() {
 				c.detector.ObserveActivity(shard.Owner(), time.Now())
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -143,7 +143,7 @@
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
 		return
 	}
-	for ref := range c.state.Dependencies().CancelledByDependency() {
+	for ref := range c.state.Dependencies().JobsCancelledByDependency() {
 		if c.inFlightDependentCancels >= tuning.MaxConcurrentDependentCancellations {
 			return
 		}
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -72,7 +72,7 @@
 	addMachines(cluster, 9)
 	requireAccepted(t, cluster, "n0", fake.JobSpec("wk-1", jobs.Array, 24, 1), 40*time.Second)
 	requireAccepted(t, cluster, "n1", fake.JobSpec("wk-2", jobs.Gang, 4, 1), 40*time.Second)
-	cluster.SetPeerLink(fake.PeerLink{Delay: time.Duration(rnd.IntN(700)) * time.Millisecond, DropChunks: rnd.IntN(3)})
+	cluster.SetPeerLink(fake.PeerLink{Delay: time.Duration(rnd.IntN(700)) * time.Millisecond, ChunksToDrop: rnd.IntN(3)})
 	for range 3 {
 		node := controllerName(rnd.IntN(3))
 		if rnd.IntN(2) == 0 {
--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -98,9 +98,9 @@
 		r.Store.SetOutage(r.faults.isStoreDown)
 	case action < 96:
 		r.SetPeerLink(fake.PeerLink{
-			IsCut:      r.rnd.IntN(4) == 0,
-			DropChunks: r.rnd.IntN(2),
-			Delay:      time.Duration(r.rnd.IntN(2)*r.rnd.IntN(3000)) * time.Millisecond,
+			IsCut:        r.rnd.IntN(4) == 0,
+			ChunksToDrop: r.rnd.IntN(2),
+			Delay:        time.Duration(r.rnd.IntN(2)*r.rnd.IntN(3000)) * time.Millisecond,
 		})
 	case action < 98:
 		r.Store.DelayWatch(node, randomMilliseconds(r.rnd, 600))
--- a/internal/fake/network/network.go
+++ b/internal/fake/network/network.go
@@ -13,10 +13,10 @@
 
 // PeerLink is the state of the connections between the controllers.
 type PeerLink struct {
-	IsCut      bool          // no controller reaches another one
-	Isolated   string        // a controller that neither receives nor sends peer messages, empty for none
-	DropChunks int           // how many of the next transfer chunks are lost
-	Delay      time.Duration // time added to the minimum transfer time of each transfer chunk, which is a millisecond
+	IsCut        bool          // no controller reaches another one
+	Isolated     string        // a controller that neither receives nor sends peer messages, empty for none
+	ChunksToDrop int           // how many of the next transfer chunks are lost
+	Delay        time.Duration // time added to the minimum transfer time of each transfer chunk, which is a millisecond
 }
 
 // link is the connection between a controller and a machine.
@@ -173,9 +173,9 @@
 func (n *Network) NextChunk() (delay time.Duration, isDropped bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	isDropped = n.peerLink.DropChunks > 0
+	isDropped = n.peerLink.ChunksToDrop > 0
 	if isDropped {
-		n.peerLink.DropChunks--
+		n.peerLink.ChunksToDrop--
 	}
 	return n.peerLink.Delay + minChunkTransferTime, isDropped
 }
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -160,7 +160,7 @@
 // the two controllers owns the shard and has reconciled it.
 func TestShardIsOwnedAndReconciledAfterFailureDuringTransfer(t *testing.T) {
 	for name, injectFault := range map[string]func(cluster *fake.Cluster){
-		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{DropChunks: 1}) },
+		"chunk lost":     func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{ChunksToDrop: 1}) },
 		"chunks delayed": func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{Delay: 3 * time.Second}) },
 		"link cut":       func(cluster *fake.Cluster) { cluster.SetPeerLink(fake.PeerLink{IsCut: true}) },
 		"old owner crashes": func(cluster *fake.Cluster) {
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -72,7 +72,7 @@
 	// Workers that cannot reach the owner send their heartbeats to this controller. An owner that
 	// cannot reach the shard's workers never reconciles the shard and so never transfers it:
 	// waiting would only prolong the time for which the workers have no owner that they can reach.
-	misdirectedHeartbeats := float64(c.Sessions.MisdirectedHeartbeats(id, now))
+	misdirectedHeartbeats := float64(c.Sessions.MisdirectedHeartbeatCount(id, now))
 	limit := max(minMisdirectedWorkerLimit, tuning.MisdirectedWorkerFraction*float64(c.State.MachineCountIn(id)))
 	return misdirectedHeartbeats <= limit
 }
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -344,9 +344,11 @@
 	return refs
 }
 
-// CancelledByDependency yields the unfinished jobs that can never run because a dependency, direct or
+// JobsCancelledByDependency yields the unfinished jobs that can never run because a dependency, direct or
 // indirect, is cancelled.
-func (x *Index) CancelledByDependency() iter.Seq[string] { return maps.Keys(x.cancelledByDependency) }
+func (x *Index) JobsCancelledByDependency() iter.Seq[string] {
+	return maps.Keys(x.cancelledByDependency)
+}
 
 // BlockedCount returns how many jobs are blocked by their dependencies.
 func (x *Index) BlockedCount() int {
--- a/internal/jobdag/jobdag_test.go
+++ b/internal/jobdag/jobdag_test.go
@@ -77,7 +77,7 @@
 	if n := x.Node("match"); n.Priority(1) != 1 || n.Deadlines().DueMS != NoDeadline || n.IsBlocked() || n.ReadyAt() != time.UnixMilli(7000) {
 		t.Errorf("match: priority %d, deadlines %v, blocked %v, ready at %v", n.Priority(1), n.Deadlines(), n.IsBlocked(), n.ReadyAt())
 	}
-	if got := slices.Collect(x.CancelledByDependency()); !slices.Equal(got, []string{"last"}) {
+	if got := slices.Collect(x.JobsCancelledByDependency()); !slices.Equal(got, []string{"last"}) {
 		t.Error(got)
 	}
 }
@@ -217,7 +217,7 @@
 		t.Errorf("%d blocked", x.BlockedCount())
 	}
 	x.end("middle", Cancelled)
-	if n := len(slices.Collect(x.CancelledByDependency())); n != 1000 {
+	if n := len(slices.Collect(x.JobsCancelledByDependency())); n != 1000 {
 		t.Errorf("%d jobs can never run", n)
 	}
 }
--- a/internal/machinelifecycle/consolidation.go
+++ b/internal/machinelifecycle/consolidation.go
@@ -18,7 +18,7 @@
 // machines were not marked, arrays would continue to use them, and the machines would never become
 // empty and never be released.
 func (m *Manager) markSurplus(buffers []classstats.GrowthBuffer) {
-	shardCount := float64(m.Membership.Size())
+	shardCount := float64(m.Membership.ControllerCount())
 	bufferTasks := map[string][]int{} // by shard, how many tasks of each buffer fit on the machines that are not surplus
 	for _, machine := range m.usableMachinesByTaskCount() {
 		shardBufferTasks := bufferTasks[machine.Record().Shard]
@@ -26,7 +26,7 @@
 			shardBufferTasks = make([]int, len(buffers))
 			bufferTasks[machine.Record().Shard] = shardBufferTasks
 		}
-		isSurplus := !machine.Record().Spot && m.State.OnDemandOnlyTasks(machine) == 0
+		isSurplus := !machine.Record().Spot && m.State.OnDemandOnlyTaskCount(machine) == 0
 		for i, buffer := range buffers {
 			fitCount := m.Scheduler.FitCountWithPreemption(machine, buffer)
 			if fitCount > 0 && float64(shardBufferTasks[i]) < buffer.Tasks/shardCount {
--- a/internal/machinelifecycle/idle.go
+++ b/internal/machinelifecycle/idle.go
@@ -43,7 +43,7 @@
 // isNeededForGrowth reports whether a growth buffer would become too small without the machine.
 // Each shard keeps an equal fraction of a buffer.
 func (m *Manager) isNeededForGrowth(machine *clusterstate.Machine, idle *idleCapacity) bool {
-	shardCount := float64(m.Membership.Size())
+	shardCount := float64(m.Membership.ControllerCount())
 	tasks := idle.bufferTasks[machine.Record().Shard]
 	for i, buffer := range idle.buffers {
 		fitCount := m.Scheduler.FitCountWithPreemption(machine, buffer)
--- a/internal/machinetype/catalog.go
+++ b/internal/machinetype/catalog.go
@@ -39,8 +39,8 @@
 type RecordState struct {
 	// Revision is the revision of the last write that was applied, 0 if none was.
 	Revision uint64
-	// WriteInFlight is set by the writer of the record while a write is in flight.
-	WriteInFlight bool
+	// IsWriteInFlight is set by the writer of the record while a write is in flight.
+	IsWriteInFlight bool
 }
 
 // New returns an empty catalog.
@@ -104,7 +104,7 @@
 	types := slices.Clone(c.cloudTypes)
 	slices.SortFunc(types, func(x, y cloud.MachineType) int { return strings.Compare(x.Name, y.Name) })
 	isRecorded := slices.EqualFunc(types, c.recordedTypes, areEqualExceptPrices)
-	if isRecorded || len(types) == 0 || c.typesRecord.WriteInFlight {
+	if isRecorded || len(types) == 0 || c.typesRecord.IsWriteInFlight {
 		return nil, nil, nil
 	}
 	if value, err = json.Marshal(types); err != nil {
@@ -155,7 +155,7 @@
 	// A controller that has lost the autoscaler lease learns no new boot times. It must not overwrite
 	// the record of the controller that holds the lease.
 	isOutdated := now.Sub(c.learnedAt) > maxLearnedBootTimesAgeIntervals*tuning.DemandCheckInterval
-	if !c.haveBootTimesChanged() || c.bootTimesRecord.WriteInFlight || isOutdated {
+	if !c.haveBootTimesChanged() || c.bootTimesRecord.IsWriteInFlight || isOutdated {
 		return nil, nil, nil
 	}
 	if value, err = json.Marshal(c.learnedBootTimes); err != nil {
--- a/internal/machinetype/catalog_test.go
+++ b/internal/machinetype/catalog_test.go
@@ -16,11 +16,11 @@
 	if err != nil || value == nil {
 		t.Fatalf("nothing to record: %v", err)
 	}
-	record.WriteInFlight = true
+	record.IsWriteInFlight = true
 	if value, _, _ := c.TypesToRecord(); value != nil {
 		t.Error("second write started while the first is in flight")
 	}
-	record.WriteInFlight = false
+	record.IsWriteInFlight = false
 	if _, err := c.ApplyTypesRecord(value, 5); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -55,8 +55,8 @@
 // shards, too.
 func (t *Table) Controllers() []string { return t.controllers }
 
-// Size returns the number of controllers, which is the number of shards.
-func (t *Table) Size() int { return len(t.controllers) }
+// ControllerCount returns the number of controllers, which is the number of shards.
+func (t *Table) ControllerCount() int { return len(t.controllers) }
 
 // Reset drops all records. The caller has to read them again.
 //
--- a/internal/pipelineexec/execution.go
+++ b/internal/pipelineexec/execution.go
@@ -19,14 +19,14 @@
 // Observation is what the controller knows about the current attempt of a job. The zero value means that
 // nothing is known yet: a response is still pending.
 type Observation struct {
-	IsUnknown    bool // according to the latest information, the controller does not have the job
-	IsUnfinished bool // the controller has the job, and the job has not ended
-	IsDone       bool
-	IsCancelled  bool
-	IsFaulty     bool  // the job fails on several machines on which other jobs succeed
-	AcceptedAtMS int64 // Unix ms
-	DoneTasks    int
-	RunningTasks int
+	IsUnknown        bool // according to the latest information, the controller does not have the job
+	IsUnfinished     bool // the controller has the job, and the job has not ended
+	IsDone           bool
+	IsCancelled      bool
+	IsFaulty         bool  // the job fails on several machines on which other jobs succeed
+	AcceptedAtMS     int64 // Unix ms
+	DoneTaskCount    int
+	RunningTaskCount int
 }
 
 // ObserveFunc returns the observation of the current attempt of a job, which is given by its index in the plan.
@@ -37,7 +37,7 @@
 // recorded. Otherwise a controller that continues the run might decide differently.
 type Action struct {
 	Job           int  // index in the plan
-	Submit        bool // true for a submission, false for a cancellation
+	IsSubmission  bool // true for a submission, false for a cancellation
 	RequiresGroup bool // the job may be submitted only while it owns its resource group
 }
 
@@ -92,7 +92,7 @@
 	case observed.IsUnfinished && hasTimedOut(job, nowMS-observed.AcceptedAtMS):
 		state.Status, state.Cause = Stopping, pipeline.CauseTimeout
 	case observed.IsUnknown && !observed.IsUnfinished:
-		return Action{Job: index, Submit: true, RequiresGroup: job.ResourceGroup != ""}, true
+		return Action{Job: index, IsSubmission: true, RequiresGroup: job.ResourceGroup != ""}, true
 	}
 	return Action{}, false
 }
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -60,7 +60,7 @@
 func (h *harness) perform(action Action) {
 	name, ref := h.execution.Plan.Jobs[action.Job].Name, h.ref(action.Job)
 	switch observation := h.attempts[ref]; {
-	case action.Submit:
+	case action.IsSubmission:
 		h.attempts[ref] = &Observation{IsUnfinished: true, AcceptedAtMS: h.nowMS}
 		h.actionLog = append(h.actionLog, "+"+name)
 	case observation == nil:
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -43,13 +43,13 @@
 		}
 	}
 	observation = pipelineexec.Observation{
-		IsUnfinished: localJob.IsUnfinished,
-		IsDone:       localJob.FinalStatus == jobs.Done,
-		IsCancelled:  localJob.FinalStatus == jobs.Cancelled,
-		IsFaulty:     localJob.IsFaulty,
-		AcceptedAtMS: localJob.AcceptedAtMS,
-		DoneTasks:    localJob.DoneTasks,
-		RunningTasks: localJob.ActiveTasks,
+		IsUnfinished:     localJob.IsUnfinished,
+		IsDone:           localJob.FinalStatus == jobs.Done,
+		IsCancelled:      localJob.FinalStatus == jobs.Cancelled,
+		IsFaulty:         localJob.IsFaulty,
+		AcceptedAtMS:     localJob.AcceptedAtMS,
+		DoneTaskCount:    localJob.DoneTasks,
+		RunningTaskCount: localJob.ActiveTasks,
 	}
 	known = observation.IsUnfinished || observation.IsDone || observation.IsCancelled
 	return observation, known && run.matchesSpec(job, localJob)
@@ -62,7 +62,7 @@
 func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
 	hasRemaining := false
 	for _, action := range actions {
-		if !action.Submit || run.unsubmittedJobs[action.Job] {
+		if !action.IsSubmission || run.unsubmittedJobs[action.Job] {
 			continue // cancellations are left to the steps after this search, which return them again
 		}
 		hasRemaining = true
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -190,8 +190,8 @@
 			return
 		}
 		switch {
-		case action.Submit && action.RequiresGroup && !l.acquireGroup(run, action.Job):
-		case action.Submit:
+		case action.IsSubmission && action.RequiresGroup && !l.acquireGroup(run, action.Job):
+		case action.IsSubmission:
 			l.submitJob(run, action.Job)
 		default:
 			l.cancelJob(run, action.Job)
--- a/internal/pipelinerun/views.go
+++ b/internal/pipelinerun/views.go
@@ -118,7 +118,7 @@
 		view.DoneTasks = view.Tasks
 	case observe != nil && view.Ref != "":
 		observation := observe(index)
-		view.DoneTasks, view.RunningTasks = observation.DoneTasks, observation.RunningTasks
+		view.DoneTasks, view.RunningTasks = observation.DoneTaskCount, observation.RunningTaskCount
 	}
 	return view
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -65,7 +65,7 @@
 	// If the heartbeats are spread evenly, one arrives every interval/workers. A silence of three
 	// times that period, plus one second for delays, is normal.
 	normalSilence := 3*interval/time.Duration(workers) + time.Second
-	return m.SinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
+	return m.TimeSinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
 }
 
 // RecordProbeStart records that a probe has started.
@@ -151,5 +151,5 @@
 	return Restored
 }
 
-// SinceLastContact returns the time since the last contact with any worker.
-func (m *Monitor) SinceLastContact(now time.Time) time.Duration { return now.Sub(m.lastContactAt) }
+// TimeSinceLastContact returns the time since the last contact with any worker.
+func (m *Monitor) TimeSinceLastContact(now time.Time) time.Duration { return now.Sub(m.lastContactAt) }
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -23,9 +23,9 @@
 type AgentSessions interface {
 	// AgentEpoch returns the agent epoch of a worker's last heartbeat, 0 if there was none.
 	AgentEpoch(machine *clusterstate.Machine) uint64
-	// ProbeAnswered handles the heartbeat with which a worker answered a probe that carried
+	// HandleProbeAnswer handles the heartbeat with which a worker answered a probe that carried
 	// fencingToken.
-	ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64)
+	HandleProbeAnswer(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64)
 }
 
 // FirstContact makes the first exchange with each worker of a shard that has a new owner: either
@@ -263,7 +263,7 @@
 		c.mailbox.Send(func() {
 			c.markDone(p)
 			if err == nil {
-				c.sessions.ProbeAnswered(machine, heartbeat, fencingToken)
+				c.sessions.HandleProbeAnswer(machine, heartbeat, fencingToken)
 			} else {
 				// The machine may no longer exist: the previous owner may have released it shortly
 				// before that controller stopped. MarkProbeUnanswered makes machinelifecycle read
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -222,7 +222,7 @@
 	allow := func(g capacity.Group) bool {
 		return record.Allows(g) && (zone.name == "" || g.Zone == zone.name) && surplus.allows(g)
 	}
-	startCount := min(s.State.FreeCapacity().Allocable(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
+	startCount := min(s.State.FreeCapacity().AllocableCount(job.Need(), allow, buffers), zone.maxTasks, s.probeLimit(job))
 	if isOverdue(job, time.Now()) {
 		startCount = min(startCount, 1) // the job is no longer overdue once one task is claimed
 	}
@@ -281,7 +281,7 @@
 		if mustAvoidZone || len(s.candidates(job, shard.ID(), zone)) == 0 {
 			continue
 		}
-		fittingTasks := min(maxTasks, s.State.FreeCapacity().Allocable(job.Need(), func(g capacity.Group) bool {
+		fittingTasks := min(maxTasks, s.State.FreeCapacity().AllocableCount(job.Need(), func(g capacity.Group) bool {
 			return record.Allows(g) && g.Zone == zone && surplus.allows(g)
 		}, buffers))
 		if fittingTasks > maxFitting {
@@ -307,7 +307,7 @@
 		}
 	}
 	runsPerPeriod := tuning.ClaimAheadPeriod.Seconds() / max(s.ExpectedRunSeconds(job.Record()), 1)
-	return min(int(float64(runningTasks)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.Size())
+	return min(int(float64(runningTasks)*runsPerPeriod), max(0, job.Record().UnclaimedCount()-startCount)/s.Membership.ControllerCount())
 }
 
 // canUseZone reports whether an array that must run in one zone can use the given zone: none of
@@ -332,7 +332,7 @@
 	job := s.State.NewUnrecordedJob(record, settings.Spot)
 	surplus := s.surplusUseFor(job, time.Now())
 	allow := func(g capacity.Group) bool { return record.Allows(g) && surplus.allows(g) }
-	if s.State.FreeCapacity().Allocable(job.Need(), allow, s.buffersFor(job)) < record.Tasks+pendingTasks {
+	if s.State.FreeCapacity().AllocableCount(job.Need(), allow, s.buffersFor(job)) < record.Tasks+pendingTasks {
 		return nil
 	}
 	for _, shard := range s.Membership.LocalShards() {
--- a/internal/scheduler/buffers.go
+++ b/internal/scheduler/buffers.go
@@ -77,7 +77,7 @@
 		}
 		taskShape := s.shapeOfLargestJob(team.Name)
 		if tasks := unusedGuarantee(team, s.teamUsage(team.Name), taskShape); tasks > 0 {
-			buffers = append(buffers, capacity.Buffer{Shape: taskShape, Tasks: tasks / float64(s.Membership.Size())})
+			buffers = append(buffers, capacity.Buffer{Shape: taskShape, Tasks: tasks / float64(s.Membership.ControllerCount())})
 		}
 	}
 	return buffers
@@ -128,7 +128,7 @@
 func (s *Scheduler) maxReplicasPerMachine() map[*clusterstate.Job]int {
 	maxReplicas := map[*clusterstate.Job]int{}
 	for _, machine := range s.State.OwnedMachines() {
-		if s.State.ServiceReplicas(machine) == 0 {
+		if s.State.ServiceReplicaCount(machine) == 0 {
 			continue
 		}
 		replicas := map[*clusterstate.Job]int{}
@@ -148,7 +148,7 @@
 // replacement boots, estimated from recent failures (the healing buffer of the Kerveros paper).
 // Each of these machines is assumed to be as large as the largest owned machine.
 func (s *Scheduler) machineFailureBuffers() []capacity.Buffer {
-	failures := float64(s.State.RecentMachineFailures(time.Now()))
+	failures := float64(s.State.RecentMachineFailureCount(time.Now()))
 	machineCount := failures * s.MachineTypes.LongestBootSeconds() / tuning.MachineFailureWindow.Seconds()
 	if machineCount <= 0 {
 		return nil
@@ -185,7 +185,7 @@
 		if unusedCPU > 0 && load.Record.Priority() <= job.Priority() && load.Record.CPU > 0 {
 			buffers = append(buffers, capacity.Buffer{
 				Shape: load.Record.Need(),
-				Tasks: unusedCPU / load.Record.CPU / float64(s.Membership.Size()),
+				Tasks: unusedCPU / load.Record.CPU / float64(s.Membership.ControllerCount()),
 			})
 		}
 	}
@@ -204,7 +204,7 @@
 		if !known || job.HasEnded() {
 			continue
 		}
-		load.usedCPU += float64(job.OpenTasks()) * record.CPU
+		load.usedCPU += float64(job.OpenTaskCount()) * record.CPU
 		loads[record.Class] = load
 	}
 	return loads
--- a/internal/scheduler/capacity_table.go
+++ b/internal/scheduler/capacity_table.go
@@ -93,7 +93,7 @@
 				Shape:     need,
 				Zone:      zone,
 				Fitting:   freeCapacity.Count(need, isInZone),
-				Allocable: freeCapacity.Allocable(need, isInZone, buffers),
+				Allocable: freeCapacity.AllocableCount(need, isInZone, buffers),
 				Buffers:   buffers,
 			})
 		}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		record := job.Record()
-		usedCPU := float64(job.OpenTasks()) * job.Need().CPU
+		usedCPU := float64(job.OpenTaskCount()) * job.Need().CPU
 		if record.Kind != jobs.Array {
 			demand.GangCPU += usedCPU
 			continue
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -21,5 +21,5 @@
 func (s *Scheduler) StartCycle() { s.cycle = cycle{} }
 
 func (s *Scheduler) AllocableTasks(job *clusterstate.Job) int {
-	return s.State.FreeCapacity().Allocable(job.Need(), job.Record().Allows, s.buffersFor(job))
+	return s.State.FreeCapacity().AllocableCount(job.Need(), job.Record().Allows, s.buffersFor(job))
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -23,7 +23,7 @@
 		if job.HasEnded() || job.Record().Team != team {
 			continue
 		}
-		tasks := float64(job.OpenTasks())
+		tasks := float64(job.OpenTaskCount())
 		used = used.Add(capacity.Resources{CPU: tasks * job.Need().CPU, GPU: tasks * job.Need().GPU})
 	}
 	return used
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -109,7 +109,7 @@
 // preempted and the buffers are left free. The buffers are also subtracted from the capacity that
 // preemption frees: lower-priority work may use buffered capacity, but the job may not.
 func (s *Scheduler) tasksFittingWithPreemption(job *clusterstate.Job, allow func(capacity.Group) bool, buffers []capacity.Buffer) int {
-	freeCount := s.State.FreeCapacity().Allocable(job.Need(), allow, buffers)
+	freeCount := s.State.FreeCapacity().AllocableCount(job.Need(), allow, buffers)
 	extraTasks := s.extraTasksWithPreemption(job, allow)
 	if extraTasks == 0 {
 		return freeCount
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -45,12 +45,12 @@
 	MachineRemoved func(machine *clusterstate.Machine)
 	// WatchEventsApplied is called after the changes that the watch delivered were applied.
 	WatchEventsApplied func()
-	// AwaitHandover reports whether to postpone the acquisition of a shard because its live owner
+	// ShouldAwaitHandover reports whether to postpone the acquisition of a shard because its live owner
 	// was requested to hand it over.
-	AwaitHandover func(shard string, now time.Time) (wait bool)
-	// ControllerFailed reports whether a controller is considered failed although its lease has
+	ShouldAwaitHandover func(shard string, now time.Time) (wait bool)
+	// HasControllerFailed reports whether a controller is considered failed although its lease has
 	// not expired.
-	ControllerFailed func(controller string, now time.Time) bool
+	HasControllerFailed func(controller string, now time.Time) bool
 	// ShardAcquired is called when a controller has acquired a shard.
 	ShardAcquired func(owner string)
 	// OwnerRecordWritten is called after the cache has applied a record of a kind that only the
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -112,13 +112,13 @@
 	if value == nil || !c.CanStore(value) {
 		return
 	}
-	record.WriteInFlight = true
+	record.IsWriteInFlight = true
 	txn := kvstore.Txn{
 		Conditions: []kvstore.Condition{{Key: key, Revision: record.Revision}},
 		Writes:     []kvstore.Write{{Key: key, Value: value}},
 	}
 	c.Commit(kvstore.Background, txn, func(result kvstore.TxnResult, err error) {
-		record.WriteInFlight = false
+		record.IsWriteInFlight = false
 		if err == nil && result.Succeeded {
 			onStored()
 		}
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -16,12 +16,12 @@
 	if !ok {
 		return
 	}
-	hasFailed := func(controller string) bool { return c.hooks.ControllerFailed(controller, now) }
+	hasFailed := func(controller string) bool { return c.hooks.HasControllerFailed(controller, now) }
 	for _, id := range c.Membership.ShardsToAcquire(now, hasFailed) {
 		shard := c.Membership.Shard(id)
 		ownerIsLive := c.Membership.OwnerIsLive(shard)
 		ownerFailed := ownerIsLive && hasFailed(shard.Owner())
-		if ownerIsLive && !ownerFailed && c.hooks.AwaitHandover(id, now) {
+		if ownerIsLive && !ownerFailed && c.hooks.ShouldAwaitHandover(id, now) {
 			continue
 		}
 		if ownerFailed {
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -14,7 +14,7 @@
 
 // hasCommands reports whether a response to a worker would start or stop a task.
 func (m *Manager) hasCommands(machine *clusterstate.Machine) bool {
-	if m.State.PendingCommands(machine) == 0 {
+	if m.State.PendingCommandCount(machine) == 0 {
 		return false
 	}
 	now := time.Now()
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -194,10 +194,10 @@
 	return reply
 }
 
-// MisdirectedHeartbeats returns how many heartbeats this controller received in the last
+// MisdirectedHeartbeatCount returns how many heartbeats this controller received in the last
 // tuning.MisdirectedWorkerWindow from workers of a shard that another live controller owns, and forgets older ones.
 // The number is high if the workers can reach this controller but not the owner.
-func (m *Manager) MisdirectedHeartbeats(shardID string, now time.Time) int {
+func (m *Manager) MisdirectedHeartbeatCount(shardID string, now time.Time) int {
 	m.misdirectedAt[shardID] = slices.DeleteFunc(m.misdirectedAt[shardID], func(at time.Time) bool {
 		return now.Sub(at) > tuning.MisdirectedWorkerWindow
 	})
@@ -218,9 +218,9 @@
 	}
 }
 
-// ProbeAnswered applies the heartbeat with which a worker answered a probe. fencingToken is the token that the probe
+// HandleProbeAnswer applies the heartbeat with which a worker answered a probe. fencingToken is the token that the probe
 // contained. The heartbeat is ignored if the token is no longer current or if the worker has already reported.
-func (m *Manager) ProbeAnswered(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
+func (m *Manager) HandleProbeAnswer(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HasReported() && m.isCurrentAnswer(machine, heartbeat, fencingToken) {
 		m.ApplyHeartbeat(machine, heartbeat, time.Now())
 	}
--- a/internal/workersession/reachability.go
+++ b/internal/workersession/reachability.go
@@ -71,7 +71,7 @@
 	now := time.Now()
 	switch m.reachabilityMonitor.RecordProbeResult(anyAnswered, startedAt, now, m.Membership.HasLivePeer()) {
 	case reachability.Unreachable:
-		m.log.Info("no worker reachable, releasing shards", "since_last_contact_s", m.reachabilityMonitor.SinceLastContact(now).Seconds())
+		m.log.Info("no worker reachable, releasing shards", "since_last_contact_s", m.reachabilityMonitor.TimeSinceLastContact(now).Seconds())
 		m.Cache.ReleaseLiveness()
 	case reachability.Restored:
 		m.log.Info("workers reachable again")
--- a/internal/workersession/workersession.go
+++ b/internal/workersession/workersession.go
@@ -137,7 +137,7 @@
 	m.queryOverdueWorkers(now)
 	m.clearSuspectedJobs(now)
 	for shardID := range m.misdirectedAt {
-		m.MisdirectedHeartbeats(shardID, now) // called to drop old entries
+		m.MisdirectedHeartbeatCount(shardID, now) // called to drop old entries
 	}
 	m.ProcessDeferredHeartbeats()
 }
