--- a/internal/classstats/stats.go
+++ b/internal/classstats/stats.go
@@ -70,7 +70,8 @@
 }
 
 // RecordRunTime records that a task of a job has finished after runSeconds, and adjusts the correction of
-// the estimates of the job's class. The users' estimates of a class are often biased for a whole day.
+// the run time estimates for the job's class. The users' estimates for the jobs of a class are often biased
+// for a whole day.
 func (s *Stats) RecordRunTime(job *jobs.JobRecord, runSeconds float64) {
 	if job.EstimatedRunSeconds <= 0 || runSeconds <= 0 {
 		return
@@ -95,8 +96,8 @@
 	return s.ExpectedTaskSeconds(job)*slowestTaskFactor + tuning.JobOverheadSeconds
 }
 
-// estimateCorrection returns the factor by which the users' estimates of a class are multiplied, within
-// the bounds tuning.MinEstimateRatio and tuning.MaxEstimateRatio.
+// estimateCorrection returns the factor by which the users' run time estimates for the jobs of a class are
+// multiplied, within the bounds tuning.MinEstimateRatio and tuning.MaxEstimateRatio.
 func (s *Stats) estimateCorrection(class string) float64 {
 	return min(max(s.statsOf(class).runTimeRatio, tuning.MinEstimateRatio), tuning.MaxEstimateRatio)
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -15,8 +15,9 @@
 // updateHealth updates the status that Healthy reports.
 func (c *Controller) updateHealth(now time.Time) {
 	if lastStatus := c.health.Load(); lastStatus != nil && now.Sub(lastStatus.checkedAt) > tuning.ProcessStallThreshold {
-		// The process was stalled, so that no answer of the store was handled. If this silence were
-		// taken for an outage of the store, users would stay at a controller that has lost its shards.
+		// The process was stalled and has not handled any response of the store. If that were taken for
+		// an outage of the store, users would keep sending requests to a controller that has lost its
+		// shards.
 		c.resumedAt = now
 	}
 	storeSilentFor := now.Sub(c.cache.LastContactAt())
@@ -33,8 +34,8 @@
 		return false
 	}
 	// A controller that receives nothing, neither from the store nor from a live peer, is partitioned
-	// itself. If that were taken for an outage of the store, users would stay at this controller for as
-	// long as the partition lasts.
+	// itself. If that were taken for an outage of the store, users would keep sending requests to this
+	// controller for as long as the partition lasts.
 	return c.peers.HasConnectedPeer(now) || !c.members.HasLivePeer()
 }
 
--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// injectSingle begins or ends the single fault that action selects. requestOrInject has drawn action.
+// injectSingle begins or ends the single fault that action selects. action is the random number that
+// requestOrInject has generated.
 func (r *FaultRun) injectSingle(action int, node string, runningNodes []string) {
 	switch {
 	case action < 62:
--- a/internal/fake/faultinjection/mutation.go
+++ b/internal/fake/faultinjection/mutation.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	for seed := range seedCount {
 		for _, violation := range runCombined(t, seed, onlyKind, mutate) {
-			if hasAnyPrefix(violation, prefixes) {
+			if matchesPrefixFilter(violation, prefixes) {
 				t.Logf("seed %d: %s", seed, violation)
 				return true
 			}
@@ -42,7 +42,7 @@
 	return false
 }
 
-// hasAnyPrefix reports whether a violation has one of the prefixes. It returns true if there are no prefixes.
-func hasAnyPrefix(violation string, prefixes []string) bool {
+// matchesPrefixFilter reports whether a violation begins with one of the prefixes, or no prefixes are given.
+func matchesPrefixFilter(violation string, prefixes []string) bool {
 	return len(prefixes) == 0 || slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(violation, prefix) })
 }
--- a/internal/readbarrier/queue.go
+++ b/internal/readbarrier/queue.go
@@ -121,8 +121,8 @@
 //
 // The cache contains all changes that were committed before consistentAsOf. consistentAsOf is zero
 // if the cache has not reached the revision of any further read since the last call. The caller has
-// to record consistentAsOf first and then call serve, which calls the done functions of the served
-// waiters: these may depend on the recorded time.
+// to record consistentAsOf first and then call serve. serve calls the done functions of the served
+// waiters, and these functions may depend on the recorded time.
 func (q *Queue) Advance(now time.Time, appliedRevision uint64, synced bool) (consistentAsOf time.Time, serve func()) {
 	var remainingReads []answeredRead
 	var servedWaiters []waiter
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -23,10 +23,10 @@
 // Order of jobs.
 const (
 	// JobOverdueAfter is how long a job may wait before it is overdue if none of its tasks is
-	// claimed. An overdue job takes precedence over all others, an array for its first task, a gang
-	// for all its tasks. Users count a day as failed if one of the largest jobs starts after four
-	// minutes. The capacity for a gang becomes free when another gang has ended, which takes about
-	// a minute.
+	// claimed. An overdue job takes precedence over all others. For an array, this applies only to
+	// the first task; for a gang, it applies to all tasks. Users count a day as failed if one of the
+	// largest jobs starts after four minutes. The capacity for a gang becomes free when another gang
+	// has ended, which takes about a minute.
 	JobOverdueAfter = 150 * time.Second
 	// GangReservationPeriod is how long capacity is reserved for an overdue gang at a time:
 	// two or three runs of gangs of usual length.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -122,7 +122,7 @@
 	// MinValueKB is the smallest limit of the value size (KiB) with which the program can
 	// work: the size of a usual job's record.
 	MinValueKB = 1.0
-	// MinTxnOps is the minimum number of changes that a transaction must allow: the end of a job
-	// with one task range takes as many.
+	// MinTxnOps is the smallest limit of changes per transaction with which the program can work:
+	// the number of changes that the end of a job with one task range takes.
 	MinTxnOps = 4
 )
