--- a/internal/clusterstate/internal/entity/usage.go
+++ b/internal/clusterstate/internal/entity/usage.go
@@ -15,7 +15,7 @@
 	// FreeBelowWithoutGangs is FreeBelow without the resources of gangs' tasks, which cannot be
 	// stopped one by one.
 	FreeBelowWithoutGangs [jobs.PriorityCount]capacity.Resources
-	// PendingCommands is the number of start and stop commands still have to be sent.
+	// PendingCommands is the number of start and stop commands that still have to be sent.
 	PendingCommands int
 	// ServiceReplicas is the number of replicas of services that the machine runs, except those that
 	// are to be stopped.
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -45,7 +45,7 @@
 	dirty            bool        // result of IsDirty
 	changeCount      uint64      // result of ChangeCount
 	urgentStops      []*Machine  // next result of TakeUrgentStops
-	failureTimes     []time.Time // when machines were lost, for RecentMachineFailures
+	failureTimes     []time.Time // when machines were lost, for RecentMachineFailureCount
 	lastJobArrivedAt time.Time
 }
 
--- a/internal/cronschedule/schedule.go
+++ b/internal/cronschedule/schedule.go
@@ -32,7 +32,7 @@
 // elapsed time instead: "every ten minutes" is due every ten minutes, also in the hour that occurs twice.
 type Schedule struct {
 	zone             *time.Location
-	spec             cron.SpecSchedule // its location is not used; nextIn sets one in a copy
+	spec             cron.SpecSchedule // its location is not used; nextInLocation sets one in a copy
 	matchesEveryHour bool
 }
 
