--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -106,7 +106,7 @@
 		}
 		cluster.CrashController("n0")
 		time.Sleep(4 * time.Second)
-		checkWaitReasons(t, cluster, map[string]string{"wk-6": "machines that can't be asked"}, []string{"n1", "n2"})
+		checkWaitReasons(t, cluster, map[string]string{"wk-6": "machines that cannot be reached"}, []string{"n1", "n2"})
 	})
 }
 
@@ -167,7 +167,7 @@
 		view, _ := cluster.Nodes["n0"].Controller.View(admin.ViewFindings)
 		namedRecords := 0
 		for _, finding := range view.([]diagnostics.Finding) {
-			if finding.Action == "look at the record; if it is beyond help, delete the key" {
+			if finding.Action == "inspect the record; if it cannot be repaired, delete the key" {
 				namedRecords++
 			}
 		}
--- a/internal/diagnostics/findings.go
+++ b/internal/diagnostics/findings.go
@@ -53,7 +53,7 @@
 		list.add("check the state service and this controller's network path to it", "the state service has not responded for %.0f s", storeSilence.Seconds())
 	}
 	for _, record := range r.deps.Cache.QuarantinedRecords() {
-		list.add("look at the record; if it is beyond help, delete the key", "record %s is quarantined: %s", record.Key, record.Error)
+		list.add("inspect the record; if it cannot be repaired, delete the key", "record %s is quarantined: %s", record.Key, record.Error)
 	}
 }
 
--- a/internal/diagnostics/jobs.go
+++ b/internal/diagnostics/jobs.go
@@ -128,7 +128,7 @@
 	case job.Record().CompletedTasks > 0:
 		return ""
 	case unknownTaskCount > 0:
-		return fmt.Sprintf("%d tasks may be on machines that can't be asked", unknownTaskCount)
+		return fmt.Sprintf("%d tasks may be on machines that cannot be reached", unknownTaskCount)
 	case isClaimed && readyTaskCount == 0:
 		return ""
 	case reason == "" && isClaimed:
