--- a/cmd/cherrywall/daemon.go
+++ b/cmd/cherrywall/daemon.go
@@ -189,7 +189,7 @@
 	for _, other := range d.cfg.Peers {
 		sharing.Peers[other.Node] = true
 	}
-	go peer.Listen(ctx, listener, sharing, d.log)
+	go peer.Serve(ctx, listener, sharing, d.log)
 	for _, other := range d.cfg.Peers {
 		go peer.SendHeartbeats(ctx, other.Addr, outbox[other.Node], sharing)
 	}
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -52,7 +52,7 @@
 	})
 }
 
-func (e environment) TaskCommanded(task string) {
+func (e environment) StartCommandExecuted(task string) {
 	e.workload.commandedWorkers[task] = append(e.workload.commandedWorkers[task], e.worker)
 }
 
--- a/internal/fake/workeragent/task.go
+++ b/internal/fake/workeragent/task.go
@@ -66,7 +66,7 @@
 		task.fetchTimer = a.env.AfterFetch(fetchTime, func() { a.handleImageFetched(task, runTime) })
 	}
 	a.tasks[command.Task] = task
-	a.env.TaskCommanded(command.Task)
+	a.env.StartCommandExecuted(command.Task)
 }
 
 // hasCapacityFor reports whether the machine has enough free CPUs and GPUs for one more task of a job.
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -34,8 +34,8 @@
 	// lock that protects the agent is held during the call.
 	AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer
 
-	// TaskCommanded is called when the agent has executed the command to start a task.
-	TaskCommanded(task string)
+	// StartCommandExecuted is called when the agent has executed the command to start a task.
+	StartCommandExecuted(task string)
 	// TaskStarted is called when a task starts, and returns how long the task runs. runTime is the run
 	// time according to TaskSpec.
 	TaskStarted(task *Task, runTime time.Duration) time.Duration
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -22,9 +22,9 @@
 	HandlePeerHeartbeat(heartbeat Heartbeat)
 }
 
-// Listen accepts connections of other controllers and passes their heartbeats to controller until
+// Serve accepts connections of other controllers and passes their heartbeats to controller until
 // ctx ends. It closes the listener.
-func Listen(ctx context.Context, listener net.Listener, controller Controller, log *slog.Logger) {
+func Serve(ctx context.Context, listener net.Listener, controller Controller, log *slog.Logger) {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends Accept
 	defer stop()
 	defer func() { _ = listener.Close() }()
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -35,7 +35,7 @@
 	listenReturned := make(chan struct{})
 	go func() {
 		defer close(listenReturned)
-		Listen(ctx, listener, controller, slog.New(slog.DiscardHandler))
+		Serve(ctx, listener, controller, slog.New(slog.DiscardHandler))
 	}()
 	go SendHeartbeats(ctx, listener.Addr().String(), outbox["n1"], controller)
 	deadline := time.After(10 * time.Second)
