--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -96,9 +96,9 @@
 	allowSurplus
 )
 
-// surplusUseFor returns whether a job may use surplus machines now. A job that may run on spot
-// machines avoids surplus machines for SurplusPlacementDelay, since a spot machine may become free
-// in that time.
+// surplusUseFor returns whether a job may use surplus machines now. A best-effort job may not.
+// Any other job that may run on spot machines avoids surplus machines for SurplusPlacementDelay,
+// since a spot machine may become free in that time.
 func (s *Scheduler) surplusUseFor(job *clusterstate.Job, now time.Time) surplusUse {
 	if job.IsBestEffort() {
 		return avoidSurplus
@@ -197,7 +197,8 @@
 	return placedCount
 }
 
-// arrayZone is the zone in which the next tasks of an array may run, and how many of them may.
+// arrayZone is the zone in which the next tasks of an array may run, and the maximum number of
+// tasks that may start there.
 type arrayZone struct {
 	name     string // empty for all zones
 	maxTasks int
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -195,7 +195,7 @@
 			continue
 		}
 		sum += buffer.Tasks*buffer.Need.CPU*cpuRatio + gangCPU*(cpuRatio-1)
-		gangCPU = 0 // the running gangs are counted only once
+		gangCPU = 0 // the CPUs that running gangs leave are added only once
 	}
 	return sum
 }
--- a/internal/scheduler/overdue.go
+++ b/internal/scheduler/overdue.go
@@ -9,10 +9,10 @@
 	"cherrywall/internal/tuning"
 )
 
-// This file prevents starvation. In an overload, ordering by deadlines serves most jobs, but a
-// large gang repeatedly loses the capacity that it needs to smaller jobs, and an array without an
-// objective comes after all arrays that have one. Therefore an overdue job goes first in the queue,
-// and capacity is reserved for an overdue gang.
+// This file prevents starvation. In an overload, ordering by deadlines serves most jobs, but
+// smaller jobs repeatedly take the capacity for which a large gang waits, and an array without an
+// objective comes after all arrays that have one. Therefore an overdue job goes first in the
+// queue, and capacity is reserved for an overdue gang.
 
 // isOverdue reports whether a job has been runnable for longer than JobOverdueAfter and none of its
 // tasks is claimed. Services are never overdue.
@@ -80,9 +80,9 @@
 
 // mayReserve reports whether capacity may be reserved for an overdue job now. Only gangs that are
 // not faulty get a reservation. A gang that waits for its team's quota gets none, because the
-// machines would stay empty in the meantime. A reservation lasts for GangReservationPeriod. After
-// that, no reservation is made for the same length of time, so that other jobs make progress if the
-// reservation does not help.
+// reserved machines would stay empty while it waits. A reservation lasts for
+// GangReservationPeriod. After that, no reservation is made for the same length of time, so that
+// other jobs make progress if the reservation does not help.
 func (s *Scheduler) mayReserve(job *clusterstate.Job, now time.Time) bool {
 	if job.Record().Kind != jobs.Gang || s.Faults.IsJobFaulty(job.Ref()) {
 		return false
@@ -108,7 +108,7 @@
 // the recorded machines.
 func (s *Scheduler) reservationFor(job *clusterstate.Job) (gangReservation reservation, ok bool) {
 	fittingTasks := map[reservationScope]int{}
-	fittingInZone := map[string]int{}
+	fittingTasksByZone := map[string]int{}
 	for shard, byZone := range s.FitCountsByShard(job) {
 		for zone, tasks := range byZone {
 			scope := reservationScope{shard: shard}
@@ -116,7 +116,7 @@
 				scope.zone = zone
 			}
 			fittingTasks[scope] += tasks
-			fittingInZone[scope.zone] += tasks
+			fittingTasksByZone[scope.zone] += tasks
 		}
 	}
 	best := reservationScope{}
@@ -125,7 +125,7 @@
 			best = scope
 		}
 	}
-	if fittingInZone[best.zone] < job.Record().Tasks {
+	if fittingTasksByZone[best.zone] < job.Record().Tasks {
 		return reservation{}, false
 	}
 	if fittingTasks[best] < job.Record().Tasks {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -52,8 +52,8 @@
 func (s *Scheduler) preemptionLoss(assignment *clusterstate.Assignment) float64 {
 	record := assignment.Job().Record()
 	lostSeconds := 0.0
-	if since := assignment.Status().RunningSince; !since.IsZero() {
-		lostSeconds = time.Since(since).Seconds()
+	if runningSince := assignment.Status().RunningSince; !runningSince.IsZero() {
+		lostSeconds = time.Since(runningSince).Seconds()
 	}
 	hasCheckpoints := record.CheckpointIntervalSeconds > 0
 	if record.Kind == jobs.Gang {
@@ -70,8 +70,8 @@
 	return lostSeconds * assignment.Need().CPU
 }
 
-// freeWithPreemption returns the capacity of a machine that is free or is used by tasks that a job
-// may preempt.
+// freeWithPreemption returns how much of a machine's capacity is free or is used by tasks that a
+// job may preempt.
 func (s *Scheduler) freeWithPreemption(job *clusterstate.Job, machine *clusterstate.Machine) capacity.Resources {
 	free := s.State.Free(machine)
 	for assignment := range machine.Assignments() {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -76,7 +76,7 @@
 	return strings.Compare(x.job.Ref(), y.job.Ref())
 }
 
-// compareTrueFirst returns the result of comparing x with !x in an order in which true comes first.
+// compareTrueFirst compares x with a boolean of the other value, so that true comes first.
 func compareTrueFirst(x bool) int {
 	if x {
 		return -1
--- a/internal/scheduler/quota_allowance.go
+++ b/internal/scheduler/quota_allowance.go
@@ -20,9 +20,9 @@
 	return &QuotaAllowance{scheduler: s, remaining: map[string]quota.Amount{}}
 }
 
-// Take returns how many of a job's unclaimed tasks its team's remaining quota allows, and subtracts
-// these tasks from that quota. For a gang it is all tasks or none. The remaining quota excludes
-// what claimed tasks use and what earlier calls took.
+// Take returns how many of a job's unclaimed tasks its team's remaining quota allows, and
+// subtracts these tasks from that quota. For a gang, the result is the number of all of its tasks,
+// or 0. The remaining quota excludes what claimed tasks use and what earlier calls took.
 func (a *QuotaAllowance) Take(job *clusterstate.Job) int {
 	record := job.Record()
 	tasks := record.UnclaimedCount()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -150,10 +150,10 @@
 }
 
 // waitsForTurn reports whether another controller should claim a new job before this controller
-// does. Controllers claim a job in turn, ClaimStaggerDelay apart, so that they do not all write the
-// same record. For a gang, the first is the controller on whose machines the gang fits best; for
-// other jobs, it is the controller that accepted the job. The other controllers claim the job later
-// if the first controller does not claim it.
+// does. The controllers may claim a job one after another, ClaimStaggerDelay apart, so that they
+// do not all write the same record. For a gang, the first is the controller on whose machines the
+// gang fits best; for other jobs, it is the controller that accepted the job. The other
+// controllers claim the job only if no controller before them has claimed it.
 func (s *Scheduler) waitsForTurn(job *clusterstate.Job) bool {
 	now := time.Now()
 	knownFor := now.Sub(job.KnownSince())
@@ -171,8 +171,9 @@
 }
 
 // requestCycle makes another scheduling cycle run after a delay. The request replaces an earlier
-// request whose cycle is due later. Otherwise the pause of a faulty job, which is minutes long,
-// would also delay claims that are staggered by ClaimStaggerDelay.
+// request whose cycle is due later. If it did not, a cycle that is requested for the end of a
+// faulty job's pause, which is minutes long, would also delay claims that are staggered by
+// ClaimStaggerDelay.
 func (s *Scheduler) requestCycle(delay time.Duration) {
 	dueAt := time.Now().Add(delay)
 	if !s.nextCycleAt.IsZero() && !dueAt.Before(s.nextCycleAt) {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,9 +17,9 @@
 	h.Cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "own"}}
 }
 
-// Without objective buffers the long tasks of background work took all capacity within seconds, and
-// jobs with deadlines waited for minutes, because they had the same priority and could not preempt
-// it.
+// Without objective buffers the long tasks of background work took all capacity within seconds,
+// and jobs with deadlines waited for minutes, because these jobs had the same priority as the
+// background work and could not preempt it.
 func TestBackgroundWorkLeavesObjectiveBuffersFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, withObjective)
@@ -32,27 +32,27 @@
 		objectiveSpec := jobs.Spec{Class: "own", Kind: jobs.Array, Urgency: "idle", Tasks: 40, CPU: 2, EstimatedRunSeconds: 20, DeadlineSeconds: &deadlineSeconds}
 		for i := range 4 {
 			objectiveSpec.Ref = fmt.Sprintf("wk-%d", i)
-			at := time.Now().Add(-time.Duration(40-10*i) * time.Second)
-			h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: objectiveSpec, AcceptedAtMS: at.UnixMilli()}, at.UnixMilli(), time.Now())
+			arrivedAt := time.Now().Add(-time.Duration(40-10*i) * time.Second)
+			h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: objectiveSpec, AcceptedAtMS: arrivedAt.UnixMilli()}, arrivedAt.UnixMilli(), time.Now())
 		}
 		spec := jobs.Spec{Ref: "wk-9", Class: "guest", Kind: jobs.Array, Urgency: "idle", Tasks: 200, CPU: 1, EstimatedRunSeconds: 300, Spot: true}
-		background := h.AddJob(spec, 200, 5)
-		if !background.IsBackground() || !background.IsBestEffort() {
-			t.Fatalf("job without objective: background %v, best effort %v", background.IsBackground(), background.IsBestEffort())
+		backgroundJob := h.AddJob(spec, 200, 5)
+		if !backgroundJob.IsBackground() || !backgroundJob.IsBestEffort() {
+			t.Fatalf("job without objective: background %v, best effort %v", backgroundJob.IsBackground(), backgroundJob.IsBestEffort())
 		}
-		if n := h.Scheduler.AllocableTasks(background); n < 20 || n > 130 {
+		if n := h.Scheduler.AllocableTasks(backgroundJob); n < 20 || n > 130 {
 			t.Errorf("%d of 160 CPUs are allocable to background work", n)
 		}
 		// From here on no more work with an objective arrives.
 		time.Sleep(5 * time.Minute)
 		h.Scheduler.StartCycle()
-		if n := h.Scheduler.AllocableTasks(background); n != 160 {
+		if n := h.Scheduler.AllocableTasks(backgroundJob); n != 160 {
 			t.Errorf("%d of 160 CPUs are allocable while no other work arrives", n)
 		}
 		// After another minute of waiting, the background job is no longer best effort.
 		time.Sleep(time.Minute)
 		h.Scheduler.Recount(time.Now())
-		if background.IsBestEffort() {
+		if backgroundJob.IsBestEffort() {
 			t.Error("background work is still best effort after a long wait, so it would never get a machine")
 		}
 	})
@@ -78,27 +78,28 @@
 	h := harness.New(t, nil)
 	h.OfferMachineTypes("m16")
 	array := h.AddJob(jobs.Spec{Ref: "wk-1", Kind: jobs.Array, Urgency: "normal", Tasks: 1, CPU: 1}, 1, 2)
-	onDemand, spot := h.AddMachine("i-1", "n1", "m16", false), h.AddMachine("i-2", "n1", "m16", true)
+	onDemandMachine, spotMachine := h.AddMachine("i-1", "n1", "m16", false), h.AddMachine("i-2", "n1", "m16", true)
 	gang := jobs.Spec{Class: "g", Kind: jobs.Gang, Urgency: "high", Tasks: 4, CPU: 7}
 	h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
-	if h.Scheduler.Score(array, spot) <= h.Scheduler.Score(array, onDemand) {
+	if h.Scheduler.Score(array, spotMachine) <= h.Scheduler.Score(array, onDemandMachine) {
 		t.Error("retained on-demand machines are preferred to spot machines that gangs may not use")
 	}
 	gang.Spot = true
 	h.ClassStats.RecordArrival(&jobs.JobRecord{Spec: gang}, 0, time.Now())
-	if h.Scheduler.Score(array, onDemand) <= h.Scheduler.Score(array, spot) {
+	if h.Scheduler.Score(array, onDemandMachine) <= h.Scheduler.Score(array, spotMachine) {
 		t.Error("spot machines are preferred to retained ones where gangs may use both")
 	}
 }
 
 // When there was only one timer for requested cycles, and it was set to the end of a faulty job's
-// pause, which is minutes long, every claim that is staggered by 120 ms waited for the next recount.
+// pause, which is minutes long, every claim that should have been made 120 ms later waited for the
+// next recount.
 func TestEarlierCycleRequestReplacesLaterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := harness.New(t, nil)
 		h.Scheduler.RequestCycle(5 * time.Minute)
 		h.Scheduler.RequestCycle(100 * time.Millisecond)
-		h.Scheduler.RequestCycle(time.Second) // the earlier request is enough
+		h.Scheduler.RequestCycle(time.Second) // has no effect, since an earlier cycle is already requested
 		h.State.ClearDirty()
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
