--- a/internal/claims/allocations.go
+++ b/internal/claims/allocations.go
@@ -127,7 +127,7 @@
 	return false
 }
 
-// recordAllocation adds a write of a team's record to the decision log.
+// recordAllocation records in the decision log that a team's record is written.
 func (w *Writer) recordAllocation(action decisionlog.Action, team config.Team, shard *membership.Shard, record quota.Record, reason string) {
 	amount, usage := record.ByShard[shard.ID()], w.usageOf(team, shard.ID())
 	w.Decisions.Add(decisionlog.Decision{
--- a/internal/claims/completions.go
+++ b/internal/claims/completions.go
@@ -59,14 +59,14 @@
 		if taskRange.HasWriteInFlight() || taskRange.IsTentative() {
 			continue
 		}
-		unrecorded, since := taskRange.UnrecordedDone()
+		unrecordedTasks, since := taskRange.UnrecordedDone()
 		isDue := now.Sub(since) >= tuning.CompletionWriteDelay
 		switch {
 		case taskRange.IsComplete() && len(pending.completeRanges) < maxRanges:
 			pending.completeRanges = append(pending.completeRanges, taskRange)
 			pending.doneTasks += taskRange.Record().Count
 			pending.isDue = pending.isDue || isDue
-		case unrecorded > 0 && !taskRange.IsInline() && isDue:
+		case unrecordedTasks > 0 && !taskRange.IsInline() && isDue:
 			pending.partialRanges = append(pending.partialRanges, taskRange)
 		}
 	}
--- a/internal/claims/unclaim.go
+++ b/internal/claims/unclaim.go
@@ -52,8 +52,8 @@
 		return taskSpan{}
 	}
 	readyCount := taskRange.CountTasks(clusterstate.TaskReady)
-	onlyAsWhole := job.Record().Kind == jobs.Gang || taskRange.IsInline()
-	if readyCount == 0 || onlyAsWhole && readyCount < taskRange.Len() {
+	isIndivisible := job.Record().Kind == jobs.Gang || taskRange.IsInline()
+	if readyCount == 0 || isIndivisible && readyCount < taskRange.Len() {
 		delete(w.unplacedSince, taskRange)
 		return taskSpan{}
 	}
@@ -72,8 +72,8 @@
 // canUnclaimFrom reports whether tasks of the range may be unclaimed now: this controller owns the
 // range, its record is stored, and no change of the record is pending.
 func canUnclaimFrom(taskRange *clusterstate.TaskRange) bool {
-	unrecorded, _ := taskRange.UnrecordedDone()
-	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecorded == 0
+	unrecordedTasks, _ := taskRange.UnrecordedDone()
+	return taskRange.IsOwned() && !taskRange.IsTentative() && !taskRange.HasWriteInFlight() && unrecordedTasks == 0
 }
 
 // unclaimDelay returns how long a span of tasks that do not fit stays claimed.
@@ -180,8 +180,8 @@
 // that was removed.
 func (w *Writer) copyUnplacedSince(taskRange *clusterstate.TaskRange, span taskSpan, since time.Time) {
 	for _, first := range []int{taskRange.First(), taskRange.First() + span.end()} {
-		if remaining := taskRange.Job().TaskRange(first); remaining != nil {
-			w.unplacedSince[remaining] = since
+		if remainingRange := taskRange.Job().TaskRange(first); remainingRange != nil {
+			w.unplacedSince[remainingRange] = since
 		}
 	}
 }
--- a/internal/claims/writer_test.go
+++ b/internal/claims/writer_test.go
@@ -112,10 +112,10 @@
 		job := h.AddJob(jobs.Spec{Ref: "wk-1", Team: "few", Kind: jobs.Array, Urgency: "normal", Tasks: 20, CPU: 1}, 17, 6)
 		taskRange := h.AddTaskRange("wk-1", "n0", 3, 7)
 		shard := h.Membership.Shard("n0")
-		expectAllowed := func(when string, want int) {
+		expectAllowed := func(situation string, want int) {
 			t.Helper()
 			if got := h.Claims.TasksWithinQuota(job, shard); got != want {
-				t.Errorf("%s: %d tasks are allowed, want %d", when, got, want)
+				t.Errorf("%s: %d tasks are allowed, want %d", situation, got, want)
 			}
 		}
 		h.Heartbeat("i-1", 1, 5)
