--- a/internal/capacity/buffer.go
+++ b/internal/capacity/buffer.go
@@ -31,10 +31,10 @@
 // the two shapes cannot be counted.
 func (b Buffer) ConvertByRatio(shape Resources) int {
 	ratio := 0.0
-	buffered := b.Shape.amounts()
+	bufferAmounts := b.Shape.amounts()
 	for i, need := range shape.amounts() {
 		if need > 0 {
-			ratio = max(ratio, buffered[i]/need)
+			ratio = max(ratio, bufferAmounts[i]/need)
 		}
 	}
 	return int(math.Ceil(ratio*b.Tasks - roundingTolerance))
