--- a/internal/startgate/startgate_test.go
+++ b/internal/startgate/startgate_test.go
@@ -117,21 +117,21 @@
 		h, first, second := newPlacedTasks(t)
 		allocate(h, 2, 30)
 		reply := h.Heartbeat("i-1", 1, epoch)
-		var started []string
+		var startedTasks []string
 		for _, command := range reply.Response.Commands {
 			if command.Verb == workerapi.VerbStart {
-				started = append(started, command.Task)
+				startedTasks = append(startedTasks, command.Task)
 			}
 		}
-		if len(started) != 1 {
-			t.Fatalf("started %v, want one task, which is all that the allocation covers", started)
+		if len(startedTasks) != 1 {
+			t.Fatalf("started %v, want one task, which is all that the allocation covers", startedTasks)
 		}
-		refused := first
-		if slices.Contains(started, first.Name()) {
-			refused = second
+		refusedTask := first
+		if slices.Contains(startedTasks, first.Name()) {
+			refusedTask = second
 		}
-		if refused.LastRefusal() != string(startgate.QuotaExceeded) || !refused.Status().IsPlanned() {
-			t.Errorf("%s: refusal %q, status %+v", refused.Name(), refused.LastRefusal(), refused.Status())
+		if refusedTask.LastRefusal() != string(startgate.QuotaExceeded) || !refusedTask.Status().IsPlanned() {
+			t.Errorf("%s: refusal %q, status %+v", refusedTask.Name(), refusedTask.LastRefusal(), refusedTask.Status())
 		}
 	})
 }
@@ -181,11 +181,11 @@
 func TestAdoptedTaskInvalidatesCachedUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, first, _ := newPlacedTasks(t)
-		other := h.AddMachine("i-2", shard, "m16", false)
+		otherMachine := h.AddMachine("i-2", shard, "m16", false)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.Allowed {
 			t.Fatalf("refusal %q before the task is reported", got)
 		}
-		h.State.AdoptTask(other, workerapi.TaskStatus{Task: "wk-9/0", Attempt: 1, Status: workerapi.StatusRunning}, false)
+		h.State.AdoptTask(otherMachine, workerapi.TaskStatus{Task: "wk-9/0", Attempt: 1, Status: workerapi.StatusRunning}, false)
 		if got := h.Gate.Check(first, time.Now()); got != startgate.QuotaUnknown {
 			t.Errorf("refusal %q after the task is reported", got)
 		}
