--- a/internal/quota/allocations_test.go
+++ b/internal/quota/allocations_test.go
@@ -44,7 +44,7 @@
 	e.origins[e.initial] = origin{}
 	level := []model{e.initial}
 	for len(level) > 0 && len(e.origins) < maxStates {
-		var next []model
+		var nextLevel []model
 		for _, state := range level {
 			newStates := e.visitFrom(state)
 			if n := len(newStates); n > 0 {
@@ -52,9 +52,9 @@
 					return exploration{len(e.origins), violation, e.pathTo(newStates[n-1])}
 				}
 			}
-			next = append(next, newStates...)
+			nextLevel = append(nextLevel, newStates...)
 		}
-		level = next
+		level = nextLevel
 	}
 	return exploration{states: len(e.origins)}
 }
@@ -63,16 +63,16 @@
 // at the first state in which an invariant does not hold, which is then the last one returned.
 func (e *explorer) visitFrom(state model) (newStates []model) {
 	for _, step := range e.steps {
-		after := state
-		if !step.apply(&after, e.variant) {
+		nextState := state
+		if !step.apply(&nextState, e.variant) {
 			continue
 		}
-		if _, known := e.origins[after]; known {
+		if _, known := e.origins[nextState]; known {
 			continue
 		}
-		e.origins[after] = origin{state, step.name}
-		newStates = append(newStates, after)
-		if after.violation() != "" {
+		e.origins[nextState] = origin{state, step.name}
+		newStates = append(newStates, nextState)
+		if nextState.violation() != "" {
 			return newStates
 		}
 	}
@@ -110,10 +110,10 @@
 // would find them in the real protocol as well.
 func TestIncorrectVariantsViolateInvariants(t *testing.T) {
 	for name, variant := range map[string]protocolVariant{
-		"used before its tasks are known":                               {useBeforeReconciled: true},
-		"used while it is released":                                     {useWhileReleasing: true},
-		"written without the shard's epoch":                             {writeWithoutEpoch: true},
-		"reconciled before the records of the previous owner are known": {reconcileBeforeRecord: true},
+		"used before its tasks are known":                               {usesBeforeReconciled: true},
+		"used while it is released":                                     {usesWhileReleasing: true},
+		"written without the shard's epoch":                             {writesWithoutEpoch: true},
+		"reconciled before the records of the previous owner are known": {reconcilesBeforeRecord: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			result := explore(variant, true, 400_000)
@@ -133,8 +133,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		state := initialModel()
 		for _, step := range rapid.SliceOfN(rapid.SampledFrom(steps), 50, 150).Draw(t, "steps") {
-			if after := state; step.apply(&after, protocolVariant{}) {
-				state = after
+			if nextState := state; step.apply(&nextState, protocolVariant{}) {
+				state = nextState
 			}
 			if state.record.revision > 100 {
 				return // the model's revisions are of type int8 and must not overflow
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -32,12 +32,12 @@
 // encodeRecord returns the stored form of a record, given the number of tasks allocated to each
 // shard.
 func encodeRecord(byShard [shardCount]int8) []byte {
-	raw := encodedRecords[byShard]
-	if raw == nil {
-		raw = fmt.Appendf(nil, `{"by":{"s0":{"cpu":%d},"s1":{"cpu":%d}}}`, byShard[0], byShard[1])
-		encodedRecords[byShard] = raw
+	encoded := encodedRecords[byShard]
+	if encoded == nil {
+		encoded = fmt.Appendf(nil, `{"by":{"s0":{"cpu":%d},"s1":{"cpu":%d}}}`, byShard[0], byShard[1])
+		encodedRecords[byShard] = encoded
 	}
-	return raw
+	return encoded
 }
 
 // modelRecord is the team's record at a revision.
@@ -80,10 +80,10 @@
 
 // protocolVariant is a set of deliberate errors in the protocol that the exploration must find.
 type protocolVariant struct {
-	useBeforeReconciled   bool // an allocation is used and released before the running tasks of the shard are known
-	useWhileReleasing     bool // an amount is used after its release was sent, until the release is known to be written
-	writeWithoutEpoch     bool // the shard's epoch is not a precondition of writes
-	reconcileBeforeRecord bool // a shard is reconciled before the records written before its acquisition are known
+	usesBeforeReconciled   bool // an allocation is used and released before the running tasks of the shard are known
+	usesWhileReleasing     bool // an amount is used after its release was sent, until the release is known to be written
+	writesWithoutEpoch     bool // the shard's epoch is not a precondition of writes
+	reconcilesBeforeRecord bool // a shard is reconciled before the records written before its acquisition are known
 }
 
 func initialModel() model {
@@ -212,7 +212,7 @@
 
 // knownRunningTasks returns how many tasks run in a shard, as far as a controller knows.
 func (m *model) knownRunningTasks(controller, shard int, variant protocolVariant) int8 {
-	if variant.useBeforeReconciled && !m.views[controller][shard].isReconciled {
+	if variant.usesBeforeReconciled && !m.views[controller][shard].isReconciled {
 		return 0 // the workers have not sent a heartbeat yet
 	}
 	return m.runningTasks[shard]
@@ -221,7 +221,7 @@
 // canUseAllocation reports whether a controller may use a shard's allocation.
 func (m *model) canUseAllocation(controller, shard int, variant protocolVariant) bool {
 	view := m.views[controller][shard]
-	return view.isOwned && (view.isReconciled || variant.useBeforeReconciled)
+	return view.isOwned && (view.isReconciled || variant.usesBeforeReconciled)
 }
 
 func startTaskStep(controller, shard int) step {
@@ -258,7 +258,7 @@
 		if !m.send(controller, shard, allocations.Release(team, shardName, Amount{CPU: 1}), true) {
 			return false
 		}
-		if !variant.useWhileReleasing {
+		if !variant.usesWhileReleasing {
 			allocations.RecordReleaseSent(team.Name, shardName, Amount{CPU: 1})
 			m.views[controller][shard].pendingRelease = 1
 			m.releaseRevision[controller] = m.knownRecords[controller].revision
@@ -285,7 +285,7 @@
 	name := fmt.Sprintf("controller %d reconciles shard %d", controller, shard)
 	return step{name: name, apply: func(m *model, variant protocolVariant) bool {
 		view := &m.views[controller][shard]
-		knowsRecord := m.knownRecords[controller].revision >= view.recordRevisionAtAcquisition || variant.reconcileBeforeRecord
+		knowsRecord := m.knownRecords[controller].revision >= view.recordRevisionAtAcquisition || variant.reconcilesBeforeRecord
 		ok := knowsRecord && view.isOwned && !view.isReconciled && view.epoch == m.epoch[shard]
 		view.isReconciled, m.commandingController[shard] = true, int8(controller)
 		return ok
@@ -294,31 +294,31 @@
 
 func applyRecordsStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " applies the records"), apply: func(m *model, _ protocolVariant) bool {
-		before := *m
+		previousState := *m
 		m.applyRecord(controller, false)
 		for s := range shardCount {
 			if view := &m.views[controller][s]; view.isOwned && view.epoch != m.epoch[s] {
 				*view = shardView{pendingRelease: view.pendingRelease}
 			}
 		}
-		return *m != before
+		return *m != previousState
 	}}
 }
 
 func rereadRecordsStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " reads all records again"), isFault: true, apply: func(m *model, _ protocolVariant) bool {
-		before := *m
+		previousState := *m
 		m.applyRecord(controller, true)
-		return *m != before
+		return *m != previousState
 	}}
 }
 
 func crashStep(controller int) step {
 	return step{name: fmt.Sprint(controller, " crashes"), isFault: true, apply: func(m *model, _ protocolVariant) bool {
-		before := *m
+		previousState := *m
 		m.views[controller], m.releaseRevision[controller] = [shardCount]shardView{}, 0
 		m.knownRecords[controller] = m.record // it reads all records again
-		return *m != before
+		return *m != previousState
 	}}
 }
 
@@ -330,7 +330,7 @@
 		}
 		m.inFlight[i] = inFlightTxn{}
 		succeeds := txn.revision == m.record.revision &&
-			(variant.writeWithoutEpoch || txn.epoch == m.epoch[txn.shard])
+			(variant.writesWithoutEpoch || txn.epoch == m.epoch[txn.shard])
 		if succeeds {
 			m.record = modelRecord{txn.byShard, m.record.revision + 1}
 		}
