--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -17,7 +17,7 @@
 	Record            *jobs.JobRecord
 	RunnableSinceMS   int64   // wall-clock time (Unix ms) since which it could have run
 	RunSeconds        float64 // expected run time of a task
-	CompletionSeconds float64 // expected time until jobs that depend on it can start
+	CompletionSeconds float64 // expected time from its start until jobs that depend on it can start
 	// Deadlines are the wall-clock times (Unix ms) by which the job should be finished, so that its
 	// own deadline and those of the jobs that depend on it are met; jobdag.NoDeadline if there are none.
 	Deadlines jobdag.Deadlines
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -43,7 +43,7 @@
 			AcceptedAtMS: now.Add(-age).UnixMilli(),
 		}
 	}
-	queue := map[string]*jobs.JobRecord{
+	records := map[string]*jobs.JobRecord{
 		"too late":      newGang(199*time.Second, 60),
 		"not at risk":   newGang(30*time.Second, 60),
 		"new and long":  newGang(2*time.Second, 120),
@@ -60,7 +60,7 @@
 		{"by arrival without objectives", nil, []string{"aged", "too late", "at risk", "not at risk", "new and long", "new and short"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := sortedByStart(queue, c.objectives, now); !slices.Equal(got, c.want) {
+			if got := sortedByStart(records, c.objectives, now); !slices.Equal(got, c.want) {
 				t.Errorf("order %v, want %v", got, c.want)
 			}
 		})
@@ -82,14 +82,14 @@
 			AcceptedAtMS: now.Add(-age).UnixMilli(),
 		}
 	}
-	queue := map[string]*jobs.JobRecord{
+	records := map[string]*jobs.JobRecord{
 		"deadline":         newArray(0, 10, &deadlineSeconds),  // has to start within 30 s
 		"first objective":  newArray(10*time.Second, 20, nil),  // has to start within 70 s
 		"second objective": newArray(110*time.Second, 20, nil), // has to start within 70 s for the second objective: 200-20-110
 		"late":             newArray(250*time.Second, 20, nil), // too late for all objectives: queued as if it had to start within 50 s
 	}
 	want := []string{"deadline", "late", "first objective", "second objective"}
-	if got := sortedByStart(queue, objectives, now); got[0] != want[0] || got[1] != want[1] {
+	if got := sortedByStart(records, objectives, now); got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("order %v, want %v", got, want)
 	}
 }
