--- a/internal/binpacking/binpacking_test.go
+++ b/internal/binpacking/binpacking_test.go
@@ -17,7 +17,7 @@
 	}
 	placements, _, ok := Plan(machines, need, 4, 4)
 	if !ok || len(placements) != 4 {
-		t.Fatalf("%+v, %v", placements, ok)
+		t.Fatalf("plan of four tasks: placements %+v, ok: %v", placements, ok)
 	}
 	// The machine that a task fills completely is used first, then the larger machine, and last the
 	// machine on which a victim is preempted: the victim with the least lost work.
