--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -15,8 +15,8 @@
 	// list lag far more than usual.
 	MaxListLagFactor = 4
 	// ListAbsenceMargin is added to the assumed lag of the machine list, because the clocks of
-	// controllers differ slightly. A machine that is not listed counts as removed only if it was
-	// requested or registered longer ago than the sum.
+	// controllers differ slightly. A machine that is not listed counts as removed only if it
+	// was requested or registered longer ago than the assumed lag plus this margin.
 	ListAbsenceMargin = 5 * time.Second
 	// MachineTypeListInterval is how often machine types and prices are read.
 	MachineTypeListInterval = 60 * time.Second
--- a/internal/tuning/claims.go
+++ b/internal/tuning/claims.go
@@ -9,9 +9,9 @@
 	// this period. A longer period would save claims, each of which costs changes in the key-value
 	// store, but a task that waits in one shard cannot be claimed by another.
 	ClaimAheadPeriod = 5 * time.Second
-	// UnclaimAfter is how long after the last placement of a task of a range the tasks of the range
-	// that still wait for capacity are unclaimed. It is not shorter than ClaimAheadPeriod, in which
-	// capacity is expected.
+	// UnclaimAfter is the time since the last placement of a task of a range after which
+	// the tasks of the range that wait for capacity are unclaimed. It is not shorter than
+	// ClaimAheadPeriod, in which capacity is expected.
 	UnclaimAfter = 5 * time.Second
 	// RangeSplitAfter replaces UnclaimAfter for tasks in the middle of a range, which wait for
 	// capacity because their machine was lost. Unclaiming them splits the range, which costs one
@@ -52,9 +52,9 @@
 
 // Allocations of quotas.
 const (
-	// ContendedAllocationReleaseDelay is how long a part of an allocation must be unused in a
-	// shard before it is released while the team has unclaimed work. It is longer than the
-	// time between the end of a task and the start of the next one in its place.
+	// ContendedAllocationReleaseDelay applies while the team has unclaimed work: it is how long a
+	// part of an allocation must be unused in a shard before that part is released. It is longer
+	// than the time between the end of a task and the start of the next one in its place.
 	ContendedAllocationReleaseDelay = 500 * time.Millisecond
 	// AllocationReleaseDelay replaces ContendedAllocationReleaseDelay while the team has no
 	// unclaimed work: its next work may arrive in any shard.
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -48,9 +48,9 @@
 	// Users are told that these jobs are cancelled as soon as the first job is, so the writes are
 	// not urgent.
 	MaxConcurrentDependentCancellations = 2
-	// CancellationConfirmWait is the maximum time for which the response to a cancellation waits
-	// until this controller's workers confirm that they have stopped the tasks that had not begun:
-	// several times the duration of one exchange with a worker.
+	// CancellationConfirmWait is the maximum time for which the response to a cancellation is
+	// delayed so that this controller's workers can confirm that they have stopped the tasks that
+	// had not begun: several times the duration of one exchange with a worker.
 	CancellationConfirmWait = 300 * time.Millisecond
 	// CancellationConfirmPollInterval is how often the controller checks whether its workers have
 	// confirmed that they have stopped the tasks.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -84,16 +84,17 @@
 
 // The acquisition of shards.
 const (
-	// StartupGracePeriod is how long after its start a controller does not acquire the shards of
-	// others. When all controllers are started together, the last one is up 1.5 s after the first.
+	// StartupGracePeriod is the time after its start in which a controller does not acquire the
+	// shards of others. When all controllers are started together, the last one is up 1.5 s after
+	// the first.
 	StartupGracePeriod = 2 * time.Second
 	// AcquisitionWindow is how far back acquisitions of a shard count towards
 	// MaxUndelayedAcquisitions.
 	AcquisitionWindow = 2 * time.Minute
 	// MaxUndelayedAcquisitions is the maximum number of acquisitions of a shard in
-	// AcquisitionWindow with which its home controller reclaims it from a live owner without a
-	// delay. A crash, the return from it and a second crash cause three acquisitions, so the return
-	// from the second crash is not delayed, but the return from a third crash is.
+	// AcquisitionWindow up to which the shard's home controller reclaims it from a live owner
+	// without a delay. A crash, the return from it and a second crash cause three acquisitions, so
+	// the return from the second crash is not delayed, but the return from a third crash is.
 	MaxUndelayedAcquisitions = 3
 	// MaxRecordedAcquisitions is how many acquisitions of a shard are recorded.
 	MaxRecordedAcquisitions = 8
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -13,13 +13,14 @@
 	// paused or starved of processor time: several times TickInterval.
 	ProcessStallThreshold = 1500 * time.Millisecond
 	// RecountInterval is how often derived counts are recomputed in full. The Kerveros paper
-	// recomputes them every minute, the design of this scheduler every 5 s.
+	// recomputes them every minute; the design of this scheduler requires every 5 s.
 	RecountInterval = 5 * time.Second
 	// HeapLimitFraction is the fraction of the memory allowance that is the soft limit of the
 	// heap. The rest is for memory that the runtime does not count.
 	HeapLimitFraction = 0.6
-	// GCPercent lets the heap grow to several times the memory in use before it is collected
-	// (below the soft limit): processor time is scarce, memory is not.
+	// GCPercent is the growth of the heap (percent of the memory in use) after which garbage is
+	// collected, unless the soft limit is reached first. It is high because processor time is
+	// scarce and memory is not.
 	GCPercent = 400
 )
 
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -94,8 +94,8 @@
 
 // Background work.
 const (
-	// BackgroundSpotOnlyPeriod is how long after a background job became runnable only spot
-	// machines are scaled out for it.
+	// BackgroundSpotOnlyPeriod is the time after a background job became runnable in which only
+	// spot machines are scaled out for it.
 	BackgroundSpotOnlyPeriod = 150 * time.Second
 	// BackgroundHorizon is the time within which background work should be finished after
 	// BackgroundSpotOnlyPeriod.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -8,7 +8,7 @@
 	// protocol.
 	MaxClockDrift = 0.0005
 	// LeaseExpiryMargin is added to every time after which a worker's lease counts as expired,
-	// since timers fire in steps, and late on a busy processor.
+	// since timers have a limited resolution, and fire late on a busy processor.
 	LeaseExpiryMargin = 500 * time.Millisecond
 	// MaxHeartbeatAge is the age from which a heartbeat is no longer answered: the worker
 	// stops waiting after 4 s.
@@ -50,7 +50,7 @@
 	// the job either knows of the cancellation or may not start tasks.
 	MaxStartKnowledgeAge = 3 * time.Second
 	// StartKnowledgeMargin is added to MaxStartKnowledgeAge where the response to a user waits for
-	// that time, since timers fire in steps.
+	// that time, since timers have a limited resolution.
 	StartKnowledgeMargin = 50 * time.Millisecond
 	// MaxGangWorkersRecorded is the maximum number of workers that a gang's record names. At about
 	// 10 bytes each they fit a value of 1 KiB together with the other fields.
@@ -84,7 +84,8 @@
 	// limit allows in this time.
 	FirstContactBurst = 100 * time.Millisecond
 	// HeartbeatAfterTokenDelay is the time within which the next heartbeat of a worker that was
-	// given a new fencing token arrives without a request: half a second, and the transmission.
+	// given a new fencing token arrives without a request: the worker sends it half a second
+	// later, and the rest is for the transmission.
 	HeartbeatAfterTokenDelay = 1200 * time.Millisecond
 	// AcquisitionTrackingPeriod is the time after the acquisition of a shard in which commands to
 	// its workers are counted as part of the acquisition.
