--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -44,13 +44,13 @@
 // within which the job should be done: the largest multiple that an objective of the job's class
 // sets, but at least 1.
 func (c *Config) DeadlineMultiple(class string) float64 {
-	largest := 1.0
+	largestMultiple := 1.0
 	for _, objective := range c.Cluster.Objectives {
 		if objective.Kind == ObjectiveDeadline && objective.Class == class {
-			largest = max(largest, objective.DeadlineMultiple)
+			largestMultiple = max(largestMultiple, objective.DeadlineMultiple)
 		}
 	}
-	return largest
+	return largestMultiple
 }
 
 // TargetSeconds returns the time (s) within which a job of a class should be done: its deadline,
