--- a/internal/quota/allocations_test.go
+++ b/internal/quota/allocations_test.go
@@ -10,7 +10,7 @@
 
 // exploration is the result of a breadth-first search of the model's states.
 type exploration struct {
-	states int
+	stateCount int
 	// violation describes the invariant that does not hold, or is empty. path holds the names of the
 	// steps that lead to the violation.
 	violation string
@@ -19,10 +19,10 @@
 
 // explorer does a breadth-first search of all states that can be reached by the steps.
 type explorer struct {
-	variant protocolVariant
-	steps   []step
-	initial model
-	origins map[model]origin // by visited state
+	variant      protocolVariant
+	steps        []step
+	initialState model
+	origins      map[model]origin // by visited state
 }
 
 // origin is the step by which a state was first reached, and the state before that step.
@@ -35,14 +35,14 @@
 // excludeFaults leaves out the steps that are faults and allows only one transaction in flight, so
 // that longer paths are searched in the same time.
 func explore(variant protocolVariant, excludeFaults bool, maxStates int) exploration {
-	e := explorer{variant: variant, steps: allSteps(), initial: initialModel(), origins: map[model]origin{}}
+	e := explorer{variant: variant, steps: allSteps(), initialState: initialModel(), origins: map[model]origin{}}
 	inFlightLimit = maxInFlight
 	if excludeFaults {
 		inFlightLimit = 1
 		e.steps = slices.DeleteFunc(e.steps, func(s step) bool { return s.isFault })
 	}
-	e.origins[e.initial] = origin{}
-	level := []model{e.initial}
+	e.origins[e.initialState] = origin{}
+	level := []model{e.initialState}
 	for len(level) > 0 && len(e.origins) < maxStates {
 		var nextLevel []model
 		for _, state := range level {
@@ -56,7 +56,7 @@
 		}
 		level = nextLevel
 	}
-	return exploration{states: len(e.origins)}
+	return exploration{stateCount: len(e.origins)}
 }
 
 // visitFrom returns the states that are one step away and were not visited before. It returns early
@@ -81,7 +81,7 @@
 
 // pathTo returns the names of the steps that lead from the initial state to a state.
 func (e *explorer) pathTo(state model) (path []string) {
-	for ; state != e.initial; state = e.origins[state].predecessor {
+	for ; state != e.initialState; state = e.origins[state].predecessor {
 		path = append(path, e.origins[state].step)
 	}
 	slices.Reverse(path)
@@ -97,9 +97,9 @@
 				if result.violation != "" {
 					t.Fatalf("%s after %q", result.violation, result.path)
 				}
-				t.Logf("%d states", result.states)
-				if result.states < maxStates {
-					t.Errorf("only %d states: the steps of the model reach too few states", result.states)
+				t.Logf("%d states", result.stateCount)
+				if result.stateCount < maxStates {
+					t.Errorf("only %d states: the steps of the model reach too few states", result.stateCount)
 				}
 			})
 		}
--- a/internal/scheduler/arrays.go
+++ b/internal/scheduler/arrays.go
@@ -272,7 +272,7 @@
 // has an empty name if the array may use no zone.
 func (s *Scheduler) zoneForArray(job *clusterstate.Job, shard *membership.Shard, surplus surplusUse, buffers []capacity.Buffer) arrayZone {
 	record := job.Record()
-	best, maxFitting := arrayZone{}, -1
+	best, maxFittingTasks := arrayZone{}, -1
 	for _, zone := range s.zones() {
 		maxTasks := record.Tasks
 		if record.Spread {
@@ -285,8 +285,8 @@
 		fittingTasks := min(maxTasks, s.State.FreeCapacity().AllocableCount(job.Need(), func(g capacity.Group) bool {
 			return record.Allows(g) && g.Zone == zone && surplus.allows(g)
 		}, buffers))
-		if fittingTasks > maxFitting {
-			best, maxFitting = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fittingTasks
+		if fittingTasks > maxFittingTasks {
+			best, maxFittingTasks = arrayZone{name: zone, maxTasks: min(record.UnclaimedCount(), maxTasks)}, fittingTasks
 		}
 	}
 	return best
