--- a/internal/chunkedstore/encoded_form_test.go
+++ b/internal/chunkedstore/encoded_form_test.go
@@ -6,7 +6,8 @@
 	"cherrywall/internal/fake/encodedform"
 )
 
-// The encoded forms are part of stored data: names and order of fields must not change.
+// The encoded forms are part of stored data, so the names and the order of their fields must not
+// change.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
 		encodedform.Form{Name: "chunk reference", Value: chunkRef{}},
--- a/internal/chunkedstore/garbage.go
+++ b/internal/chunkedstore/garbage.go
@@ -11,7 +11,7 @@
 )
 
 // RunGarbageCollector periodically deletes chunks to which no record points, until the context ends.
-// isResponsible reports whether this controller currently has to do that for the cluster.
+// isResponsible reports whether this controller currently deletes these chunks for the cluster.
 //
 // The write of a record that points to new chunks may still be in progress. Therefore chunks are
 // deleted only if no record pointed to them in two successive passes, and the record for which they
--- a/internal/chunkedstore/limits_test.go
+++ b/internal/chunkedstore/limits_test.go
@@ -48,7 +48,7 @@
 		largeSpec.Ref = "wk-9001"
 		s.submit(largeSpec, 2*time.Second)
 		for i := range 400 {
-			largeSpec.DependsOn = append(largeSpec.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // done according to the completion batch that putOldRecords writes
+			largeSpec.DependsOn = append(largeSpec.DependsOn, fmt.Sprintf("wk-%d", 700000+i)) // the completion batch that putOldRecords writes records these jobs as done
 		}
 		largeSpec.Ref, largeSpec.DependsOn = "wk-9002", append(largeSpec.DependsOn, s.refs[len(s.refs)-40:]...)
 		s.submit(largeSpec, 2*time.Second)
@@ -111,10 +111,10 @@
 	for i := range 12 {
 		refOf := func(k int) string { return fmt.Sprintf("wk-%d", wave*1000+10*i+k) }
 		for k, spec := range []jobs.Spec{
-			fake.JobSpec(refOf(0), jobs.Array, 2, 0.2),                   // small job: completion batches
-			fake.JobSpec(refOf(1), jobs.Array, 60, 0.3),                  // task ranges, compaction
-			fake.JobSpec(refOf(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // gang assignments, transfers of machines between shards
-			fake.JobSpec(refOf(3), jobs.Array, 4, 0.5),                   // a quota allocation
+			fake.JobSpec(refOf(0), jobs.Array, 2, 0.2),                   // small, so that it causes completion batches
+			fake.JobSpec(refOf(1), jobs.Array, 60, 0.3),                  // causes task ranges and their compaction
+			fake.JobSpec(refOf(2), jobs.Gang, []int{1, 3, 14}[i%3], 2.5), // causes gang assignments and transfers of machines between shards
+			fake.JobSpec(refOf(3), jobs.Array, 4, 0.5),                   // causes a quota allocation
 		} {
 			if k == 3 {
 				spec.Team = "capped"
--- a/internal/chunkedstore/read.go
+++ b/internal/chunkedstore/read.go
@@ -86,7 +86,7 @@
 	for _, event := range events {
 		switch {
 		case strings.HasPrefix(event.Key, jobs.ChunkPrefix):
-			knownChunks[event.Key] = event.Value // written before the record that refers to it
+			knownChunks[event.Key] = event.Value // the chunk was written before the record that refers to it
 		case strings.HasPrefix(event.DeletedKey, jobs.ChunkPrefix):
 			// Chunks are internal to this package, so their deletion is not delivered.
 		case chunkRefOf(event.Value) == nil:
--- a/internal/chunkedstore/store.go
+++ b/internal/chunkedstore/store.go
@@ -58,7 +58,7 @@
 func New(service Service, incarnation uint64, maxValueBytes, maxTxnOps int, log *slog.Logger) *Store {
 	recordCache, err := lru.New[string, json.RawMessage](tuning.MaxCachedChunkedRecords)
 	if err != nil {
-		panic(err) // New fails only for sizes below 1
+		panic(err) // lru.New fails only for sizes below 1
 	}
 	return &Store{
 		Service:          service,
--- a/internal/handover/history.go
+++ b/internal/handover/history.go
@@ -28,8 +28,8 @@
 	To      string  `json:"to"`
 	Outcome Outcome `json:"outcome"`
 	// DurationSeconds is the time up to now, or up to the end of the transfer. It begins with the
-	// request of the shard or, at the old owner after it has sent the payload, with that owner's
-	// last response to the shard's workers.
+	// request for the shard or, at an old owner that has sent the payload, with that owner's last
+	// response to the shard's workers.
 	DurationSeconds float64   `json:"took_s"`
 	EndedAt         time.Time `json:"-"`
 	AgeSeconds      float64   `json:"ago_s"` // time since the end of the transfer
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -217,8 +217,8 @@
 		!machine.HasReported() && !machine.IsLost()
 }
 
-// markTasksDone marks tasks as done that the old owner knew to be done but had not recorded as
-// done.
+// markTasksDone marks the given tasks as done. The old owner knew that they were done, but had not
+// recorded that.
 func (c *Coordinator) markTasksDone(shard *membership.Shard, tasks []peer.TaskSnapshot) {
 	for _, task := range tasks {
 		ref, index, ok := jobs.ParseTaskName(task.Name)
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -7,7 +7,8 @@
 // it in every order: commands that arrive or are lost, heartbeats, transfers that arrive at any time
 // or never, acquisitions that are applied late, watch events that arrive late, controller crashes.
 
-// A location of the task, as a controller knows it, is the number of a worker, 0 or 1, or one of these.
+// A controller knows the location of the task as the number of a worker (0 or 1) or as one of these
+// values.
 const (
 	locationUnknown = -2
 	notRunning      = -1
@@ -42,7 +43,7 @@
 
 // mutation selects faults that are added to the model to check that the test detects them.
 type mutation struct {
-	respondsAfterTransfer bool // the old owner still commands workers
+	respondsAfterTransfer bool // the old owner still commands workers after a transfer
 	usesAnyPayload        bool // the recipient applies a payload of any older epoch
 }
 
@@ -81,8 +82,8 @@
 	return m
 }
 
-// afterWatchEvent returns the state after a controller has learned of the current epoch, or none if
-// the controller knows that epoch already.
+// afterWatchEvent returns the state after a controller has learned of the current epoch, or no state
+// if the controller knows that epoch already.
 func (m modelState) afterWatchEvent(controller int) []modelState {
 	view := m.controllers[controller]
 	if view.knownEpoch >= m.epoch {
@@ -164,8 +165,8 @@
 }
 
 // afterHeartbeat returns the states after a worker has sent a heartbeat. If the owner already
-// knew that the task does not run, it commands the worker to start it, and the command arrives or is
-// lost.
+// knew that the task does not run, it commands the worker to start the task, and the command arrives
+// or is lost.
 func (m modelState) afterHeartbeat(controller, worker int) []modelState {
 	receivedState := m
 	owner := &receivedState.controllers[controller]
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -102,8 +102,8 @@
 
 // sendShard sends the state of a shard to the recipient and stops responding to the shard's
 // workers. While one of the shard's machines is being released or moved, sendShard does nothing and
-// Tick calls it again: the result is not known yet, so the snapshot could be wrong about the
-// machine. If the shard is too large for a transfer, this controller keeps it.
+// Tick calls it again: the result of the release or move is not known yet, so the snapshot could be
+// wrong about the machine. If the shard is too large for a transfer, this controller keeps it.
 func (c *Coordinator) sendShard(shard *membership.Shard, now time.Time) {
 	transfer := c.outgoingTransfers[shard.ID()]
 	var machines []*clusterstate.Machine
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -168,7 +168,7 @@
 
 // waitForBudget waits until the budget allows a request with the given number of writes, and deducts
 // the request from the budget. Callers of lower priority leave a part of the burst to more urgent
-// ones. It fails only if ctx ends, or would end, before the budget allows the request. The error is
+// ones. waitForBudget fails only if ctx ends, or would end, before the budget allows the request. The error is
 // ErrUnavailable, since the request was not sent.
 func (b *budget) waitForBudget(ctx context.Context, priority Priority, writes int) error {
 	b.recordRequest(writes) // before waiting, so that the usage reported to the peers includes requests that wait
@@ -189,7 +189,8 @@
 	return nil
 }
 
-// isBurstReserved reports whether the rest of the bursts is reserved for callers of higher priority.
+// isBurstReserved reports whether what is left of a limiter's burst is reserved for callers of a
+// higher priority than the given one.
 func (b *budget) isBurstReserved(priority Priority, writes int) bool {
 	reservedFraction := priority.reservedBurstFraction()
 	if b.requestLimiter.Tokens() < reservedFraction*float64(b.requestLimiter.Burst()) {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -47,14 +47,14 @@
 		})}
 		go func() { _ = server.Serve(network) }()
 		client := New("state:1", 150, 50, 3, network.dial)
-		currentRequestLimit := client.budget.requestLimiter.Limit
-		limitBefore := currentRequestLimit()
+		readRequestLimit := client.budget.requestLimiter.Limit
+		limitBefore := readRequestLimit()
 		result, err := client.Commit(t.Context(), Urgent, Txn{Writes: []Write{{DeleteKey: "cw/x"}}})
 		if err != nil || !result.Succeeded || result.Revision != 9 || requests != 3 {
 			t.Errorf("%+v after %d requests: %v", result, requests, err)
 		}
-		if currentRequestLimit() >= limitBefore || float64(currentRequestLimit()) < 150/3*0.9 {
-			t.Errorf("limit %v, before %v", currentRequestLimit(), limitBefore)
+		if readRequestLimit() >= limitBefore || float64(readRequestLimit()) < 150/3*0.9 {
+			t.Errorf("limit %v, before %v", readRequestLimit(), limitBefore)
 		}
 		close(network)
 		client.httpClient.CloseIdleConnections()
@@ -67,25 +67,25 @@
 func TestBudgetLeavesReportedUsageToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := New("state:1", 300, 100, 3, nil)
-		limits := func() (requests, writes float64) {
+		readLimits := func() (requests, writes float64) {
 			return float64(client.budget.requestLimiter.Limit()), float64(client.budget.writeLimiter.Limit())
 		}
-		limitWithoutPeers, _ := limits()
+		limitWithoutPeers, _ := readLimits()
 		client.RecordPeerUsage("n1", 10, 2)
-		if requests, _ := limits(); requests != limitWithoutPeers {
+		if requests, _ := readLimits(); requests != limitWithoutPeers {
 			t.Errorf("%v requests/s after a report of one of two peers, %v before", requests, limitWithoutPeers)
 		}
 		client.RecordPeerUsage("n2", 20, 3)
-		if requests, writes := limits(); requests != 180 || writes != 60 {
+		if requests, writes := readLimits(); requests != 180 || writes != 60 {
 			t.Errorf("%v requests/s and %v writes/s while the peers use little", requests, writes)
 		}
 		client.RecordPeerUsage("n1", 200, 60)
 		client.RecordPeerUsage("n2", 20, 15)
-		if requests, writes := limits(); requests != 155 || writes != 50 {
+		if requests, writes := readLimits(); requests != 155 || writes != 50 {
 			t.Errorf("%v requests/s and %v writes/s while the peers use 220 and 75", requests, writes)
 		}
 		client.RecordPeerUsage("n2", 400, 400)
-		if requests, writes := limits(); requests < 118 || requests > 119 || writes < 39 || writes > 40 {
+		if requests, writes := readLimits(); requests < 118 || requests > 119 || writes < 39 || writes > 40 {
 			t.Errorf("%v requests/s and %v writes/s: less than an equal fraction, or much more", requests, writes)
 		}
 		time.Sleep(time.Second)
@@ -99,7 +99,7 @@
 		client.budget.mu.Lock()
 		client.budget.updateLimits(time.Now())
 		client.budget.mu.Unlock()
-		if requests, _ := limits(); requests != limitWithoutPeers {
+		if requests, _ := readLimits(); requests != limitWithoutPeers {
 			t.Errorf("%v requests/s after the reports are outdated, %v before the first report", requests, limitWithoutPeers)
 		}
 	})
--- a/internal/kvstore/encoded_form_test.go
+++ b/internal/kvstore/encoded_form_test.go
@@ -6,7 +6,8 @@
 	"cherrywall/internal/fake/encodedform"
 )
 
-// The encoded forms are part of the store's protocol: names and order of fields must not change.
+// The encoded forms are part of the store's protocol, so the names and the order of their fields must
+// not change.
 func TestEncodedForms(t *testing.T) {
 	encodedform.Check(t, "testdata/encoded_forms.json",
 		encodedform.Form{Name: "condition", Value: Condition{}},
--- a/internal/kvstore/service.go
+++ b/internal/kvstore/service.go
@@ -18,8 +18,8 @@
 	// List reads all keys with a prefix. revision is the store's revision when the listing began.
 	List(ctx context.Context, prefix string) (rows []KeyValue, revision uint64, err error)
 	// Watch waits for changes of keys with a prefix that were made after afterRevision. It returns
-	// the changes, and the revision up to which it has watched. If there are none for a while, it
-	// returns without changes. It returns ErrExpired if the changes since afterRevision are no
+	// the changes, and the revision up to which it has watched. If nothing changes for a while,
+	// it returns without changes. It returns ErrExpired if the changes since afterRevision are no
 	// longer available: all records have to be listed again.
 	Watch(ctx context.Context, prefix string, afterRevision uint64) (events []Event, revision uint64, err error)
 	// GrantLease obtains a lease to which keys can be attached. The keys are deleted when the lease
@@ -29,14 +29,14 @@
 	KeepAlive(ctx context.Context, leaseID uint64) error
 }
 
-// Priority is the priority of a request when the budget does not suffice for all.
+// Priority is the priority of a request when the budget does not suffice for all requests.
 type Priority int
 
 // The priorities, the highest first.
 const (
 	Urgent     Priority = iota // lease renewals, shard acquisitions, users' submissions and cancellations
 	Normal                     // claims of tasks, and everything else
-	Background                 // completed tasks, pipelines, cleanup: requests that can wait
+	Background                 // requests that can wait: records of completed tasks and of pipelines, and cleanup
 )
 
 // reservedBurstFraction returns the fraction of the rate limiters' bursts that callers of this priority
--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -16,9 +16,9 @@
 
 // SuccessorExcluding is like Successor, but treats the excluded controllers as not live.
 func (t *Table) SuccessorExcluding(id string, isExcluded func(controller string) bool) string {
-	home := max(0, slices.Index(t.controllers, id))
+	homeIndex := max(0, slices.Index(t.controllers, id))
 	for i := range t.controllers {
-		candidate := t.controllers[(home+i)%len(t.controllers)]
+		candidate := t.controllers[(homeIndex+i)%len(t.controllers)]
 		if t.IsLive(candidate, 0) && !isExcluded(candidate) {
 			return candidate
 		}
@@ -35,8 +35,8 @@
 //
 // Any other controller acquires a shard only if it is the shard's successor, the shard has no
 // working owner, and the startup grace period of that controller is over. Without that period, when
-// all controllers start together, the first one up would acquire the shard of the next, which would
-// acquire it back half a second later. With each change of owner, what the owner knew about the
+// all controllers start together, the first one to be live would acquire the shard of the next one,
+// and half a second later the next one would be live and acquire its shard back. With each change of owner, what the owner knew about the
 // shard's machines is lost.
 func (t *Table) ShardsToAcquire(now time.Time, hasFailed func(controller string) bool) []string {
 	var ids []string
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -36,7 +36,7 @@
 // IsLocal reports whether this incarnation of this controller owns the shard.
 func (s *Shard) IsLocal() bool { return s.isLocal }
 
-// KnownSince returns when this controller learned of the record.
+// KnownSince returns when this controller learned of the record with which this epoch began.
 func (s *Shard) KnownSince() time.Time { return s.knownSince }
 
 // IsReconciled reports whether every worker of the shard has sent a heartbeat under the present
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -48,7 +48,7 @@
 		machine.Tasks = append(machine.Tasks, TaskSnapshot{Name: fmt.Sprintf("abcdefghijklmnop-%018d/%d", i, 99_999), Attempt: 1 << 60, Status: "running",
 			StartSent: true, Reported: true, GraceSeconds: 3, RunningFor: time.Minute})
 	}
-	for range tuning.MaxPeerHeartbeatShapes * 8 { // in eight zones
+	for range tuning.MaxPeerHeartbeatShapes * 8 { // every shape in eight zones
 		heartbeat.Capacities = append(heartbeat.Capacities, ShapeCapacity{7, 0, 26, "a-zone-of-a-long-name", 3, 5})
 	}
 	for i := range tuning.MaxPeerHeartbeatFaultyJobs {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -24,7 +24,7 @@
 	// FaultyJobs are jobs that failed on several of the sender's machines on which other jobs
 	// succeed.
 	FaultyJobs []string
-	// RequestedShards are the shards whose transfer to the sender is requested.
+	// RequestedShards are the shards that the sender requests from their owners.
 	RequestedShards []string
 	// Leaving announces the sender's shutdown. From then on the sender transfers its shards to any
 	// controller that requests them.
@@ -60,7 +60,7 @@
 	Ref            string
 	Revision       uint64
 	CompletedTasks int // number of the job's tasks that were done at Revision
-	// WorkersNotified reports whether the sender has notified its workers, as far as it can reach
-	// them.
+	// WorkersNotified reports whether the sender has notified all those of its workers that it can
+	// reach of the cancellation.
 	WorkersNotified bool
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -32,9 +32,9 @@
 	if !outbox.Enqueue("n1", []*TransferChunk{sampleChunk}) {
 		t.Fatal("no room in an empty outbox")
 	}
-	listenReturned := make(chan struct{})
+	serveReturned := make(chan struct{})
 	go func() {
-		defer close(listenReturned)
+		defer close(serveReturned)
 		Serve(ctx, listener, controller, slog.New(slog.DiscardHandler))
 	}()
 	go SendHeartbeats(ctx, listener.Addr().String(), outbox["n1"], controller)
@@ -49,7 +49,7 @@
 	}
 	stop()
 	select {
-	case <-listenReturned:
+	case <-serveReturned:
 	case <-time.After(10 * time.Second):
 		t.Error("Listen did not return after its context ended")
 	}
--- a/internal/peerstatus/tracker.go
+++ b/internal/peerstatus/tracker.go
@@ -95,8 +95,8 @@
 	return t.latestHeartbeats[controller].heartbeat.AppliedRevision >= revision
 }
 
-// HasNotifiedWorkers reports whether a controller, according to its latest heartbeat, has told all
-// workers that it can reach that a job is cancelled.
+// HasNotifiedWorkers reports whether a controller, according to its latest heartbeat, has notified all
+// those of its workers that it can reach of the cancellation of a job.
 func (t *Tracker) HasNotifiedWorkers(controller, ref string) bool {
 	return slices.ContainsFunc(t.latestHeartbeats[controller].heartbeat.CancelledJobs, func(job peer.CancelledJob) bool {
 		return job.Ref == ref && job.WorkersNotified
@@ -146,7 +146,8 @@
 	if silentFor < tuning.IsolatedHealthGracePeriod {
 		return false
 	}
-	// Even in an outage, the last responses to two controllers are some time apart.
+	// Even in an outage, the last responses to two controllers are some time apart, so only a
+	// difference larger than this margin shows that the other controller still gets responses.
 	const margin = tuning.IsolatedHealthGracePeriod / 2
 	for _, latest := range t.latestHeartbeats {
 		reachesStore := latest.storeSilentFor(now) < silentFor-margin && latest.heartbeat.StoreSilentFor < margin
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -12,7 +12,8 @@
 	"cherrywall/internal/tuning"
 )
 
-// maxBackoffDoublings limits how often the backoff is doubled after repeated losses of contact.
+// maxBackoffDoublings is the maximum number of times that the backoff is doubled after repeated losses
+// of contact.
 const maxBackoffDoublings = 4
 
 // Monitor tracks the controller's contact with workers by their heartbeats and by probes. A probe sends
@@ -21,7 +22,7 @@
 // use.
 type Monitor struct {
 	// lastContactAt is the time of the last heartbeat or successful probe. Tick and ShouldProbe set it to a
-	// later time if the silence since then does not show that workers are unreachable.
+	// later time if the lack of heartbeats since then does not show that workers are unreachable.
 	lastContactAt time.Time
 	lastTickAt    time.Time
 
@@ -48,24 +49,24 @@
 	m.lastTickAt = now
 }
 
-// ShouldProbe reports whether a sample of workers should be probed now. workers is the number of
-// workers that should send a heartbeat every interval.
-func (m *Monitor) ShouldProbe(now time.Time, workers int, interval time.Duration) bool {
+// ShouldProbe reports whether a sample of workers should be probed now. workerCount is the number
+// of workers that should send a heartbeat every interval.
+func (m *Monitor) ShouldProbe(now time.Time, workerCount int, interval time.Duration) bool {
 	switch {
 	case m.isProbing || now.Sub(m.lastProbeAt) < tuning.ReachabilityProbeInterval:
 		return false
 	case m.isUnreachable:
 		return true
-	case workers == 0:
+	case workerCount == 0:
 		// No heartbeat is expected. The time without workers must not count as missing contact
 		// once there are workers.
 		m.lastContactAt = now
 		return false
 	}
-	// If the heartbeats are spread evenly, one arrives every interval/workers. A silence of three
+	// If the heartbeats are spread evenly, one arrives every interval/workers. A gap of three
 	// times that period, plus one second for delays, is normal.
-	normalSilence := 3*interval/time.Duration(workers) + time.Second
-	return m.TimeSinceLastContact(now) > max(tuning.MinInboundSilence, normalSilence)
+	normalGap := 3*interval/time.Duration(workerCount) + time.Second
+	return m.TimeSinceLastContact(now) > max(tuning.MinInboundSilence, normalGap)
 }
 
 // RecordProbeStart records that a probe has started.
@@ -96,7 +97,7 @@
 // responded. It returns the transition that follows from the result. hasLivePeer says whether another
 // controller could take over the shards. Without such a controller there is no point in giving them
 // up, so the transition is never Unreachable.
-func (m *Monitor) RecordProbeResult(anyResponse bool, startedAt, now time.Time, hasLivePeer bool) Transition {
+func (m *Monitor) RecordProbeResult(hasResponse bool, startedAt, now time.Time, hasLivePeer bool) Transition {
 	m.isProbing = false
 	m.lastProbeAt = now
 	if now.Sub(startedAt) > tuning.ProcessStallThreshold+tuning.FirstContactTimeout {
@@ -105,9 +106,9 @@
 		return NoTransition
 	}
 	if m.isUnreachable {
-		return m.recordResultWhileUnreachable(anyResponse, now)
+		return m.recordResultWhileUnreachable(hasResponse, now)
 	}
-	if anyResponse {
+	if hasResponse {
 		m.lastContactAt = now
 		return NoTransition
 	}
@@ -133,8 +134,8 @@
 
 // recordResultWhileUnreachable records a probe's result while workers are unreachable. It returns
 // Restored once enough probes in succession have succeeded and the backoff has passed.
-func (m *Monitor) recordResultWhileUnreachable(anyResponse bool, now time.Time) Transition {
-	if !anyResponse {
+func (m *Monitor) recordResultWhileUnreachable(hasResponse bool, now time.Time) Transition {
+	if !hasResponse {
 		m.successfulProbeCount = 0
 		return NoTransition
 	}
--- a/internal/reconciliation/discrepancy_test.go
+++ b/internal/reconciliation/discrepancy_test.go
@@ -7,7 +7,7 @@
 	"cherrywall/internal/reconciliation"
 )
 
-func TestClassify(t *testing.T) {
+func TestClassifyListedTasks(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		lookup       clusterstate.TaskLookup
--- a/internal/reconciliation/first_contact.go
+++ b/internal/reconciliation/first_contact.go
@@ -45,7 +45,7 @@
 	limiter  *rate.Limiter
 
 	pendingResponses []func()                            // in the order in which the heartbeats arrived
-	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was last answered with the token
+	tokenSentAt      map[*clusterstate.Machine]time.Time // when a worker's heartbeat was last answered with the new fencing token
 	probeQueue       []*clusterstate.Machine
 	isProbeQueued    map[*clusterstate.Machine]bool
 	timer            *time.Timer // calls Run at timerDueAt; nil if no call is scheduled
@@ -72,8 +72,8 @@
 	return c
 }
 
-// NewContactLimiter returns a limiter for exchanges with workers, which allows the rate that uses
-// cpuFraction of the controller's processor limit. If no processor limit is configured, the limiter
+// NewContactLimiter returns a limiter for exchanges with workers. The exchanges that it allows use at
+// most cpuFraction of the controller's processor limit. If no processor limit is configured, the limiter
 // allows any rate.
 func NewContactLimiter(cfg *config.Config, cpuFraction float64) *rate.Limiter {
 	cores := cfg.Cluster.Limits.Cores
@@ -99,8 +99,8 @@
 	delete(c.isProbeQueued, machine)
 }
 
-// EnqueueResponse queues respond, which answers the worker's first heartbeat to a new owner, and
-// calls it when the rate limit allows. A later Reset or RemoveWorker does not prevent the call, so
+// EnqueueResponse queues respond, which answers the worker's first heartbeat to a new owner. Run calls
+// respond when the rate limit allows. A later Reset or RemoveWorker does not prevent the call, so
 // respond must check again whether the worker may still be answered.
 //
 // EnqueueResponse returns false, and drops respond, if more responses are pending than can be sent
@@ -208,8 +208,8 @@
 }
 
 // heartbeatWait returns how much longer to wait for a worker's next heartbeat before the worker is
-// probed: a worker that has received the fencing token soon sends a heartbeat without a probe. The
-// result is zero or negative if there is nothing to wait for.
+// probed: once a worker has received the fencing token, it soon sends a heartbeat without being
+// probed. The result is zero or negative if there is nothing to wait for.
 func (c *FirstContact) heartbeatWait(machine *clusterstate.Machine) time.Duration {
 	return tuning.HeartbeatAfterTokenDelay - time.Since(c.tokenSentAt[machine])
 }
--- a/internal/reconciliation/reconciliation.go
+++ b/internal/reconciliation/reconciliation.go
@@ -192,10 +192,11 @@
 	}
 }
 
-// reconcileRanges completes the recovery of single task ranges while some workers are unconfirmed. Every controller
-// sends a task only to a worker that is large enough and that the job allows. If no unconfirmed worker
-// meets both conditions, none of them runs the task, and the confirmed workers did not list it. So the
-// loss of many spot machines does not delay tasks that may not run on spot machines.
+// reconcileRanges completes the recovery of single task ranges while some workers are unconfirmed.
+// Every controller sends a task only to a worker that is large enough and that the job allows. If no
+// unconfirmed worker meets both conditions, no unconfirmed worker runs the task, and the confirmed
+// workers did not list it. So the loss of many spot machines does not delay tasks that may not run on
+// spot machines.
 func (r *Reconciler) reconcileRanges(shard *membership.Shard) {
 	if !r.isReconciling(shard) {
 		return
@@ -232,20 +233,20 @@
 // previous owner may have sent tasks of the shard.
 //
 // Workers whose record is newer than the shard's epoch are left out: they have registered since the
-// acquisition, or have come from another shard without tasks. Otherwise, when a shard was acquired while
-// hundreds of machines started, the wait for the last of them ended only 12 s after all other workers
-// were confirmed.
+// acquisition, or have come from another shard without tasks. When these workers
+// were not left out and a shard was acquired while hundreds of machines started, the wait for the last
+// of them ended only 12 s after all other workers were confirmed.
 //
 // The order is that of State.Machines, which is random. A fixed order would make reconcileShard slow:
 // it could pass thousands of confirmed workers before it finds the first unconfirmed one.
 func (r *Reconciler) unconfirmedWorkers(shard *membership.Shard) iter.Seq[*clusterstate.Machine] {
-	exempt := r.recoveryOf(shard).exemptWorkers
+	isExempt := r.recoveryOf(shard).exemptWorkers
 	return func(yield func(*clusterstate.Machine) bool) {
 		for machine := range r.State.Machines() {
 			if machine.Record().Shard != shard.ID() || machine.Revision() >= shard.Epoch() {
 				continue
 			}
-			if machine.HasReported() || machine.IsLost() || exempt[machine] {
+			if machine.HasReported() || machine.IsLost() || isExempt[machine] {
 				continue
 			}
 			if !yield(machine) {
--- a/internal/reconciliation/reconciliation_test.go
+++ b/internal/reconciliation/reconciliation_test.go
@@ -60,20 +60,20 @@
 	addJob("wk-3", 1, false) // could be on i-3
 	h.SetOwner("n1", harness.Self, 6)
 	h.State.EndHeartbeat(h.State.Machine("i-1"), true, true)
-	readyTasks := func(ref string) int { return h.State.Job(ref).TaskRange(0).CountTasks(clusterstate.TaskReady) }
+	countReadyTasks := func(ref string) int { return h.State.Job(ref).TaskRange(0).CountTasks(clusterstate.TaskReady) }
 	h.Reconciler.CompleteRecoveries(time.Now())
-	if readyTasks("wk-1") != 0 || readyTasks("wk-2") != 0 || readyTasks("wk-3") != 0 {
-		t.Errorf("a worker of unknown type was ruled out: %d %d %d tasks are ready", readyTasks("wk-1"), readyTasks("wk-2"), readyTasks("wk-3"))
+	if countReadyTasks("wk-1") != 0 || countReadyTasks("wk-2") != 0 || countReadyTasks("wk-3") != 0 {
+		t.Errorf("a worker of unknown type was ruled out: %d %d %d tasks are ready", countReadyTasks("wk-1"), countReadyTasks("wk-2"), countReadyTasks("wk-3"))
 	}
 	h.MachineTypes.SetCloudTypes([]cloud.MachineType{{Name: "m4", CPU: 4, MemGB: 16}})
 	h.Reconciler.CompleteRecoveries(time.Now())
-	if readyTasks("wk-1") != 2 || readyTasks("wk-2") != 0 || readyTasks("wk-3") != 0 {
-		t.Errorf("ready tasks: %d %d %d", readyTasks("wk-1"), readyTasks("wk-2"), readyTasks("wk-3"))
+	if countReadyTasks("wk-1") != 2 || countReadyTasks("wk-2") != 0 || countReadyTasks("wk-3") != 0 {
+		t.Errorf("ready tasks: %d %d %d", countReadyTasks("wk-1"), countReadyTasks("wk-2"), countReadyTasks("wk-3"))
 	}
 	h.State.MarkLost(h.State.Machine("i-2"))
 	h.Reconciler.CompleteRecoveries(time.Now())
-	if readyTasks("wk-2") != 2 || readyTasks("wk-3") != 0 {
-		t.Errorf("ready tasks after the loss of the spot machine: %d %d", readyTasks("wk-2"), readyTasks("wk-3"))
+	if countReadyTasks("wk-2") != 2 || countReadyTasks("wk-3") != 0 {
+		t.Errorf("ready tasks after the loss of the spot machine: %d %d", countReadyTasks("wk-2"), countReadyTasks("wk-3"))
 	}
 }
 
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -40,11 +40,11 @@
 	acquiredAt           time.Time
 	reconciledAt         time.Time
 	recordedWorkerCount  int    // number of workers that had a record when the shard was acquired
-	confirmedWorkerCount int    // number of workers that reported under the epoch or were part of a transfer
+	confirmedWorkerCount int    // number of workers confirmed by a heartbeat under the epoch or by the previous owner's snapshot
 	lastConfirmed        string // host name of the worker that was confirmed last
 	// exemptWorkers need not be confirmed, because no command was ever sent to them.
 	exemptWorkers map[*clusterstate.Machine]bool
-	discrepancies [discrepancyCount]int // number of occurrences
+	discrepancies [discrepancyCount]int // number of occurrences of each discrepancy
 	commandsSent  map[string]int        // number of commands by verb, counted for tuning.AcquisitionTrackingPeriod after the acquisition
 }
 
--- a/internal/reconciliation/view.go
+++ b/internal/reconciliation/view.go
@@ -21,7 +21,7 @@
 	UnconfirmedSample  []string       `json:"some,omitempty"` // host names, tuning.MaxListedNames at most
 	LongestWaitS       float64        `json:"within_s"`       // time until the leases of all unconfirmed workers have expired
 	UnaccountedTasks   int            `json:"unaccounted"`    // number of tasks whose location is unknown
-	Discrepancies      map[string]int `json:"outcomes"`       // number of occurrences by name
+	Discrepancies      map[string]int `json:"outcomes"`       // number of occurrences of each discrepancy, by name
 	CommandsSent       map[string]int `json:"orders"`         // number of commands by verb, counted for tuning.AcquisitionTrackingPeriod after the acquisition
 }
 
--- a/internal/statecache/apply.go
+++ b/internal/statecache/apply.go
@@ -31,7 +31,7 @@
 	c.State.MarkDirty()
 }
 
-// applyRecord passes a record to the component that owns records of its kind. Records with unknown
+// applyRecord passes a record to the component that owns this kind of record. Records with unknown
 // keys are ignored.
 func (c *Cache) applyRecord(key string, value json.RawMessage, revision uint64) error {
 	switch {
@@ -73,7 +73,7 @@
 	c.State.MarkDirty()
 }
 
-// removeRecord passes the deletion of a record to the component that owns records of its kind.
+// removeRecord passes the deletion of a record to the component that owns this kind of record.
 func (c *Cache) removeRecord(key string, revision uint64) {
 	switch {
 	case strings.HasPrefix(key, jobs.LivenessPrefix):
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -173,7 +173,7 @@
 func (c *Cache) LastContactAt() time.Time { return c.lastContactAt }
 
 // ConsistentAsOf returns the time as of which the cache is consistent with the store: all changes
-// committed before that time were applied, later ones may be missing.
+// committed before that time were applied, and later changes may be missing.
 func (c *Cache) ConsistentAsOf() time.Time { return c.consistentAsOf }
 
 // IsStale reports whether the cache is too old for decisions that depend on records which other
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -21,7 +21,7 @@
 // refused controller.
 type partitionScenario struct {
 	leaseSeconds, cancelSeconds float64
-	refusalOffset               time.Duration // when the refusal begins, relative to the controller's reads
+	refusalOffset               time.Duration // added to the start of the refusal, to vary its position between two successive reads of the controller
 	cancellationToOutage        time.Duration // time from the cancellations to the outage
 	cutsPeerLinks               bool          // the refused controller is cut from its peers as well
 	restartsRefusedController   bool          // the refused controller crashes and restarts within a fraction of a second
@@ -222,8 +222,9 @@
 	}
 }
 
-// The bound on renewing worker leases is necessary, and exact to the second: each of the mutations
-// below relaxes the bound, and then some scenario has a violation.
+// The bound on renewing worker leases is necessary, and is exact to the second: each of the mutations
+// below relaxes the bound, the last one only by the 2 s for which reads are delayed, and under each
+// mutation some scenario has a violation.
 func TestCancellationBoundIsNecessary(t *testing.T) {
 	requireViolation := func(mutation string, mutateConfig func(cfg *config.Config)) {
 		t.Helper()
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -13,7 +13,7 @@
 )
 
 // FitsOneValue reports whether a record is small enough for one value of the store, under both the
-// current limits and the announced ones.
+// store's current limits and the limits that are announced for it.
 func (c *Cache) FitsOneValue(raw json.RawMessage) bool {
 	return len(raw) <= c.cfg.TargetValueBytes()
 }
--- a/internal/statecache/finals.go
+++ b/internal/statecache/finals.go
@@ -35,7 +35,7 @@
 	}()
 }
 
-// applyFinalState applies a durable final state.
+// applyFinalState applies a final state that is recorded in the store.
 func (c *Cache) applyFinalState(ref string, final jobs.FinalState) {
 	c.finalStates.Add(ref, final)
 	c.State.Dependencies().ApplyFinalState(ref, jobdag.FinalStateOf(final.Status), time.Now())
@@ -67,9 +67,9 @@
 	c.ApplyDelete(jobs.JobKey(ref), revision)
 }
 
-// lookUpDependencyFinalStates reads the final states of jobs on which other jobs depend and which ended
-// before this controller started: a load does not contain final states. The dependent jobs wait
-// until these states are known.
+// lookUpDependencyFinalStates reads unknown final states of jobs on which other jobs depend. A load
+// does not contain final states, so those of jobs that ended before this controller started are
+// unknown at first. The dependent jobs wait until these states are known.
 func (c *Cache) lookUpDependencyFinalStates(now time.Time) {
 	if !c.synced || c.finalStateReadsInFlight >= tuning.MaxConcurrentFinalStateReads {
 		return
--- a/internal/statecache/liveness.go
+++ b/internal/statecache/liveness.go
@@ -43,7 +43,8 @@
 }
 
 // writeLivenessRecord obtains a lease and attaches this controller's liveness record to it. The
-// write has the precondition that the record is unchanged. Without that condition, an earlier write
+// write has the precondition that the record has not changed since this function read it. Without
+// that condition, an earlier write
 // that got no response could be executed after this one and attach the record to a lease that nobody
 // renews. The store would delete the record together with that lease, and the controller would
 // acquire no more shards.
--- a/internal/statecache/shards.go
+++ b/internal/statecache/shards.go
@@ -89,7 +89,7 @@
 }
 
 // applyShard applies a shard's record. The record's revision is the shard's epoch, which is the
-// fencing token of its owner's commands to workers.
+// fencing token of the shard owner's commands to workers.
 func (c *Cache) applyShard(id string, value json.RawMessage, revision uint64) error {
 	shard, err := c.Membership.ApplyShard(id, value, revision, time.Now())
 	if shard == nil {
--- a/internal/statecache/sync.go
+++ b/internal/statecache/sync.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// ReadBarrier calls done on the actor with ok set once the cache contains all changes committed
-// before this call, so that a read of the cache is linearizable. ok is false if that takes too long
-// or the store cannot be read. Several callers share one request to the store; if one of them is
+// ReadBarrier calls done(true) on the actor as soon as the cache contains all changes committed
+// before this call, so that a read of the cache is then linearizable. It calls done(false) if that
+// takes too long or the store cannot be read. Several callers share one request to the store; if one of them is
 // urgent, the request is sent sooner instead of waiting for further callers.
 func (c *Cache) ReadBarrier(urgent bool, done func(ok bool)) {
 	c.readBarrier.Wait(time.Now(), urgent, done)
@@ -196,7 +196,7 @@
 // readRevision reads the store's revision for the callers that wait at the read barrier.
 func (c *Cache) readRevision(startedAt time.Time) {
 	go func() {
-		// The key never exists; the response carries the revision.
+		// No record has this key. The response for a missing key contains the store's revision.
 		result, err := c.store.Get(c.mailbox.Context(), kvstore.Urgent, jobs.Prefix+"none")
 		c.mailbox.Send(func() {
 			now := time.Now()
@@ -217,8 +217,8 @@
 var readTimestamp = func(sentAt, _ time.Time) time.Time { return sentAt }
 
 // advanceReadBarrier completes the calls of ReadBarrier that wait for a revision which the cache has
-// reached. It sets consistentAsOf before it calls their done functions, since those may depend on
-// it.
+// reached. It sets consistentAsOf before it calls their done functions, since these functions may
+// read consistentAsOf.
 func (c *Cache) advanceReadBarrier(now time.Time) {
 	consistentAsOf, serve := c.readBarrier.Advance(now, c.appliedRevision, c.synced)
 	if consistentAsOf.After(c.consistentAsOf) {
