--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -31,7 +31,7 @@
 // traffic says which heartbeats arrive.
 type traffic struct {
 	n2HeartbeatsArrive, observerHeartbeatsArrive bool
-	// n2Jitter is the delay of every second heartbeat of n2.
+	// n2Jitter is added to the 500 ms between n2's heartbeat at each full second and the next one.
 	n2Jitter time.Duration
 }
 
--- a/internal/reconciliation/shard_recovery.go
+++ b/internal/reconciliation/shard_recovery.go
@@ -41,7 +41,7 @@
 	reconciledAt         time.Time
 	recordedWorkerCount  int    // number of workers that had a record when the shard was acquired
 	confirmedWorkerCount int    // number of workers confirmed by a heartbeat under the epoch or by the previous owner's snapshot
-	lastConfirmed        string // host name of the worker that was confirmed last
+	lastConfirmedHost    string // the worker that was confirmed last
 	// exemptWorkers need not be confirmed, because no command was ever sent to them.
 	exemptWorkers map[*clusterstate.Machine]bool
 	discrepancies [discrepancyCount]int // number of occurrences of each discrepancy
@@ -51,7 +51,7 @@
 // confirm counts a worker as confirmed.
 func (s *shardRecovery) confirm(machine *clusterstate.Machine) {
 	s.confirmedWorkerCount++
-	s.lastConfirmed = machine.Host()
+	s.lastConfirmedHost = machine.Host()
 }
 
 // isInTrackingPeriod reports whether the shard was acquired so recently that commands and registrations
@@ -83,7 +83,7 @@
 	return []any{
 		slog.Int("recorded_workers", s.recordedWorkerCount),
 		slog.Int("confirmed_workers", s.confirmedWorkerCount),
-		slog.String("last_confirmed", s.lastConfirmed),
+		slog.String("last_confirmed", s.lastConfirmedHost),
 		slog.Any("discrepancies", s.discrepancyCounts()),
 		slog.Any("commands_sent", s.commandsSent),
 	}
