--- a/internal/workersession/cancellation_test.go
+++ b/internal/workersession/cancellation_test.go
@@ -61,7 +61,7 @@
 	mu                   sync.Mutex
 	confirmedAt          map[string]time.Time // by job, when its cancellation was confirmed
 	startedTasks         []string             // descriptions of the tasks that started after the confirmation
-	tasksWithLateCommand []string             // names of those started tasks whose start command was also sent after the confirmation
+	tasksWithLateCommand []string             // names of the tasks in startedTasks whose start command was sent after the confirmation, too
 }
 
 func recordLateStarts(cluster *fake.Cluster) *lateStarts {
--- a/internal/workersession/commands.go
+++ b/internal/workersession/commands.go
@@ -142,8 +142,8 @@
 // checkStart is a variable so that mutation tests can replace it.
 var checkStart = (*startgate.Gate).Check
 
-// recordRefusal records in the decision log why the gate refuses a start, unless the reason is the same as
-// before.
+// recordRefusal records in the decision log why the gate refuses a start, unless the start was last refused for
+// the same reason.
 func (m *Manager) recordRefusal(assignment *clusterstate.Assignment, refusal startgate.Refusal) {
 	if m.State.RecordStartRefusal(assignment, string(refusal)) {
 		m.record(decisionlog.StartRefused, assignment, string(refusal))
--- a/internal/workersession/direct.go
+++ b/internal/workersession/direct.go
@@ -101,7 +101,7 @@
 
 // enqueueDirectRequestAfter queues a direct request after a delay, to repeat the stops of cancelled tasks. It
 // queues none if the worker's session is dropped during the delay, or if directRequestState.resendUntil has passed
-// after the delay.
+// by the end of the delay.
 func (m *Manager) enqueueDirectRequestAfter(machine *clusterstate.Machine, session *agentSession, delay time.Duration) {
 	m.mailbox.SendAfter(delay, func() {
 		if m.sessions[machine] != session || !m.State.IsCurrentMachine(machine) {
@@ -227,11 +227,12 @@
 }
 
 // responsesExpired reports whether no response to the heartbeats of a worker can reach the worker any more.
-// sinceLastHeartbeat is the time from the worker's last heartbeat to the direct request; the worker drops responses
-// older than tuning.HeartbeatAnswerLifetime. With a short heartbeat interval, a heartbeat may be overdue before that
-// time has passed. Without this check, a start that was still in flight at such a time was treated as lost, and its
-// task was started on another worker, which violated the rule ran_twice (see docs/incidents/2026-12-night-852.md).
-// responsesExpired is a variable so that a mutation test can replace it.
+// sinceLastHeartbeat is the time from the worker's last heartbeat to the direct request; the worker drops
+// responses older than tuning.HeartbeatAnswerLifetime. With a short heartbeat interval, a heartbeat may be overdue
+// before a response has reached that age. Without this check, a start that was still in flight when the heartbeat
+// became overdue was treated as lost. Its task was started on another worker and ran twice at the same time, which
+// violated the rule ran_twice (see docs/incidents/2026-12-night-852.md). responsesExpired is a variable so that a
+// mutation test can replace it.
 var responsesExpired = func(sinceLastHeartbeat time.Duration) bool {
 	return sinceLastHeartbeat >= tuning.HeartbeatAnswerLifetime
 }
--- a/internal/workersession/export_test.go
+++ b/internal/workersession/export_test.go
@@ -11,7 +11,7 @@
 // returned function restores the correct code.
 func AcceptStaleHeartbeats() (restore func()) {
 	isStale = func(heartbeatID, heartbeatID) bool { return false }
-	return func() { isStale = heartbeatID.notAfter }
+	return func() { isStale = heartbeatID.isNotNewerThan }
 }
 
 // StartWithoutReadBarrier is a mutation: start commands are sent even if the job may have been cancelled since the
--- a/internal/workersession/heartbeat.go
+++ b/internal/workersession/heartbeat.go
@@ -32,9 +32,9 @@
 	m.process(&pendingHeartbeat{heartbeat: heartbeat, receivedAt: receivedAt, reply: reply})
 }
 
-// ProcessDeferredHeartbeats processes the deferred heartbeats again; mustDefer tells why heartbeats are deferred.
-// It is called when the records have been read or a shard was acquired, and periodically, to refuse heartbeats
-// that have waited too long.
+// ProcessDeferredHeartbeats processes the deferred heartbeats again. The comment of mustDefer says why heartbeats
+// are deferred. It is called when the records have been read or a shard was acquired, and periodically, to refuse
+// heartbeats that have waited too long.
 func (m *Manager) ProcessDeferredHeartbeats() {
 	deferredHeartbeats := m.deferredHeartbeats
 	m.deferredHeartbeats = nil
@@ -136,7 +136,7 @@
 // because some task ranges of the shard may still be unknown to this controller.
 func (m *Manager) announceToken(pending *pendingHeartbeat, machine *clusterstate.Machine, session *agentSession) {
 	if machine.IsLost() {
-		session.unconfirmedResponses = 0 // a lost worker may always be answered: its tasks may already be started elsewhere
+		session.unconfirmedResponses = 0 // no limit for a lost worker: its tasks may be started elsewhere whatever answers it gets
 	} else if m.IgnoresToken(machine) {
 		// Each answer renews the worker's lease as far as this controller knows. Without the limit
 		// of IgnoresToken, the lease of a worker that never receives the answers would never expire
@@ -174,8 +174,8 @@
 		return 0, unavailableReply()
 	}
 	fencingToken = reconciliation.FencingToken(shard, machine)
-	// The worker has received the token of a newer owner, or its lease has expired here: its tasks may
-	// already run elsewhere.
+	// The worker has received the token of a newer owner, or its lease has expired according to this controller:
+	// its tasks may already run elsewhere.
 	if pending.heartbeat.FencingToken > fencingToken || pending.heartbeat.AgentEpoch <= session.endedEpoch {
 		return 0, unavailableReply()
 	}
@@ -218,8 +218,8 @@
 	}
 }
 
-// HandleProbeAnswer applies the heartbeat with which a worker answered a probe. fencingToken is the token that the probe
-// contained. The heartbeat is ignored if the token is no longer current or if the worker has already reported.
+// HandleProbeAnswer applies the heartbeat with which a worker answered a probe. fencingToken is the token that the
+// probe contained. The heartbeat is ignored if the token is no longer current or if the worker has already reported.
 func (m *Manager) HandleProbeAnswer(machine *clusterstate.Machine, heartbeat *workerapi.Heartbeat, fencingToken uint64) {
 	if !machine.HasReported() && m.isCurrentAnswer(machine, heartbeat, fencingToken) {
 		m.ApplyHeartbeat(machine, heartbeat, time.Now())
@@ -238,7 +238,7 @@
 		return false
 	}
 	return heartbeat.AgentEpoch > m.sessionOf(machine).endedEpoch &&
-		!idOf(heartbeat).notAfter(m.lastHeartbeats[machine.Host()])
+		!idOf(heartbeat).isNotNewerThan(m.lastHeartbeats[machine.Host()])
 }
 
 // trackCommandDelivery decides whether a worker receives responses, and logs and records each change. The signs that
--- a/internal/workersession/response.go
+++ b/internal/workersession/response.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// MaxResponseDelay returns how long the response to a heartbeat may wait for commands. This time is longer if the
-// worker is idle.
+// MaxResponseDelay returns how long the response to a heartbeat may wait for commands. An idle worker's response
+// may wait longer.
 func (m *Manager) MaxResponseDelay(isIdle bool) time.Duration {
 	if !isIdle {
 		return tuning.BusyHeartbeatAnswerDelay
--- a/internal/workersession/session.go
+++ b/internal/workersession/session.go
@@ -34,8 +34,8 @@
 	return heartbeatID{heartbeat.AgentEpoch, heartbeat.Sequence}
 }
 
-// notAfter reports whether the heartbeat is the same as other or was sent before it.
-func (id heartbeatID) notAfter(other heartbeatID) bool {
+// isNotNewerThan reports whether the heartbeat is the same as other or was sent before other.
+func (id heartbeatID) isNotNewerThan(other heartbeatID) bool {
 	if id.agentEpoch != other.agentEpoch {
 		return id.agentEpoch < other.agentEpoch
 	}
@@ -43,7 +43,7 @@
 }
 
 // isStale is a variable so that a mutation test can replace it.
-var isStale = heartbeatID.notAfter
+var isStale = heartbeatID.isNotNewerThan
 
 // sessionOf returns a worker's session. It creates the session if there is none.
 func (m *Manager) sessionOf(machine *clusterstate.Machine) *agentSession {
@@ -101,7 +101,7 @@
 // already received a newer heartbeat of the worker, the newer one stays the last heartbeat.
 func (m *Manager) RestoreSession(machine *clusterstate.Machine, state SessionState) {
 	id := heartbeatID{state.AgentEpoch, state.Sequence}
-	if !id.notAfter(m.lastHeartbeats[machine.Host()]) {
+	if !id.isNotNewerThan(m.lastHeartbeats[machine.Host()]) {
 		m.lastHeartbeats[machine.Host()] = id
 	}
 	m.sessionOf(machine).endedEpoch = state.EndedAgentEpoch
--- a/internal/workersession/workersession_test.go
+++ b/internal/workersession/workersession_test.go
@@ -15,8 +15,8 @@
 // A heartbeat that a network partition had delayed was applied like a new one by the shard's next owner. The
 // heartbeat listed a task that its worker had run before, so the owner assigned the task to that worker. When the
 // worker's next heartbeat did not list the task, the owner treated the task as not running, although an
-// intermediate owner had started the task on another worker. This violated the rule ran_twice in five test days
-// with random faults.
+// intermediate owner had started the task on another worker. The task then ran twice at the same time, which
+// violated the rule ran_twice in five test days with random faults.
 func TestHeartbeatWithOldTokenIsNotApplied(t *testing.T) {
 	h := harness.New(t, nil)
 	h.Cache.ApplyEvents(nil, 5)
