--- a/internal/workerapi/command_client_test.go
+++ b/internal/workerapi/command_client_test.go
@@ -46,7 +46,7 @@
 func (l *singleConnListener) Close() error   { return nil }
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestProbe(t *testing.T) {
+func TestProbeRetriesEpochAndReportsFailures(t *testing.T) {
 	heartbeatWithToken := func(token string) string {
 		return `{"host":"i-1","addr":"x","build":"g8","valley":"a","watch":3,"tick":9,"baton":` + token + `,"shifts":[]}`
 	}
--- a/internal/workerapi/parse_heartbeat.go
+++ b/internal/workerapi/parse_heartbeat.go
@@ -24,8 +24,8 @@
 // Unwrap returns the error in the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// The errors in a field. recordWrongType creates the error for a field of the wrong type, which names the
-// type.
+// The errors in a field. Only the error for a field of the wrong type is not among them: it names the type, so
+// recordWrongType creates it.
 var (
 	errMissing          = errors.New("missing")
 	errMissingOrTooLong = errors.New("missing or too long")
