--- a/internal/clusterstate/clusterstate_test.go
+++ b/internal/clusterstate/clusterstate_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A task that is on two workers must not count twice, and neither of its two assignments may be
-// removed from the state while it runs.
+// A task that is on two workers must not count twice, and neither of its two assignments may be removed from the
+// state while the task runs on the assigned worker.
 func TestTaskOnSecondWorkerIsStopped(t *testing.T) {
 	c := newClaimedArray(t)
 	state, taskRange := c.State, c.taskRange
@@ -131,12 +131,12 @@
 func TestRestoreAssignmentStopsTasksOfUnknownJobs(t *testing.T) {
 	now := time.Now()
 	runningStatus := clusterstate.AssignmentStatus{StartSent: true, Reported: true, WorkerStatus: workerapi.StatusRunning}
-	previousAssignment := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
+	newPreviousAssignment := func(task string, attempt uint64, progress clusterstate.AssignmentStatus) clusterstate.PreviousAssignment {
 		return clusterstate.PreviousAssignment{TaskStatus: workerapi.TaskStatus{Task: task, Attempt: attempt}, Progress: progress}
 	}
 	t.Run("running task", func(t *testing.T) {
 		c := newClaimedArray(t)
-		assignment := previousAssignment("wk-1/0", 9, runningStatus)
+		assignment := newPreviousAssignment("wk-1/0", 9, runningStatus)
 		assignment.RanFor = time.Minute
 		c.State.RestoreAssignment(c.machine, assignment, true, now)
 		restored := c.taskRange.Assignment(0)
@@ -147,14 +147,14 @@
 	})
 	t.Run("running task of an unknown job", func(t *testing.T) {
 		c := newClaimedArray(t)
-		c.State.RestoreAssignment(c.machine, previousAssignment("wk-9/0", 3, runningStatus), false, now)
+		c.State.RestoreAssignment(c.machine, newPreviousAssignment("wk-9/0", 3, runningStatus), false, now)
 		if restored := c.machine.Assignment("wk-9/0"); restored == nil || !restored.Status().Stopping || restored.Status().StopSent {
 			t.Errorf("%+v", restored)
 		}
 	})
 	t.Run("planned task of an unknown job", func(t *testing.T) {
 		c := newClaimedArray(t)
-		c.State.RestoreAssignment(c.machine, previousAssignment("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
+		c.State.RestoreAssignment(c.machine, newPreviousAssignment("wk-9/1", 3, clusterstate.AssignmentStatus{}), false, now)
 		if c.machine.Assignment("wk-9/1") != nil {
 			t.Error("the planned task was restored and takes resources")
 		}
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -141,9 +141,9 @@
 		return
 	}
 	if tasks.ready > 0 {
-		// Some tasks are placed and some are not, since a machine was lost. If the attempt did not fail
-		// here, a gang that still waits for free resources would never start, and its placed tasks
-		// would occupy their machines forever.
+		// Some tasks are placed and some are not, since a machine was lost. If the attempt were not marked
+		// as failed, a gang that waits for free resources would never start, and its placed tasks would occupy
+		// their machines forever.
 		gangAttempt.Failed = true
 	}
 	if !gangAttempt.Started && tasks.ready == 0 && entity.TimeSinceGangPlanned(job) > tuning.MaxPreemptionWait {
--- a/internal/clusterstate/internal/entity/job.go
+++ b/internal/clusterstate/internal/entity/job.go
@@ -192,10 +192,10 @@
 // BeginTransaction marks the beginning of a transaction on the job.
 func (j *Job) BeginTransaction() { j.inTransaction = true }
 
-// EndTransaction marks the end of the job's transaction. If its preconditions failed, the next
-// transaction waits until the cache shows what has changed. If it began earlier, it would fail as well.
-// Without this wait, each gang that two controllers claimed at the same moment cost six requests and
-// twelve changes without any effect.
+// EndTransaction marks the end of the job's transaction. If its preconditions failed, the next transaction waits
+// until the cache shows what has changed. A transaction that began earlier would fail as well. Without this wait,
+// each gang that two controllers claimed at the same moment cost six requests and twelve changes without any
+// effect.
 func (j *Job) EndTransaction(result kvstore.TxnResult, err error) {
 	j.inTransaction = false
 	if err == nil && !result.Succeeded {
--- a/internal/clusterstate/internal/entity/taskrange.go
+++ b/internal/clusterstate/internal/entity/taskrange.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// SetTask sets a task's state and assignment. index is the task's number within the range. Every change of a task's state goes through it, so that
-// the counts by state are always up to date. The scheduler reads these counts, so that its cost does
-// not grow with the number of tasks.
+// SetTask sets a task's state and assignment. index is the task's number within the range. Every change of a
+// task's state goes through SetTask, so that the counts by state are always up to date. The scheduler reads these
+// counts, so that its cost does not grow with the number of tasks.
 func SetTask(r *TaskRange, index int, state TaskState, assignment *Assignment) {
 	r.taskCounts[r.tasks[index].state]--
 	r.tasks[index] = task{state: state, assignment: assignment}
