--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// machineCounts are the numbers of machines with which the benchmarks run. There are a hundred tasks for
-// each machine, of which 16 run.
+// machineCounts are the numbers of machines with which the benchmarks run. For each machine there are a hundred
+// tasks, and 16 of them run.
 var machineCounts = []int{300, 1200, 5000, 20_000}
 
 func forEachMachineCount(b *testing.B, benchmark func(b *testing.B, machines int)) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// newLoadedController returns a controller whose load grows with the number of machines: a hundred tasks
-// for each machine, of which 16 run, and one waiting gang for every ten machines.
+// newLoadedController returns a controller whose load grows with the number of machines: for each machine there
+// are a hundred tasks, 16 of them running, and for every ten machines there is one waiting gang.
 func newLoadedController(b *testing.B, machines int) (*Controller, []*workerapi.Heartbeat) {
 	b.Helper()
 	return NewBenchController(b, machines, 100*machines, machines/10)
@@ -178,10 +178,10 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	forEachMachineCount(b, func(b *testing.B, machines int) {
 		c, heartbeats := newLoadedController(b, machines)
-		next := 0
+		nextIndex := 0
 		for b.Loop() {
-			heartbeat := heartbeats[next%len(heartbeats)]
-			next++
+			heartbeat := heartbeats[nextIndex%len(heartbeats)]
+			nextIndex++
 			heartbeat.Sequence++
 			c.sessions.ApplyHeartbeat(c.state.Machine(heartbeat.Host), heartbeat, time.Now())
 		}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -54,10 +54,10 @@
 	})
 }
 
-// recordCancellation records that a job is cancelled, so that the peers are notified and users are
-// answered only after the confirmation. The cache calls recordCancellation when it learns of the
-// cancellation, before it removes the job's claims from the cluster state. doneTasks is the number of tasks that were done, and
-// revision is that of the final state.
+// recordCancellation records that a job is cancelled, so that the peers are notified and users are answered only
+// after the confirmation. The cache calls recordCancellation when it learns of the cancellation, before it removes
+// the job's claims from the cluster state. doneTasks is the number of tasks that were done, and revision is the
+// store revision of the final state.
 func (c *Controller) recordCancellation(ref string, doneTasks int, revision uint64) {
 	now := time.Now()
 	cancelledJob := cancellation{ref, doneTasks, revision, now}
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -31,8 +31,8 @@
 	return s.Service.Commit(ctx, priority, txn)
 }
 
-// prematureFinalStates is a mutation: the watch reports that a job is done as soon as the record of one of
-// its task ranges is written, which happens when some of its tasks are done.
+// prematureFinalStates is a mutation: the watch reports that a job is done as soon as the record of one of its
+// task ranges is written, which happens when some of the range's tasks are done.
 type prematureFinalStates struct{ chunkedstore.Service }
 
 func (s prematureFinalStates) Watch(ctx context.Context, prefix string, from uint64) ([]kvstore.Event, uint64, error) {
--- a/internal/controller/delayedwrites_test.go
+++ b/internal/controller/delayedwrites_test.go
@@ -9,9 +9,9 @@
 	"cherrywall/internal/jobs"
 )
 
-// The first write of a controller's liveness record gets no answer and is applied after the second write.
-// The record must not belong to the first lease, which nobody renews: the store would delete the record
-// when that lease expires, and the controller could not acquire a shard any more.
+// The first write of a controller's liveness record gets no answer and is applied after the second write. The
+// record must not stay attached to the lease of the first write, which nobody renews: the store would delete the
+// record when that lease expires, and the controller could not acquire a shard any more.
 func TestDelayedLivenessWriteKeepsLease(t *testing.T) {
 	for seed := range uint64(8) {
 		applyLate := func(cluster *fake.Cluster) { cluster.Store.ApplyLate(rand.New(rand.NewPCG(seed, 1)), 1) }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -135,10 +135,10 @@
 	}
 }
 
-// cancelDependents stores a final state for jobs that depend on a cancelled one. This is not urgent, since
-// users are answered from the dependency graph as soon as the cancellation is known. Only the first live
-// member (see IsFirstLiveMember) does it, which saves writes. If two controllers consider themselves the
-// first live member, the preconditions make the later transaction fail.
+// cancelDependents stores the final state of jobs that depend on a cancelled one, which is that they are
+// cancelled. This is not urgent, since users are answered from the dependency graph as soon as the cancellation is
+// known. Only the first live member (see IsFirstLiveMember) does it, which saves writes. If two controllers
+// consider themselves the first live member, the preconditions make the later transaction fail.
 func (c *Controller) cancelDependents(now time.Time) {
 	if c.cache.IsStale(now) || !c.isFirstLiveMember() {
 		return
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -181,7 +181,7 @@
 // runDependencyGraphs runs jobs with random dependencies under random faults: crashes, partitions, lost and
 // late transactions, refusals, outages and failovers. It returns the violations that the invariant checker
 // found and the number of jobs that ended.
-func runDependencyGraphs(t *testing.T, seed uint64, configure func(run *faultinjection.FaultRun)) (violations []string, endedJobs int) {
+func runDependencyGraphs(t *testing.T, seed uint64, configure func(run *faultinjection.FaultRun)) (violations []string, endedJobCount int) {
 	t.Helper()
 	violations = faultinjection.Run(t, 12, seed%2 == 1, func(run *faultinjection.FaultRun) {
 		run.WithDependencies = true
@@ -189,23 +189,23 @@
 			configure(run)
 		}
 		run.InjectFaults(rand.New(rand.NewPCG(seed, 29)), 200)
-		endedJobs = run.Finish()
+		endedJobCount = run.Finish()
 	})
-	return violations, endedJobs
+	return violations, endedJobCount
 }
 
 func TestDependencyGraphsKeepInvariantsUnderRandomFaults(t *testing.T) {
-	totalEndedJobs := 0
+	totalEndedJobCount := 0
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			violations, endedJobs := runDependencyGraphs(t, seed, nil)
+			violations, endedJobCount := runDependencyGraphs(t, seed, nil)
 			for _, violation := range violations {
 				t.Error(violation)
 			}
-			totalEndedJobs += endedJobs
+			totalEndedJobCount += endedJobCount
 		})
 	}
-	if totalEndedJobs < 200 {
-		t.Errorf("the runs cover too little: only %d jobs ended", totalEndedJobs)
+	if totalEndedJobCount < 200 {
+		t.Errorf("the runs cover too little: only %d jobs ended", totalEndedJobCount)
 	}
 }
--- a/internal/controller/faultattribution_test.go
+++ b/internal/controller/faultattribution_test.go
@@ -56,10 +56,10 @@
 		if cluster.IsUp(faultyMachine.Host) {
 			t.Error("the faulty machine was not released")
 		}
-		attempts := func() int { return cluster.StartCounts()["wk-1/0"] + cluster.StartCounts()["wk-1/1"] }
-		attemptsBefore := attempts()
+		countAttempts := func() int { return cluster.StartCounts()["wk-1/0"] + cluster.StartCounts()["wk-1/1"] }
+		attemptsBefore := countAttempts()
 		time.Sleep(40 * time.Second)
-		if count := attempts() - attemptsBefore; count > 2 {
+		if count := countAttempts() - attemptsBefore; count > 2 {
 			t.Errorf("a job known to be faulty was attempted %d times in 40 s", count)
 		}
 		if response := cluster.Cancel("n2", "wk-1"); response.Status != jobs.Cancelled {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -20,10 +20,10 @@
 		// shards.
 		c.resumedAt = now
 	}
-	storeSilentFor := now.Sub(c.cache.LastContactAt())
+	timeSinceStoreContact := now.Sub(c.cache.LastContactAt())
 	isHealthy := !c.isLeaving && c.cache.Synced() &&
-		(storeSilentFor < tuning.HealthGracePeriod || c.isStoreOutage(now)) &&
-		!c.peers.IsCutOffFromStore(now, storeSilentFor)
+		(timeSinceStoreContact < tuning.HealthGracePeriod || c.isStoreOutage(now)) &&
+		!c.peers.IsCutOffFromStore(now, timeSinceStoreContact)
 	c.health.Store(&healthStatus{isHealthy, now})
 }
 
--- a/internal/controller/http_bench_test.go
+++ b/internal/controller/http_bench_test.go
@@ -30,7 +30,7 @@
 	}
 	b.SetParallelism(len(heartbeats))
 	b.ReportAllocs()
-	usedBefore := processorTimeNS(b)
+	processorTimeBefore := processorTimeNS(b)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			heartbeat := <-idleHeartbeats
@@ -53,7 +53,7 @@
 			idleHeartbeats <- heartbeat
 		}
 	})
-	b.ReportMetric(float64(processorTimeNS(b)-usedBefore)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processorTimeNS(b)-processorTimeBefore)/float64(b.N), "cpu-ns/op")
 }
 
 // processorTimeNS returns the processor time that this process has used so far, in nanoseconds.
@@ -75,7 +75,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	b.SetParallelism(64)
 	b.ReportAllocs()
-	usedBefore := processorTimeNS(b)
+	processorTimeBefore := processorTimeNS(b)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			response, err := client.Get(server.URL + "/submissions/wk-1")
@@ -87,5 +87,5 @@
 			_ = response.Body.Close()
 		}
 	})
-	b.ReportMetric(float64(processorTimeNS(b)-usedBefore)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processorTimeNS(b)-processorTimeBefore)/float64(b.N), "cpu-ns/op")
 }
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -135,7 +135,7 @@
 			t.Error("the shard of the isolated controller was not acquired")
 		}
 		if cluster.Nodes["n0"].Controller.Healthy() || !cluster.Nodes["n1"].Controller.Healthy() {
-			t.Error("users are kept at the isolated controller, or sent away from the others")
+			t.Error("the isolated controller is healthy, or n1 is not")
 		}
 		requireCancelled(t, cluster, "n1", "wk-2")
 		requireAccepted(t, cluster, "n2", dependentJob("wk-3", 6), 5*time.Second)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// sendTransfer sends the state of a shard to another controller and reports whether it was queued.
+// sendTransfer queues messages with the state of a shard for another controller, and reports whether the queue had
+// room for them.
 func (c *Controller) sendTransfer(to string, chunks []*peer.TransferChunk) bool {
 	return c.sendToPeer != nil && c.sendToPeer(to, chunks)
 }
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -165,14 +165,14 @@
 			}
 		}
 		view, _ := cluster.Nodes["n0"].Controller.View(admin.ViewFindings)
-		namedRecords := 0
+		namedRecordCount := 0
 		for _, finding := range view.([]diagnostics.Finding) {
 			if finding.Action == "inspect the record; if it cannot be repaired, delete the key" {
-				namedRecords++
+				namedRecordCount++
 			}
 		}
-		if namedRecords != len(records) {
-			t.Errorf("%d of %d records are named: %+v", namedRecords, len(records), view)
+		if namedRecordCount != len(records) {
+			t.Errorf("%d of %d records are named: %+v", namedRecordCount, len(records), view)
 		}
 	})
 }
--- a/internal/controller/restart_test.go
+++ b/internal/controller/restart_test.go
@@ -46,7 +46,7 @@
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetOutage(true)
 		if response := cluster.Poll("n1", "wk-10"); response.Code != http.StatusServiceUnavailable {
-			t.Errorf("poll in an outage answered %+v", response)
+			t.Errorf("a poll during an outage was answered %+v", response)
 		}
 		time.Sleep(20 * time.Second)
 		cluster.Store.SetOutage(false)
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -42,14 +42,14 @@
 	defer startAutoscalers(t, cluster)()
 	rnd := rand.New(rand.NewPCG(1, uint64(size)))
 	scale := float64(size) / 1200 * load
-	usedBefore := processorTimeNS(t)
+	processorTimeBefore := processorTimeNS(t)
 	end := time.Now().Add(120 * time.Second)
 	for i := 0; time.Now().Before(end); i++ {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / (1.54 * scale) * float64(time.Second)))
 		spec, runTime := randomJob(rnd, jobRef(i+1))
 		cluster.Submit(controllerName(rnd.IntN(3)), spec, runTime)
 	}
-	t.Logf("%.2f s of processor time a minute", float64(processorTimeNS(t)-usedBefore)/2e9)
+	t.Logf("%.2f s of processor time a minute", float64(processorTimeNS(t)-processorTimeBefore)/2e9)
 }
 
 // randomJob returns a job and the run time of the job's tasks. The job is a gang of high priority or, more
@@ -113,7 +113,8 @@
 	time.Sleep(15 * time.Second)
 }
 
-// requireArraysDone waits until the arrays of fillMachines are done, for each of them up to limit.
+// requireArraysDone waits for the arrays of fillMachines one after another, for at most limit each, and fails the
+// test if an array is not done by then.
 func requireArraysDone(t *testing.T, cluster *fake.Cluster, limit time.Duration) {
 	t.Helper()
 	for i := range fleetSize / 100 {
@@ -154,7 +155,7 @@
 func TestTasksContinueAfterRestartWithThousandWorkers(t *testing.T) {
 	runLargeScenario(t, fleetSize, func(t *testing.T, cluster *fake.Cluster) {
 		fillMachines(t, cluster, 40*time.Second)
-		startedTasksBefore := len(cluster.StartCounts())
+		startedTaskCountBefore := len(cluster.StartCounts())
 		restartControllers(cluster, 6*time.Second)
 		time.Sleep(5 * time.Second)
 		requireAccepted(t, cluster, "n2", urgentGang(), 5*time.Second)
@@ -163,15 +164,15 @@
 			requireDone(t, cluster, "n1", jobRef(i+1), 60*time.Second)
 			requireDone(t, cluster, "n1", jobRef(9000+i), 60*time.Second)
 		}
-		restartedTasks := 0
+		restartedTaskCount := 0
 		for _, count := range cluster.StartCounts() {
 			if count > 1 {
-				restartedTasks++
+				restartedTaskCount++
 			}
 		}
 		// The urgent gang preempts a few tasks, which start again.
-		if startedTasksBefore < 7*fleetSize || restartedTasks > 150 {
-			t.Errorf("%d tasks ran at the restart, %d were started again", startedTasksBefore, restartedTasks)
+		if startedTaskCountBefore < 7*fleetSize || restartedTaskCount > 150 {
+			t.Errorf("%d tasks ran at the restart, %d were started again", startedTaskCountBefore, restartedTaskCount)
 		}
 	})
 }
@@ -197,14 +198,14 @@
 			t.Errorf("an unclaimed gang was started %d times 4 s after the start", count)
 		}
 		time.Sleep(6 * time.Second)
-		restartedTasks := 0
+		restartedTaskCount := 0
 		for task, count := range cluster.StartCounts() {
 			if startsBefore[task] > 0 && count > startsBefore[task] {
-				restartedTasks++
+				restartedTaskCount++
 			}
 		}
-		if restartedTasks > 0 {
-			t.Errorf("%d tasks were started again within 10 s of the start", restartedTasks)
+		if restartedTaskCount > 0 {
+			t.Errorf("%d tasks were started again within 10 s of the start", restartedTaskCount)
 		}
 		if count := cluster.WorkerCount(); count != fleetSize {
 			t.Errorf("%d machines were released", fleetSize-count)
@@ -227,8 +228,8 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if confirmedWorkers, reachableWorkers := confirmedWorkerCount(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmedWorkers < reachableWorkers*95/100 {
-			t.Errorf("%d of %d reachable workers were reached in 1.5 s", confirmedWorkers, reachableWorkers)
+		if confirmedCount, reachableCount := confirmedWorkerCount(cluster, "n0"), cluster.WorkersInShard("n0")*3/4; confirmedCount < reachableCount*95/100 {
+			t.Errorf("%d of %d reachable workers were reached in 1.5 s", confirmedCount, reachableCount)
 		}
 		requireAccepted(t, cluster, "n2", urgentGang(), 5*time.Second)
 		requireDone(t, cluster, "n1", "wk-7000", 12*time.Second)
@@ -253,26 +254,26 @@
 }
 
 // The number of writes for a job does not depend on the number of machines. A gang needs six writes for its
-// acceptance, its claim and its completion. An array needs two writes for each shard's claim, and further
-// writes that record the done tasks of its ranges. Without peer heartbeats, as in this test, all three controllers may
+// acceptance, its claim and its completion. An array needs two writes for each shard's claim, and further writes
+// that record the done tasks of its ranges. Since this test has no peer heartbeats, all three controllers may
 // claim tasks of the same job at the same moment.
 func TestWritesPerJobIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{120, 900} {
 		runLargeScenario(t, size, func(t *testing.T, cluster *fake.Cluster) {
-			writes := func() int {
+			countWrites := func() int {
 				return cluster.Store.WriteCountOf(jobs.JobPrefix, jobs.RangePrefix, jobs.FinalPrefix)
 			}
-			writesBefore := writes()
+			writesBefore := countWrites()
 			gang := fake.JobSpec("wk-1", jobs.Gang, 24, 7)
 			gang.OneZone = true
 			requireAccepted(t, cluster, "n0", gang, 10*time.Second)
 			requireDone(t, cluster, "n1", "wk-1", 30*time.Second)
-			gangWrites := writes() - writesBefore
-			writesBefore = writes()
+			gangWrites := countWrites() - writesBefore
+			writesBefore = countWrites()
 			requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Array, 300, 1), 10*time.Second)
 			requireDone(t, cluster, "n1", "wk-2", 40*time.Second)
 			time.Sleep(3 * time.Second)
-			arrayWrites := writes() - writesBefore
+			arrayWrites := countWrites() - writesBefore
 			t.Logf("%d machines: a gang %d writes, an array of 300 tasks %d", size, gangWrites, arrayWrites)
 			if gangWrites > 10 || arrayWrites > 10 { // two controllers may each make one failed claim
 				t.Errorf("%d machines: a gang took %d writes, an array of 300 tasks %d", size, gangWrites, arrayWrites)
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -66,11 +66,11 @@
 // runWithPeersConfigured is runWithPeers on a cluster that configure has changed.
 func runWithPeersConfigured(t *testing.T, configure func(cluster *fake.Cluster), scenario func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
-	withPeers := func(cluster *fake.Cluster) {
+	configureWithPeers := func(cluster *fake.Cluster) {
 		cluster.ConnectPeers = true
 		configure(cluster)
 	}
-	runScenario(t, controllerZones, withPeers, scenario)
+	runScenario(t, controllerZones, configureWithPeers, scenario)
 }
 
 // restartControllers crashes all controllers and starts them again after downtime.
--- a/internal/controller/scheduling_test.go
+++ b/internal/controller/scheduling_test.go
@@ -211,11 +211,11 @@
 
 // zoneCase is a case of TestZoneConstrainedJobsCompleteAfterMachineLoss.
 type zoneCase struct {
-	name       string
-	kind       jobs.Kind
-	oneZone    bool
-	spread     bool
-	isZoneFull bool // other tasks fill the zone; if false, its machines are released and it is empty
+	name         string
+	kind         jobs.Kind
+	needsOneZone bool
+	isSpread     bool
+	isZoneFull   bool // other tasks fill the zone; if false, its machines are released and it is empty
 }
 
 // A job that has to run in one zone, or is spread over zones, loses machines. Its remaining tasks are started
@@ -241,21 +241,21 @@
 	}
 	time.Sleep(5 * time.Second)
 	spec := fake.JobSpec("wk-1", c.kind, 9, 1)
-	spec.OneZone, spec.Spread = c.oneZone, c.spread
+	spec.OneZone, spec.Spread = c.needsOneZone, c.isSpread
 	// Half of the first eight tasks complete before the machines are lost, and the other half do not. The
 	// last task runs longer than all others.
 	for i := range 8 {
 		cluster.SetTaskRunTime(jobs.TaskName("wk-1", i), []time.Duration{2 * time.Second, 25 * time.Second}[i%2])
 	}
 	cluster.SetTaskRunTime(jobs.TaskName("wk-1", 8), 70*time.Second)
-	if c.spread {
+	if c.isSpread {
 		cluster.AddMachine("b", false)
 		time.Sleep(3 * time.Second)
 	}
 	requireAccepted(t, cluster, "n0", spec, 25*time.Second)
 	time.Sleep(6 * time.Second)
 	lostHosts := cluster.Hosts()
-	if c.spread {
+	if c.isSpread {
 		lostHosts = lostHosts[:3]
 	}
 	if c.isZoneFull { // another job takes the capacity of the lost tasks for a long time
@@ -268,7 +268,7 @@
 	for _, host := range lostHosts {
 		_ = cluster.Release(t.Context(), []string{host})
 	}
-	if c.spread { // at most half of the tasks may be in one zone, however many are done by then
+	if c.isSpread { // at most half of the tasks may be in one zone, however many are done by then
 		time.Sleep(40 * time.Second)
 		cluster.AddMachine("a", false)
 	}
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -32,12 +32,12 @@
 	now := time.Now()
 	isUnavailable := func(node string) bool { return node == c.cfg.Node || c.peers.IsLeaving(node, now) }
 	successor := c.members.SuccessorExcluding(c.cfg.Node, isUnavailable)
-	ownedShards := len(c.members.LocalShards())
-	if ownedShards > 0 && successor != "" && now.Sub(startedAt) <= tuning.ShutdownTransferTimeout {
+	ownedShardCount := len(c.members.LocalShards())
+	if ownedShardCount > 0 && successor != "" && now.Sub(startedAt) <= tuning.ShutdownTransferTimeout {
 		c.mailbox.SendAfter(tuning.TickInterval, func() { c.awaitHandovers(startedAt, finished) })
 		return
 	}
-	c.log.Info("controller leaving", "shards_left", ownedShards, "duration_s", time.Since(startedAt).Seconds())
+	c.log.Info("controller leaving", "shards_left", ownedShardCount, "duration_s", time.Since(startedAt).Seconds())
 	c.cache.ReleaseLiveness()
 	c.mailbox.SendAfter(tuning.ShutdownLastWriteTimeout, func() { close(finished) })
 }
--- a/internal/controller/stall_test.go
+++ b/internal/controller/stall_test.go
@@ -81,7 +81,7 @@
 		cluster.Store.RefuseNode("n0", true)
 		time.Sleep(4 * time.Second)
 		if cluster.Nodes["n0"].Controller.Healthy() || !cluster.Nodes["n1"].Controller.Healthy() {
-			t.Error("users are not sent to another controller")
+			t.Error("the controller that the store refuses is healthy, or n1 is not")
 		}
 		time.Sleep(4 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner == "n0" {
--- a/internal/controller/tinyjobs_test.go
+++ b/internal/controller/tinyjobs_test.go
@@ -15,10 +15,9 @@
 // tinyJob returns a job of one task.
 func tinyJob(i int) jobs.Spec { return fake.JobSpec(jobRef(1000+i), jobs.Array, 1, 0.25) }
 
-// A job of one task needs fewer than two writes, because it is claimed on acceptance and its completion
-// is written in a batch with the completions of other jobs. With six writes for each job, the load of
-// this test, twelve jobs a second, would exceed the 50 writes a second that the store accepts from all
-// controllers.
+// A job of one task needs fewer than two writes on average, because it is claimed on acceptance and its completion
+// is written in a batch with the completions of other jobs. With six writes for each job, the load of this test,
+// twelve jobs a second, would exceed the 50 writes a second that the store accepts from all controllers.
 func TestManyTinyJobsNeedFewWrites(t *testing.T) {
 	runWithoutPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachinesPerController(cluster, 8)
@@ -159,23 +158,23 @@
 
 // step sends a request or begins or ends a fault.
 func (r *tinyJobRun) step(t *testing.T, i int) {
-	switch draw := r.rnd.IntN(100); {
-	case draw < 40 || len(r.refs) == 0:
+	switch randomPercent := r.rnd.IntN(100); {
+	case randomPercent < 40 || len(r.refs) == 0:
 		r.submit(t, i)
-	case draw < 50:
+	case randomPercent < 50:
 		if ref := r.randomRef(); r.knownStatus[ref] != "" {
 			spec := tinyJob(0)
 			spec.Ref = ref
 			r.checkAndRecord(t, "repeated submission", ref, r.cluster.Resubmit(r.randomRunningController(), spec))
 		}
-	case draw < 80:
+	case randomPercent < 80:
 		ref := r.randomRef()
 		r.checkIfKnown(t, "poll", ref, r.cluster.Poll(r.randomRunningController(), ref))
-	case draw < 92:
+	case randomPercent < 92:
 		ref := r.randomRef()
 		r.checkIfKnown(t, "cancellation", ref, r.cluster.Cancel(r.randomRunningController(), ref))
 	default:
-		r.changeFaults(draw)
+		r.changeFaults(randomPercent)
 	}
 }
 
@@ -190,15 +189,16 @@
 	r.refs = append(r.refs, spec.Ref)
 }
 
-func (r *tinyJobRun) changeFaults(draw int) {
+// changeFaults begins or ends a fault. randomPercent, which step has drawn from 92 to 99, selects which.
+func (r *tinyJobRun) changeFaults(randomPercent int) {
 	switch {
-	case draw < 94 && r.crashedNode == "":
+	case randomPercent < 94 && r.crashedNode == "":
 		r.crashedNode = r.randomRunningController()
 		r.cluster.CrashController(r.crashedNode)
-	case draw < 96 && r.crashedNode != "":
+	case randomPercent < 96 && r.crashedNode != "":
 		r.cluster.StartController(r.crashedNode)
 		r.crashedNode = ""
-	case draw < 98:
+	case randomPercent < 98:
 		r.cluster.Store.RefuseNode(r.refusedNode, false)
 		if r.refusedNode = ""; r.rnd.IntN(2) == 0 {
 			r.refusedNode = r.randomRunningController()
@@ -230,7 +230,7 @@
 	}
 }
 
-// checkIfKnown checks and records an answer if the job was accepted or the answer has its status. A job
+// checkIfKnown checks and records an answer if the job was accepted or the answer contains the job's status. A job
 // whose submission was not accepted may be unknown.
 func (r *tinyJobRun) checkIfKnown(t *testing.T, request, ref string, response controller.Response) {
 	t.Helper()
