--- a/cmd/cherrywall/daemon.go
+++ b/cmd/cherrywall/daemon.go
@@ -51,7 +51,7 @@
 		return &usageError{fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", initialLevel)}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.Node)
-	shutdownRequested, stopSignals := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	signalCtx, stopSignals := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stopSignals()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -72,7 +72,7 @@
 			setLevel(level, name)
 		},
 		awaitShutdown: func(ctrl *controller.Controller) {
-			<-shutdownRequested.Done()
+			<-signalCtx.Done()
 			stopSignals() // the next signal ends the process
 			ctrl.Leave()  //nolint:contextcheck // the controller keeps the context of controller.New
 			stop()
--- a/cmd/cherrywall/pipeline.go
+++ b/cmd/cherrywall/pipeline.go
@@ -128,7 +128,7 @@
 }
 
 // handleRejection returns the error to report after a request that sent a pipeline file. If a
-// controller rejected the file, it prints the problems of the file and returns an exitError. If the
+// controller rejected the file, handleRejection prints the file's problems and returns an exitError. If the
 // controllers do not run pipeline files, the error says so. Any other err is returned unchanged.
 func handleRejection(file string, err error) error {
 	if problems, notices := decodeProblems(err); len(problems) > 0 {
--- a/internal/actor/actor_test.go
+++ b/internal/actor/actor_test.go
@@ -43,8 +43,8 @@
 		m := New(t.Context())
 		m.SendAfter(time.Second, func() {}).Stop()
 		time.Sleep(2 * time.Second)
-		if queued := len(m.Messages()); queued > 0 {
-			t.Errorf("%d messages were sent", queued)
+		if queuedCount := len(m.Messages()); queuedCount > 0 {
+			t.Errorf("%d messages were sent", queuedCount)
 		}
 	})
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 
 // Errors of Controller.ChangeSettings.
 var (
-	// ErrVersionConflict means that the settings no longer have the version that the change was made for.
+	// ErrVersionConflict means that the settings have changed since the version that the change is based on.
 	ErrVersionConflict = errors.New("settings have another version")
 	// ErrUnavailable means that the key-value store could not store the change now.
 	ErrUnavailable = errors.New("state service unavailable")
@@ -88,7 +88,7 @@
 
 // settingsChangeRequest is the body of a request to change the settings.
 type settingsChangeRequest struct {
-	// Version is the version of the settings that the change was made for; nil if the field is missing.
+	// Version is the version of the settings that the change is based on; nil if the field is missing.
 	Version *uint64 `json:"version"`
 	// Settings is a JSON object with the fields to be changed.
 	Settings json.RawMessage `json:"settings"`
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -14,7 +14,7 @@
 	SpareMachines int `json:"spare_machines"`
 	// Spot allows the scale-out of spot machines.
 	Spot bool `json:"spot"`
-	// MaxMachines limits the number of all machines; 0 means no limit.
+	// MaxMachines limits the total number of machines; 0 means no limit.
 	MaxMachines int `json:"rent_total"`
 	// MaxMachinesPerType limits the number of machines by type. A type without an entry has no limit.
 	MaxMachinesPerType map[string]int `json:"rent_per_type"`
--- a/internal/apiclient/client.go
+++ b/internal/apiclient/client.go
@@ -24,7 +24,7 @@
 type Client struct {
 	addresses    []string
 	httpClient   *http.Client
-	addressIndex int // the next call begins with addresses[addressIndex%len(addresses)], which gave the last final response
+	addressIndex int // index, modulo the number of addresses, of the address that gave the last final response; the next call begins with it
 }
 
 // New returns a client for the given listen addresses (host:port) of controllers.
--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -52,7 +52,7 @@
 }
 
 // expectedArrivals returns the expected number of tasks that arrive during a boot, and the variance of
-// that number. The class must have at least one arrival, as it has if isInactive returns false.
+// that number. The class must have at least one arrival, which is so if isInactive returns false.
 func (c *classStats) expectedArrivals(now time.Time, bootSeconds float64) (tasks, variance float64) {
 	sum, sumOfSquares := 0.0, 0.0
 	for _, arrival := range c.arrivals {
--- a/internal/classstats/stats_test.go
+++ b/internal/classstats/stats_test.go
@@ -7,8 +7,8 @@
 	"cherrywall/internal/jobs"
 )
 
-// Guards against a growth buffer that counts all arrivals during a boot without subtracting the jobs that
-// end during the boot. Such a buffer was 77 machines too large on a large deployment.
+// Jobs that end during a boot reduce the growth buffer. A buffer that counted all arrivals during a boot,
+// without subtracting these jobs, was 77 machines too large on a large deployment.
 func TestGrowthBufferSubtractsEndingJobs(t *testing.T) {
 	stats, now := New(), time.Now()
 	spec := jobs.Spec{Class: "c", Kind: jobs.Gang, Urgency: "high", Tasks: 8, CPU: 7, EstimatedRunSeconds: 70}
--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -80,7 +80,7 @@
 	var addedJobs []Job
 	for _, entry := range entries {
 		ref, tasks := jobs.ParseBatchEntry(entry)
-		if _, known := x.doneJobs[ref]; !known {
+		if _, isKnown := x.doneJobs[ref]; !isKnown {
 			x.doneJobs[ref] = Job{Ref: ref, Tasks: tasks}
 			addedJobs = append(addedJobs, x.doneJobs[ref])
 		}
--- a/internal/cronschedule/schedule.go
+++ b/internal/cronschedule/schedule.go
@@ -109,7 +109,7 @@
 	instant := time.Date(wallClock.Year(), wallClock.Month(), wallClock.Day(), wallClock.Hour(), wallClock.Minute(), wallClock.Second(), 0, s.zone)
 	matches := func(t time.Time) bool { return t.Hour() == wallClock.Hour() && t.Minute() == wallClock.Minute() }
 	start, end := instant.ZoneBounds()
-	if !matches(instant) { // the clocks skip this time at a change nearby
+	if !matches(instant) { // the clocks skip wallClock when they are put forward
 		if !start.IsZero() && instant.Sub(start) < maxClockAdvance {
 			return start
 		}
@@ -133,11 +133,11 @@
 func (s *Schedule) Due(next, now time.Time) (dueAt, nextAt time.Time) {
 	dueAt = next
 	for range maxMissedTimes {
-		following := s.Next(dueAt)
-		if following.IsZero() || following.After(now) {
-			return dueAt, following
+		followingTime := s.Next(dueAt)
+		if followingTime.IsZero() || followingTime.After(now) {
+			return dueAt, followingTime
 		}
-		dueAt = following
+		dueAt = followingTime
 	}
 	return dueAt, s.Next(now) // more than maxMissedTimes times were missed: dueAt is not the last of them
 }
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -22,19 +22,19 @@
 	if latest := decisions.Latest(10); len(latest) != 0 {
 		t.Errorf("an empty log contains %v", latest)
 	}
-	const added = tuning.DecisionLogEntries + 3
-	for i := range uint64(added) {
+	const addedCount = tuning.DecisionLogEntries + 3
+	for i := range uint64(addedCount) {
 		decisions.Add(decisionlog.Decision{Action: decisionlog.StartSent, Attempt: i})
 	}
 	latest := decisions.Latest(2)
-	if len(latest) != 2 || latest[0].Attempt != added-2 || latest[1].Attempt != added-1 {
+	if len(latest) != 2 || latest[0].Attempt != addedCount-2 || latest[1].Attempt != addedCount-1 {
 		t.Errorf("the latest two are %+v", latest)
 	}
-	all := decisions.Latest(added)
+	all := decisions.Latest(addedCount)
 	if len(all) != tuning.DecisionLogEntries || all[0].Attempt != 3 || all[0].At.IsZero() {
 		t.Errorf("%d decisions are kept, the oldest is %+v", len(all), all[0])
 	}
-	if decisions.Count() != added || output.Len() > 0 {
+	if decisions.Count() != addedCount || output.Len() > 0 {
 		t.Errorf("count %d, logged above the debug level: %q", decisions.Count(), output)
 	}
 }
--- a/internal/decisionlog/invariants.go
+++ b/internal/decisionlog/invariants.go
@@ -46,7 +46,7 @@
 	v.logger.Error(ViolationMessage, append(attributes, "decisions", v.decisions.Latest(tuning.DecisionsLoggedOnViolation))...)
 }
 
-// Counts returns the number of violations by invariant, zeros included.
+// Counts returns the number of violations of each invariant, also where it is 0.
 func (v *Violations) Counts() map[Invariant]uint64 {
 	counts := map[Invariant]uint64{UsageWithinAllocation: 0, AllocationsWithinQuota: 0, StartsPassGate: 0}
 	for invariant, count := range v.counts {
--- a/internal/diagnostics/findings.go
+++ b/internal/diagnostics/findings.go
@@ -58,8 +58,8 @@
 }
 
 func (r *Reporter) checkControllers(list *findingList, now time.Time) {
-	if pending := r.deps.FeatureGate.PendingControllers(); len(pending) > 0 {
-		list.add("upgrade them, or remove them from the configuration", "the upgrade is not complete: %s recorded no version or an older one", strings.Join(pending, ", "))
+	if pendingControllers := r.deps.FeatureGate.PendingControllers(); len(pendingControllers) > 0 {
+		list.add("upgrade them, or remove them from the configuration", "the upgrade is not complete: %s recorded no version or an older one", strings.Join(pendingControllers, ", "))
 	}
 	for _, node := range r.deps.Membership.Controllers() {
 		if node == r.cfg.Node {
--- a/internal/httpapi/handler.go
+++ b/internal/httpapi/handler.go
@@ -21,7 +21,7 @@
 // buffer space for one response.
 type Controller interface {
 	// Submit submits a job. If the job is invalid, specErr is the reason, and spec is nil or
-	// has the invalid fields.
+	// contains the invalid values.
 	Submit(ref string, spec *jobs.Spec, specErr error, reply chan controller.Response)
 	// Poll returns the status of a job.
 	Poll(ref string, reply chan controller.Response)
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -21,7 +21,7 @@
 	// Check decides whether a job is admitted.
 	Check(spec *jobs.Spec) admission.Decision
 	// Settings returns the operators' settings, their version, and whether they have been read.
-	Settings() (settings admin.Settings, version uint64, synced bool)
+	Settings() (settings admin.Settings, version uint64, isSynced bool)
 }
 
 // pipelineHandler serves pipeline files, runs and schedules.
--- a/internal/jobdag/index.go
+++ b/internal/jobdag/index.go
@@ -126,7 +126,7 @@
 	switch {
 	case record.DependenciesDoneAtMS != 0:
 		n.readyAt = time.UnixMilli(record.DependenciesDoneAtMS)
-	case wasLinked && n.openDependencies == 0:
+	case wasLinked && n.openDependencyCount == 0:
 		n.readyAt = now
 	}
 	x.updateSets(n)
@@ -146,7 +146,7 @@
 		n.dependencies = append(n.dependencies, dependency)
 		dependency.dependents[n] = true
 		if dependency.finalState != Done {
-			n.openDependencies++
+			n.openDependencyCount++
 		}
 		if dependency.finalState == Cancelled || dependency.cancelledByDependency {
 			n.cancelledByDependency = true
@@ -184,13 +184,13 @@
 }
 
 // completeDependency counts one of a job's dependencies as done. If no other dependency is open, the job
-// becomes ready, and now is recorded as the time.
+// becomes ready at the time that the argument now gives.
 func (x *Index) completeDependency(n *Node, now time.Time) {
-	if n.record == nil || n.openDependencies == 0 {
+	if n.record == nil || n.openDependencyCount == 0 {
 		return
 	}
-	n.openDependencies--
-	if n.openDependencies == 0 {
+	n.openDependencyCount--
+	if n.openDependencyCount == 0 {
 		n.readyAt = now
 		x.cfg.OnChange(n.ref)
 	}
@@ -213,7 +213,7 @@
 // unlink removes the edges from a job to its dependencies, which then inherit nothing from it.
 func (x *Index) unlink(n *Node) {
 	dependencies := n.dependencies
-	n.dependencies, n.openDependencies = nil, 0
+	n.dependencies, n.openDependencyCount = nil, 0
 	for _, dependency := range dependencies {
 		delete(dependency.dependents, n)
 		x.propagate(dependency)
@@ -302,9 +302,8 @@
 }
 
 // UnknownJobs returns up to limit dependencies whose final states the caller has to look up, since
-// neither a record nor a final state is known. It leaves out the dependencies that it has returned
-// after excludeRequestedAfter. For the dependencies that it returns, it records now as the time of
-// this request.
+// neither a record nor a final state is known. It leaves out the dependencies that an earlier call
+// returned after the time excludeRequestedAfter. The argument now is the time of this call.
 func (x *Index) UnknownJobs(excludeRequestedAfter, now time.Time, limit int) []string {
 	var refs []string
 	for ref := range x.unknownNodes {
@@ -324,7 +323,7 @@
 // blocked or can never run.
 func (x *Index) UnknownAncestors(ref string) []string {
 	n := x.nodes[ref]
-	if n == nil || n.cancelledByDependency || n.openDependencies == 0 {
+	if n == nil || n.cancelledByDependency || n.openDependencyCount == 0 {
 		return nil
 	}
 	var refs []string
--- a/internal/jobdag/jobdag_test.go
+++ b/internal/jobdag/jobdag_test.go
@@ -191,8 +191,10 @@
 	}
 }
 
-// One job has a thousand dependencies and a thousand dependents.
-func TestJobWithThousandDependenciesAndDependents(t *testing.T) {
+// A job with a thousand dependencies and a thousand dependents passes the priority and deadlines of its
+// dependents on to its dependencies, is blocked until all of these are done, and cancels its dependents
+// when it is cancelled.
+func TestJobIsBlockedUntilThousandDependenciesAreDone(t *testing.T) {
 	x := newTestIndex()
 	var refs []string
 	for i := range 1000 {
@@ -282,11 +284,11 @@
 		}
 		records = append(records, record)
 	}
-	wideRecord := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wide", Urgency: "high", EstimatedRunSeconds: 3}}
+	dependentRecord := &jobs.JobRecord{Spec: jobs.Spec{Ref: "wide", Urgency: "high", EstimatedRunSeconds: 3}}
 	for i := range 1000 {
-		wideRecord.DependsOn = append(wideRecord.DependsOn, fmt.Sprintf("wk-%d", 10*i+9))
+		dependentRecord.DependsOn = append(dependentRecord.DependsOn, fmt.Sprintf("wk-%d", 10*i+9))
 	}
-	return append(records, wideRecord)
+	return append(records, dependentRecord)
 }
 
 // heapBytes returns the bytes in use on the heap after a garbage collection.
--- a/internal/jobdag/node.go
+++ b/internal/jobdag/node.go
@@ -14,8 +14,8 @@
 	finalState   FinalState
 	dependencies []*Node
 	dependents   map[*Node]bool // unfinished jobs that depend on this one
-	// openDependencies is the number of dependencies that are not known to be done.
-	openDependencies int
+	// openDependencyCount is the number of dependencies that are not known to be done.
+	openDependencyCount int
 	// cancelledByDependency is set if a dependency, direct or indirect, is cancelled.
 	cancelledByDependency bool
 	priority              jobs.Priority
@@ -31,7 +31,7 @@
 
 // IsBlocked reports whether the job may not run now: it waits for dependencies, or can never run.
 func (n *Node) IsBlocked() bool {
-	return n != nil && n.record != nil && (n.openDependencies > 0 || n.cancelledByDependency)
+	return n != nil && n.record != nil && (n.openDependencyCount > 0 || n.cancelledByDependency)
 }
 
 // IsCancelledByDependency reports whether the job can never run because a dependency, direct or
--- a/internal/jobs/parse_test.go
+++ b/internal/jobs/parse_test.go
@@ -106,7 +106,7 @@
 	for _, name := range slices.Concat(requiredFields, optionalFields) {
 		count := len(values[name])
 		if slices.Contains(requiredFields, name) {
-			count -= 2 // null and missing
+			count -= 2 // null and a missing field are invalid for every required field
 		}
 		if count <= 0 {
 			t.Errorf("%s: no invalid values to test", name)
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -25,7 +25,7 @@
 	// range record.
 	WholeClaim *WholeJobClaim `json:"own,omitempty"`
 	// ExcludedFromBatches is set when the cancellation of the job begins. From then on no
-	// completion batch may list the job: the end of the job is recorded only under its own key.
+	// completion batch may list the job: the end of the job is recorded only under the job's key.
 	ExcludedFromBatches bool `json:"sole,omitempty"`
 	// DependenciesDoneAtMS is the wall-clock time (Unix ms) at which the last dependency of the job
 	// was done. It is written with the first claim, when DependsOn is cleared.
--- a/internal/jobs/record_test.go
+++ b/internal/jobs/record_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Checks that no task is lost or duplicated when tasks are taken from and returned to the unclaimed
-// intervals in random order.
+// No task is lost or duplicated when tasks are taken from and returned to the unclaimed intervals in
+// random order.
 func TestUnclaimedIntervalsConserveTasks(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	unclaimed := []TaskInterval{{0, 500}}
@@ -20,7 +20,7 @@
 			i := random.IntN(len(claimedIntervals))
 			returnedInterval := claimedIntervals[i]
 			claimedIntervals = append(claimedIntervals[:i], claimedIntervals[i+1:]...)
-			if keptCount := random.IntN(returnedInterval.Count); keptCount > 0 { // only the tail is returned
+			if keptCount := random.IntN(returnedInterval.Count); keptCount > 0 { // the first keptCount tasks stay claimed
 				claimedIntervals = append(claimedIntervals, TaskInterval{returnedInterval.First, keptCount})
 				returnedInterval = TaskInterval{returnedInterval.First + keptCount, returnedInterval.Count - keptCount}
 			}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -6,7 +6,7 @@
 	"cherrywall/internal/capacity"
 )
 
-// Kind tells whether the tasks of a job run independently, all at once, or until cancelled.
+// Kind tells whether a job's tasks run independently, all at the same time, or until it is cancelled.
 type Kind string
 
 // The kinds of jobs. The values are the protocol's names.
--- a/internal/machinelifecycle/health.go
+++ b/internal/machinelifecycle/health.go
@@ -57,7 +57,7 @@
 func (m *Manager) checkMachine(machine *clusterstate.Machine, drainedHosts []string, now time.Time) {
 	m.State.SetSuspected(machine, m.Faults.IsSuspected(machine.Host(), now))
 	m.expireLease(machine, now)
-	if m.missedHeartbeat(machine, now) {
+	if m.hasMissedHeartbeat(machine, now) {
 		m.State.MarkHeartbeatOverdue(machine)
 	}
 	if m.Cache.IsStale(now) {
@@ -73,20 +73,20 @@
 	}
 }
 
-// missedHeartbeat reports whether a heartbeat of the machine became overdue since the last check.
+// hasMissedHeartbeat reports whether a heartbeat of the machine became overdue since the last check.
 // The time before the end of the last stall of this process is not counted.
-func (m *Manager) missedHeartbeat(machine *clusterstate.Machine, now time.Time) bool {
+func (m *Manager) hasMissedHeartbeat(machine *clusterstate.Machine, now time.Time) bool {
 	if !machine.HasReported() || machine.IsLost() || machine.HeartbeatOverdue() {
 		return false
 	}
-	silentSince := laterOf(machine.LastHeartbeatAt(), m.stallEndedAt)
-	return now.Sub(silentSince) > m.heartbeatDueAfter(machine)
+	waitingSince := laterOf(machine.LastHeartbeatAt(), m.stallEndedAt)
+	return now.Sub(waitingSince) > m.maxHeartbeatAge(machine)
 }
 
-// heartbeatDueAfter returns the time without a heartbeat after which the next one is overdue. The time
-// includes the delay of the response to the last heartbeat. This delay may be longer for a worker
-// without tasks.
-func (m *Manager) heartbeatDueAfter(machine *clusterstate.Machine) time.Duration {
+// maxHeartbeatAge returns the age of a machine's last heartbeat above which the next heartbeat is
+// overdue. It includes the maximum delay of the response to the last heartbeat, which may be longer
+// for a worker without tasks.
+func (m *Manager) maxHeartbeatAge(machine *clusterstate.Machine) time.Duration {
 	interval := config.Seconds(m.cfg.Cluster.Workers.HeartbeatIntervalSeconds)
 	isEmpty := machine.AssignmentCount() == 0
 	return interval + interval/4 + m.Sessions.MaxResponseDelay(isEmpty) + tuning.HeartbeatOverdueMargin
@@ -124,8 +124,8 @@
 		m.Sessions.EndAgentEpoch(machine)
 		m.State.MarkLost(machine)
 	}
-	// A machine that has not reported is known only from its record or from a delayed heartbeat: no
-	// controller can have renewed its lease since the shard was acquired.
+	// A machine that has not reported is known only from its record or from a delayed heartbeat, so no
+	// controller can have renewed the lease of its worker since the shard was acquired.
 	acquiredAt := laterOf(m.State.OwnedShard(machine).KnownSince(), machine.JoinedShardAt())
 	if !machine.IsLost() && !machine.HasReported() && now.After(m.cfg.WorkerLeaseExpiresAt(acquiredAt, machine.LastHeartbeatAt())) {
 		m.record(decisionlog.LeaseExpired, machine, fmt.Sprintf("no heartbeat under the present token; shard acquired %.1f s ago", now.Sub(acquiredAt).Seconds()))
@@ -152,8 +152,8 @@
 		m.queueRelease(machine)
 	case !machine.IsLost() && !machine.HasReported() && m.timeSinceHeartbeat(machine, now) > m.cfg.HeartbeatAnswerValidity()+tuning.WorkerReconnectPeriod:
 		// The previous owner of the shard must have stopped answering the worker by now, and the
-		// worker has not reconnected. It has most likely failed, and a confirmed release proves
-		// that it no longer runs.
+		// worker has not reconnected. The worker has most likely failed, and a confirmed release
+		// proves that it no longer runs.
 		m.queueRelease(machine)
 	}
 }
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -136,7 +136,7 @@
 // records and the owners of the source and target shards are unchanged.
 func (m *Manager) moveToShard(machines []*clusterstate.Machine, target *membership.Shard) {
 	txn := kvstore.Txn{Conditions: []kvstore.Condition{{Key: jobs.ShardPrefix + target.ID(), Revision: target.Epoch()}}}
-	sources := map[string]bool{}
+	sourceShardIDs := map[string]bool{}
 	for _, machine := range machines {
 		m.State.SetMoving(machine, true)
 		key := jobs.WorkerPrefix + machine.Host()
@@ -145,8 +145,8 @@
 		record.Shard = target.ID()
 		txn.Writes = append(txn.Writes, kvstore.Write{Key: key, Value: kvstore.MustEncode(record)})
 		source := m.State.OwnedShard(machine)
-		if source != nil && !sources[source.ID()] && source.ID() != target.ID() {
-			sources[source.ID()] = true
+		if source != nil && !sourceShardIDs[source.ID()] && source.ID() != target.ID() {
+			sourceShardIDs[source.ID()] = true
 			txn.Conditions = append(txn.Conditions, kvstore.Condition{Key: jobs.ShardPrefix + source.ID(), Revision: source.Epoch()})
 		}
 	}
