--- a/internal/classstats/buffers.go
+++ b/internal/classstats/buffers.go
@@ -69,8 +69,8 @@
 // expectedCompletions returns the expected number of tasks of the job that end during a boot, and the
 // variance of that number. It assumes that all tasks of a job end together.
 func (j RunningJob) expectedCompletions(bootSeconds float64) (tasks, variance float64) {
-	size, probability := float64(j.Tasks), min(1, bootSeconds/max(j.ExpectedRunSeconds, 1))
-	return size * probability, size * size * probability * (1 - probability)
+	taskCount, endProbability := float64(j.Tasks), min(1, bootSeconds/max(j.ExpectedRunSeconds, 1))
+	return taskCount * endProbability, taskCount * taskCount * endProbability * (1 - endProbability)
 }
 
 // ExpectedLoad is the load that the arriving jobs of a class of arrays are expected to cause.
--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -103,7 +103,7 @@
 }
 
 // FinalState returns the final state of a job. ok is false if no batch lists the job.
-func (x *Index) FinalState(ref string) (final jobs.FinalState, ok bool) {
+func (x *Index) FinalState(ref string) (finalState jobs.FinalState, ok bool) {
 	job, ok := x.doneJobs[ref]
 	return jobs.FinalState{Status: jobs.Done, Tasks: job.Tasks}, ok
 }
--- a/internal/completionbatch/index_test.go
+++ b/internal/completionbatch/index_test.go
@@ -34,8 +34,8 @@
 	if len(addedJobs) != 1 || addedJobs[0].Ref != "wk-3" {
 		t.Errorf("added by the second write: %+v", addedJobs)
 	}
-	if final, ok := index.FinalState("wk-1"); !ok || final.Tasks != 3 || final.Status != jobs.Done {
-		t.Errorf("final state %+v, %v", final, ok)
+	if finalState, ok := index.FinalState("wk-1"); !ok || finalState.Tasks != 3 || finalState.Status != jobs.Done {
+		t.Errorf("final state %+v, %v", finalState, ok)
 	}
 	if !index.ApplyJobRecord("wk-1", 4) || index.ApplyJobRecord("wk-9", 4) {
 		t.Error("ApplyJobRecord does not report exactly the jobs in batches")
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -30,9 +30,9 @@
 	if len(latest) != 2 || latest[0].Attempt != addedCount-2 || latest[1].Attempt != addedCount-1 {
 		t.Errorf("the latest two are %+v", latest)
 	}
-	all := decisions.Latest(addedCount)
-	if len(all) != tuning.DecisionLogEntries || all[0].Attempt != 3 || all[0].At.IsZero() {
-		t.Errorf("%d decisions are kept, the oldest is %+v", len(all), all[0])
+	keptDecisions := decisions.Latest(addedCount)
+	if len(keptDecisions) != tuning.DecisionLogEntries || keptDecisions[0].Attempt != 3 || keptDecisions[0].At.IsZero() {
+		t.Errorf("%d decisions are kept, the oldest is %+v", len(keptDecisions), keptDecisions[0])
 	}
 	if decisions.Count() != addedCount || output.Len() > 0 {
 		t.Errorf("count %d, logged above the debug level: %q", decisions.Count(), output)
--- a/internal/featuregate/upgrade_test.go
+++ b/internal/featuregate/upgrade_test.go
@@ -223,8 +223,8 @@
 }
 
 // checkProductionRoundTrip checks that the production version would rewrite a record without changing
-// it. known is false if the production version has no record type for the key.
-func checkProductionRoundTrip(key string, value json.RawMessage) (known bool, err error) {
+// it. isKnown is false if the production version has no record type for the key.
+func checkProductionRoundTrip(key string, value json.RawMessage) (isKnown bool, err error) {
 	for _, recordType := range productionRecordTypes {
 		if !strings.HasPrefix(key, recordType.prefix) {
 			continue
@@ -251,11 +251,11 @@
 func TestProductionRecordTypesFitStoredRecords(t *testing.T) {
 	knownCount := 0
 	for key, value := range productionRecords(t) {
-		known, err := checkProductionRoundTrip(key, value)
+		isKnown, err := checkProductionRoundTrip(key, value)
 		if err != nil {
 			t.Error(err)
 		}
-		if known {
+		if isKnown {
 			knownCount++
 		}
 	}
@@ -281,11 +281,11 @@
 		if !found {
 			continue // deleted by a controller since the keys were listed
 		}
-		known, err := checkProductionRoundTrip(key, json.RawMessage(value))
+		isKnown, err := checkProductionRoundTrip(key, json.RawMessage(value))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if known {
+		if isKnown {
 			knownCount++
 		}
 	}
--- a/internal/httpapi/jobs.go
+++ b/internal/httpapi/jobs.go
@@ -63,7 +63,7 @@
 		return
 	}
 	// An invalid job with a valid reference is also passed to the controller: if a job with that
-	// reference exists, the response is its status.
+	// reference exists, the response is the status of the existing job.
 	reply := make(chan controller.Response, 1)
 	h.backend.Submit(ref, spec, specErr, reply)
 	h.awaitResponse(w, r, kindSubmit, reply)
--- a/internal/machinelifecycle/transfer.go
+++ b/internal/machinelifecycle/transfer.go
@@ -27,13 +27,13 @@
 	if job.HasEnded() || !isUnclaimedGang || now.Sub(job.KnownSince()) < tuning.GangConsolidationDelay {
 		return gangTarget{}, false
 	}
-	capacityByShard := m.Scheduler.FitCountsByShard(job)
+	fitCountsByShard := m.Scheduler.FitCountsByShard(job)
 	if record.OneZone {
-		target.zone = zoneWithMostCapacity(capacityByShard)
+		target.zone = zoneWithMostCapacity(fitCountsByShard)
 	}
 	largestTaskCount := -1
 	for _, shardID := range m.Membership.Controllers() {
-		tasks := fittingTaskCount(record, capacityByShard[shardID], target.zone)
+		tasks := fittingTaskCount(record, fitCountsByShard[shardID], target.zone)
 		if tasks > largestTaskCount {
 			target.shardID, largestTaskCount = shardID, tasks
 		}
@@ -41,12 +41,13 @@
 	return target, largestTaskCount < record.Tasks
 }
 
-// zoneWithMostCapacity returns the zone in which the most tasks fit, counted over all shards. Of
-// several such zones it returns the first by name.
-func zoneWithMostCapacity(capacityByShard map[string]map[string]int) string {
+// zoneWithMostCapacity returns the zone in which the most tasks fit, counted over all shards. If there
+// are several such zones, it returns the first of them by name. fitCountsByShard is the number of tasks
+// that fit, by shard and zone.
+func zoneWithMostCapacity(fitCountsByShard map[string]map[string]int) string {
 	tasksByZone := map[string]int{}
-	for _, capacityByZone := range capacityByShard {
-		for zone, tasks := range capacityByZone {
+	for _, fitCountByZone := range fitCountsByShard {
+		for zone, tasks := range fitCountByZone {
 			tasksByZone[zone] += tasks
 		}
 	}
@@ -60,11 +61,11 @@
 }
 
 // fittingTaskCount returns the number of a gang's tasks that fit in a shard. If onlyZone is not "",
-// it counts that zone only. At most half of the tasks of a gang that must be spread may be in one
-// zone.
-func fittingTaskCount(record *jobs.JobRecord, capacityByZone map[string]int, onlyZone string) int {
+// it counts that zone only. At most half of the tasks of a gang that must be spread, rounded up, may be
+// in one zone.
+func fittingTaskCount(record *jobs.JobRecord, fitCountByZone map[string]int, onlyZone string) int {
 	taskCount := 0
-	for zone, tasks := range capacityByZone {
+	for zone, tasks := range fitCountByZone {
 		switch {
 		case onlyZone != "" && zone != onlyZone:
 		case record.Spread:
