--- a/internal/completionbatch/index.go
+++ b/internal/completionbatch/index.go
@@ -80,7 +80,7 @@
 	var addedJobs []Job
 	for _, entry := range entries {
 		ref, tasks := jobs.ParseBatchEntry(entry)
-		if _, known := x.doneJobs[ref]; !known {
+		if _, isKnown := x.doneJobs[ref]; !isKnown {
 			x.doneJobs[ref] = Job{Ref: ref, Tasks: tasks}
 			addedJobs = append(addedJobs, x.doneJobs[ref])
 		}
@@ -103,7 +103,7 @@
 }
 
 // FinalState returns the final state of a job. ok is false if no batch lists the job.
-func (x *Index) FinalState(ref string) (final jobs.FinalState, ok bool) {
+func (x *Index) FinalState(ref string) (finalState jobs.FinalState, ok bool) {
 	job, ok := x.doneJobs[ref]
 	return jobs.FinalState{Status: jobs.Done, Tasks: job.Tasks}, ok
 }
