--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -16,7 +16,7 @@
 	recoveryCheckCount    = 24
 	answerCheckCount      = 15               // a poll of each job must be answered within this number of checks, which take 75 s
 	maxWaitWithCapacity   = 90 * time.Second // how long a job may wait although there is capacity for it
-	settleTime            = 80 * time.Second // between the recovery checks and the last polls
+	settleTime            = 80 * time.Second // time from the end of the recovery checks until the last polls
 )
 
 // checkResponse checks a controller's response about a job against the earlier responses to users: an
@@ -110,10 +110,10 @@
 	}
 }
 
-// checkTaskStart checks that a task of a cancelled job does not start after the deadline, and that its start
-// was not commanded after the confirmation of the cancellation. If the start was commanded before the
-// confirmation, an unreachable machine may still be fetching the image, and may start the task until the
-// deadline.
+// checkTaskStart checks that a task of a cancelled job does not start after the deadline of the cancellation,
+// and that its start was not commanded after the confirmation of the cancellation. If the start was commanded
+// before the confirmation, an unreachable machine may still be fetching the image, and may start the task until
+// the deadline.
 func (r *FaultRun) checkTaskStart(task, host string, commandedAt time.Time) {
 	ref, _, _ := jobs.ParseTaskName(task)
 	r.mu.Lock()
@@ -151,8 +151,8 @@
 	return endedCount
 }
 
-// addMachines replaces machines that were released because they missed heartbeats or were idle: there is no
-// autoscaler here.
+// addMachines adds machines in place of those that were released because they missed heartbeats or were idle.
+// These runs have no autoscaler that would replace them.
 func (r *FaultRun) addMachines() {
 	for i := range addedMachineCount {
 		r.AddMachine(zones[i%len(zones)], false)
@@ -162,15 +162,15 @@
 // awaitLongTasks waits until no task starts during a period that is longer than the longest run time. Some tasks
 // run for minutes, one after another.
 func (r *FaultRun) awaitLongTasks() {
-	for previousStarts := -1; ; {
-		starts := 0
+	for previousStartCount := -1; ; {
+		startCount := 0
 		for _, count := range r.StartCounts() {
-			starts += count
+			startCount += count
 		}
-		if starts == previousStarts {
+		if startCount == previousStartCount {
 			return
 		}
-		previousStarts = starts
+		previousStartCount = startCount
 		r.addMachines()
 		time.Sleep(r.longestRunTime + time.Minute)
 	}
--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -171,12 +171,12 @@
 // completes.
 func (r *FaultRun) cancelAtCompletion() {
 	runningNodes := r.runningControllers()
-	first := len(r.jobRefs)
+	firstIndex := len(r.jobRefs)
 	runTime := time.Duration(1500+r.rnd.IntN(3000)) * time.Millisecond
 	for range 1 + r.rnd.IntN(4) {
 		r.submit(randomElement(r.rnd, runningNodes), randomElement(r.rnd, []jobs.Kind{jobs.Array, jobs.Gang}), 1+r.rnd.IntN(6), 1, runTime)
 	}
-	for _, ref := range r.jobRefs[first:] {
+	for _, ref := range r.jobRefs[firstIndex:] {
 		for i := 0; i < 200 && !r.IsComplete(ref); i++ {
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/fake/faultinjection/faultinjection_test.go
+++ b/internal/fake/faultinjection/faultinjection_test.go
@@ -19,9 +19,9 @@
 
 // Mutation: the controllers use a cancel timeout that is longer than the configured one, so that they renew
 // worker leases for too long after a cancellation that they cannot read.
-func TestCancelTimeoutTooLongIsFound(t *testing.T) {
-	lengthen := func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds }
-	mutate := func(cluster *fake.Cluster) { cluster.AlterConfig = lengthen }
+func TestTooLongCancelTimeoutIsFound(t *testing.T) {
+	extendCancelTimeout := func(cfg *config.Config) { cfg.Cluster.Workers.CancelSeconds += cfg.Cluster.Workers.LeaseSeconds }
+	mutate := func(cluster *fake.Cluster) { cluster.AlterConfig = extendCancelTimeout }
 	if !faultinjection.FindsViolationOfKind(t, 30, faultinjection.OutageDuringCancellation, mutate, "ran_cancelled") {
 		t.Error("no expected violation in 30 runs with the mutation")
 	}
--- a/internal/fake/faultinjection/faults.go
+++ b/internal/fake/faultinjection/faults.go
@@ -59,9 +59,9 @@
 	r.requestOrInject(node, runningNodes)
 }
 
-// requestOrInject sends a user's request to a controller, or begins or ends a single fault. The bounds of
-// action are cumulative percentages, continued in injectSingle. A seed's scenario depends on the sequence of
-// the random numbers, which must not change.
+// requestOrInject sends a user's request to a controller, or begins or ends a single fault. The random number
+// action selects which of these it does; the bounds of the cases are cumulative percentages, which injectSingle
+// continues. A seed's scenario depends on the sequence of the random numbers, which must not change.
 func (r *FaultRun) requestOrInject(node string, runningNodes []string) {
 	hasJobs := len(r.jobRefs) > 0
 	switch action := r.rnd.IntN(100); {
--- a/internal/fake/harness/harness.go
+++ b/internal/fake/harness/harness.go
@@ -288,8 +288,8 @@
 	}
 }
 
-// Heartbeat passes a heartbeat with a fencing token and the tasks of a machine to the worker's session. For
-// the session, the heartbeat was received a second ago. The reply is empty if the session replies later.
+// Heartbeat passes a heartbeat with a fencing token and the tasks of a machine to the worker's session. It
+// tells the session that the heartbeat was received a second ago. The reply is empty if the session replies later.
 func (h *Harness) Heartbeat(host string, sequence, token uint64, tasks ...workerapi.TaskStatus) workersession.HeartbeatReply {
 	replies := make(chan workersession.HeartbeatReply, 1)
 	h.Sessions.HandleHeartbeat(&workerapi.Heartbeat{
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -32,10 +32,10 @@
 	if rnd == nil || rnd.IntN(heartbeatsPerDuplicate) > 0 {
 		return
 	}
-	to := c.controllers[rnd.IntN(len(c.controllers))]
+	receiver := c.controllers[rnd.IntN(len(c.controllers))]
 	duplicate := *heartbeat
 	delay := minDuplicateDelay + time.Duration(rnd.Int64N(int64(c.maxDuplicateJitter)))
-	time.AfterFunc(delay, func() { c.DeliverHeartbeat(to, &duplicate) })
+	time.AfterFunc(delay, func() { c.DeliverHeartbeat(receiver, &duplicate) })
 }
 
 // heldHeartbeat is a heartbeat that HoldHeartbeats keeps for later delivery to a controller.
@@ -54,11 +54,11 @@
 		c.heldHeartbeats[host] = []heldHeartbeat{}
 		return
 	}
-	held := c.heldHeartbeats[host]
+	heldHeartbeats := c.heldHeartbeats[host]
 	delete(c.heldHeartbeats, host)
 	go func() {
-		for _, each := range held {
-			c.DeliverHeartbeat(each.node, each.heartbeat)
+		for _, held := range heldHeartbeats {
+			c.DeliverHeartbeat(held.node, held.heartbeat)
 		}
 	}()
 }
--- a/internal/fake/memstore/memstore.go
+++ b/internal/fake/memstore/memstore.go
@@ -42,7 +42,7 @@
 	mu         sync.Mutex
 	records    map[string]record
 	revision   uint64
-	events     []kvstore.Event // all changes, by revision
+	events     []kvstore.Event // all changes, in the order of their revisions
 	nextChange chan struct{}   // closed and replaced at every change
 	leases     map[uint64]*lease
 	lastID     uint64 // the last lease id or result of NextID
--- a/internal/fake/network/network.go
+++ b/internal/fake/network/network.go
@@ -97,7 +97,8 @@
 	return n.outboundBlocked[host]
 }
 
-// DelayInbound delays all inbound traffic of a machine: commands and responses. A delay of 0 ends this.
+// DelayInbound delays all inbound traffic of a machine: commands and responses. A delay of 0
+// removes the delay.
 func (n *Network) DelayInbound(host string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/workeragent/workeragent.go
+++ b/internal/fake/workeragent/workeragent.go
@@ -32,7 +32,7 @@
 	ImageFetchTime() time.Duration
 	// AfterFetch calls onFetched after fetchTime unless the machine is frozen or released by then. The
 	// lock that protects the agent is held during the call.
-	AfterFetch(fetchTime time.Duration, fetched func()) *time.Timer
+	AfterFetch(fetchTime time.Duration, onFetched func()) *time.Timer
 
 	// StartCommandExecuted is called when the agent has executed the command to start a task.
 	StartCommandExecuted(task string)
--- a/internal/faultattribution/faultattribution.go
+++ b/internal/faultattribution/faultattribution.go
@@ -133,7 +133,7 @@
 	count := 0
 	for host := range job.failuresByMachine {
 		machine := a.machineEvidenceOf(host)
-		if !machine.isFaulty && a.credibleEvidence(machine).jobs < 2 {
+		if !machine.isFaulty && a.credibleEvidence(machine).jobCount < 2 {
 			count++
 		}
 	}
@@ -142,18 +142,18 @@
 
 // evidenceSummary is the sum of the credible evidence against a machine.
 type evidenceSummary struct {
-	jobs          int // number of jobs whose failures on the machine are credible evidence
-	failures      int // number of failures of these jobs
-	succeededJobs int // number of these jobs that have succeeded somewhere
+	jobCount          int // number of jobs whose failures on the machine are credible evidence
+	failureCount      int // number of failures of these jobs
+	succeededJobCount int // number of these jobs that have succeeded somewhere
 }
 
 // isSufficient reports whether the evidence is sufficient to suspect the machine.
 func (e evidenceSummary) isSufficient(thresholds Thresholds) bool {
-	return e.jobs > 1 || e.failures >= thresholds.MachineFailures
+	return e.jobCount > 1 || e.failureCount >= thresholds.MachineFailures
 }
 
-// credibleEvidence sums up the credible evidence against a machine. It consists of the failures of
-// jobs that have succeeded somewhere, and of the failures of jobs that have failed only on this
+// credibleEvidence sums up the credible evidence against a machine: the failures of
+// jobs that have succeeded somewhere, and the failures of jobs that have failed only on this
 // machine. A job that has not succeeded is no evidence if it has also failed on other machines or was
 // paused.
 func (a *Attributor) credibleEvidence(machine *machineEvidence) evidenceSummary {
@@ -167,10 +167,10 @@
 		if !job.hasSucceeded && !failedOnlyHere {
 			continue
 		}
-		evidence.jobs++
-		evidence.failures += failures
+		evidence.jobCount++
+		evidence.failureCount += failures
 		if job.hasSucceeded {
-			evidence.succeededJobs++
+			evidence.succeededJobCount++
 		}
 	}
 	return evidence
@@ -185,7 +185,7 @@
 		return false
 	}
 	evidence := a.credibleEvidence(machine)
-	machine.isFaulty = evidence.succeededJobs > 0 && evidence.isSufficient(thresholds)
+	machine.isFaulty = evidence.succeededJobCount > 0 && evidence.isSufficient(thresholds)
 	return machine.isFaulty
 }
 
@@ -218,13 +218,13 @@
 // UnprovenJobs returns the jobs that failed and were not observed to succeed. The value for
 // each job is the time for which a task must run to prove that the job works.
 func (a *Attributor) UnprovenJobs() map[string]time.Duration {
-	unproven := map[string]time.Duration{}
+	requiredRunTimes := map[string]time.Duration{}
 	for ref, job := range a.jobs {
 		if !job.hasSucceeded {
-			unproven[ref] = 2*job.longestFailure + tuning.JobSuccessRunTimeMargin
+			requiredRunTimes[ref] = 2*job.longestFailure + tuning.JobSuccessRunTimeMargin
 		}
 	}
-	return unproven
+	return requiredRunTimes
 }
 
 // ShouldAvoid reports whether a job should not be tried on a machine because it has failed there.
@@ -257,7 +257,7 @@
 	return refs
 }
 
-// IsSuspected reports whether a machine must not be used at present.
+// IsSuspected reports whether a machine is suspected to be faulty, so that it must not be used at present.
 func (a *Attributor) IsSuspected(host string, now time.Time) bool {
 	machine := a.machines[host]
 	return machine != nil && now.Before(machine.suspectedUntil)
@@ -279,7 +279,7 @@
 
 // ForgetJob drops the evidence of a job that has ended.
 func (a *Attributor) ForgetJob(ref string) {
-	if _, known := a.jobs[ref]; !known {
+	if _, isKnown := a.jobs[ref]; !isKnown {
 		return
 	}
 	delete(a.jobs, ref)
--- a/internal/faultattribution/faultattribution_test.go
+++ b/internal/faultattribution/faultattribution_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if len(pausedJobs) != 3 || !pausedJobs["wk-1"] || !pausedJobs["wk-2"] || !pausedJobs["wk-3"] {
-		t.Errorf("paused: %v", pausedJobs)
+		t.Errorf("paused jobs: %v", pausedJobs)
 	}
 }
 
@@ -88,6 +88,6 @@
 	}
 	attributor.RecordSuccess("wk-1", "i-1", thresholds)
 	if attributor.IsPaused("wk-1", now) || attributor.IsJobFaulty("wk-1") {
-		t.Error("still at fault after a task was done")
+		t.Error("the job is still at fault after one of its tasks was done")
 	}
 }
--- a/internal/forecast/boottimes_test.go
+++ b/internal/forecast/boottimes_test.go
@@ -49,7 +49,7 @@
 		lateAges[i] = 100
 	}
 	if expected := bootTimes.ExpectedSeconds(typeZone, 30, lateAges, time.Now()); PendingWeight(100, expected) != 1 {
-		t.Errorf("all machines are late, expected boot time %v s, and they do not count fully", expected)
+		t.Errorf("all machines are late, but do not count fully; expected boot time %v s", expected)
 	}
 	// Four machines do not boot, while others that were requested with them did.
 	if expected := bootTimes.ExpectedSeconds(typeZone, 30, lateAges[:4], time.Now()); PendingWeight(100, expected) > 0.3 || PendingWeight(130, expected) != 0 {
@@ -60,7 +60,7 @@
 // When 700 machines are requested at once, the slowest boot last, and dozens are still pending after
 // most have booted. Guards against a fault in which the boot time was then estimated at three times
 // its value.
-func TestSlowestOfManyMachinesDoNotDominate(t *testing.T) {
+func TestSlowestMachinesDoNotDominateExpectedBootTime(t *testing.T) {
 	var bootTimes BootTimes
 	typeZone := TypeZone{"m", "a"}
 	for i := range 400 {
--- a/internal/pipeline/compile_job.go
+++ b/internal/pipeline/compile_job.go
@@ -235,8 +235,8 @@
 		when = oneOrMore{"always"}
 	}
 	for _, name := range when {
-		causes, known := retryCauses[name]
-		if !known {
+		causes, isKnown := retryCauses[name]
+		if !isKnown {
 			j.addProblem(node, "%s.retry.when: unknown %q", j.jobName, name)
 		} else if causes == nil {
 			j.addNotice(node, "%s.retry.when: %s never occurs in cherrywall", j.jobName, name)
--- a/internal/pipeline/compile_spec.go
+++ b/internal/pipeline/compile_spec.go
@@ -15,8 +15,8 @@
 func (j *jobCompiler) compileSpec() {
 	keys, spec := &j.keys.Cluster, &j.job.Spec
 	*spec = newSpec(&j.keys)
-	kind, known := jobKinds[keys.Kind]
-	if !known {
+	kind, isKnown := jobKinds[keys.Kind]
+	if !isKnown {
 		j.addProblem(j.problemNode("cluster", "kind"), "%s.cluster.kind: must be array or gang; a service never ends", j.jobName)
 		return
 	}
--- a/internal/pipeline/decode.go
+++ b/internal/pipeline/decode.go
@@ -28,8 +28,8 @@
 	fields := fieldsByKey(target.Type())
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], resolveAlias(node.Content[i+1])
-		index, known := fields[key.Value]
-		if !known {
+		index, isKnown := fields[key.Value]
+		if !isKnown {
 			handleUnknownKey(key, value)
 			continue
 		}
@@ -73,8 +73,8 @@
 			return "$"
 		}
 		variable := strings.Trim(reference, "${}")
-		value, known := variables[variable]
-		if !known {
+		value, isKnown := variables[variable]
+		if !isKnown {
 			c.addProblem(node, "%s: variable %s is not set", name, variable)
 		}
 		return value
--- a/internal/pipeline/duration.go
+++ b/internal/pipeline/duration.go
@@ -17,7 +17,7 @@
 // durationPattern matches one number and its unit at the beginning of the text that is not yet parsed.
 var durationPattern = regexp.MustCompile(`^\s*([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)\s*(?:and|,)?`)
 
-// A day always has 24 hours, also when clocks change.
+// A day always has 24 hours, even if the clocks are changed on that day.
 const (
 	day  = 24 * time.Hour
 	week = 7 * day
@@ -44,8 +44,8 @@
 		if match == nil {
 			return newPositionError(node, wrongForm)
 		}
-		unit, known := durationUnits[strings.ToLower(match[2])]
-		if !known {
+		unit, isKnown := durationUnits[strings.ToLower(match[2])]
+		if !isKnown {
 			return newPositionError(node, fmt.Sprintf("unknown unit %q; s, m, h, d and w are known", match[2]))
 		}
 		var number float64
--- a/internal/pipelinerun/failover_test.go
+++ b/internal/pipelinerun/failover_test.go
@@ -15,14 +15,14 @@
 // In each subtest, the controller that leads the run crashes after one more write to the store than
 // in the previous subtest. Every job must still be done, and no task may run twice.
 func TestRunSucceedsDespiteLeaderCrashAfterEachWrite(t *testing.T) {
-	for step := range 16 {
-		t.Run(fmt.Sprint("after write ", step), func(t *testing.T) {
-			runScenario(t, func(t *testing.T, c *testCluster) { crashLeaderAfterWrite(t, c, step) })
+	for writeCount := range 16 {
+		t.Run(fmt.Sprint("after write ", writeCount), func(t *testing.T) {
+			runScenario(t, func(t *testing.T, c *testCluster) { crashLeaderAfterWrite(t, c, writeCount) })
 		})
 	}
 }
 
-func crashLeaderAfterWrite(t *testing.T, c *testCluster, step int) {
+func crashLeaderAfterWrite(t *testing.T, c *testCluster, writeCount int) {
 	t.Helper()
 	countWrites := func() int {
 		return c.Store.WriteCountOf(jobs.OpaquePrefix, jobs.JobPrefix, jobs.FinalPrefix, jobs.RangePrefix, jobs.CompletionBatchPrefix)
@@ -30,7 +30,7 @@
 	countBefore := countWrites()
 	c.create("n1", "run-9", diamond)
 	leaderNode := c.leadingController("run-9")
-	for deadline := time.Now().Add(40 * time.Second); countWrites()-countBefore <= step && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(40 * time.Second); countWrites()-countBefore <= writeCount && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	c.CrashController(leaderNode)
@@ -80,7 +80,7 @@
 	if leaderNode == otherNode {
 		otherNode = "n2"
 	}
-	time.Sleep(3*time.Second + timing.endDelay*time.Millisecond - 900*time.Millisecond) // the job slow ends after about 3 s
+	time.Sleep(3*time.Second + timing.endDelay*time.Millisecond - 900*time.Millisecond) // the job with the name slow ends after about 3 s
 	leader, answerSignal := c.leader(otherNode), make(chan bool)
 	go func() {
 		time.Sleep(timing.cancelDelay * time.Millisecond)
@@ -100,8 +100,8 @@
 	c.StartController(leaderNode)
 	time.Sleep(10 * time.Second)
 	for node := range c.Nodes {
-		if reported := c.leader(node).Get("run-3").Run; reported == nil || describeJobs(reported) != describeJobs(run) || reported.Status != run.Status {
-			t.Errorf("%s reports %+v", node, reported)
+		if reportedRun := c.leader(node).Get("run-3").Run; reportedRun == nil || describeJobs(reportedRun) != describeJobs(run) || reportedRun.Status != run.Status {
+			t.Errorf("%s reports %+v", node, reportedRun)
 		}
 	}
 	if !strings.Contains(describeJobs(run), "quick canceled") || run.Status != pipelineexec.RunCancelled {
@@ -134,7 +134,7 @@
 			return (<-reply).Code
 		}
 		if code := submit("pl-1"); code != 201 {
-			t.Errorf("under the current record: %d", code)
+			t.Errorf("submission on the precondition of the current record: status %d", code)
 		}
 		c.CrashController(leaderNode)
 		time.Sleep(8 * time.Second)
@@ -142,7 +142,7 @@
 			t.Fatal("the run is finished already")
 		}
 		if code := submit("pl-2"); code != 409 {
-			t.Errorf("under the record of the crashed leader: %d", code)
+			t.Errorf("submission on the precondition of the crashed leader's record: status %d", code)
 		}
 		c.awaitFinished(otherNode, "run-2", 60*time.Second)
 	})
@@ -158,7 +158,7 @@
 		c.Store.RefuseNode(leaderNode, true)
 		time.Sleep(8 * time.Second) // after this time, the shard of the former leader has another owner
 		if c.OwnerOf(leaderNode) == leaderNode {
-			t.Fatal("no controller has acquired its shard")
+			t.Fatal("no controller has acquired the shard of the partitioned leader")
 		}
 		if response := c.leader(otherNode).Cancel("run-4", pipelineexec.CancelNow); response.Code != 200 {
 			t.Fatalf("the cancellation of the run was answered %+v", response)
--- a/internal/pipelinerun/harness_test.go
+++ b/internal/pipelinerun/harness_test.go
@@ -103,16 +103,16 @@
 // awaitFinished waits until a controller reports a run as finished.
 func (c *testCluster) awaitFinished(node, id string, limit time.Duration) *pipelinerun.RunView {
 	c.t.Helper()
-	var last pipelinerun.Response
+	var lastResponse pipelinerun.Response
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(500 * time.Millisecond) {
 		if c.Nodes[node] == nil {
 			continue
 		}
-		if last = c.leader(node).Get(id); last.Run != nil && last.Run.IsFinished {
-			return last.Run
+		if lastResponse = c.leader(node).Get(id); lastResponse.Run != nil && lastResponse.Run.IsFinished {
+			return lastResponse.Run
 		}
 	}
-	c.t.Fatalf("%s is not finished after %v: %+v %+v", id, limit, last, last.Run)
+	c.t.Fatalf("%s is not finished after %v: %+v %+v", id, limit, lastResponse, lastResponse.Run)
 	return nil
 }
 
--- a/internal/pipelinerun/jobs.go
+++ b/internal/pipelinerun/jobs.go
@@ -11,14 +11,14 @@
 )
 
 // observe returns what is known about a job's current attempt. It uses the state that this
-// controller has cached, else the controller's response to an earlier call. If neither exists and
-// no call is in flight, it reports that the controller has no such job.
+// controller has cached, or else the controller's response to an earlier call. If neither exists and
+// no call is in flight, observe reports that the controller has no such job.
 func (l *Leader) observe(run *runState, job int, local controller.LocalState) pipelineexec.Observation {
 	ref := run.jobRef(job)
 	_, isCached := local.Jobs[ref]
 	observation, isAnswered := run.observations[ref]
 	if isCached || !isAnswered && !l.callsInFlight[ref] {
-		if localObservation, known := l.observeFromCache(run, job, ref, local); known {
+		if localObservation, isKnown := l.observeFromCache(run, job, ref, local); isKnown {
 			delete(run.observations, ref)
 			return localObservation
 		}
@@ -29,11 +29,11 @@
 	return pipelineexec.Observation{IsUnknown: !l.callsInFlight[ref]}
 }
 
-// observeFromCache returns what this controller has cached about a job's attempt. known is false if
+// observeFromCache returns what this controller has cached about a job's attempt. isKnown is false if
 // nothing is cached, or if the cached job belongs to another user. A job that became active in the
 // current step is not in the local state yet. It is looked up immediately, so that a new leader
 // catches up in one tick instead of one tick for each stage.
-func (l *Leader) observeFromCache(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, known bool) {
+func (l *Leader) observeFromCache(run *runState, job int, ref string, local controller.LocalState) (observation pipelineexec.Observation, isKnown bool) {
 	localJob, isCached := local.Jobs[ref]
 	if !isCached {
 		current, _ := l.controller.LocalState([]string{ref})
@@ -51,8 +51,8 @@
 		DoneTaskCount:    localJob.DoneTasks,
 		RunningTaskCount: localJob.ActiveTasks,
 	}
-	known = observation.IsUnfinished || observation.IsDone || observation.IsCancelled
-	return observation, known && run.matchesSpec(job, localJob)
+	isKnown = observation.IsUnfinished || observation.IsDone || observation.IsCancelled
+	return observation, isKnown && run.matchesSpec(job, localJob)
 }
 
 // findSubmittedJobs finds out which jobs of a cancelled run were submitted by an earlier leader.
@@ -60,18 +60,18 @@
 // submit are the candidates, and the controller is polled for each of them. When all polls are
 // answered, the jobs that were not submitted become waiting again, and the cancellation takes effect.
 func (l *Leader) findSubmittedJobs(run *runState, actions []pipelineexec.Action) {
-	hasRemaining := false
+	hasUnansweredPoll := false
 	for _, action := range actions {
 		if !action.IsSubmission || run.unsubmittedJobs[action.Job] {
 			continue // cancellations are left to the steps after this search, which return them again
 		}
-		hasRemaining = true
+		hasUnansweredPoll = true
 		ref := run.jobRef(action.Job)
 		if !l.callsInFlight[ref] && len(l.callsInFlight) < tuning.MaxConcurrentRunRequests {
 			l.pollSubmission(run, action.Job, ref)
 		}
 	}
-	if hasRemaining {
+	if hasUnansweredPoll {
 		return
 	}
 	states := run.execution.JobStates
@@ -139,7 +139,7 @@
 // another id.
 func (l *Leader) verifySubmission(run *runState, job int, ref string, response controller.Response) {
 	local, ok := l.controller.LocalState([]string{ref})
-	if localJob, known := local.Jobs[ref]; ok && known && !run.matchesSpec(job, localJob) {
+	if localJob, isKnown := local.Jobs[ref]; ok && isKnown && !run.matchesSpec(job, localJob) {
 		l.log.Info("job id taken by another job", "run", run.id, "pipeline_job", run.jobName(job), "job", ref)
 		run.execution.JobStates[job].Salt++
 		return
@@ -157,7 +157,7 @@
 	l.controller.Cancel(ref, reply)
 	l.awaitResponse(run, ref, reply, func(response controller.Response) {
 		switch response.Code {
-		case http.StatusNotFound: // never submitted
+		case http.StatusNotFound: // the attempt was never submitted
 			run.observations[ref] = pipelineexec.Observation{IsCancelled: true}
 		case http.StatusOK:
 			if response.Status == jobs.Done || response.Status == jobs.Cancelled {
@@ -169,7 +169,7 @@
 
 // awaitResponse waits in a goroutine of its own for the controller's response to a call about an
 // attempt. It passes the response to handle on the actor's goroutine, unless the run is no longer
-// known.
+// known or its execution has been discarded.
 func (l *Leader) awaitResponse(run *runState, ref string, reply <-chan controller.Response, handle func(response controller.Response)) {
 	l.callsInFlight[ref] = true
 	go func() {
--- a/internal/pipelinerun/jobs_test.go
+++ b/internal/pipelinerun/jobs_test.go
@@ -133,9 +133,9 @@
 // runHistory records where the tasks of a run are placed, how often they start, and how its jobs
 // end.
 type runHistory struct {
-	machines map[string]string // by task
-	results  []string
-	starts   map[string]int
+	machines    map[string]string // by task
+	results     []string
+	startCounts map[string]int
 }
 
 // recordPlacements records the machines on which the tasks of a plan run now, and then waits for 10
@@ -158,7 +158,7 @@
 		response := c.Poll("n0", firstAttemptRef(runID, i))
 		history.results = append(history.results, fmt.Sprint(response.Status, response.DoneTasks))
 	}
-	history.starts = c.StartCounts()
+	history.startCounts = c.StartCounts()
 }
 
 // The same jobs are run as a pipeline and as single submissions, at the same times and with the
@@ -174,8 +174,8 @@
 	if fmt.Sprint(pipelineHistory.results) != fmt.Sprint(singleHistory.results) || pipelineHistory.results[3] != "done1" {
 		t.Errorf("results as a pipeline %v, as single submissions %v", pipelineHistory.results, singleHistory.results)
 	}
-	if len(pipelineHistory.starts) != 7 || fmt.Sprint(pipelineHistory.starts) != fmt.Sprint(singleHistory.starts) {
-		t.Errorf("starts as a pipeline %v, as single submissions %v", pipelineHistory.starts, singleHistory.starts)
+	if len(pipelineHistory.startCounts) != 7 || fmt.Sprint(pipelineHistory.startCounts) != fmt.Sprint(singleHistory.startCounts) {
+		t.Errorf("starts as a pipeline %v, as single submissions %v", pipelineHistory.startCounts, singleHistory.startCounts)
 	}
 }
 
--- a/internal/pipelinerun/load_test.go
+++ b/internal/pipelinerun/load_test.go
@@ -33,8 +33,8 @@
 		for i := range 40 {
 			c.awaitFinished("n2", fmt.Sprintf("run-%d", 100+i), 4*time.Minute)
 		}
-		if perRun := float64(c.Store.WriteCountOf(jobs.OpaquePrefix)-countBefore) / 40; perRun > 3.5 {
-			t.Errorf("%.2f writes for each run", perRun)
+		if writesPerRun := float64(c.Store.WriteCountOf(jobs.OpaquePrefix)-countBefore) / 40; writesPerRun > 3.5 {
+			t.Errorf("%.2f writes for each run", writesPerRun)
 		}
 	})
 }
@@ -47,21 +47,21 @@
 	file := fileHeader + "a: {stage: one, parallel: 4, cluster: {cpus: 0.2, memory_gb: 0.1}}\nb: {stage: two, parallel: 5, cluster: {cpus: 0.2, memory_gb: 0.1}}\nc: {stage: three}\n"
 	runScenario(t, func(t *testing.T, c *testCluster) {
 		countBefore := c.Store.WriteCountOf(jobs.OpaquePrefix)
-		longestRequest := time.Duration(0)
+		longestRequestTime := time.Duration(0)
 		for i := range runCount {
 			c.create(controllers[i%3], fmt.Sprintf("run-%d", i+1), file)
 			if i%20 == 10 {
-				longestRequest = max(longestRequest, c.measureUserRequests(fmt.Sprintf("wk-%d", i)))
+				longestRequestTime = max(longestRequestTime, c.measureUserRequests(fmt.Sprintf("wk-%d", i)))
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
 		for i := range runCount {
 			c.awaitSuccess("n2", fmt.Sprintf("run-%d", i+1), 10*time.Minute)
 		}
-		writes := c.Store.WriteCountOf(jobs.OpaquePrefix) - countBefore
-		t.Logf("%.2f writes for each run of 10 jobs, users waited for at most %v", float64(writes)/runCount, longestRequest)
-		if float64(writes) > 50*runCount*0.3/4 || longestRequest > 300*time.Millisecond {
-			t.Errorf("%d writes for %d runs, a user waited for %v", writes, runCount, longestRequest)
+		writeCount := c.Store.WriteCountOf(jobs.OpaquePrefix) - countBefore
+		t.Logf("%.2f writes for each run of 10 jobs, users waited for at most %v", float64(writeCount)/runCount, longestRequestTime)
+		if float64(writeCount) > 50*runCount*0.3/4 || longestRequestTime > 300*time.Millisecond {
+			t.Errorf("%d writes for %d runs, a user waited for %v", writeCount, runCount, longestRequestTime)
 		}
 		c.checkStartedOnce()
 	})
@@ -74,17 +74,17 @@
 	if response := c.Submit("n1", fake.JobSpec(ref, jobs.Array, 1, 0.1), time.Second); response.Code != 201 {
 		c.t.Errorf("response to a user's submission: %+v", response)
 	}
-	submission := time.Since(start)
+	submissionTime := time.Since(start)
 	// A poll waits until the cache is current; the records of runs must not delay that.
 	start = time.Now()
 	if response := c.Poll("n2", ref); response.Code != 200 {
 		c.t.Errorf("response to a user's poll: %+v", response)
 	}
-	return max(submission, time.Since(start))
+	return max(submissionTime, time.Since(start))
 }
 
-// Measures how much longer the time between the end of one job and the start of the next is in a
-// pipeline than with single submissions. Ten jobs in a row run as a pipeline, and then as ten
+// The test measures how much longer the time between the end of one job and the start of the next is
+// in a pipeline than with single submissions. Ten jobs in a row run as a pipeline, and then as ten
 // single submissions. Each of the single submissions is sent as soon as a poll, repeated ten times
 // a second, reports the end of the previous job.
 func TestPipelineAddsLittleDelayBetweenJobs(t *testing.T) {
@@ -96,7 +96,7 @@
 		}
 		file += fmt.Sprintf("j%d: {stage: one, needs: [%s]}\n", i, needs)
 	}
-	var pipelineTime, singleTime time.Duration
+	var pipelineTime, singleSubmissionTime time.Duration
 	runSingleController(t, func(_ *testing.T, c *testCluster) {
 		start := time.Now()
 		c.create("n0", "run-1", file)
@@ -116,10 +116,10 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		singleTime = time.Since(start)
+		singleSubmissionTime = time.Since(start)
 	})
-	addedPerStep := (pipelineTime - singleTime) / 10
-	t.Logf("ten jobs in a row: %v as a pipeline, %v as single submissions: difference of %v for each step", pipelineTime, singleTime, addedPerStep)
+	addedPerStep := (pipelineTime - singleSubmissionTime) / 10
+	t.Logf("ten jobs in a row: %v as a pipeline, %v as single submissions: difference of %v for each step", pipelineTime, singleSubmissionTime, addedPerStep)
 	if addedPerStep > 400*time.Millisecond {
 		t.Errorf("each step takes %v more than with single submissions", addedPerStep)
 	}
--- a/internal/pipelinerun/requests.go
+++ b/internal/pipelinerun/requests.go
@@ -188,8 +188,8 @@
 	}
 	observe := func(job int) pipelineexec.Observation {
 		ref := pipelineexec.JobRef(run.id, job, execution.JobStates[job])
-		observation, known := l.observeFromCache(run, job, ref, local)
-		if !known {
+		observation, isKnown := l.observeFromCache(run, job, ref, local)
+		if !isKnown {
 			return run.observations[ref]
 		}
 		observation.IsFaulty = false // only the leader reacts to a faulty job
@@ -219,7 +219,7 @@
 		runs     []*RunView
 		isSynced bool
 	}
-	all, _ := actor.Ask(l.mailbox, func() answer {
+	result, _ := actor.Ask(l.mailbox, func() answer {
 		a := answer{isSynced: l.isSynced}
 		for _, run := range l.runs {
 			a.runs = append(a.runs, l.unfinishedRunSummary(run))
@@ -230,7 +230,7 @@
 		}
 		return a
 	})
-	return all.runs, all.isSynced
+	return result.runs, result.isSynced
 }
 
 func (l *Leader) unfinishedRunSummary(run *runState) *RunView {
--- a/internal/pipelinerun/requests_test.go
+++ b/internal/pipelinerun/requests_test.go
@@ -10,7 +10,7 @@
 	"cherrywall/internal/pipelinerun"
 )
 
-func TestValidID(t *testing.T) {
+func TestValidIDRequiresRunPrefixAndUpTo18Digits(t *testing.T) {
 	for id, want := range map[string]bool{
 		"run-1":                          true,
 		"run-" + strings.Repeat("9", 18): true,
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -172,8 +172,8 @@
 		return
 	}
 	mustRecord, changedJobCount := run.unrecordedChanges()
-	intervalPassed := now.Sub(run.writtenAt) > tuning.RunProgressWriteInterval
-	if mustRecord || changedJobCount >= tuning.RunProgressWriteJobs && intervalPassed {
+	hasIntervalPassed := now.Sub(run.writtenAt) > tuning.RunProgressWriteInterval
+	if mustRecord || changedJobCount >= tuning.RunProgressWriteJobs && hasIntervalPassed {
 		record := run.record
 		record.Progress = pipelineexec.EncodeProgress(execution.JobStates)
 		l.writeRunRecord(run, run.epoch, record, func() {})
--- a/internal/pipelinerun/schedules.go
+++ b/internal/pipelinerun/schedules.go
@@ -39,7 +39,7 @@
 
 // applyScheduleRecord applies a schedule's record, unless a newer one is known.
 func (l *Leader) applyScheduleRecord(key string, value json.RawMessage, revision uint64) error {
-	if known := l.schedules[key]; known != nil && known.revision >= revision {
+	if current := l.schedules[key]; current != nil && current.revision >= revision {
 		return nil
 	}
 	var record scheduleRecord
@@ -126,8 +126,8 @@
 	return view, l.ask(func(reply func(Response)) {
 		key := scheduleKey(name)
 		revision := uint64(0)
-		if known := l.schedules[key]; known != nil {
-			revision = known.revision
+		if current := l.schedules[key]; current != nil {
+			revision = current.revision
 		}
 		l.commitSchedule(key, revision, chunks, kvstore.Write{Key: key, Value: kvstore.MustEncode(record)}, reply)
 	})
@@ -175,13 +175,13 @@
 		schedules []ScheduleView
 		isSynced  bool
 	}
-	all, _ := actor.Ask(l.mailbox, func() answer {
+	result, _ := actor.Ask(l.mailbox, func() answer {
 		a := answer{schedules: []ScheduleView{}, isSynced: l.isSynced}
 		for _, schedule := range l.schedules {
 			a.schedules = append(a.schedules, schedule.view())
 		}
 		return a
 	})
-	slices.SortFunc(all.schedules, func(x, y ScheduleView) int { return strings.Compare(x.Name, y.Name) })
-	return all.schedules, all.isSynced
+	slices.SortFunc(result.schedules, func(x, y ScheduleView) int { return strings.Compare(x.Name, y.Name) })
+	return result.schedules, result.isSynced
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -32,7 +32,7 @@
 
 // event is something that happened in a run, as one line of text.
 type event struct {
-	at   time.Duration // since the start of the run
+	at   time.Duration // time since the start of the run
 	text string
 }
 
@@ -129,13 +129,13 @@
 func (c *checker) overdueCancellations() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	overdue := map[string]int{}
+	taskCounts := map[string]int{}
 	for ref, at := range c.cancelConfirmedAt {
 		if time.Since(at) > c.cancelTimeout {
-			overdue[ref] = c.taskCounts[ref]
+			taskCounts[ref] = c.taskCounts[ref]
 		}
 	}
-	return overdue
+	return taskCounts
 }
 
 // collectViolations records the violations that the workers have observed, except the first recordedCount, which
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -62,17 +62,17 @@
 type jobState int
 
 const (
-	absent jobState = iota
-	active
-	done
-	cancelled
+	stateAbsent jobState = iota
+	stateActive
+	stateDone
+	stateCancelled
 )
 
 // jobModel is the protocol's model of a job: an accepted job is never forgotten, and a final state never
 // changes. A job becomes done without a request. In the model it becomes done with the first response that
 // reports it as done, since the protocol permits controllers to report the completion late.
 var jobModel = (&porcupine.NondeterministicModel{
-	Init:  func() []any { return []any{absent} },
+	Init:  func() []any { return []any{stateAbsent} },
 	Step:  stepJob,
 	Equal: func(x, y any) bool { return x == y },
 }).ToModel()
@@ -87,16 +87,16 @@
 		return statesAfterInconclusiveResponse(current, kind)
 	}
 	if response.statusCode == 404 {
-		return stateIf(current == absent && kind != submitRequest, absent)
+		return stateIf(current == stateAbsent && kind != submitRequest, stateAbsent)
 	}
 	switch response.jobStatus {
 	case jobs.Queued, jobs.Running:
-		isAllowed := current == active || current == absent && kind == submitRequest
-		return stateIf(isAllowed && kind != cancelRequest, active)
+		isAllowed := current == stateActive || current == stateAbsent && kind == submitRequest
+		return stateIf(isAllowed && kind != cancelRequest, stateActive)
 	case jobs.Done:
-		return stateIf(current == active || current == done, done)
+		return stateIf(current == stateActive || current == stateDone, stateDone)
 	case jobs.Cancelled:
-		return stateIf(current == cancelled || current == active && kind == cancelRequest, cancelled)
+		return stateIf(current == stateCancelled || current == stateActive && kind == cancelRequest, stateCancelled)
 	}
 	return nil
 }
@@ -113,10 +113,10 @@
 // tell whether the request was executed.
 func statesAfterInconclusiveResponse(current jobState, kind requestKind) []any {
 	switch {
-	case kind == submitRequest && current == absent:
-		return []any{absent, active}
-	case kind == cancelRequest && current == active:
-		return []any{active, cancelled}
+	case kind == submitRequest && current == stateAbsent:
+		return []any{stateAbsent, stateActive}
+	case kind == cancelRequest && current == stateActive:
+		return []any{stateActive, stateCancelled}
 	}
 	return []any{current}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -185,12 +185,12 @@
 	})
 }
 
-// applyTemporarily switches a fault on by set(true), waits for the fault's duration, and switches it off by
-// set(false).
-func (inj *injector) applyTemporarily(fault Fault, set func(on bool)) {
-	set(true)
+// applyTemporarily switches a fault on by switchFault(true), waits for the fault's duration, and switches the
+// fault off by switchFault(false).
+func (inj *injector) applyTemporarily(fault Fault, switchFault func(on bool)) {
+	switchFault(true)
 	inj.waitForEnd(fault)
-	set(false)
+	switchFault(false)
 }
 
 // waitForEnd waits for a fault's duration, or until the run ends if that is earlier.
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -20,12 +20,12 @@
 type link struct {
 	ctx context.Context // ends with the run
 
-	mu        sync.Mutex
-	rnd       *rand.Rand
-	isCut     bool          // all messages are dropped
-	released  chan struct{} // nil unless messages are held; closed to deliver them
-	lossShare float64       // share of the requests, from 0 to 1, that are dropped, late, or lose their response
-	delay     time.Duration // upper bound of the random delay of each request
+	mu            sync.Mutex
+	rnd           *rand.Rand
+	isCut         bool          // all messages are dropped
+	releaseSignal chan struct{} // nil unless messages are held; closed to deliver them
+	lossShare     float64       // share of the requests, from 0 to 1, that are dropped, late, or lose their response
+	delay         time.Duration // upper bound of the random delay of each request
 }
 
 // deliveryPlan says whether, when and how the link delivers one request.
@@ -34,7 +34,7 @@
 	isLate         bool            // the request arrives after the delay even if its sender has given up; the sender gets no response
 	isResponseLost bool            // the request arrives, but its response is lost
 	delay          time.Duration   // time until the request arrives
-	heldUntil      <-chan struct{} // the request is delivered when this is closed; nil if it is not held
+	releaseSignal  <-chan struct{} // closed to deliver the request; nil if the request is not held
 }
 
 // Range of the delay of a late request. A late request should arrive after its sender has given up.
@@ -67,11 +67,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case on && l.released == nil:
-		l.released = make(chan struct{})
-	case !on && l.released != nil:
-		close(l.released)
-		l.released = nil
+	case on && l.releaseSignal == nil:
+		l.releaseSignal = make(chan struct{})
+	case !on && l.releaseSignal != nil:
+		close(l.releaseSignal)
+		l.releaseSignal = nil
 	}
 }
 
@@ -93,7 +93,7 @@
 func (l *link) planDelivery() deliveryPlan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	plan := deliveryPlan{isDropped: l.isCut, heldUntil: l.released}
+	plan := deliveryPlan{isDropped: l.isCut, releaseSignal: l.releaseSignal}
 	if l.delay > 0 {
 		plan.delay = randomDuration(l.rnd, l.delay)
 	}
@@ -112,14 +112,14 @@
 }
 
 // ignoresSenderTimeout reports whether the request is delivered even if its sender has given up.
-func (p deliveryPlan) ignoresSenderTimeout() bool { return p.isLate || p.heldUntil != nil }
+func (p deliveryPlan) ignoresSenderTimeout() bool { return p.isLate || p.releaseSignal != nil }
 
 // waitForDelivery waits until the time at which a request arrives. It returns an error if the run
 // ends first.
 func (l *link) waitForDelivery(plan deliveryPlan) error {
-	if plan.heldUntil != nil {
+	if plan.releaseSignal != nil {
 		select {
-		case <-plan.heldUntil:
+		case <-plan.releaseSignal:
 		case <-l.ctx.Done():
 			return errLost
 		}
@@ -164,16 +164,16 @@
 	lateRequest := request.Clone(l.ctx) //nolint:contextcheck // it is executed whether or not its sender waits
 	lateRequest.Body = io.NopCloser(bytes.NewReader(body))
 	bufferedResponse := &bufferingWriter{header: http.Header{}}
-	delivered := make(chan struct{})
+	deliverySignal := make(chan struct{})
 	go func() {
-		defer close(delivered)
-		defer func() { _ = recover() }() // the handler may abort its response
+		defer close(deliverySignal)
+		defer func() { _ = recover() }() // the handler may panic to abort its response
 		if l.waitForDelivery(plan) == nil {
 			next.ServeHTTP(bufferedResponse, lateRequest)
 		}
 	}()
 	select {
-	case <-delivered:
+	case <-deliverySignal:
 	case <-request.Context().Done():
 		panic(http.ErrAbortHandler)
 	case <-l.ctx.Done():
@@ -185,12 +185,12 @@
 	bufferedResponse.copyTo(rw)
 }
 
-// waitUntilAbandoned waits until the sender of a request has given up, or the run ends. sender is the context
-// of the request.
-func waitUntilAbandoned(sender, run context.Context) {
+// waitUntilAbandoned waits until the sender of a request has given up, or the run ends. senderCtx is the
+// context of the request.
+func waitUntilAbandoned(senderCtx, runCtx context.Context) {
 	select {
-	case <-sender.Done():
-	case <-run.Done():
+	case <-senderCtx.Done():
+	case <-runCtx.Done():
 	}
 }
 
--- a/internal/soak/links.go
+++ b/internal/soak/links.go
@@ -61,12 +61,12 @@
 	l.peers[peerKey(from, to)].serve(ctx, listener, addr)
 }
 
-// forEachPeerLink calls set for each link between a controller and its peers, in both directions.
-func (l *links) forEachPeerLink(node string, set func(*peerLink)) {
+// forEachPeerLink calls apply for each link between a controller and its peers, in both directions.
+func (l *links) forEachPeerLink(node string, apply func(*peerLink)) {
 	for _, peer := range l.nodes {
 		if peer != node {
-			set(l.peers[peerKey(node, peer)])
-			set(l.peers[peerKey(peer, node)])
+			apply(l.peers[peerKey(node, peer)])
+			apply(l.peers[peerKey(peer, node)])
 		}
 	}
 }
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -1,7 +1,7 @@
 // Package soak runs real controller processes on the loopback interface against fakes of the key-value store,
 // the cloud and the workers. It injects random faults into processes, links, workers and the store, and checks
-// the rules of the protocol from outside: by what the workers observe, and by the history of the answers to
-// users.
+// from outside that the controllers keep the rules of the protocol. The checks use only what the workers observe,
+// the history of the responses to users, and the controllers' logs.
 package soak
 
 import (
--- a/internal/soak/peerlink.go
+++ b/internal/soak/peerlink.go
@@ -9,15 +9,15 @@
 
 // peerLink carries the connections from one controller to another. It is safe for concurrent use.
 type peerLink struct {
-	mu          sync.Mutex
-	isCut       bool
-	isHeld      bool
-	holdChanged chan struct{}     // closed at the next call of SetHeld
-	openConns   map[net.Conn]bool // both connections of each forwarded connection: to the sender and to the receiver
+	mu               sync.Mutex
+	isCut            bool
+	isHeld           bool
+	holdChangeSignal chan struct{}     // closed at the next call of SetHeld
+	openConns        map[net.Conn]bool // both connections of each forwarded connection: to the sender and to the receiver
 }
 
 func newPeerLink() *peerLink {
-	return &peerLink{holdChanged: make(chan struct{}), openConns: map[net.Conn]bool{}}
+	return &peerLink{holdChangeSignal: make(chan struct{}), openConns: map[net.Conn]bool{}}
 }
 
 // SetCut cuts the link, or restores it. Cutting the link closes its connections.
@@ -38,8 +38,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.isHeld = on
-	close(l.holdChanged)
-	l.holdChanged = make(chan struct{})
+	close(l.holdChangeSignal)
+	l.holdChangeSignal = make(chan struct{})
 }
 
 // serve accepts connections and forwards them to addr until ctx ends.
@@ -122,13 +122,13 @@
 func (l *peerLink) waitUntilReleased(ctx context.Context) error {
 	for {
 		l.mu.Lock()
-		isHeld, holdChanged := l.isHeld, l.holdChanged
+		isHeld, holdChangeSignal := l.isHeld, l.holdChangeSignal
 		l.mu.Unlock()
 		if !isHeld {
 			return nil
 		}
 		select {
-		case <-holdChanged:
+		case <-holdChangeSignal:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -22,14 +22,14 @@
 	isStopped   bool                // StopAll was called; no process is started any more
 	// onUnexpectedExit is called when a controller exits although it was neither killed nor told to exit.
 	onUnexpectedExit func(node, logPath string, err error)
-	spawns           chan func() // calls that start a process; runSpawns executes them
+	startCalls       chan func() // calls that start a process; runStartCalls executes them
 }
 
 // process is a running or exited controller process.
 type process struct {
 	command        *exec.Cmd
 	logPath        string
-	exited         chan struct{} // closed when the process has exited
+	exitSignal     chan struct{} // closed when the process has exited
 	isExitExpected bool          // the process was killed or told to exit
 }
 
@@ -40,20 +40,20 @@
 		settings:         settings,
 		running:          map[string]*process{},
 		startCounts:      map[string]int{},
-		spawns:           make(chan func()),
+		startCalls:       make(chan func()),
 		onUnexpectedExit: onUnexpectedExit,
 	}
-	go p.runSpawns()
+	go p.runStartCalls()
 	return p
 }
 
-// runSpawns starts the processes on one locked thread, which lives as long as this program. Because of
+// runStartCalls starts the processes on one locked OS thread that lives as long as this program. Because of
 // Pdeathsig, the kernel kills a controller when the thread that started the controller ends, so that no
 // controller outlives this program.
-func (p *processes) runSpawns() {
+func (p *processes) runStartCalls() {
 	runtime.LockOSThread()
-	for spawn := range p.spawns {
-		spawn()
+	for startProcess := range p.startCalls {
+		startProcess()
 	}
 }
 
@@ -76,11 +76,11 @@
 	command.Env = append(os.Environ(), "GOMAXPROCS=2")
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	startResult := make(chan error)
-	p.spawns <- func() { startResult <- command.Start() }
+	p.startCalls <- func() { startResult <- command.Start() }
 	if err := <-startResult; err != nil {
 		return fmt.Errorf("controller %s: %w", node, err)
 	}
-	child := &process{command: command, logPath: path, exited: make(chan struct{})}
+	child := &process{command: command, logPath: path, exitSignal: make(chan struct{})}
 	p.running[node] = child
 	go p.waitForExit(node, child)
 	return nil
@@ -95,7 +95,7 @@
 		delete(p.running, node)
 	}
 	p.mu.Unlock()
-	close(child.exited)
+	close(child.exitSignal)
 	if isUnexpected {
 		p.onUnexpectedExit(node, child.logPath, err)
 	}
@@ -124,7 +124,7 @@
 	}
 	_ = child.command.Process.Signal(syscall.SIGCONT)
 	_ = child.command.Process.Kill()
-	<-child.exited
+	<-child.exitSignal
 }
 
 // IsRunning reports whether a controller is running.
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -13,11 +13,11 @@
 
 // The kinds of faults.
 const (
-	Kill          FaultKind = "kill"           // a controller is killed and restarted, perhaps at once
+	Kill          FaultKind = "kill"           // a controller is killed and restarted, in half of the cases within a fraction of a second
 	KillAll       FaultKind = "kill-all"       // all controllers are killed and restarted
-	KillSeries    FaultKind = "kill-series"    // the owner of the most workers is killed and restarted, repeatedly
+	KillSeries    FaultKind = "kill-series"    // several times in a row, the controller that then has the most workers is killed and restarted
 	Leave         FaultKind = "leave"          // a controller is shut down by SIGTERM, and restarted
-	Pause         FaultKind = "pause"          // a controller's process is stopped by SIGSTOP, and continued
+	Pause         FaultKind = "pause"          // a controller's process is suspended by SIGSTOP and resumed by SIGCONT
 	StoreCut      FaultKind = "store-cut"      // a controller's requests to the store are dropped
 	StoreHold     FaultKind = "store-hold"     // a controller's requests to the store are held until the fault ends
 	StoreRefuse   FaultKind = "store-refuse"   // the store is unavailable for one controller
@@ -33,7 +33,7 @@
 	HeartbeatLoss FaultKind = "heartbeat-loss" // some heartbeats to a controller or their answers are lost or late
 	NoInbound     FaultKind = "no-inbound"     // machines receive nothing, but their heartbeats arrive
 	NoOutbound    FaultKind = "no-outbound"    // machines reach no controller, but commands reach them
-	Hang          FaultKind = "hang"           // machines freeze, and continue
+	Hang          FaultKind = "hang"           // machines freeze until the fault ends
 	Isolate       FaultKind = "isolate"        // machines and controllers cannot reach each other in either direction
 	SlowAnswers   FaultKind = "slow-answers"   // answers and commands to machines arrive seconds late
 	LateReports   FaultKind = "late-reports"   // copies of heartbeats arrive late, at random controllers
@@ -49,7 +49,7 @@
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	At       time.Duration // since the start of the schedule
+	At       time.Duration // start of the fault, counted from the start of the schedule
 	Kind     FaultKind
 	Node     string        // the affected controller; used by some kinds only
 	Share    float64       // share of the machines, jobs or messages that are affected, from 0 to 1; used by some kinds only
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -38,7 +38,7 @@
 
 // Timeouts and intervals of a run.
 const (
-	startTimeout   = 2 * time.Minute  // long enough for a busy machine
+	startTimeout   = 2 * time.Minute  // maximum time of waitUntilHealthy, and of setSpareMachines; long enough for a busy machine
 	drainPeriod    = 8 * time.Second  // time from the end of the last fault until users cancel the unfinished jobs
 	settleTimeout  = 60 * time.Second // maximum time from the end of drainPeriod until all jobs have ended
 	checkInterval  = 250 * time.Millisecond
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -35,9 +35,9 @@
 	runTimeRange       = 14 * time.Second        // upper bound of the random time added to minRunTime
 	maxPollGap         = 1200 * time.Millisecond // maximum time between two polls of a job
 	cancelShare        = 0.25                    // share of the jobs whose user plans to cancel them
-	probeAllShare      = 0.5                     // share of the finished jobs about which all controllers are asked at once
-	resubmitShare      = 0.15                    // probability of another submission before a poll
-	unknownPollShare   = 0.05                    // probability of a poll about a job that was never submitted, before a poll
+	probeAllShare      = 0.5                     // share of the finished jobs that probeAllControllers probes
+	resubmitShare      = 0.15                    // probability that a user submits a job again before a poll
+	unknownPollShare   = 0.05                    // probability that a user first polls a job that was never submitted, before a poll
 	submissionAttempts = 12                      // number of attempts to submit a job until its user gives up
 	submissionRetryGap = time.Second
 )
@@ -45,7 +45,7 @@
 // users simulates users who submit, poll, resubmit and cancel jobs at all controllers. It is safe for
 // concurrent use.
 type users struct {
-	ctx         context.Context // no user sends a request after its end
+	ctx         context.Context // when ctx has ended, no user sends another request
 	checker     *checker
 	cluster     *fake.Cluster
 	clients     map[string]*http.Client // by controller
@@ -112,8 +112,8 @@
 	return spec, minRunTime + randomDuration(u.rnd, runTimeRange)
 }
 
-// followJob simulates the user of one job: it submits the job, polls it until it has ended, and then may ask all
-// controllers about it. It returns early if the submission is not accepted or u.ctx ends.
+// followJob simulates the user of one job: it submits the job, polls it until it has ended, and then may probe
+// all controllers about it. It returns early if the submission is not accepted or u.ctx ends.
 func (u *users) followJob(spec jobs.Spec, runTime time.Duration) {
 	defer u.markFinished(spec.Ref)
 	u.cluster.RegisterJob(spec, runTime)
--- a/internal/tracing/tracer.go
+++ b/internal/tracing/tracer.go
@@ -80,7 +80,7 @@
 
 // span is a span that has ended.
 type span struct {
-	id, parent string // ids of the span and its parent, unique within the run; the span of the run itself has the same id twice
+	id, parent string // ids of the span and its parent, unique within the run; in the span of the run itself, both are runSpanID
 	name       string
 	interval
 	failure    string // reason of the failure, "" if the span did not fail
@@ -148,8 +148,8 @@
 
 // extendStage extends the interval of a stage so that it includes the interval of one of its jobs.
 func (s *StartTimes) extendStage(stage int, start, end time.Time) {
-	period, known := s.stages[stage]
-	if !known || start.Before(period.start) {
+	period, isKnown := s.stages[stage]
+	if !isKnown || start.Before(period.start) {
 		period.start = start
 	}
 	period.end = end
