--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -87,7 +87,7 @@
 		}
 		dir = tempDir
 	}
-	violatingRuns := 0
+	violatingRunCount := 0
 	for i := range uint64(c.Seeds) {
 		seed := c.Seed + i
 		result, err := soak.Run(ctx, c.options(seed, filepath.Join(dir, fmt.Sprint("seed-", seed))), os.Stdout)
@@ -96,11 +96,11 @@
 		}
 		printResult(seed, result)
 		if len(result.Violations) > 0 {
-			violatingRuns++
+			violatingRunCount++
 		}
 	}
-	fmt.Printf("%d of %d runs broke a rule\n", violatingRuns, c.Seeds)
-	if violatingRuns > 0 {
+	fmt.Printf("%d of %d runs broke a rule\n", violatingRunCount, c.Seeds)
+	if violatingRunCount > 0 {
 		return errViolated
 	}
 	return nil
--- a/internal/pipelineexec/execution_test.go
+++ b/internal/pipelineexec/execution_test.go
@@ -336,14 +336,14 @@
 // A controller that continues a run from its record reaches the same states, regardless of the event after which
 // the former leader crashed.
 func TestRecordIsSufficientForFailover(t *testing.T) {
-	uninterrupted := runWithFailovers(t, func(*harness) {})
-	withCurrentRecord := runWithFailovers(t, func(h *harness) { loadRecord(t, h) })
-	if uninterrupted != "+a +b +d -a +a +c +e success" || withCurrentRecord != uninterrupted {
-		t.Errorf("uninterrupted: %s\nwith failovers: %s", uninterrupted, withCurrentRecord)
+	logWithoutFailover := runWithFailovers(t, func(*harness) {})
+	logWithCurrentRecord := runWithFailovers(t, func(h *harness) { loadRecord(t, h) })
+	if logWithoutFailover != "+a +b +d -a +a +c +e success" || logWithCurrentRecord != logWithoutFailover {
+		t.Errorf("uninterrupted: %s\nwith failovers: %s", logWithoutFailover, logWithCurrentRecord)
 	}
 	// Jobs that the controller already has are not submitted a second time.
-	withOldestRecord := runWithFailovers(t, loadOldestRecord)
-	if submissionCount := strings.Count(withOldestRecord, "+"); submissionCount != 6 || !strings.HasSuffix(withOldestRecord, string(RunSucceeded)) {
-		t.Errorf("with the oldest record: %s", withOldestRecord)
+	logWithOldestRecord := runWithFailovers(t, loadOldestRecord)
+	if submissionCount := strings.Count(logWithOldestRecord, "+"); submissionCount != 6 || !strings.HasSuffix(logWithOldestRecord, string(RunSucceeded)) {
+		t.Errorf("with the oldest record: %s", logWithOldestRecord)
 	}
 }
--- a/internal/pipelinerun/inbox.go
+++ b/internal/pipelinerun/inbox.go
@@ -13,17 +13,17 @@
 	mu          sync.Mutex
 	events      []kvstore.Event
 	needsReload bool          // set if events were missed, so that all records have to be listed again
-	notify      chan struct{} // receives a value when events are added
+	eventSignal chan struct{} // receives a value when events are added
 }
 
-func newInbox() inbox { return inbox{notify: make(chan struct{}, 1)} }
+func newInbox() inbox { return inbox{eventSignal: make(chan struct{}, 1)} }
 
 func (b *inbox) put(events []kvstore.Event, needsReload bool) {
 	b.mu.Lock()
 	b.events, b.needsReload = append(b.events, events...), b.needsReload || needsReload
 	b.mu.Unlock()
 	select {
-	case b.notify <- struct{}{}:
+	case b.eventSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/pipelinerun/leader.go
+++ b/internal/pipelinerun/leader.go
@@ -108,7 +108,7 @@
 			return
 		case message := <-l.mailbox.Messages():
 			message()
-		case <-l.inbox.notify:
+		case <-l.inbox.eventSignal:
 			l.handleEvents(l.inbox.take())
 		case <-ticker.C:
 			l.tick(time.Now())
--- a/internal/pipelinerun/metrics.go
+++ b/internal/pipelinerun/metrics.go
@@ -6,7 +6,7 @@
 type leaderMetrics struct {
 	runs                prometheus.Gauge
 	submissions, writes prometheus.Counter
-	ended               *prometheus.CounterVec
+	endedRuns           *prometheus.CounterVec
 }
 
 func newLeaderMetrics() *leaderMetrics {
@@ -14,11 +14,11 @@
 		runs:        prometheus.NewGauge(prometheus.GaugeOpts{Name: "cherrywall_runs", Help: "Unfinished pipeline runs."}),
 		submissions: prometheus.NewCounter(prometheus.CounterOpts{Name: "cherrywall_run_submissions_total", Help: "Jobs submitted for pipeline runs."}),
 		writes:      prometheus.NewCounter(prometheus.CounterOpts{Name: "cherrywall_run_state_changes_total", Help: "Writes to the key-value store requested for pipeline runs."}),
-		ended:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cherrywall_runs_ended_total", Help: "Finished pipeline runs."}, []string{"status"}),
+		endedRuns:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cherrywall_runs_ended_total", Help: "Finished pipeline runs."}, []string{"status"}),
 	}
 }
 
 // Collectors returns the metrics to be registered.
 func (l *Leader) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{l.metrics.runs, l.metrics.submissions, l.metrics.writes, l.metrics.ended}
+	return []prometheus.Collector{l.metrics.runs, l.metrics.submissions, l.metrics.writes, l.metrics.endedRuns}
 }
--- a/internal/pipelinerun/run.go
+++ b/internal/pipelinerun/run.go
@@ -229,7 +229,7 @@
 				l.applyDelete(write.DeleteKey, revision)
 			}
 		}
-		l.metrics.ended.WithLabelValues(string(status)).Inc()
+		l.metrics.endedRuns.WithLabelValues(string(status)).Inc()
 		l.tracer.RecordEnd(run.id, record.Name, status, &run.startTimes, run.execution.Plan, time.UnixMilli(record.AcceptedAtMS), now)
 		l.log.Info("run finished", "run", run.id, "name", record.Name, "status", string(status),
 			"duration_s", float64(record.EndedAtMS-record.AcceptedAtMS)/1000)
