--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -26,7 +26,7 @@
 
 func waitingJob(kind jobs.Kind, tasks int, cpu, runSeconds float64) scheduler.PendingJob {
 	return scheduler.PendingJob{Record: jobs.JobRecord{Spec: jobs.Spec{Kind: kind, Tasks: tasks, OneZone: kind == jobs.Gang}},
-		Need: capacity.Resources{CPU: cpu, MemGB: 1}, Tasks: tasks, RunSeconds: runSeconds, Waiting: time.Second}
+		Need: capacity.Resources{CPU: cpu, MemGB: 1}, Tasks: tasks, RunSeconds: runSeconds, KnownFor: time.Second}
 }
 
 func machineCount(requests []cloud.ScaleOutRequest) int {
--- a/internal/autoscaler/shortfall.go
+++ b/internal/autoscaler/shortfall.go
@@ -110,7 +110,7 @@
 func (p *planner) tasksWithoutCapacity(job scheduler.PendingJob, neededCPU, availableCPU float64) int {
 	missingCPU := neededCPU - max(availableCPU, 0)
 	count := max(0, int(math.Ceil(missingCPU/job.Need.CPU)))
-	waitsTooLong := availableCPU <= 0 || job.Waiting > tuning.NoCapacityScaleOutDelay
+	waitsTooLong := availableCPU <= 0 || job.KnownFor > tuning.NoCapacityScaleOutDelay
 	if count == 0 && waitsTooLong && !p.hasPendingMachineFor(job) {
 		// A job that finds no capacity for so long gets a machine regardless of the estimates: an
 		// estimate of zero must not keep it waiting forever.
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -162,7 +162,7 @@
 	}
 	if isIsolated {
 		cluster.Store.RefuseNode("n0", true)
-		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 	} else {
 		cluster.CrashController("n0")
 	}
--- a/internal/controller/failuredetection_test.go
+++ b/internal/controller/failuredetection_test.go
@@ -61,7 +61,7 @@
 		requireOwnShards(t, cluster, "no controller receives heartbeats")
 		cluster.SetPeerLink(fake.PeerLink{})
 		time.Sleep(5 * time.Second)
-		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 		for i := range 40 { // the peers see from the claims of n0 that it works
 			requireAccepted(t, cluster, "n0", fake.JobSpec(jobRef(i+1), jobs.Array, 6, 0.5), 2*time.Second)
 			time.Sleep(500 * time.Millisecond)
@@ -86,7 +86,7 @@
 	runWithPeers(t, func(t *testing.T, cluster *fake.Cluster) {
 		addMachines(cluster, 6)
 		time.Sleep(6 * time.Second)
-		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 		ownerChanges, lastOwner := 0, "n0"
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/controller/partition_test.go
+++ b/internal/controller/partition_test.go
@@ -129,7 +129,7 @@
 		requireAccepted(t, cluster, "n0", fake.JobSpec("wk-2", jobs.Gang, 4, 1), 40*time.Second)
 		time.Sleep(5 * time.Second)
 		cluster.Store.RefuseNode("n0", true)
-		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 		time.Sleep(10 * time.Second)
 		if owner := cluster.OwnerOf("n0"); owner == "n0" {
 			t.Error("the shard of the isolated controller was not acquired")
@@ -206,7 +206,7 @@
 	cluster.Store.RefuseNode("n0", isPartitioned)
 	link := fake.PeerLink{}
 	if isPartitioned {
-		link.Isolated = "n0"
+		link.IsolatedNode = "n0"
 	}
 	cluster.SetPeerLink(link)
 }
--- a/internal/controller/problems_test.go
+++ b/internal/controller/problems_test.go
@@ -45,7 +45,7 @@
 		cluster.BlockInbound(host, true)
 		checkMachineIsReported(t, cluster, host)
 		cluster.Store.RefuseNode("n0", true)
-		cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+		cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 		time.Sleep(8 * time.Second)
 		if reason := reportedReason(t, cluster, "n0", diagnostics.ControllerProblem, "n0"); reason != "neither the state service nor another controller answers it" {
 			t.Errorf("n0 reports about itself: %q", reason)
--- a/internal/fake/faultinjection/checks.go
+++ b/internal/fake/faultinjection/checks.go
@@ -223,8 +223,8 @@
 	}
 	wait, isWaiting := waits[ref]
 	switch {
-	case !isWaiting || wait.startCount != backlog.Starts:
-		waits[ref] = waitWithCapacity{since: time.Now(), startCount: backlog.Starts}
+	case !isWaiting || wait.startCount != backlog.StartCount:
+		waits[ref] = waitWithCapacity{since: time.Now(), startCount: backlog.StartCount}
 	case time.Since(wait.since) >= maxWaitWithCapacity:
 		r.reportViolation("left_waiting: %s waited for %v although there is capacity for it", ref, time.Since(wait.since))
 		delete(waits, ref)
--- a/internal/fake/faultinjection/combined.go
+++ b/internal/fake/faultinjection/combined.go
@@ -238,7 +238,7 @@
 	r.Store.RefuseNode(node, on)
 	peerLink := fake.PeerLink{}
 	if on {
-		peerLink.Isolated = node
+		peerLink.IsolatedNode = node
 	}
 	r.SetPeerLink(peerLink)
 }
@@ -252,7 +252,7 @@
 	time.Sleep(time.Duration(4000+r.rnd.IntN(4000)) * time.Millisecond)
 	r.Store.RefuseNode(refusedNode, true)
 	if r.rnd.IntN(3) == 0 {
-		r.SetPeerLink(fake.PeerLink{Isolated: refusedNode})
+		r.SetPeerLink(fake.PeerLink{IsolatedNode: refusedNode})
 	}
 	r.cancelThroughOthers(refusedNode)
 	switch r.rnd.IntN(4) {
--- a/internal/fake/harness/cloud.go
+++ b/internal/fake/harness/cloud.go
@@ -10,13 +10,13 @@
 type Cloud struct {
 	AcceptsReleases   bool
 	Machines          []cloud.Machine
-	ReleaseCalls      int // how often Release was called
+	ReleaseCallCount  int // how often Release was called
 	ReleasedHostCount int // how many machines these calls named, including calls that failed
 }
 
 // Release returns cloud.ErrUnavailable unless AcceptsReleases is set.
 func (c *Cloud) Release(_ context.Context, hosts []string) error {
-	c.ReleaseCalls++
+	c.ReleaseCallCount++
 	c.ReleasedHostCount += len(hosts)
 	if c.AcceptsReleases {
 		return nil
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -168,8 +168,8 @@
 
 // Backlog describes the part of a job that remains to be placed.
 type Backlog struct {
-	Unplaced int // number of tasks that are neither done nor on a machine that runs them or fetches their image
-	Starts   int // how often the job's tasks were started so far, in total
+	UnplacedCount int // number of tasks that are neither done nor on a machine that runs them or fetches their image
+	StartCount    int // how often the job's tasks were started so far, in total
 	// HasCapacity reports whether the machines and the team's limit have capacity for the smallest
 	// number of tasks that can start: one of an array, all of a gang or service. It is false if fewer
 	// tasks than that number are unplaced.
@@ -184,16 +184,16 @@
 	var backlog Backlog
 	for i := range spec.Tasks {
 		task := jobs.TaskName(ref, i)
-		backlog.Starts += c.workload.startCounts[task]
+		backlog.StartCount += c.workload.startCounts[task]
 		if !c.workload.doneTasks[ref][task] && !c.isPlaced(task) {
-			backlog.Unplaced++
+			backlog.UnplacedCount++
 		}
 	}
 	neededTasks := 1
 	if spec.Kind != jobs.Array {
 		neededTasks = spec.Tasks
 	}
-	if backlog.Unplaced == 0 || spec.Kind != jobs.Array && backlog.Unplaced < neededTasks {
+	if backlog.UnplacedCount == 0 || spec.Kind != jobs.Array && backlog.UnplacedCount < neededTasks {
 		return backlog
 	}
 	if _, isExceeded := c.checkLimit(spec.Team, float64(neededTasks)*spec.CPU); isExceeded {
--- a/internal/fake/network/network.go
+++ b/internal/fake/network/network.go
@@ -14,7 +14,7 @@
 // PeerLink is the state of the connections between the controllers.
 type PeerLink struct {
 	IsCut        bool          // no controller reaches another one
-	Isolated     string        // a controller that neither receives nor sends peer messages, empty for none
+	IsolatedNode string        // a controller that neither receives nor sends peer messages, empty for none
 	ChunksToDrop int           // how many of the next transfer chunks are lost
 	Delay        time.Duration // time added to the minimum transfer time of each transfer chunk, which is a millisecond
 }
@@ -166,7 +166,7 @@
 func (n *Network) ArePeersCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.peerLink.IsCut || n.peerLink.Isolated == from || n.peerLink.Isolated == to
+	return n.peerLink.IsCut || n.peerLink.IsolatedNode == from || n.peerLink.IsolatedNode == to
 }
 
 // NextChunk returns how long the next transfer chunk takes and whether it is lost. Each call counts as
--- a/internal/httpapi/pipelines.go
+++ b/internal/httpapi/pipelines.go
@@ -114,7 +114,7 @@
 func (h *pipelineHandler) create(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	id, name := r.URL.Query().Get("id"), r.URL.Query().Get("name")
 	switch {
-	case !pipelinerun.ValidID(id):
+	case !pipelinerun.IsValidID(id):
 		admin.WriteError(w, http.StatusBadRequest, "id: must be run- and up to 18 digits, chosen by the caller")
 		return
 	case len(name) > tuning.MaxRunNameBytes:
@@ -138,7 +138,7 @@
 // error response and returns false.
 func runIDFromPath(w http.ResponseWriter, params httprouter.Params) (id string, ok bool) {
 	id = params.ByName("id")
-	if !pipelinerun.ValidID(id) {
+	if !pipelinerun.IsValidID(id) {
 		admin.WriteError(w, http.StatusNotFound, "no such run")
 		return "", false
 	}
--- a/internal/machinelifecycle/manager_test.go
+++ b/internal/machinelifecycle/manager_test.go
@@ -25,8 +25,8 @@
 	}
 	h.Machines.SendReleases()
 	h.RunNext() // handles the result of the request
-	if h.Cloud.ReleaseCalls != 1 || h.Cloud.ReleasedHostCount != 100 || h.Machines.PendingReleaseCount() != 30 {
-		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCalls, h.Cloud.ReleasedHostCount, h.Machines.PendingReleaseCount())
+	if h.Cloud.ReleaseCallCount != 1 || h.Cloud.ReleasedHostCount != 100 || h.Machines.PendingReleaseCount() != 30 {
+		t.Errorf("%d requests for %d machines, %d pending", h.Cloud.ReleaseCallCount, h.Cloud.ReleasedHostCount, h.Machines.PendingReleaseCount())
 	}
 }
 
--- a/internal/pipelinerun/records.go
+++ b/internal/pipelinerun/records.go
@@ -37,8 +37,8 @@
 	scheduleNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 )
 
-// ValidID reports whether a run's id has the required form: "run-" and up to 18 digits.
-func ValidID(id string) bool { return runIDPattern.MatchString(id) }
+// IsValidID reports whether a run's id has the required form: "run-" and up to 18 digits.
+func IsValidID(id string) bool { return runIDPattern.MatchString(id) }
 
 // runRecord is the record of an unfinished or finished run.
 type runRecord struct {
--- a/internal/pipelinerun/requests_test.go
+++ b/internal/pipelinerun/requests_test.go
@@ -19,7 +19,7 @@
 		"run-x":                          false,
 		"wk-1":                           false,
 	} {
-		if pipelinerun.ValidID(id) != want {
+		if pipelinerun.IsValidID(id) != want {
 			t.Errorf("%q: want %v", id, want)
 		}
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -20,7 +20,7 @@
 	Need         capacity.Resources // of one task
 	Tasks        int                // number of tasks that are unclaimed and within the team's quota
 	RunSeconds   float64            // expected run time of a task
-	Waiting      time.Duration      // how long this controller has known the job
+	KnownFor     time.Duration      // how long this controller has known the job
 	Age          time.Duration      // time since the job became runnable
 	IsBackground bool               // whether the job must leave capacity free for the classes with an objective
 	IsBestEffort bool               // whether only spot machines are scaled out for the job
@@ -158,7 +158,7 @@
 			Need:         job.Need(),
 			Tasks:        tasks,
 			RunSeconds:   s.ExpectedRunSeconds(job.Record()),
-			Waiting:      now.Sub(job.KnownSince()),
+			KnownFor:     now.Sub(job.KnownSince()),
 			Age:          job.Age(now),
 			IsBackground: job.IsBackground(),
 			IsBestEffort: job.IsBestEffort(),
--- a/internal/statecache/cancellation_bound_test.go
+++ b/internal/statecache/cancellation_bound_test.go
@@ -128,7 +128,7 @@
 	time.Sleep(3*time.Second + r.refusalOffset)
 	r.cluster.Store.RefuseNode(r.refusedController, true)
 	if r.cutsPeerLinks {
-		r.cluster.SetPeerLink(fake.PeerLink{Isolated: r.refusedController})
+		r.cluster.SetPeerLink(fake.PeerLink{IsolatedNode: r.refusedController})
 	}
 }
 
--- a/internal/workersession/cancellation_test.go
+++ b/internal/workersession/cancellation_test.go
@@ -188,7 +188,7 @@
 		starts := recordLateStarts(cluster)
 		cluster.Store.RefuseNode("n0", true)
 		if isIsolated {
-			cluster.SetPeerLink(fake.PeerLink{Isolated: "n0"})
+			cluster.SetPeerLink(fake.PeerLink{IsolatedNode: "n0"})
 		}
 		confirmation := make(chan struct{})
 		go func() {
