--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Meter is a client of the key-value store, whose request limits all controllers share.
-type Meter interface {
+// UsageMeter is a client of the key-value store, whose request limits all controllers share.
+type UsageMeter interface {
 	// Usage returns the present rates of this controller's requests and writes, per second.
 	Usage() (requests, writes float64)
 	// RecordPeerUsage records the rates of another controller's requests and writes, per second.
@@ -14,7 +14,7 @@
 // store, so that each controller keeps to the part of the limits that the others leave unused.
 type RateSharing struct {
 	Controller
-	Meter Meter
+	Meter UsageMeter
 	Peers map[string]bool // the names of all other controllers
 }
 
--- a/internal/pipeline/parse.go
+++ b/internal/pipeline/parse.go
@@ -48,13 +48,13 @@
 // ClassLimits returns the operators' limits of a class of jobs; ok is false if the class has none.
 type ClassLimits func(class string) (limits jobs.ClassLimits, ok bool)
 
-// ValidateSpec checks whether the cluster can run a job. The text of the error is shown to the user.
-type ValidateSpec func(spec *jobs.Spec) error
+// SpecValidator checks whether the cluster can run a job. The text of the error is shown to the user.
+type SpecValidator func(spec *jobs.Spec) error
 
 // Parse parses a file and returns its plan. The error is of type Problems and contains all errors of the
 // file. The notices are about keys that have no effect; they may be returned together with an error. If
 // limits is nil, the limits of classes are not checked; if validate is nil, the specs are not validated.
-func Parse(raw []byte, limits ClassLimits, validate ValidateSpec) (plan *Plan, notices Problems, err error) {
+func Parse(raw []byte, limits ClassLimits, validate SpecValidator) (plan *Plan, notices Problems, err error) {
 	if len(raw) > tuning.MaxPipelineFileBytes {
 		return nil, nil, Problems{{1, 1, fmt.Sprintf("the file has %d bytes, more than the limit of %d", len(raw), tuning.MaxPipelineFileBytes)}}
 	}
@@ -83,7 +83,7 @@
 	problemCollector
 	treeCopier
 	classLimits ClassLimits
-	validate    ValidateSpec
+	validate    SpecValidator
 
 	file          file
 	variables     map[string]string
@@ -103,7 +103,7 @@
 	needs needs
 }
 
-func newCompiler(limits ClassLimits, validate ValidateSpec) *compiler {
+func newCompiler(limits ClassLimits, validate SpecValidator) *compiler {
 	return &compiler{
 		classLimits:   limits,
 		validate:      validate,
