--- a/internal/membership/acquisition.go
+++ b/internal/membership/acquisition.go
@@ -36,8 +36,8 @@
 // Any other controller acquires a shard only if it is the shard's successor, the shard has no
 // working owner, and the startup grace period of that controller is over. Without that period, when
 // all controllers start together, the first one to be live would acquire the shard of the next one,
-// and half a second later the next one would be live and acquire its shard back. With each change of owner, what the owner knew about the
-// shard's machines is lost.
+// and half a second later the next one would be live and acquire its shard back. With each change
+// of owner, what the owner knew about the shard's machines is lost.
 func (t *Table) ShardsToAcquire(now time.Time, hasFailed func(controller string) bool) []string {
 	var ids []string
 	for _, id := range t.controllers {
--- a/internal/peer/rate_sharing.go
+++ b/internal/peer/rate_sharing.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// UsageMeter is a client of the key-value store, whose request limits all controllers share.
+// UsageMeter measures how much this controller uses the key-value store, and records how much its
+// peers use it. All controllers share the request limits of the store.
 type UsageMeter interface {
 	// Usage returns the present rates of this controller's requests and writes, per second.
 	Usage() (requests, writes float64)
